--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -111,7 +111,10 @@
 void Engine::sweep(Time now) {
   swept_ = now_ = std::max(now_, now);
   for (const MemberId id : balancer_->forget(now_)) {
-    for (auto it = ids_.begin(); it != ids_.end();) it = it->second == id ? ids_.erase(it) : std::next(it);
+    if (const auto name = names_.find(id); name != names_.end()) {
+      ids_.erase(name->second);
+      names_.erase(name);
+    }
     ready_.erase(id);
     if (const auto tag = tags_.find(id); tag != tags_.end()) {
       tagged_.erase(tag->second);
@@ -288,14 +291,15 @@
     members_->listed(m.id, i.address, i.state == Lifecycle::Ready && !m.suspended,
                      m.started > Time(0) ? m.started + config_.settings.coldFor : Time(0));
   }
-  if (kind != ListKind::Delta)
+  if (kind != ListKind::Delta) {
+    std::unordered_set<MemberId> listed;
+    for (const knotstack::ListedMember& m : entries) listed.insert(m.id);
     for (const auto& [name, id] : ids_) {
-      const MemberId key = id;
-      if (std::none_of(entries.begin(), entries.end(), [&](const auto& m) { return m.id == key; })) {
-        ready_.erase(id);
-        members_->listed(id, Address(), false, Time(0));
-      }
+      if (listed.count(id) > 0) continue;
+      ready_.erase(id);
+      members_->listed(id, Address(), false, Time(0));
     }
+  }
   balancer_->list(now_, kind, entries);
 }
 
@@ -303,6 +307,7 @@
   const auto [it, added] = ids_.emplace(name, lastMember_ + 1);
   lastMember_ += added;  // no id is given twice, for late events bear them
   if (added) {
+    names_[it->second] = name;
     const std::uint64_t tag = peers::tagOf(name);
     tags_[it->second] = tag;
     const auto [same, alone] = tagged_.emplace(tag, it->second);
@@ -312,9 +317,8 @@
 }
 
 std::string Engine::nameOf(MemberId id) const {
-  for (const auto& [name, known] : ids_)
-    if (known == id) return name;
-  return "";
+  const auto it = names_.find(id);
+  return it == names_.end() ? std::string() : it->second;
 }
 
 // ---- actions: recorded here, carried out at the end of the turn ---------------------------------------
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -235,7 +235,8 @@
   std::vector<std::function<void()>> actions_;  // recorded in the order in which they take effect
   std::unordered_map<RequestId, Held> held_;
   std::unordered_map<std::string, MemberId> ids_;
-  std::unordered_set<std::string> everListed_;  // bounded; what is suspended is in banned_ as well
+  std::unordered_map<MemberId, std::string> names_;  // of each id in ids_
+  std::unordered_set<std::string> everListed_;       // bounded; what is suspended is in banned_ as well
   std::unordered_set<std::string> banned_;
   std::unordered_set<MemberId> ready_;                  // by the list
   std::unordered_map<std::uint64_t, MemberId> tagged_;  // 0: two members share the tag, so it names neither
