--- a/src/membership/list.cpp
+++ b/src/membership/list.cpp
@@ -14,14 +14,20 @@
 
 bool ListStream::feed(std::string_view bytes, std::vector<std::string>& whole, bool& alive) {
   constexpr std::size_t kLongest = 4 << 20;
-  for (const char c : bytes) {
+  std::size_t taken = 0;  // bytes up to here are in text_, or belong to no list
+  const auto take = [&](std::size_t end) {
+    text_.append(bytes.substr(taken, end - taken));
+    taken = end;
+  };
+  for (std::size_t k = 0; k < bytes.size(); ++k) {
+    const char c = bytes[k];
     if (depth_ == 0) {
       alive = alive || c == '\n' || c == '{';
       if (c == ' ' || c == '\t' || c == '\r' || c == '\n') continue;
       if (c != '{') return false;
+      taken = k;
     }
-    if (text_.size() >= kLongest) return false;
-    text_.push_back(c);
+    if (text_.size() + (k - taken) >= kLongest) return false;
     if (quoted_) {
       quoted_ = c != '"' || escaped_;
       escaped_ = c == '\\' && !escaped_;
@@ -31,9 +37,11 @@
     depth_ += (c == '{' || c == '[') - (c == '}' || c == ']');
     if (depth_ > 0) continue;
     alive = true;
+    take(k + 1);
     whole.push_back(std::move(text_));
     text_.clear();
   }
+  if (depth_ > 0) take(bytes.size());
   return true;
 }
 
@@ -45,6 +53,12 @@
 
 namespace {
 
+// The key's text is put together only for an error.
+Address readAddress(std::string_view text, const std::string& path) {
+  const auto address = Address::parse(text);
+  return address ? *address : parseAddress(text, path + "hostPort");
+}
+
 Instance readInstance(const element& e, const std::string& path) {
   Instance i;
   i.name = std::string(jsonField<std::string_view>(e, "instanceId", path));
@@ -60,8 +74,7 @@
   // Of one that has left, the rest may be missing.
   const bool gone = i.state == Lifecycle::Gone;
   const auto has = [&](const char* key) { return !gone || e[key].error() == simdjson::SUCCESS; };
-  if (has("hostPort"))
-    i.address = parseAddress(jsonField<std::string_view>(e, "hostPort", path), path + "hostPort");
+  if (has("hostPort")) i.address = readAddress(jsonField<std::string_view>(e, "hostPort", path), path);
   if (has("zone")) i.zone = std::string(jsonField<std::string_view>(e, "zone", path));
   std::string_view kind;
   if (e["machineType"].get(kind) == simdjson::SUCCESS) i.kind = std::string(kind);
@@ -84,9 +97,15 @@
   if (generation < 0) throw BadInput("key " + path + "generation: negative");
   list.generation = static_cast<std::uint64_t>(generation);
   list.reset = jsonField<bool>(object, "reset", path);
-  std::size_t n = 0;
-  for (const element e : jsonField<simdjson::dom::array>(object, "instances", path))
-    list.instances.push_back(readInstance(e, path + "instances[" + std::to_string(n++) + "]."));
+  const auto instances = jsonField<simdjson::dom::array>(object, "instances", path);
+  list.instances.reserve(instances.size());
+  std::string place = path + "instances[";
+  const std::size_t prefix = place.size();
+  for (const element e : instances) {
+    place.resize(prefix);
+    place.append(std::to_string(list.instances.size())).append("].");
+    list.instances.push_back(readInstance(e, place));
+  }
   return list;
 }
 
