--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -6,6 +6,7 @@
 #include <iterator>
 #include <limits>
 #include <map>
+#include <set>
 #include <stdexcept>
 #include <unordered_map>
 #include <utility>
@@ -79,11 +80,23 @@
   double retries = 1;
   const std::uint64_t seed;
   Time fadedAt{}, ratesAt = never, began = never;
-  int outNow = 0;                    // attempts that are out
-  Decayed asked;                     // requests that came here
-  double taken = 10, wrote = 0;      // the share of them that write, as if ten others had come before
-  double typical = 0;                // mean latency of all classes, microseconds; 0: not seen yet
-  double perWeight = 0, filled = 0;  // as of ratesAt: work of a warm member for its weight; groups in use
+  int outNow = 0;  // attempts that are out
+  // Kept so that housekeeping costs what is under way, not what is listed.
+  std::set<MemberId> busyMembers;   // with attempts out
+  std::set<MemberId> goneMembers;   // with a goneAt
+  std::set<GroupId> waitingGroups;  // every group with waiting requests; some may have none left
+  std::uint64_t listsTaken = 1;     // a group was scouted if it was since the last list
+  Decayed asked;                    // requests that came here
+  double taken = 10, wrote = 0;     // the share of them that write, as if ten others had come before
+  double typical = 0;               // mean latency of all classes, microseconds; 0: not seen yet
+  double perWeight = 0;             // as of ratesAt: work of a warm member for its weight
+  struct Totals {                   // over all usable members; from a pass over them only after a change
+    bool stale = true;
+    Time validUntil = never;  // when the next member stops warming up; never: none is
+    double warmWeight = 0, warmingWeight = 0;
+    Decayed warmServed;  // kept up to date with every answer
+    double groupsInUse = 0;
+  } totals;
   bool ticking = false, begun = false, asking = false;
   bool hearsLoad = false, hinted = false;  // reports tell a member's load; routers pass on what they hear
   Time askBackoff = kAskFirst;
@@ -146,9 +159,9 @@
       Member* const other = g.primary == m.listed.id ? nullptr : find(g.primary);
       if (other && other->roleAt > at) return;
       if (other) other->role = Role::Unknown;
-      g.primary = m.listed.id, g.scouted = false;
+      g.primary = m.listed.id, g.scoutedIn = 0;
     } else if (g.primary == m.listed.id) {
-      g.primary = 0, g.scouted = false;
+      g.primary = 0, g.scoutedIn = 0;
     }
     m.role = role, m.roleAt = at;
   }
@@ -334,46 +347,53 @@
     wait(r, std::max(s.step, classOf(r).aim / kHold));
     return true;
   }
-  std::vector<Choice> readSet(const Open& r, bool lastResort = false) {
+  // Whether the candidates' answers come in time is worked out one after another, only as far as it is
+  // needed.
+  std::vector<Choice> readSet(const Open& r, const std::vector<Member*>& among) {
     Group& g = groups[r.q.group];
     const ClassSettings& c = classOf(r);
     const Time need = needOf(r);
     Time budget = r.arrived + c.aim - now;
     if (budget <= Time(0)) budget = std::max(r.q.deadline - now, Time(1));
-    std::vector<Choice> replicas, set;
-    Choice primary{nullptr, 1, 0};
-    for (Member* m : candidates(r, lastResort)) {
-      const double f = stalenessFactor(*m, g, need);
-      if (f < 0) continue;
-      Choice ch{m, 0, 0};
-      ch.miss = missChance(*m, m->immediate, r.q.cls, budget, &ch.expected) * f;
-      if (f < 1)
-        ch.miss += (m->held.empty() ? 0.0 : missChance(*m, m->held, r.q.cls, budget, nullptr)) * (1 - f);
-      if (m->listed.id == g.primary)
-        primary = ch;
-      else
-        replicas.push_back(ch);
-    }
+    const auto choiceOf = [&](Member& m, double fresh) {
+      Choice choice{&m, 0, 0};
+      choice.miss = missChance(m, m.immediate, r.q.cls, budget, &choice.expected) * fresh;
+      if (fresh < 1)
+        choice.miss += (m.held.empty() ? 0.0 : missChance(m, m.held, r.q.cls, budget)) * (1 - fresh);
+      return choice;
+    };
+    std::vector<Choice> set;
     const bool leaveBestOut = g.troubleAt != never && now - g.troubleAt < kTrouble;
     double product = 1, best = 1;
     const auto enough = [&] {
       return 1 - (leaveBestOut ? product / std::max(best, 1e-9) : product) >= kTarget;
     };
-    const auto add = [&](const Choice& ch) {
-      set.push_back(ch);
-      product *= std::max(ch.miss, 1e-9);
-      best = std::min(best, std::max(ch.miss, 1e-9));
+    const auto add = [&](const Choice& choice) {
+      set.push_back(choice);
+      product *= std::max(choice.miss, 1e-9);
+      best = std::min(best, std::max(choice.miss, 1e-9));
     };
-    for (const Choice& ch : replicas) {
-      add(ch);
+    Member* primary = nullptr;
+    for (Member* m : among) {
+      if (m->listed.id == g.primary) {
+        primary = m;
+        continue;
+      }
+      const double fresh = stalenessFactor(*m, g, need);
+      if (fresh < 0) continue;
+      add(choiceOf(*m, fresh));
       if (enough()) break;
     }
-    if (primary.member && (set.empty() || !enough())) add(primary);  // sparing the primary
+    // Sparing the primary, whose data is always new enough.
+    if (primary && (set.empty() || !enough())) add(choiceOf(*primary, 1));
     std::stable_sort(set.begin(), set.end(), [](const Choice& a, const Choice& b) {
       return a.miss != b.miss ? a.miss < b.miss : a.expected < b.expected;
     });
     return set;
   }
+  std::vector<Choice> readSet(const Open& r, bool lastResort = false) {
+    return readSet(r, candidates(r, lastResort));
+  }
 
   // Whether one more attempt may go out at all: what may have run is not run twice.
   bool remembered(const Open& r) const {
@@ -394,8 +414,9 @@
   }
 
   void advanceRead(Open& r) {
-    if (inquire(r, candidates(r))) return;
-    std::vector<Choice> set = readSet(r);
+    const std::vector<Member*> next = candidates(r);
+    if (inquire(r, next)) return;
+    std::vector<Choice> set = readSet(r, next);
     if (set.empty() && !r.tried.empty()) {  // all were tried: another round
       r.tried.clear();
       set = readSet(r);
@@ -430,14 +451,14 @@
     }
     // No primary known: one write tries the members by id, the others wait for an answer as primary. Where
     // probes can tell, one round is enough; else the next round follows after a pause.
-    if (!g.scouted && (g.scout == 0 || g.scout == r.q.id)) {
+    if (g.scoutedIn != listsTaken && (g.scout == 0 || g.scout == r.q.id)) {
       for (const MemberId id : g.members) {
         Member& x = members.at(id);
         if (!usable(x) || !healthy(x) || !mayTake(r, x) || !withinColdBudget(x, r)) continue;
         g.scout = r.q.id;
         return send(r, x);
       }
-      g.scouted = true;
+      g.scoutedIn = listsTaken;
     }
     if (g.scout == r.q.id) g.scout = 0;
     r.tried.clear();
@@ -456,6 +477,7 @@
       a.saved -= a.price, a.drawnFor = 0;
     m.out.push_back({r.q.id, static_cast<int>(r.attempts.size()) - 1, r.q.cls, loadOf(m), now, held});
     m.lastUsed = now;
+    busyMembers.insert(m.listed.id);
     r.asked = false, ++outNow;
     tickSoon();
     sink.send(r.q.id, m.listed.id, std::max(endOf(r), now + Time(1)));
@@ -479,6 +501,7 @@
     sink.timer(in, kTokenWake | r.q.id << 8);
     tickSoon();
     groups[r.q.group].waiting.push_back(r.q.id);
+    waitingGroups.insert(r.q.group);
   }
   void serveWaiting(Group& g) {
     std::vector<RequestId> ids;
@@ -491,6 +514,18 @@
     }
   }
 
+  // Every group with waiting requests, by id. A group whose requests all went on is dropped from the set.
+  void serveAllWaiting(bool seek = false) {
+    for (const GroupId id : std::vector<GroupId>(waitingGroups.begin(), waitingGroups.end())) {
+      const auto it = groups.find(id);
+      if (it != groups.end() && !it->second.waiting.empty()) {
+        serveWaiting(it->second);
+        if (seek) seekPrimary(it->second);
+      }
+      if (it == groups.end() || it->second.waiting.empty()) waitingGroups.erase(id);
+    }
+  }
+
   void outcome(const Outcome& o) {
     Member* const m = find(o.member);
     if (!m) return;
@@ -500,6 +535,7 @@
     if (sent == m->out.end()) return;
     const Sent was = *sent;
     m->out.erase(sent);
+    if (m->out.empty()) busyMembers.erase(o.member);
     --outNow;
     const GroupId group = m->listed.group;
     learn(*m, was, o);
@@ -552,6 +588,7 @@
     }
     if (o.result == Result::Ok) {
       count(m.served, costOf(was.cls));
+      if (usable(m) && !cold(m)) count(totals.warmServed, costOf(was.cls));
       double& u = usual[at(was.cls)];
       const double us = static_cast<double>(latency.count());
       u = u > 0 ? u + kSmooth * (us - u) : us;
@@ -659,16 +696,23 @@
     }
     if (kind == ListKind::Failed) return;
     askBackoff = kAskFirst;
+    totals.stale = true;
     if (kind != ListKind::Delta) {
+      std::vector<MemberId> listed;
+      listed.reserve(entries.size());
+      for (const ListedMember& e : entries) listed.push_back(e.id);
+      std::sort(listed.begin(), listed.end());
+      auto next = listed.cbegin();  // both go up by id
       for (auto& [id, m] : members) {
-        const MemberId key = id;
-        if (std::none_of(entries.begin(), entries.end(), [&](const ListedMember& e) { return e.id == key; }))
-          m.listed.state = Lifecycle::Gone;
-        if (m.listed.state == Lifecycle::Gone && m.goneAt == never) m.goneAt = now;
+        while (next != listed.cend() && *next < id) ++next;
+        if (next == listed.cend() || *next != id) m.listed.state = Lifecycle::Gone;
+        if (m.listed.state == Lifecycle::Gone) markGone(id, m);
       }
     }
+    auto place = members.begin();  // most lists name members by id going up: then no search is needed
     for (const ListedMember& e : entries) {
-      Member& m = members[e.id];
+      if (place == members.end() || place->first != e.id) place = members.try_emplace(e.id).first;
+      Member& m = (place++)->second;
       m.salt = dice(e.id);
       if (m.listed.id == 0 || m.listed.group != e.group) {
         std::vector<MemberId>& ids = groups[e.group].members;
@@ -689,35 +733,40 @@
       }
       m.listed = e;
       m.suspended = m.suspended || e.suspended;
-      if (e.state != Lifecycle::Gone)
-        m.goneAt = never;
-      else if (m.goneAt == never)
-        m.goneAt = now;
+      if (e.state == Lifecycle::Gone)
+        markGone(e.id, m);
+      else
+        m.goneAt = never, goneMembers.erase(e.id);
       m.seenDraining = e.state == Lifecycle::Draining || (m.seenDraining && e.state != Lifecycle::Ready);
-      Group& g = groups[e.group];
       if (!usable(m)) {
-        if (g.primary == e.id) sawRole(m, Role::Unknown, std::max(m.roleAt, now));
-      } else if (e.primary && s.roleListed != RoleListed::Silent && m.roleAt == never && g.primary == 0) {
-        g.primary = e.id;  // the weakest evidence: anything heard from a member replaces it
+        if (groups[e.group].primary == e.id) sawRole(m, Role::Unknown, std::max(m.roleAt, now));
+      } else if (e.primary && s.roleListed != RoleListed::Silent && m.roleAt == never &&
+                 groups[e.group].primary == 0) {
+        groups[e.group].primary = e.id;  // the weakest evidence: anything heard from a member replaces it
         m.role = Role::Primary, m.roleAt = Time(0);
       }
     }
-    for (auto& [id, g] : groups) {
-      g.scouted = false;
-      serveWaiting(g);
-    }
+    ++listsTaken;
+    serveAllWaiting();
+  }
+  void markGone(MemberId id, Member& m) {
+    if (m.goneAt == never) m.goneAt = now;
+    goneMembers.insert(id);
   }
   // Guards against growth where members are replaced. What is out there still ends in an event about it.
   std::vector<MemberId> forget() {
     std::vector<MemberId> gone;
-    for (const auto& [id, m] : members)
-      if (!usable(m) && m.goneAt != never && now >= m.goneAt + kForget && m.out.empty() && !m.probing)
-        gone.push_back(id);
+    for (const MemberId id : goneMembers) {
+      const Member& m = members.at(id);
+      if (!usable(m) && now >= m.goneAt + kForget && m.out.empty() && !m.probing) gone.push_back(id);
+    }
+    totals.stale = totals.stale || !gone.empty();
     for (const MemberId id : gone) {
       Group& g = groups[members.at(id).listed.group];
       g.members.erase(std::remove(g.members.begin(), g.members.end(), id), g.members.end());
       if (g.primary == id) g.primary = 0;
       members.erase(id);
+      goneMembers.erase(id);
     }
     for (auto it = groups.begin(); it != groups.end();) {  // clients may name groups that do not exist
       const Group& g = it->second;
@@ -748,15 +797,26 @@
   double costOf(int k) const { return usual[at(k)] > 0 ? std::clamp(usual[at(k)] / typical, 0.5, 2.0) : 1; }
   void sumUp() {
     if (std::exchange(ratesAt, now) == now) return;
-    double warm = filled = 0, chilly = 0, done = 0;
-    for (const auto& [id, x] : members)
-      if (usable(x) && cold(x))
-        chilly += x.listed.weight;
-      else if (usable(x))
-        warm += x.listed.weight, done += each(x.served, began);
+    if (totals.stale || (totals.validUntil != never && now >= totals.validUntil)) recountTotals();
     // Where none is warm what is asked is taken for the most that can be.
-    perWeight = warm > 0 ? done / warm : each(asked, began) / std::max(chilly, 1e-9) / kCrowd;
-    for (const auto& [id, g] : groups) filled += !g.members.empty();
+    perWeight = totals.warmWeight > 0 ? each(totals.warmServed, began) / totals.warmWeight
+                                      : each(asked, began) / std::max(totals.warmingWeight, 1e-9) / kCrowd;
+  }
+  void recountTotals() {
+    totals = Totals();
+    totals.stale = false;
+    for (const auto& [id, m] : members) {
+      if (!usable(m)) continue;
+      if (cold(m)) {
+        const Time warmAt = m.listed.started + s.coldFor;
+        totals.validUntil = totals.validUntil == never ? warmAt : std::min(totals.validUntil, warmAt);
+        totals.warmingWeight += m.listed.weight;
+      } else {
+        totals.warmWeight += m.listed.weight;
+        count(totals.warmServed, lately(m.served));
+      }
+    }
+    for (const auto& [id, g] : groups) totals.groupsInUse += !g.members.empty();
   }
   bool withinColdBudget(Member& m, const Open& r) {
     if (!cold(m)) return true;
@@ -765,7 +825,7 @@
     Allowance& a = m.allowance[write];
     if (a.drawnFor == r.q.id && (a.drawn || a.drawnAt == now)) return a.drawn;
     sumUp();  // a group is seldom asked at one of many routers: its part of all tells more than its own
-    const double all = each(asked, began) / filled, writes = all * wrote;
+    const double all = each(asked, began) / totals.groupsInUse, writes = all * wrote;
     const double ramp = s.startCapacity + (1 - s.startCapacity) * ratio(now - m.listed.started, s.coldFor);
     const double able = (2 * ramp * m.listed.weight * perWeight + each(m.served, m.listed.started)) / 2.7;
     double part = std::max(kPlan * s.fallMultiple * able, kLeast / s.balancers);  // for a window
@@ -810,17 +870,9 @@
   }
   void tick() {
     ticking = false;
-    if (outNow > 0)
-      for (auto& [id, m] : members)
-        if (!m.out.empty()) noticeSilence(m);
-    for (auto& [id, g] : groups) {
-      if (g.waiting.empty()) continue;
-      serveWaiting(g);
-      seekPrimary(g);
-    }
-    if (outNow > 0 ||
-        std::any_of(groups.begin(), groups.end(), [](const auto& g) { return !g.second.waiting.empty(); }))
-      tickSoon();
+    for (const MemberId id : busyMembers) noticeSilence(members.at(id));  // which sends nothing itself
+    serveAllWaiting(true);
+    if (outNow > 0 || !waitingGroups.empty()) tickSoon();
   }
 };
 
@@ -960,13 +1012,14 @@
   Member* const m = c.find(id);
   if (!m || m->suspended == on) return;
   m->suspended = on;
+  c.totals.stale = true;
   if (on) {
     m->suspendedAt = now;
     c.sawRole(*m, Role::Unknown, std::max(m->roleAt, now));
   } else {  // staff had a reason: unless the list knows better it counts as one that has just started
     if (m->listed.started < m->suspendedAt) m->listed.started = now, m->served = {};
     m->asideUntil = never, m->failures = 0;
-    c.groups[m->listed.group].scouted = false;
+    c.groups[m->listed.group].scoutedIn = 0;
   }
 }
 
@@ -976,6 +1029,7 @@
   c.now = now;
   const Time zero = c.s.zero;
   c.s = settings;
+  c.totals.stale = true;
   c.s.zero = zero;
   c.usual.resize(std::max(c.usual.size(), settings.classes.size()));
   c.base.resize(c.usual.size());
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -77,9 +77,9 @@
   MemberId primary = 0;           // 0: none known
   Time troubleAt = never;
   Time primaryWanted = never;
-  RequestId scout = 0;  // the one write that looks for the primary
-  bool scouted = false;
-  Time forgotten = never;  // sessions no longer remembered may have written until then
+  RequestId scout = 0;          // the one write that looks for the primary
+  std::uint64_t scoutedIn = 0;  // a round over all members found none, since this list; 0: no round did
+  Time forgotten = never;       // sessions no longer remembered may have written until then
   std::vector<RequestId> waiting;
 };
 
