--- a/src/front/pg/clients.cpp
+++ b/src/front/pg/clients.cpp
@@ -7,6 +7,7 @@
 
 #include "base/secret.hpp"
 #include "front/pg/session.hpp"
+#include "front/pg/shutdown.hpp"
 #include "log/log.hpp"
 #include "wire/pg/codec.hpp"
 #include "wire/pg/pg.hpp"
@@ -14,10 +15,6 @@
 namespace sablespur {
 namespace {
 
-// New connections may keep coming for 0.4 s after SIGTERM.
-constexpr Time kLastCall = std::chrono::milliseconds(500);
-// After the last call, what is taken is finished within the longest deadline and this.
-constexpr Time kFinish = std::chrono::seconds(1);
 // What a client is told that came when there was no descriptor left.
 constexpr Time kShortOf = std::chrono::milliseconds(500);
 // How often all clients are looked at for what takes too long.
@@ -56,6 +53,11 @@
   lastCall_.reset(event_new(
       base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->stopListening(); },
       this));
+  answersDue_.reset(event_new(
+      base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->finishAnswers(); },
+      this));
+  exit_.reset(event_new(
+      base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->done_(); }, this));
 }
 Clients::~Clients() = default;
 
@@ -208,21 +210,29 @@
   draining_ = true;
   done_ = std::move(done);
   if (!config_.control.none()) acceptor_->yield();
-  startTimer(lastCall_.get(), kLastCall);
+  Time longest{};
+  for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
+  const ShutdownTimes times = shutdownTimes(longest);
+  answerBy_ = engine_.now() + times.answerBy;
+  startTimer(lastCall_.get(), times.stopAccepting);
+  startTimer(answersDue_.get(), times.answerBy);
+  startTimer(exit_.get(), times.exit);
 }
 
-// At the last call, and once more when what was taken should be finished.
 void Clients::stopListening() {
-  if (!acceptor_) return done_();
   acceptor_->takeRest();
   acceptor_.reset();
   std::vector<Session*> all;
   for (const auto& [s, owned] : sessions_) all.push_back(s);
   for (Session* s : all) s->retire();
-  if (sessions_.empty()) return done_();
-  Time longest{};
-  for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
-  startTimer(lastCall_.get(), longest + kFinish);
+  if (sessions_.empty()) done_();
+}
+
+void Clients::finishAnswers() {
+  answersOver_ = true;
+  std::vector<Session*> all;
+  for (const auto& [s, owned] : sessions_) all.push_back(s);
+  for (Session* s : all) s->finish();
 }
 
 }  // namespace sablespur
--- a/src/front/pg/clients.hpp
+++ b/src/front/pg/clients.hpp
@@ -24,7 +24,7 @@
   Clients(event_base*, Engine&, Entrance&, Workers&, Account&, Spare&, Gate* gate, const Config&);
   ~Clients();
   // Serves on while new connections still come, then closes connections between requests and finishes what is
-  // taken. `done` follows when no connection is left.
+  // taken, all in time for the earliest SIGKILL (shutdown.hpp). `done` follows when no connection is left.
   void drain(std::function<void()> done);
   bool draining() const { return draining_; }
   int port() const;
@@ -47,6 +47,9 @@
   pg::Key newKey(Session&, std::size_t length);  // the session takes it out of keys_ at its end
   void cancel(const pg::Key&);                   // by a CancelRequest; a wrong key changes nothing
   void stopListening();
+  void finishAnswers();
+  // The shutdown's time for final answers is over: nothing more is read.
+  bool answersOver() const { return answersOver_; }
 
   event_base* const base_;
   Engine& engine_;
@@ -63,8 +66,9 @@
   std::size_t asking_ = 0;   // sessions that have asked something
   std::size_t outside_ = 0;  // sessions that the Gate has not let in
   std::unique_ptr<Acceptor> acceptor_;
-  Event lastCall_, round_, ends_;
-  bool draining_ = false;
+  Event lastCall_, answersDue_, exit_, round_, ends_;
+  bool draining_ = false, answersOver_ = false;
+  Time answerBy_ = Time::max();  // while it drains: no request is given a later deadline
   std::function<void()> done_;
   std::unordered_set<std::string> openIds_;           // of the requests that are out
   std::unordered_map<std::uint32_t, Session*> keys_;  // by the process number that a session was told
--- a/src/front/pg/session.cpp
+++ b/src/front/pg/session.cpp
@@ -230,11 +230,19 @@
   // One that has only just come has not had the time to say anything; looksAlive() comes back to it.
   if (!asked_ && owner_.engine_.now() - lastActive_ < kGreeting) return;
   // A request that crosses the end and was not read is sent again by its client; this one has come before.
-  if (unread())
+  if (owner_.answersOver() ? evbuffer_get_length(input()) > 0 : unread())
     readSoon();
   else
     end();
 }
+void Session::finish() {
+  if (ending_) return;
+  retiring_ = true;
+  watchReading(false);
+  if (request_ == 0) return readSoon();
+  owner_.left(request_);
+  failed();
+}
 bool Session::unread() {
   char byte;
   return evbuffer_get_length(input()) > 0 ||
@@ -280,7 +288,7 @@
 }
 // After an answer. What was pipelined behind comes next, but not within this answer: the turn is not over.
 void Session::settle() {
-  if (evbuffer_get_length(input()) > 0)
+  if (evbuffer_get_length(input()) > 0 || owner_.answersOver())
     readSoon();
   else if (owner_.draining_ && !owner_.acceptor_)
     retire();
@@ -350,6 +358,7 @@
   }
   if (ending_) return;
   const std::size_t left = evbuffer_get_length(input());
+  if (owner_.answersOver()) return readLast(left);
   if (halfSince_ == Time(0) && left > 0) halfSince_ = owner_.engine_.now();
   // Guards against spinning: libevent calls back time and again while the input stands at its high
   // watermark.
@@ -357,6 +366,13 @@
   watchReading(room);
 }
 
+// What is left when no more is read is no whole message, unless the session waits for something else.
+void Session::readLast(std::size_t left) {
+  watchReading(false);
+  if (request_ != 0 || paused_ || evbuffer_get_length(output()) >= kUnread) return;
+  left > 0 ? reject("57P01", "the proxy is shutting down", true) : end();
+}
+
 std::string_view Session::pull(std::size_t n) {
   return {reinterpret_cast<const char*>(evbuffer_pullup(input(), static_cast<ev_ssize_t>(n))), n};
 }
@@ -748,6 +764,7 @@
   q.deadline = lastByte_ + (comment.waitLength > 0
                                 ? Time(std::chrono::milliseconds(std::min(comment.waitMs, kLongestWaitMs)))
                                 : settings.deadline);
+  q.deadline = std::min(q.deadline, owner_.answerBy_);
   if (comment.after > 0)
     q.tokenMs = std::max(0.001f, static_cast<float>(static_cast<double>(now.count()) / 1e3 -
                                                     static_cast<double>(comment.after)));
--- a/src/front/pg/session.hpp
+++ b/src/front/pg/session.hpp
@@ -53,6 +53,9 @@
   void end();
   // The same between two requests, for the drain: what has come by then is answered first.
   void retire();
+  // The shutdown's time for answers is over: the request that is out is failed, what else was read is
+  // answered, and nothing more is read.
+  void finish();
   // Something has come that was not taken yet, in the system or here.
   bool unread();
   bool clientGone() const;  // it has closed its end, whatever it wrote before that
@@ -71,6 +74,7 @@
   void event(short what);
   void flushed();
   void read();
+  void readLast(std::size_t left);
   void readSoon();
   void settle();
   void discard();
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -14,6 +14,7 @@
 #include "core/system.hpp"
 #include "front/pg/arrivals.hpp"
 #include "front/pg/clients.hpp"
+#include "front/pg/shutdown.hpp"
 #include "scenario.hpp"
 #include "wire/pg/codec.hpp"
 #include "wire/pg/pg.hpp"
@@ -470,6 +471,82 @@
   pass();
   EXPECT_TRUE(members.out.empty());
 }
+// ---- the time that a shutdown has
+TEST(Shutdown, AnswersEverythingBeforeTheEarliestKillWhateverTheLongestDeadline) {
+  constexpr Time kHeldUp = 150ms;  // the process, between reading its clock and writing
+  for (const Time longest : {100ms, 300ms, 1000ms, 2999ms, 3000ms, 3001ms, 9000ms, 60000ms}) {
+    const ShutdownTimes times = shutdownTimes(longest);
+    const Time counted = std::min<Time>(longest, 3s);
+    EXPECT_EQ(times.earliestKill, counted + 700ms);
+    EXPECT_LT(times.answerBy + kHeldUp, times.earliestKill);
+    EXPECT_GE(times.answerBy, times.stopAccepting + counted)
+        << "what is read before the listener closes has its whole time";
+    EXPECT_GT(times.exit, times.answerBy);
+  }
+}
+struct ShutdownTest : SessionTest {
+  // The longest deadline is short, so that the time for answers is over 0.6 s after SIGTERM.
+  void SetUp() override {
+    for (auto& c : config.settings.classes) c.deadline = 100ms;
+    SessionTest::SetUp();
+  }
+  static std::size_t count(const std::string& text, const std::string& what) {
+    std::size_t n = 0;
+    for (std::size_t at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++n;
+    return n;
+  }
+};
+// The data server hangs, and the request's own time is longer than SIGKILL waits.
+TEST_F(ShutdownTest, ARequestWhoseServerHangsIsFailedBeforeTheProcessEnds) {
+  const auto c = welcomed();
+  c->put(query("1", 7000));
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+  clients->drain([this] { done = true; });
+  std::string got;
+  ASSERT_TRUE(until([&] { return (got += c->take()).find("40003") != std::string::npos || done; }, 5s));
+  EXPECT_EQ(count(got, "40003"), 1u) << "it was read, and has its final answer";
+  EXPECT_FALSE(done) << "before the end of the process";
+  EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
+  pass();
+  EXPECT_TRUE(members.out.empty()) << "its attempt was given up";
+}
+TEST_F(ShutdownTest, WhatIsReadWhileItEndsHasNoMoreTimeThanIsLeft) {
+  const auto c = welcomed();
+  clients->drain([this] { done = true; });
+  const Time latest = engine.now() + shutdownTimes(100ms).answerBy;
+  c->put(query("1", 7000));
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+  EXPECT_LE(members.until, latest);
+}
+// It goes on sending: what was read is answered, what comes later is not read as a request.
+TEST_F(ShutdownTest, WhatIsPipelinedAtItsEndIsAnsweredAndThenTheConnectionEnds) {
+  const auto c = welcomed();
+  c->put(query("1") + query("2") + query("3") + query("4").substr(0, 20));
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+  pass();
+  clients->drain([this] { done = true; });
+  std::string got;
+  ASSERT_TRUE(until([&] { return (got += c->take()).find("57P01") != std::string::npos || done; }));
+  EXPECT_FALSE(done);
+  EXPECT_EQ(members.sent, 1) << "nothing more was begun";
+  EXPECT_EQ(count(got, "40003"), 1u);
+  EXPECT_EQ(count(got, "53300"), 2u);
+  EXPECT_EQ(count(got, "57P01"), 1u) << "half a request has its error before the end";
+  EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
+}
+TEST_F(ShutdownTest, ABatchWithoutItsSyncIsEndedWhenTheTimeForAnswersIsOver) {
+  config.extended = true;
+  const auto c = welcomed();
+  const std::string none("\0\0", 2);
+  c->put(pg::message('P', std::string(1, '\0') + "SELECT 1" + std::string(1, '\0') + none));
+  for (int k = 0; k < 5; ++k) pass();
+  clients->drain([this] { done = true; });
+  EXPECT_TRUE(until([&] {
+    c->take();
+    return c->state() == Peer::State::Finished || done;
+  }));
+  EXPECT_FALSE(done);
+}
 // Room is made for those that ask by ending one that rests: not one whose request has just come.
 TEST_F(SessionTest, WhoseRequestHasJustComeIsNotEndedForAnother) {
   std::vector<std::unique_ptr<Peer>> all;
