--- a/src/front/pg/clients.cpp
+++ b/src/front/pg/clients.cpp
@@ -22,6 +22,8 @@
 // How often those that are not read are asked whether their client has gone: a fifth of the 0.1 s from which
 // on nothing may begin for it.
 constexpr Time kEnds = std::chrono::milliseconds(20);
+// One line at most in so long tells of clients that sent what cannot be served.
+constexpr Time kRejectionLogInterval = std::chrono::seconds(1);
 constexpr int kAskAgain = 8;  // clients that look idle, before one is closed all the same
 
 }  // namespace
@@ -175,7 +177,18 @@
   std::vector<Session*> over;
   for (const auto& [s, owned] : sessions_)
     if (!s->looksAlive(now)) over.push_back(s);
-  for (Session* s : over) s->spare(now) == 3 ? closed(*s) : s->end();
+  for (Session* s : over) s->timedOut();
+}
+
+// Guards the log against clients that send nonsense at full speed: what is left out is counted.
+void Clients::logRejection(const char* code, std::string_view why, const Address& from) {
+  ++rejected_;
+  const Time now = engine_.now();
+  if (rejectionLogged_ > Time(0) && now - rejectionLogged_ < kRejectionLogInterval) return;
+  logEvent(LogLevel::Warning, "client_rejected",
+           {{"from", from.text()}, {"code", code}, {"why", why}, {"count", rejected_}});
+  rejectionLogged_ = now;
+  rejected_ = 0;
 }
 
 // Guards against a loop that never sleeps. libevent tells of a reset as readable and writable, whatever was
--- a/src/front/pg/clients.hpp
+++ b/src/front/pg/clients.hpp
@@ -3,6 +3,7 @@
 
 #include <memory>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <unordered_set>
 
@@ -42,6 +43,7 @@
   Session* mostSpare(int least, const Session* but = nullptr);  // null: none
   void round();
   void firstAsked(const Session& by);
+  void logRejection(const char* code, std::string_view why, const Address& from);
   void watchEnd(Session&, bool on);  // of one that is not read for now
   void lookForEnds();
   pg::Key newKey(Session&, std::size_t length);  // the session takes it out of keys_ at its end
@@ -67,6 +69,8 @@
   std::size_t outside_ = 0;  // sessions that the Gate has not let in
   std::unique_ptr<Acceptor> acceptor_;
   Event lastCall_, answersDue_, exit_, round_, ends_;
+  std::uint64_t rejected_ = 0;  // since the last line that told of one
+  Time rejectionLogged_{};
   bool draining_ = false, answersOver_ = false;
   Time answerBy_ = Time::max();  // while it drains: no request is given a later deadline
   std::function<void()> done_;
--- a/src/front/pg/session.cpp
+++ b/src/front/pg/session.cpp
@@ -275,6 +275,11 @@
   if (!asked_ && now - lastActive_ >= owner_.config_.firstQuery) return false;
   return halfSince_ == Time(0) || now - halfSince_ < owner_.config_.halfMessage;
 }
+void Session::timedOut() {
+  if (lingering_) return owner_.closed(*this);
+  if (halfSince_ == Time(0) || evbuffer_get_length(input()) == 0) return end();
+  reject("08P01", "a message that was begun and not finished in time", true);
+}
 void Session::event(short what) {
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) owner_.closed(*this);
 }
@@ -297,6 +302,8 @@
 // against a client that sends the same again at full speed and keeps the loop from the others.
 void Session::reject(const char* code, std::string_view text, bool fatal) {
   tell(problem(fatal ? "FATAL" : "ERROR", code, text));
+  // A failed login has a line of its own.
+  if (std::string_view(code) != "28P01") owner_.logRejection(code, text, from_);
   paused_ = true;
   if (!fatal) return answered();
   lingers();
--- a/src/front/pg/session.hpp
+++ b/src/front/pg/session.hpp
@@ -60,8 +60,10 @@
   bool unread();
   bool clientGone() const;  // it has closed its end, whatever it wrote before that
   // Guards against clients that hold a place and do not ask: they are owed an end within 3 s. False: this one
-  // is to be closed.
+  // is to be ended by timedOut().
   bool looksAlive(Time now);
+  // With an error first, if it has left a message half sent. May destroy the session.
+  void timedOut();
 
  private:
   enum class Speaks { Nothing, Version2, Version3 };  // Nothing: its startup has not come
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -471,6 +471,92 @@
   pass();
   EXPECT_TRUE(members.out.empty());
 }
+// ---- clients that stop midway
+struct StoppedMidway : SessionTest {
+  void SetUp() override {
+    config.halfMessage = 100ms;
+    config.version2 = true;
+    SessionTest::SetUp();
+  }
+  // What it is told before its end; empty if no end comes within the 3 s that a bad client is owed.
+  std::string last(
+      const Peer& c, const std::function<void()>& each = [] {}) {
+    std::string got;
+    const bool ended = until(
+        [&] {
+          each();
+          got += c.take();
+          return c.state() == Peer::State::Finished;
+        },
+        3s);
+    return ended ? got : "";
+  }
+  std::unique_ptr<Peer> welcomedIn2() {
+    auto p = std::make_unique<Peer>(clients->port());
+    p->put(lab::Speaker(*lab::versionOf("2.0"), {}).hello());
+    std::string got;
+    EXPECT_TRUE(until([&] { return !(got += p->take()).empty() && got.back() == 'Z'; }));
+    return p;
+  }
+};
+TEST_F(StoppedMidway, HalfAStartupIsToldItsErrorBeforeTheEnd) {
+  for (const std::size_t length : {1u, 4u, 9u}) {
+    const Peer c(clients->port());
+    c.put(pg::startup("api", "ledger").substr(0, length));
+    EXPECT_NE(last(c).find("C08P01"), std::string::npos) << length;
+  }
+}
+TEST_F(StoppedMidway, HalfAMessageIsToldItsErrorBeforeTheEnd) {
+  for (const std::size_t length : {1u, 4u, 12u}) {
+    const auto c = welcomed();
+    c->put(query("1").substr(0, length));
+    EXPECT_NE(last(*c).find("C08P01"), std::string::npos) << length;
+  }
+}
+TEST_F(StoppedMidway, HalfAMessageOfVersion2IsToldItsErrorBeforeTheEnd) {
+  const auto c = welcomedIn2();
+  c->put("QSELECT 1");
+  const std::string got = last(*c);
+  ASSERT_FALSE(got.empty()) << "no end";
+  EXPECT_EQ(got.front(), 'E') << got;
+  EXPECT_NE(got.find("not finished"), std::string::npos) << got;
+}
+TEST_F(StoppedMidway, AMessageThatTricklesForEverHasItsErrorAndItsEnd) {
+  const auto c = welcomed();
+  c->put(std::string("Q\0\1\0\0", 5));
+  EXPECT_NE(last(*c, [&] { ::send(c->fd, "x", 1, MSG_NOSIGNAL); }).find("C08P01"), std::string::npos);
+}
+TEST_F(StoppedMidway, HalfAMessageBehindAWholeOneLeavesThatItsAnswer) {
+  const auto c = welcomed();
+  c->put(query("1") + query("2").substr(0, 12));
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+  answer(kDone);
+  const std::string got = last(*c);
+  EXPECT_EQ(got.rfind(kDone, 0), 0u) << got;
+  EXPECT_NE(got.find("C08P01"), std::string::npos) << got;
+  EXPECT_EQ(members.sent, 1);
+}
+// Others are served meanwhile, and the log is not filled by it.
+TEST_F(StoppedMidway, ManyCostOneLineOfTheLogASecondAndNobodyElseAnything) {
+  std::vector<std::unique_ptr<Peer>> all;
+  for (int k = 0; k < 20; ++k) {
+    all.push_back(welcomed());
+    all.back()->put("Q");
+  }
+  const auto good = welcomed();
+  const Time begun = engine.now();
+  testing::internal::CaptureStderr();
+  EXPECT_NE(last(*all.front()).find("C08P01"), std::string::npos);
+  const std::string log = testing::internal::GetCapturedStderr();
+  const std::string event = "event=client_rejected";
+  long lines = 0;
+  for (std::size_t at = log.find(event); at != std::string::npos; at = log.find(event, at + 1)) ++lines;
+  EXPECT_GE(lines, 1) << log;
+  EXPECT_LE(lines, 1 + (engine.now() - begun) / 1s) << log;
+  EXPECT_NE(log.find("code=08P01"), std::string::npos) << log;
+  good->put(query("1"));
+  EXPECT_TRUE(until([&] { return members.out.size() == 1; }));
+}
 // ---- the time that a shutdown has
 TEST(Shutdown, AnswersEverythingBeforeTheEarliestKillWhateverTheLongestDeadline) {
   constexpr Time kHeldUp = 150ms;  // the process, between reading its clock and writing
