--- a/src/front/pg/session.cpp
+++ b/src/front/pg/session.cpp
@@ -26,6 +26,7 @@
 // on unread input would reset the connection, and the error in it would be lost.
 constexpr Time kLinger = std::chrono::milliseconds(500);
 constexpr std::size_t kLingerBytes = 1 << 20;
+constexpr Time kRestOfMessage = std::chrono::milliseconds(500);
 constexpr std::size_t kReadAhead = 16 << 10;  // read of a client before it is known what is coming
 constexpr std::size_t kUnread = 16 << 10;     // answers that a client has not read yet: no more is taken then
 constexpr std::uint32_t kLongestWaitMs = 3600 * 1000;
@@ -366,10 +367,10 @@
   if (ending_) return;
   const std::size_t left = evbuffer_get_length(input());
   if (owner_.answersOver()) return readLast(left);
-  if (halfSince_ == Time(0) && left > 0) halfSince_ = owner_.engine_.now();
   // Guards against spinning: libevent calls back time and again while the input stands at its high
   // watermark.
   const bool room = left < std::max(kReadAhead, reserved_);
+  if (halfSince_ == Time(0) && left > 0) halfSince_ = room ? halfMessageSince() : owner_.engine_.now();
   watchReading(room);
 }
 
@@ -380,6 +381,13 @@
   left > 0 ? reject("57P01", "the proxy is shutting down", true) : end();
 }
 
+// When the message at the input's front was begun, which may have been behind a request that was out. What of
+// it may still be on its way through the system has kRestOfMessage to be read.
+Time Session::halfMessageSince() const {
+  const Time allowed = std::max(owner_.config_.halfMessage - kRestOfMessage, Time(0));
+  return std::max(arrivals_.of(1), owner_.engine_.now() - allowed);
+}
+
 std::string_view Session::pull(std::size_t n) {
   return {reinterpret_cast<const char*>(evbuffer_pullup(input(), static_cast<ev_ssize_t>(n))), n};
 }
--- a/src/front/pg/session.hpp
+++ b/src/front/pg/session.hpp
@@ -76,6 +76,7 @@
   void event(short what);
   void flushed();
   void read();
+  Time halfMessageSince() const;
   void readLast(std::size_t left);
   void readSoon();
   void settle();
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -536,6 +536,19 @@
   EXPECT_NE(got.find("C08P01"), std::string::npos) << got;
   EXPECT_EQ(members.sent, 1);
 }
+// It has stood there for its whole time while the request before it was out: it is not given that anew.
+TEST_F(StoppedMidway, TheTimeOfHalfAMessageRunsWhileItStandsBehindARequest) {
+  config.halfMessage = 2s;
+  const auto c = welcomed();
+  c->put(query("1") + query("2").substr(0, 12));
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+  const Time stopped = engine.now();
+  until([&] { return engine.now() - stopped >= 2s; });
+  answer(kDone);
+  const Time answered = engine.now();
+  EXPECT_NE(last(*c).find("C08P01"), std::string::npos);
+  EXPECT_LT(engine.now() - answered, 2s);
+}
 // Others are served meanwhile, and the log is not filled by it.
 TEST_F(StoppedMidway, ManyCostOneLineOfTheLogASecondAndNobodyElseAnything) {
   std::vector<std::unique_ptr<Peer>> all;
