--- a/src/front/pg/session.cpp
+++ b/src/front/pg/session.cpp
@@ -117,7 +117,7 @@
 void Session::giveUpPlace() {
   place_ = 0;
   outside(true);
-  end();
+  retire();  // a request may have come just now
 }
 
 // ---- answers ------------------------------------------------------------------------------------------
@@ -296,7 +296,7 @@
 void Session::settle() {
   if (evbuffer_get_length(input()) > 0 || owner_.answersOver())
     readSoon();
-  else if (owner_.draining_ && !owner_.acceptor_)
+  else if (retiring_ || (owner_.draining_ && !owner_.acceptor_))
     retire();
 }
 // What cannot be read to its end is fatal. Otherwise nothing more is taken before the next round: guards
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -646,6 +646,64 @@
   }));
   EXPECT_FALSE(done);
 }
+// ---- a place that is asked back
+struct OpenGate final : Gate {  // lets everyone in
+  Entrance& next;
+  std::vector<Guest*> guests;
+  explicit OpenGate(Entrance& n) : next(n) {}
+  bool hidesClients(const Address&) const override { return false; }
+  Admission arrived(Guest& g, const Address&) override {
+    guests.push_back(&g);
+    Admission a;
+    a.place = guests.size();
+    return a;
+  }
+  Admission named(Guest&, PlaceId place, const Address&, const std::string&) override {
+    Admission a;
+    a.place = place;
+    return a;
+  }
+  bool knowsNames() const override { return false; }
+  std::size_t antechamber() const override { return 8; }
+  void left(PlaceId) override {}
+  void busy(PlaceId) override {}
+  void idle(PlaceId) override {}
+  void served(PlaceId) override {}
+  void shortage() override {}
+  RequestId request(Requester& r, knotstack::Request q, Message m, PlaceId) override {
+    return next.request(r, q, std::move(m));
+  }
+  void gone(RequestId id) override { next.left(id); }
+  void reload(const Config&) override {}
+  GateView view() const override { return {}; }
+};
+struct GateTest : SessionTest {
+  OpenGate gate{engine};
+  void SetUp() override {
+    SessionTest::SetUp();
+    clients = std::make_unique<Clients>(base.get(), engine, engine, workers, account, spare, &gate, config);
+  }
+};
+TEST_F(GateTest, ARequestThatCrossesTheLossOfItsPlaceIsServedAndThenTheEndComes) {
+  const auto c = welcomed();
+  c->put(pg::query(""));  // one that has asked nothing yet has its time to speak
+  ASSERT_TRUE(until([&] { return !c->take().empty(); }));
+  c->put(query("1"));  // stands in the system, and is not read
+  gate.guests.at(0)->giveUpPlace();
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }, 2s)) << "it had come before the end";
+  answer(kDone);
+  std::string got;
+  EXPECT_TRUE(until([&] { return (got += c->take()).find(kDone) != std::string::npos; }));
+  EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
+}
+TEST_F(GateTest, OneThatRestsIsEndedAtOnceWhenItsPlaceIsAskedBack) {
+  const auto c = welcomed();
+  c->put(pg::query(""));
+  ASSERT_TRUE(until([&] { return !c->take().empty(); }));
+  gate.guests.at(0)->giveUpPlace();
+  pass();
+  EXPECT_EQ(c->state(), Peer::State::Finished);
+}
 // Room is made for those that ask by ending one that rests: not one whose request has just come.
 TEST_F(SessionTest, WhoseRequestHasJustComeIsNotEndedForAnother) {
   std::vector<std::unique_ptr<Peer>> all;
