--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -7,12 +7,15 @@
 #include <string>
 #include <vector>
 
+#include "decision_log.hpp"
 #include "knotstack/balancer.hpp"
 
 namespace knotstack::test {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
+// Every Balancer of these tests is a recording one, for tests/data/decision-digests.txt.
+using Balancer = RecordingBalancer;
 
 struct Action {
   std::string what;
