--- /dev/null
+++ b/tests/stored_data_test.cpp
@@ -0,0 +1,164 @@
+// Files that version 0.2 wrote, in tests/data/stored-0.2: the directory of a store, a recovery snapshot and
+// the file of suspended endpoints. This version reads each field of them. They are never written anew.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+#include <fstream>
+#include <nlohmann/json.hpp>
+#include <set>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "control/bans.hpp"
+#include "recovery/snapshot.hpp"
+#include "store/ledger.hpp"
+#include "store_run.hpp"
+
+namespace sablespur::test {
+namespace {
+
+namespace fs = std::filesystem;
+
+const std::string kStored = SABLESPUR_SOURCE "/tests/data/stored-0.2/";
+
+std::string readFile(const std::string& path) {
+  std::ifstream file(path, std::ios::binary);
+  EXPECT_TRUE(file) << path;
+  std::ostringstream text;
+  text << file.rdbuf();
+  return text.str();
+}
+
+// ---- the store ------------------------------------------------------------------------------------------
+struct StoredStore : testing::Test {
+  const Folder folder;
+  const std::string directory = folder.path + "/store";  // a copy, since opening a store writes to it
+  store::Files files;
+  StoredStore() { fs::copy(kStored + "store", directory); }
+};
+
+// store.jsonl has what the old program's `store dump --json` printed of this directory.
+TEST_F(StoredStore, EveryRecordHasTheFieldsThatTheOldProgramPrinted) {
+  std::vector<nlohmann::json> expected;
+  std::istringstream lines(readFile(kStored + "store.jsonl"));
+  for (std::string line; std::getline(lines, line);) expected.push_back(nlohmann::json::parse(line));
+  ASSERT_EQ(expected.size(), 13u);
+  std::vector<nlohmann::json> records;
+  store::dump(files, directory, [&](const nlohmann::json& record) { records.push_back(record); });
+  EXPECT_EQ(nlohmann::json(records).dump(1), nlohmann::json(expected).dump(1));
+}
+
+TEST_F(StoredStore, ChecksAsWhole) {
+  const store::Census census = store::check(files, directory);
+  EXPECT_EQ(census.keys, 6u);
+  EXPECT_EQ(census.sessions, 3u);
+  EXPECT_EQ(census.epochs, 2u);
+  EXPECT_EQ(census.unresolved, 1u);
+  EXPECT_EQ(census.answers, 2u);
+  EXPECT_EQ(census.answerBytes, 13u);
+  EXPECT_EQ(census.commits, 12u);
+}
+
+TEST_F(StoredStore, ServesItsAnswersVerdictsAndPositions) {
+  TestTime time;
+  time.pass(std::chrono::seconds(60));
+  store::LedgerSettings settings;
+  settings.directory = directory;
+  store::Ledger ledger(files, settings, [&] { return time(); });
+  EXPECT_EQ(ledger.recovered().epoch, 3u);
+  EXPECT_EQ(ledger.recovered().keys, 6u);
+  EXPECT_EQ(ledger.recovered().sessions, 3u);
+  EXPECT_EQ(ledger.recovered().unresolved, 1u);
+  EXPECT_FALSE(ledger.recovered().gap);
+  const auto ask = [&](const char* key, const char* cls = "order", std::uint32_t group = 3) {
+    return ledger.apply({store::AskKey{{"later", key, cls, group, kWindow}}})[0];
+  };
+  const store::Said served = ask("served");
+  EXPECT_EQ(served.verdict, store::Verdict::Recorded);
+  EXPECT_EQ(served.answer, "the row");
+  EXPECT_EQ(served.positionMs, 1767225600010);
+  const store::Said owed = ask("owed");
+  EXPECT_EQ(owed.verdict, store::Verdict::Recorded);
+  EXPECT_EQ(owed.answer, std::string("\0\xff row", 6));
+  EXPECT_EQ(owed.positionMs, 1767225610010);
+  EXPECT_EQ(ask("failed").verdict, store::Verdict::Unknown);
+  EXPECT_EQ(ask("open").verdict, store::Verdict::Unknown);
+  EXPECT_EQ(ask("refused", "pay", 4).verdict, store::Verdict::Run);
+  EXPECT_EQ(ask("left").verdict, store::Verdict::Run);
+  const auto position = [&](std::uint64_t session) {
+    return ledger.apply({store::AskSession{session}})[0].positionMs;
+  };
+  EXPECT_EQ(position(5), 1767225600010);
+  EXPECT_EQ(position(9), 1767225600007);
+  EXPECT_EQ(position(11), 1767225610010);
+}
+
+// ---- the recovery snapshot ------------------------------------------------------------------------------
+void expectMember(const recovery::MemberFact& read, const recovery::MemberFact& expected) {
+  EXPECT_EQ(read.name, expected.name);
+  EXPECT_EQ(read.address, expected.address);
+  EXPECT_EQ(read.zone, expected.zone);
+  EXPECT_EQ(read.group, expected.group);
+  EXPECT_EQ(read.weight, expected.weight);
+  EXPECT_EQ(read.startedMs, expected.startedMs);
+  EXPECT_EQ(read.latencyUs, expected.latencyUs);
+  EXPECT_EQ(read.perSecond, expected.perSecond);
+  EXPECT_EQ(read.positionMs, expected.positionMs);
+}
+void expectPrimary(const recovery::PrimaryFact& read, const recovery::PrimaryFact& expected) {
+  EXPECT_EQ(read.group, expected.group);
+  EXPECT_EQ(read.member, expected.member);
+  EXPECT_EQ(read.seenMs, expected.seenMs);
+}
+
+// Written by the running program beside its store.
+TEST(StoredSnapshot, OfARunningProgramIsReadFieldByField) {
+  const recovery::Snapshot read = recovery::decode(readFile(kStored + "recovery.snapshot"));
+  EXPECT_EQ(read.epoch, 1u);
+  EXPECT_EQ(read.sequence, 16u);
+  EXPECT_EQ(read.wallMs, 1796207722037);
+  ASSERT_EQ(read.members.size(), 3u);
+  expectMember(read.members[0],
+               {"s-1", "127.0.0.1:53667", "a", 3, 1, 0, 119, 0.231190065795435, 1796207721724});
+  expectMember(read.members[1],
+               {"s-2", "127.0.0.1:42359", "a", 3, 1, 0, 33.6180657153645, 3.2378099396753592, 1796207721726});
+  expectMember(read.members[2], {"s-3", "127.0.0.1:47489", "a", 3, 1, 0, 37.414875621540894,
+                                 3.237748999824856, 1796207721726});
+  ASSERT_EQ(read.primaries.size(), 1u);
+  expectPrimary(read.primaries[0], {3, "s-1", 1796207721724});
+}
+
+// Written by the same version's encoder, with a value of its own in each field, and with empty ones.
+TEST(StoredSnapshot, WithEveryFieldSetIsReadFieldByField) {
+  const recovery::Snapshot read = recovery::decode(readFile(kStored + "recovery-every-field.snapshot"));
+  EXPECT_EQ(read.epoch, 4u);
+  EXPECT_EQ(read.sequence, 17u);
+  EXPECT_EQ(read.wallMs, 1767225600000);
+  ASSERT_EQ(read.members.size(), 2u);
+  expectMember(read.members[0],
+               {"s-9", "127.0.0.9:5432", "ruwi", 3, 2.5, 1767225540000, 41250.5, 4.75, 1767225599900});
+  expectMember(read.members[1], {"s-10", "127.0.0.10:5433", "", 4, 1, 0, 0, 0, 0});
+  ASSERT_EQ(read.primaries.size(), 2u);
+  expectPrimary(read.primaries[0], {3, "s-9", 1767225599800});
+  expectPrimary(read.primaries[1], {4, "s-10", 1767225599700});
+}
+
+TEST(StoredSnapshot, WritesBackToTheSameBytes) {
+  for (const char* name : {"recovery.snapshot", "recovery-every-field.snapshot"}) {
+    const std::string bytes = readFile(kStored + name);
+    EXPECT_EQ(recovery::encode(recovery::decode(bytes)), bytes) << name;
+  }
+}
+
+// ---- suspended endpoints --------------------------------------------------------------------------------
+TEST(StoredSuspendedEndpoints, AreReadAndWriteBackToTheSameBytes) {
+  const std::set<std::string> expected{"s-2", "s-3"};
+  const std::string bytes = readFile(kStored + "suspended-endpoints");
+  EXPECT_EQ(control::readBans(bytes), expected);
+  EXPECT_EQ(control::writeBans(expected), bytes);
+  EXPECT_EQ(control::Bans(kStored + "suspended-endpoints").all(), expected);
+}
+
+}  // namespace
+}  // namespace sablespur::test
