--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -76,7 +76,7 @@
     settings_ = settings();
     settings_.coldFor = seconds(60);
     settings_.balancers = 300;
-    balancer_ = std::make_unique<Balancer>(settings_, 1, static_cast<Sink&>(*this));
+    balancer_ = std::make_unique<knotstack::Balancer>(settings_, 1, static_cast<Sink&>(*this));
     for (int k = 0; k < endpoints; ++k) {
       const bool warmingUp = halfWarmingUp && k % 2 == 1;
       list_.push_back(entry(k, Lifecycle::Ready, warmingUp ? now_ - seconds(1) : Time(0)));
@@ -164,7 +164,7 @@
   Settings settings_;
   Time now_ = seconds(1100);
   std::vector<ListedMember> list_;
-  std::unique_ptr<Balancer> balancer_;
+  std::unique_ptr<knotstack::Balancer> balancer_;
   std::priority_queue<Event> events_;
   std::map<RequestId, int> attempts_;
   std::uint64_t turn_ = 0;
