--- a/src/back/pg/upstream.cpp
+++ b/src/back/pg/upstream.cpp
@@ -12,6 +12,7 @@
 
 #include "back/pg/cancel_call.hpp"
 #include "back/pg/login.hpp"
+#include "core/system.hpp"
 #include "log/log.hpp"
 #include "translate/settings.hpp"
 #include "translate/values.hpp"
@@ -84,7 +85,7 @@
 // A connection belongs to its Upstream, which frees it; a job on it is only pointed at.
 class Upstream::Connection {
  public:
-  // `fd`: a socket of the address's family, or -1.
+  // `fd`: a socket with a connect under way; -1: the endpoint has turned it away already.
   Connection(Upstream& owner, MemberId to, const Address& address, int minor, evutil_socket_t fd)
       : owner_(owner),
         descriptor_(owner.account_, Holder::Servers),
@@ -101,14 +102,14 @@
     hello.user = owner.config_.serverUser;
     hello.database = owner.config_.serverDatabase;
     append(output(), pg::startup(hello));
-    bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-    const bool refused =
-        bufferevent_socket_connect(bev_.get(), address.data(), static_cast<int>(address.size())) != 0;
     // A connect that fails at once is told by the timer: this call's own caller is not done yet.
-    startTimer(timer.get(), refused ? Time(0) : owner.config_.dialTimeout);
+    startTimer(timer.get(), fd < 0 ? Time(0) : owner.config_.dialTimeout);
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); }, nullptr,
         [](bufferevent*, short what, void* self) { static_cast<Connection*>(self)->event(what); }, this);
+    if (fd < 0) return;
+    bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
+    bufferevent_socket_connect(bev_.get(), nullptr, 0);  // it is under way: this waits for its end
   }
   ~Connection() {
     // bufferevent_free closes the descriptor only in the loop's next pass; the end of an attempt has to show
@@ -166,10 +167,14 @@
 
  private:
   void event(short what) {
+    const int error = what & BEV_EVENT_ERROR ? EVUTIL_SOCKET_ERROR() : 0;  // first: any call may change it
     if (what & BEV_EVENT_CONNECTED) {
+      connected_ = true;
       const int on = 1;
       setsockopt(bufferevent_getfd(bev_.get()), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
+    const SocketCall call = connected_ ? SocketCall::Transfer : SocketCall::Connecting;
+    if (classify(call, error) == SocketFault::OwnResource) return owner_.ranOut(*this, error);
     if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) owner_.lost(*this, failure_);
   }
   void late() {  // dialing, idle for long enough, or amid an answer
@@ -420,6 +425,7 @@
   const Account::Place descriptor_;
   const Address address_;
   BufferEvent bev_;
+  bool connected_ = false;
   Result failure_ = Result::ConnectFailed;  // what its end means now
   Result result_ = Result::Reset;           // of the job, once told by an ErrorResponse
   Buffer answer_;
@@ -506,7 +512,11 @@
     const std::size_t ahead = !large ? kWarm : now < e.warmAt && !dialTurn_ ? 0 : 1;
     while (e.idle.size() + static_cast<std::size_t>(e.dialing) < ahead + e.waiting.size() &&
            account_.part(Holder::Servers).held < account_.part(Holder::Servers).most / 2)
-      if (!dial(id, e)) return;
+      if (!dial(id, e)) {
+        if (short_) return;
+        e.dialAgain = now + kDialAgain;
+        break;
+      }
   }
 }
 
@@ -536,14 +546,15 @@
 }
 
 bool Upstream::dial(MemberId id, Endpoint& e) {
-  const int fd = systemCalls().socket(e.address.v6() ? AF_INET6 : AF_INET);
-  if (fd < 0 && shortageOf(errno) != Shortage::None) {
-    shortOf(errno);
+  const StartedConnect started = startConnect(e.address);
+  if (started.fault != SocketFault::None && started.fault != SocketFault::Peer) {
+    shortOf(e, started.error);
     return false;
   }
   if (short_) logEvent(LogLevel::Info, "dial_well_again");
   short_ = false;
-  auto c = std::make_unique<Connection>(*this, id, e.address, std::min(e.minor, config_.serverMinor), fd);
+  auto c =
+      std::make_unique<Connection>(*this, id, e.address, std::min(e.minor, config_.serverMinor), started.fd);
   ++e.dialing;
   if (tracing()) logEvent(LogLevel::Trace, "dial", {{"to", e.address.text()}, {"waiting", e.waiting.size()}});
   connections_.emplace(c.get(), std::move(c));
@@ -552,12 +563,13 @@
 
 // Guards against holding the proxy's own want against the data server: nothing is reported, what waits goes
 // on waiting, and room is made. An idle connection to another server serves nobody now.
-void Upstream::shortOf(int error) {
+void Upstream::shortOf(Endpoint& e, int error) {
   const Shortage what = shortageOf(error);
   account_.ranShort(what);
-  if (!short_)
+  if (!short_ && !e.starved)
     logEvent(LogLevel::Warning, "dial_failed", {{"why", std::strerror(error)}, {"of", shortageName(what)}});
-  short_ = true;
+  e.starved = true;
+  short_ = what == Shortage::Descriptors || what == Shortage::Memory;  // ports and routes are a destination's
   if (what == Shortage::Descriptors) {
     const auto idlest = std::max_element(
         endpoints_.begin(), endpoints_.end(),
@@ -573,7 +585,10 @@
 void Upstream::dialWaiting() {
   for (auto& [id, e] : endpoints_)
     while (static_cast<std::size_t>(e.dialing) < e.waiting.size())
-      if (!dial(id, e)) return;
+      if (!dial(id, e)) {
+        if (short_) return;
+        break;
+      }
 }
 
 // ---- jobs ------------------------------------------------------------------------------------------------
@@ -638,6 +653,7 @@
   Endpoint& e = endpoints_[c.member];
   if (c.dialing) e.dialing -= 1;
   c.dialing = false;
+  e.starved = false;
   if (!e.waiting.empty() && c.address() == e.address) {
     Job& j = *e.waiting.front();
     e.waiting.pop_front();
@@ -781,8 +797,8 @@
   // all, so the other idle ones are no better. A send that has to dial fails without having run, and soon; on
   // a silent connection it is lost until its deadline, and may have run.
   Endpoint& endpoint = endpoints_[j.member];
-  // A probe that had no descriptor to go out on tells nothing of its member; by this word it lives, unheard.
-  if (short_ && !j.written) return finishProbe(j, true);
+  // A probe that had nothing here to go out on tells nothing of its member; by this word it lives, unheard.
+  if ((short_ || endpoint.starved) && !j.written) return finishProbe(j, true);
   dropIdle(endpoint);
   endpoint.dialAgain = engine_.now() + kDialAgain;
   finishProbe(j, false);
@@ -852,6 +868,29 @@
   if (dialing) dialFailed(e, how);
 }
 
+// A connection that ended for want of something here. Guards against holding that against the endpoint: what
+// has not gone out whole never ran and waits for another connection; what has may have run.
+void Upstream::ranOut(Connection& c, int error) {
+  Endpoint& e = endpoints_[c.member];
+  Job* const j = c.job;
+  const bool wanted = j || c.dialing, sent = j && j->written && c.flushed();
+  if (j) {
+    j->on = nullptr;
+    c.job = nullptr;
+  }
+  drop(c);
+  if (wanted) shortOf(e, error);
+  if (!j) return;
+  if (!j->givenUp && (!sent || j->probe())) {
+    j->written = false;
+    e.waiting.push_back(j);
+    return;
+  }
+  Ending ending;
+  ending.result = j->givenUp ? *j->givenUp : Result::Cancelled;
+  finish(*j, std::move(ending));
+}
+
 // What cannot be an answer, or stands where none is due. An attempt that was written may have run; a probe
 // was answered, however badly: its member lives.
 void Upstream::spoilt(Connection& c, const char* what) {
@@ -883,6 +922,7 @@
 }
 
 void Upstream::dialFailed(Endpoint& e, Result how) {
+  e.starved = false;
   e.dialAgain = engine_.now() + kDialAgain;
   if (tracing())
     logEvent(LogLevel::Trace, "dial_failed",
--- a/src/back/pg/upstream.hpp
+++ b/src/back/pg/upstream.hpp
@@ -43,22 +43,24 @@
     std::vector<Connection*> idle;  // the last one used comes last
     std::deque<Job*> waiting;       // for a connection
     int dialing = 0;
-    int minor = 2;     // of version 3, the newest that it is known to speak
-    Time dialAgain{};  // no connection is opened in advance before then
-    Time warmAt{};     // nor, by a large fleet, before then: each proxy's dial is work for one just started
+    int minor = 2;         // of version 3, the newest that it is known to speak
+    bool starved = false;  // the last connection to it failed for want of something here
+    Time dialAgain{};      // no connection is opened in advance before then
+    Time warmAt{};  // nor, by a large fleet, before then: each proxy's dial is work for one just started
     std::unique_ptr<Job> probe;
   };
   using AttemptKey = std::pair<RequestId, int>;
 
   void run(Job&);                  // on an idle connection, or once a new one stands
-  bool dial(MemberId, Endpoint&);  // false: the machine has no socket for it now; who waits goes on waiting
-  void shortOf(int error);
+  bool dial(MemberId, Endpoint&);  // false: the machine has no way to it now; who waits goes on waiting
+  void shortOf(Endpoint&, int error);
   void dialWaiting();
   bool stands(Connection&);  // dialed or released: takes the next job or idles; false: it was dropped
   void write(Job&);
   void rewrite(Job&);
   void tooLong(Connection&);                   // ends its job
   void lost(Connection&, Result);              // its end; tells that of its job
+  void ranOut(Connection&, int error);         // the same, for a fault of this machine
   void spoilt(Connection&, const char* what);  // the same, by what it sent
   void dialOlder(Connection&);                 // in place of one that was turned down for its version
   void dialFailed(Endpoint&, Result);
--- a/src/core/account.hpp
+++ b/src/core/account.hpp
@@ -75,7 +75,7 @@
   std::array<Part, kHolders> parts_{};
   const std::size_t bytesMost_;
   std::size_t bytes_ = 0, bytesPeak_ = 0;
-  std::array<std::uint64_t, 3> short_{};
+  std::array<std::uint64_t, kShortages> short_{};
 };
 
 }  // namespace sablespur
--- a/src/core/system.cpp
+++ b/src/core/system.cpp
@@ -17,12 +17,78 @@
     case ENOBUFS:
     case ENOMEM:
       return Shortage::Memory;
+    case EADDRNOTAVAIL:
+      return Shortage::Ports;
+    case ENETUNREACH:
+    case ENETDOWN:
+    case EACCES:
+    case EPERM:
+      return Shortage::Route;
     default:
       return Shortage::None;
   }
 }
 const char* shortageName(Shortage s) {
-  return s == Shortage::Descriptors ? "descriptors" : s == Shortage::Memory ? "memory" : "none";
+  switch (s) {
+    case Shortage::Descriptors:
+      return "descriptors";
+    case Shortage::Memory:
+      return "memory";
+    case Shortage::Ports:
+      return "ports";
+    case Shortage::Route:
+      return "route";
+    default:
+      return "none";
+  }
+}
+
+namespace {
+
+bool isScarceMemoryOrDescriptors(int error) {
+  const Shortage what = shortageOf(error);
+  return what == Shortage::Descriptors || what == Shortage::Memory;
+}
+
+SocketFault classifyAccept(int error) {
+  if (isScarceMemoryOrDescriptors(error)) return SocketFault::OwnResource;
+  // The rest, the network's errors among them, is of the connection that was next (accept(2), "Error
+  // handling").
+  return SocketFault::Transient;
+}
+
+SocketFault classifyConnect(int error) {
+  switch (error) {
+    case EINPROGRESS:
+    case EALREADY:
+    case EINTR:  // goes on by itself, as after EINPROGRESS (connect(2))
+      return SocketFault::None;
+    case EAGAIN:  // no free entries in the routing cache, or no local port (connect(2))
+      return SocketFault::OwnResource;
+    default:
+      return shortageOf(error) != Shortage::None ? SocketFault::OwnResource : SocketFault::Peer;
+  }
+}
+
+}  // namespace
+
+SocketFault classify(SocketCall call, int error) {
+  if (error == EBADF || error == ENOTSOCK || error == EFAULT || error == EINVAL)
+    return SocketFault::BadDescriptor;
+  if (call == SocketCall::Connect) return classifyConnect(error);
+  if (error == 0 || error == EAGAIN || error == EWOULDBLOCK) return SocketFault::None;
+  if (error == EINTR) return SocketFault::Transient;
+  switch (call) {
+    case SocketCall::Accept:
+      return classifyAccept(error);
+    case SocketCall::Open:
+      return SocketFault::OwnResource;  // there is no other side yet
+    case SocketCall::Connecting:
+      return isScarceMemoryOrDescriptors(error) || error == EADDRNOTAVAIL ? SocketFault::OwnResource
+                                                                          : SocketFault::Peer;
+    default:
+      return isScarceMemoryOrDescriptors(error) ? SocketFault::OwnResource : SocketFault::Peer;
+  }
 }
 
 SystemCalls& systemCalls() {
@@ -30,10 +96,28 @@
       [](int listener, sockaddr* a, socklen_t* n) {
         return accept4(listener, a, n, SOCK_NONBLOCK | SOCK_CLOEXEC);
       },
-      [](int family) { return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }};
+      [](int family) { return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); },
+      [](int fd, const sockaddr* to, socklen_t n) { return connect(fd, to, n); }};
   return calls;
 }
 
+StartedConnect startConnect(const Address& to) {
+  StartedConnect started;
+  started.fd = systemCalls().socket(to.v6() ? AF_INET6 : AF_INET);
+  if (started.fd < 0) {
+    started.error = errno;
+    started.fault = classify(SocketCall::Open, started.error);
+    return started;
+  }
+  if (systemCalls().connect(started.fd, to.data(), to.size()) == 0) return started;
+  started.error = errno;
+  started.fault = classify(SocketCall::Connect, started.error);
+  if (started.fault == SocketFault::None) return started;
+  close(started.fd);
+  started.fd = -1;
+  return started;
+}
+
 Spare::Spare() { hold(); }
 Spare::~Spare() { give(); }
 void Spare::give() {
--- /dev/null
+++ b/tests/system_calls_test.cpp
@@ -0,0 +1,479 @@
+// System calls that fail as Linux documents, on real connections over loopback: whose fault each failure is,
+// and that only the endpoint's own is held against it.
+#include <dlfcn.h>
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+#include <sys/uio.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <csignal>
+#include <functional>
+#include <list>
+#include <set>
+
+#include "back/pg/upstream.hpp"
+#include "core/acceptor.hpp"
+#include "core/system.hpp"
+#include "membership/dnssd/resolver.hpp"
+#include "membership/registry/watch.hpp"
+#include "scenario.hpp"
+#include "wire/pg/pg.hpp"
+
+namespace sablespur::test {
+namespace {
+
+using namespace std::chrono_literals;
+
+// What the C library's calls do on the descriptors that the proxy has opened; all others go through.
+struct CallFaults {
+  std::set<int> descriptors;
+  std::function<int(int fd)> onRead, onWrite;  // an errno, or 0: the call goes on
+  int connectOutcome = 0;                      // SO_ERROR in place of the true one; 0: the true one
+  std::size_t longest = 0;                     // bytes that one read or write moves; 0: no limit
+  int connectError = 0;                        // of connect(2) itself; 0: none
+  int connects = 0;
+  int datagrams = 0, datagramErrors = 0;  // sent, and how many of the next fail with ENOBUFS
+};
+CallFaults* active = nullptr;
+
+CallFaults* faultsOf(int fd) { return active && active->descriptors.count(fd) > 0 ? active : nullptr; }
+template <typename Function>
+Function* original(const char* name) {
+  return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
+}
+// The first part of a vector that is not empty, cut to what one call may move.
+iovec cut(const iovec* parts, int count, std::size_t longest) {
+  for (int k = 0; k < count; ++k)
+    if (parts[k].iov_len > 0) return {parts[k].iov_base, std::min(parts[k].iov_len, longest)};
+  return {nullptr, 0};
+}
+
+}  // namespace
+}  // namespace sablespur::test
+
+// These definitions come before the C library's in this program, so libevent's calls arrive here too.
+extern "C" ssize_t readv(int fd, const iovec* parts, int count) {
+  using namespace sablespur::test;
+  static auto* const real = original<ssize_t(int, const iovec*, int)>("readv");
+  CallFaults* const faults = faultsOf(fd);
+  if (!faults) return real(fd, parts, count);
+  if (const int error = faults->onRead ? faults->onRead(fd) : 0) {
+    errno = error;
+    return -1;
+  }
+  if (faults->longest == 0) return real(fd, parts, count);
+  const iovec part = cut(parts, count, faults->longest);
+  return read(fd, part.iov_base, part.iov_len);
+}
+extern "C" ssize_t writev(int fd, const iovec* parts, int count) {
+  using namespace sablespur::test;
+  static auto* const real = original<ssize_t(int, const iovec*, int)>("writev");
+  CallFaults* const faults = faultsOf(fd);
+  if (!faults) return real(fd, parts, count);
+  if (const int error = faults->onWrite ? faults->onWrite(fd) : 0) {
+    errno = error;
+    return -1;
+  }
+  if (faults->longest == 0) return real(fd, parts, count);
+  const iovec part = cut(parts, count, faults->longest);
+  return write(fd, part.iov_base, part.iov_len);
+}
+extern "C" ssize_t send(int fd, const void* bytes, size_t size, int flags) {
+  using namespace sablespur::test;
+  static auto* const real = original<ssize_t(int, const void*, size_t, int)>("send");
+  int type = 0;
+  socklen_t length = sizeof type;
+  if (!active || getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) != 0 || type != SOCK_DGRAM)
+    return real(fd, bytes, size, flags);
+  ++active->datagrams;
+  if (active->datagramErrors == 0) return real(fd, bytes, size, flags);
+  --active->datagramErrors;
+  errno = ENOBUFS;
+  return -1;
+}
+extern "C" int getsockopt(int fd, int level, int name, void* value, socklen_t* size) noexcept {
+  using namespace sablespur::test;
+  static auto* const real = original<int(int, int, int, void*, socklen_t*)>("getsockopt");
+  CallFaults* const faults = faultsOf(fd);
+  const int result = real(fd, level, name, value, size);
+  if (faults && level == SOL_SOCKET && name == SO_ERROR && faults->connectOutcome != 0)
+    *static_cast<int*>(value) = faults->connectOutcome;
+  return result;
+}
+
+namespace sablespur::test {
+namespace {
+
+// A data server in the test's own loop.
+class DataServer {
+ public:
+  explicit DataServer(event_base* base) : base_(base) {
+    const Address any = *Address::parse("127.0.0.1:0");
+    listener_.reset(evconnlistener_new_bind(
+        base,
+        [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+          static_cast<DataServer*>(self)->take(fd);
+        },
+        this, LEV_OPT_CLOSE_ON_FREE, 16, any.data(), static_cast<int>(any.size())));
+    sockaddr_storage at{};
+    socklen_t size = sizeof at;
+    getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
+    address = Address::fromSocket(reinterpret_cast<const sockaddr*>(&at));
+  }
+  void answerAll() {
+    answers = true;
+    for (const auto& c : connections_) serve(*c);
+  }
+  void greetAll() {
+    greets = true;
+    for (const auto& c : connections_) serve(*c);
+  }
+  // What has come to the kernel on any connection, and that this loop has not read.
+  std::string unread() const {
+    std::string all(1 << 16, '\0');
+    for (const auto& c : connections_) {
+      const ssize_t n =
+          recv(bufferevent_getfd(c->stream.get()), all.data(), all.size(), MSG_PEEK | MSG_DONTWAIT);
+      if (n > 0) return all.substr(0, static_cast<std::size_t>(n));
+    }
+    return {};
+  }
+  std::size_t greeted() const {
+    std::size_t n = 0;
+    for (const auto& c : connections_) n += c->greeted;
+    return n;
+  }
+
+  Address address;
+  bool greets = true, answers = true;
+  std::vector<std::string> statements;
+
+ private:
+  struct Client {
+    BufferEvent stream;
+    bool greeted = false;
+    std::size_t owed = 0;
+    DataServer* server = nullptr;
+  };
+  void take(evutil_socket_t fd) {
+    connections_.push_back(std::make_unique<Client>());
+    Client& c = *connections_.back();
+    c.server = this;
+    c.stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
+    bufferevent_setcb(
+        c.stream.get(),
+        [](bufferevent*, void* of) { static_cast<Client*>(of)->server->serve(*static_cast<Client*>(of)); },
+        nullptr, [](bufferevent*, short, void*) {}, &c);
+    bufferevent_enable(c.stream.get(), EV_READ | EV_WRITE);
+  }
+  static std::string row(const std::string& text) {
+    std::string cell("\0\1\0\0\0", 5);
+    cell += static_cast<char>(text.size());
+    return pg::message('T', std::string("\0\1blob\0", 7) + std::string(18, '\0')) +
+           pg::message('D', cell + text);
+  }
+  void serve(Client& c) {
+    evbuffer* const in = bufferevent_get_input(c.stream.get());
+    evbuffer* const out = bufferevent_get_output(c.stream.get());
+    for (;;) {
+      char head[pg::kHead];
+      if (evbuffer_copyout(in, head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) break;
+      const std::size_t whole = c.greeted ? 1 + pg::readInt32(head + 1) : pg::readInt32(head);
+      if (evbuffer_get_length(in) < whole || (!c.greeted && !greets)) break;
+      std::string message(whole, '\0');
+      evbuffer_remove(in, message.data(), whole);
+      if (!c.greeted) {
+        c.greeted = true;
+        append(out, pg::greeting());
+      } else if (message == pg::query("SHOW load")) {
+        append(out, row("x0=1.0,x1=1,inflight=0") + pg::message('C', std::string("SHOW\0", 5)) +
+                        pg::readyForQuery());
+      } else {
+        statements.push_back(message.substr(pg::kHead, message.size() - pg::kHead - 1));
+        ++c.owed;
+      }
+    }
+    for (; answers && c.owed > 0; --c.owed)
+      append(out, row("value") + pg::message('C', std::string("SELECT 1\0", 9)) + pg::readyForQuery());
+  }
+
+  event_base* const base_;
+  Listener listener_;
+  std::list<std::unique_ptr<Client>> connections_;
+};
+
+struct Outcomes : Witness {
+  struct Ended {
+    RequestId id;
+    Result result;
+  };
+  std::vector<Ended> all;
+  int sends = 0;
+  void sent(RequestId, int, const std::string&) override { ++sends; }
+  void ended(RequestId id, int, const Ending& e) override { all.push_back({id, e.result}); }
+  std::vector<Result> results() const {
+    std::vector<Result> r;
+    for (const Ended& e : all) r.push_back(e.result);
+    return r;
+  }
+};
+struct Client : Requester {
+  std::string got;
+  void served(Answer a) override {
+    got += "served ";
+    got.append(reinterpret_cast<const char*>(evbuffer_pullup(a.messages.get(), -1)),
+               evbuffer_get_length(a.messages.get()));
+  }
+  void refused(Time) override { got += "refused"; }
+  void failed() override { got += "failed"; }
+};
+struct NoLists : Lists {
+  void watch(std::uint64_t) override {}
+};
+
+// The engine with its way to two data servers, and the calls between them.
+struct ServerCallsTest : testing::Test {
+  static constexpr MemberId kFirst = 1, kSecond = 2;
+  static constexpr int kRead = 0, kWrite = 1;  // classes
+  const SystemCalls kept = systemCalls();
+  CallFaults faults;
+  EventBase base{event_base_new()};
+  DataServer first{base.get()}, second{base.get()};
+  Config config = parseConfig(configuration({}, 1, {first.address.port(), second.address.port()}));
+  Account account{config};
+  Outcomes outcomes;
+  Client client;
+  NoLists lists;
+  std::unique_ptr<Engine> engine;
+  std::unique_ptr<Workers> workers;
+  std::unique_ptr<Upstream> upstream;
+
+  void SetUp() override {
+    signal(SIGPIPE, SIG_IGN);
+    active = &faults;
+    systemCalls().socket = [](int family) {
+      const int fd = socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+      active->descriptors.insert(fd);
+      return fd;
+    };
+    systemCalls().connect = [](int fd, const sockaddr* to, socklen_t size) {
+      ++active->connects;
+      if (active->connectError == 0) return connect(fd, to, size);
+      errno = active->connectError;
+      return -1;
+    };
+    engine = std::make_unique<Engine>(base.get(), config);
+    workers = std::make_unique<Workers>(base.get(), 1);
+    upstream = std::make_unique<Upstream>(base.get(), *engine, *workers, account, config);
+    engine->witness(&outcomes);
+  }
+  void TearDown() override {
+    upstream.reset();
+    engine.reset();
+    workers.reset();
+    active = nullptr;
+    systemCalls() = kept;
+  }
+  void startEngine() {
+    engine->start(*upstream, lists);
+    engine->turn();
+    for (const MemberId m : {kFirst, kSecond})
+      engine->probed(m, true,
+                     {static_cast<double>(engine->now().count()) / 1e6, m == kFirst ? 1.0 : 0.0, 0.0});
+    engine->turn();
+  }
+  Message statement() const {
+    Message m{newBuffer(), newBuffer(), nullptr, {}, {}};
+    append(m.before.get(), "SELECT 1 /* d=");
+    append(m.after.get(), std::string_view(" */\0", 4));
+    return m;
+  }
+  void ask() { ask(kRead, engine->now() + 9s); }
+  void ask(int cls, Time deadline) {
+    knotstack::Request q;
+    q.cls = cls;
+    q.group = 3;
+    q.deadline = deadline;
+    engine->request(client, q, statement());
+    engine->turn();
+  }
+  void pass() {
+    const timeval tick{0, 5000};
+    event_base_loopexit(base.get(), &tick);
+    event_base_loop(base.get(), EVLOOP_ONCE);
+    engine->turn();
+  }
+  static long long timeTold(const std::string& statement) {
+    const std::size_t at = statement.find("d=");
+    return at == std::string::npos ? -1 : std::atoll(statement.c_str() + at + 2);
+  }
+  bool until(const std::function<bool()>& done) {
+    const auto end = std::chrono::steady_clock::now() + 10s;
+    while (!done() && std::chrono::steady_clock::now() < end) pass();
+    return done();
+  }
+};
+
+// ---- the classification -----------------------------------------------------------------------------------
+TEST(SocketFaults, AreToldApartByTheCallThatFailed) {
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+    for (const SocketCall call : {SocketCall::Accept, SocketCall::Open, SocketCall::Connect,
+                                  SocketCall::Connecting, SocketCall::Transfer})
+      EXPECT_EQ(classify(call, error), SocketFault::OwnResource) << error;
+  }
+  for (const int error : {EADDRNOTAVAIL, ENETUNREACH, ENETDOWN, EACCES, EPERM, EAGAIN})
+    EXPECT_EQ(classify(SocketCall::Connect, error), SocketFault::OwnResource) << error;
+  for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH})
+    for (const SocketCall call : {SocketCall::Connect, SocketCall::Connecting, SocketCall::Transfer})
+      EXPECT_EQ(classify(call, error), SocketFault::Peer) << error;
+  EXPECT_EQ(classify(SocketCall::Connecting, ENETUNREACH), SocketFault::Peer) << "a router's word, by ICMP";
+  EXPECT_EQ(classify(SocketCall::Connecting, EADDRNOTAVAIL), SocketFault::OwnResource);
+  for (const int error :
+       {EINTR, ECONNABORTED, EPROTO, ENETDOWN, ENETUNREACH, EHOSTUNREACH, EOPNOTSUPP, EPERM})
+    EXPECT_EQ(classify(SocketCall::Accept, error), SocketFault::Transient) << error;
+  for (const int error : {EBADF, ENOTSOCK, EINVAL})
+    EXPECT_EQ(classify(SocketCall::Accept, error), SocketFault::BadDescriptor) << error;
+  for (const int error : {EINPROGRESS, EINTR, EALREADY})
+    EXPECT_EQ(classify(SocketCall::Connect, error), SocketFault::None) << error;
+  EXPECT_EQ(classify(SocketCall::Accept, EAGAIN), SocketFault::None);
+  EXPECT_EQ(classify(SocketCall::Transfer, EINTR), SocketFault::Transient);
+}
+
+// ---- connections to data servers ----------------------------------------------------------------------
+TEST_F(ServerCallsTest, AConnectThatFailsForWantOfSomethingHereIsHeldAgainstNoServer) {
+  for (const int error : {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ENOMEM, EAGAIN, EPERM}) {
+    TearDown();
+    SetUp();
+    outcomes = Outcomes();
+    client.got.clear();
+    faults.connectError = error;
+    startEngine();
+    ask();
+    const int before = faults.connects;
+    ASSERT_TRUE(until([&] { return faults.connects >= before + 6; })) << error << ": it is dialed again";
+    EXPECT_TRUE(outcomes.all.empty()) << error << ": nothing was reported of a server";
+    EXPECT_EQ(client.got, "") << error;
+    faults.connectError = 0;
+    ASSERT_TRUE(until([&] { return !client.got.empty(); })) << error;
+    EXPECT_EQ(client.got.substr(0, 7), "served ") << error;
+    EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Ok}) << error;
+  }
+}
+TEST_F(ServerCallsTest, AConnectThatTheServerTurnsAwayIsToldAtOnce) {
+  config.dialTimeout = 1h;  // what waited for that would not end here
+  faults.connectError = ECONNREFUSED;
+  startEngine();
+  ask();
+  ASSERT_TRUE(until([&] { return !outcomes.all.empty(); }));
+  EXPECT_EQ(outcomes.all[0].result, Result::ConnectFailed);
+}
+TEST_F(ServerCallsTest, AConnectThatFailsLaterIsJudgedByItsOwnError) {
+  for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH}) {
+    TearDown();
+    SetUp();
+    outcomes = Outcomes();
+    config.dialTimeout = 1h;
+    faults.connectOutcome = error;
+    startEngine();
+    ask();
+    ASSERT_TRUE(until([&] { return !outcomes.all.empty(); })) << error;
+    EXPECT_EQ(outcomes.all[0].result, Result::ConnectFailed) << error;
+    client.got.clear();
+  }
+  for (const int error : {EADDRNOTAVAIL, ENOBUFS, ENOMEM}) {
+    TearDown();
+    SetUp();
+    outcomes = Outcomes();
+    client.got.clear();
+    faults.connectOutcome = error;
+    startEngine();
+    ask();
+    const int before = faults.connects;
+    ASSERT_TRUE(until([&] { return faults.connects >= before + 6; })) << error;
+    EXPECT_TRUE(outcomes.all.empty()) << error;
+    faults.connectOutcome = 0;
+    ASSERT_TRUE(until([&] { return !client.got.empty(); })) << error;
+    EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Ok}) << error;
+  }
+}
+TEST_F(ServerCallsTest, AnInterruptedConnectGoesOn) {
+  systemCalls().connect = [](int fd, const sockaddr* to, socklen_t size) {
+    connect(fd, to, size);
+    errno = EINTR;
+    return -1;
+  };
+  startEngine();
+  ask();
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Ok});
+}
+TEST_F(ServerCallsTest, AWriteThatFindsNoBufferIsHeldAgainstNoServer) {
+  for (const int error : {ENOBUFS, ENOMEM}) {
+    TearDown();
+    SetUp();
+    outcomes = Outcomes();
+    client.got.clear();
+    startEngine();
+    ASSERT_TRUE(until([&] { return first.greeted() >= 2 && second.greeted() >= 2; }));
+    int failures = 0;
+    faults.onWrite = [&failures, error](int) { return ++failures <= 3 ? error : 0; };
+    ask();
+    ASSERT_TRUE(until([&] { return !client.got.empty(); })) << error;
+    EXPECT_GE(failures, 3);
+    EXPECT_EQ(client.got.substr(0, 7), "served ") << error;
+    EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Ok}) << error;
+    faults.onWrite = nullptr;
+  }
+}
+TEST_F(ServerCallsTest, AReadThatFindsNoBufferMayHaveRunAndIsHeldAgainstNoServer) {
+  startEngine();
+  ASSERT_TRUE(until([&] { return first.greeted() >= 2 && second.greeted() >= 2; }));
+  first.answers = second.answers = false;
+  ask();
+  ASSERT_TRUE(until([&] { return first.statements.size() + second.statements.size() == 1; }));
+  int failures = 0;
+  faults.onRead = [&](int) { return ++failures == 1 ? ENOMEM : 0; };
+  first.answerAll();
+  second.answerAll();
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  EXPECT_EQ(outcomes.results(), (std::vector<Result>{Result::Cancelled, Result::Ok}));
+}
+// ETIMEDOUT: nothing was acknowledged for too long (tcp(7)); EHOSTUNREACH: by ICMP.
+TEST_F(ServerCallsTest, AnErrorOnAnOpenConnectionEndsThatConnectionAlone) {
+  for (const int error : {ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
+    TearDown();
+    SetUp();
+    outcomes = Outcomes();
+    client.got.clear();
+    startEngine();
+    ASSERT_TRUE(until([&] { return account.part(Holder::Servers).held == 4; }));
+    ASSERT_TRUE(until([&] { return first.greeted() >= 2 && second.greeted() >= 2; }));
+    first.answers = second.answers = false;
+    ask();
+    const std::size_t asked = first.statements.size() + second.statements.size();
+    ASSERT_TRUE(until([&] { return first.statements.size() + second.statements.size() > asked; }));
+    int failures = 0;
+    faults.onRead = [&failures, error](int) { return ++failures == 1 ? error : 0; };
+    first.answerAll();
+    second.answerAll();
+    ASSERT_TRUE(until([&] { return !client.got.empty(); })) << error;
+    EXPECT_EQ(outcomes.results(), (std::vector<Result>{Result::Reset, Result::Ok})) << error;
+    EXPECT_EQ(client.got.substr(0, 7), "served ") << error;
+    faults.onRead = nullptr;
+  }
+}
+TEST_F(ServerCallsTest, ShortReadsAndWritesAndInterruptionsLoseNothing) {
+  faults.longest = 1;
+  int calls = 0;
+  faults.onRead = faults.onWrite = [&](int) { return ++calls % 2 ? EINTR : 0; };
+  startEngine();
+  ask();
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Ok});
+  EXPECT_NE(client.got.find("value"), std::string::npos);
+  EXPECT_EQ((first.statements.empty() ? second : first).statements[0].substr(0, 14), "SELECT 1 /* d=");
+}
+
+}  // namespace
+}  // namespace sablespur::test
