--- a/src/control/listener.cpp
+++ b/src/control/listener.cpp
@@ -49,8 +49,8 @@
 void Listener::ready() {
   const int fd = systemCalls().accept(fd_, nullptr, nullptr);
   if (fd < 0) {
-    if (shortageOf(errno) == Shortage::None) return;
-    event_del(readable_.get());  // guards against spinning: the socket stays readable
+    if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
+    event_del(readable_.get());  // guards against spinning: the socket may stay readable, whatever failed
     return startTimer(again_.get(), kPause);
   }
   if (callers_.size() >= kCallers) {
--- a/src/core/acceptor.cpp
+++ b/src/core/acceptor.cpp
@@ -71,7 +71,12 @@
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
-    if (fd < 0) return;
+    if (fd < 0) {
+      const SocketFault fault = classify(SocketCall::Accept, errno);
+      if (fault == SocketFault::Transient) continue;  // of one connection: others wait behind it
+      if (fault == SocketFault::OwnResource) turnAway();
+      return;
+    }
     taker_.taken(fd, reinterpret_cast<const sockaddr*>(&from));
   }
 }
@@ -86,6 +91,7 @@
 }
 
 void Acceptor::ready() {
+  bool accepted = false;
   for (int n = 0; n < kBurst; ++n) {
     if (!taker_.room()) return pause(kPause);
     sockaddr_storage from{};
@@ -95,6 +101,7 @@
       if (!failed(errno)) return;
       continue;
     }
+    accepted = true;
     pause_ = {};
     if (short_ && clock_.now() - failedAt_ >= kCalm) {
       logEvent(LogLevel::Info, "accept_well_again");
@@ -102,16 +109,16 @@
     }
     taker_.taken(fd, reinterpret_cast<const sockaddr*>(&from));
   }
+  // Guards against spinning: an error that stays takes no connection off the queue, and the listener stays
+  // ready.
+  if (!accepted) pause(pause_ = kPause);
 }
 
 bool Acceptor::failed(int error) {
-  if (error == EAGAIN || error == EWOULDBLOCK) return false;
+  const SocketFault fault = classify(SocketCall::Accept, error);
+  if (fault == SocketFault::BadDescriptor) pause(kLongestPause);
+  if (fault != SocketFault::OwnResource) return fault == SocketFault::Transient;
   const Shortage what = shortageOf(error);
-  if (what == Shortage::None) {
-    // Of one connection, or of the network: the others are no worse (accept(2), "Error handling").
-    if (error == EBADF || error == EINVAL || error == ENOTSOCK) pause(kLongestPause);
-    return error != EBADF && error != EINVAL && error != ENOTSOCK;
-  }
   account_.ranShort(what);
   if (!short_)
     logEvent(LogLevel::Warning, "accept_failed", {{"why", std::strerror(error)}, {"of", shortageName(what)}});
--- a/src/core/acceptor.hpp
+++ b/src/core/acceptor.hpp
@@ -1,10 +1,11 @@
 // A listening socket that stays level: so many connections a pass of the loop and no more, whatever waits;
 // and an answer for each way in which accept(2) fails.
 //
-// connection that is gone already (ECONNABORTED and the network's errors, accept(2)): the next one is taken.
-// No descriptor (EMFILE, ENFILE): somebody idle is asked to make room; until then each one that comes is
-// taken on the spare descriptor, told so and closed, rather than left waiting for nothing. No memory
-// (ENOBUFS, ENOMEM): a pause that doubles up to a second; the rest waits in the backlog.
+// A connection that is gone already (ECONNABORTED and the network's errors, accept(2)): the next one is
+// taken, and after a whole burst with nothing but such errors there is a pause. No descriptor (EMFILE,
+// ENFILE): somebody idle is asked to make room; until then each one that comes is taken on the spare
+// descriptor, told so and closed, rather than left waiting for nothing. No memory (ENOBUFS, ENOMEM): a pause
+// that doubles up to a second; the rest waits in the backlog.
 #pragma once
 
 #include <chrono>
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -340,6 +340,83 @@
   EXPECT_EQ(classify(SocketCall::Transfer, EINTR), SocketFault::Transient);
 }
 
+// ---- accept(2) ------------------------------------------------------------------------------------------
+struct AcceptTest : testing::Test {
+  static inline int error = 0, failures = 0,
+                    calls = 0;  // what accept(2) fails with, how often; all its calls
+  const SystemCalls kept = systemCalls();
+  EventBase base{event_base_new()};
+  Config config = parseConfig(configuration({}, 1, {11, 12}));
+  Account account{config};
+  Spare spare;
+  const Clock clock;
+  int taken = 0;
+
+  void SetUp() override {
+    error = failures = calls = 0;
+    systemCalls().accept = [](int listener, sockaddr* from, socklen_t* size) {
+      ++calls;
+      if (failures == 0) return accept4(listener, from, size, SOCK_NONBLOCK | SOCK_CLOEXEC);
+      --failures;
+      errno = error;
+      return -1;
+    };
+  }
+  void TearDown() override { systemCalls() = kept; }
+  Acceptor::Taker taker() {
+    Acceptor::Taker t;
+    t.taken = [this](evutil_socket_t fd, const sockaddr*) {
+      ++taken;
+      close(fd);
+    };
+    t.room = [] { return true; };
+    t.shortage = [] {};
+    t.refuse = [](evutil_socket_t) {};
+    return t;
+  }
+  static int connectTo(int port) {
+    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    const Address to = *Address::parse("127.0.0.1:" + std::to_string(port));
+    EXPECT_EQ(connect(fd, to.data(), to.size()), 0);
+    return fd;
+  }
+};
+// The listener stays ready, so each pass of the loop would call again: without a pause this is a whole core.
+TEST_F(AcceptTest, AnErrorThatStaysPausesTheListenerAfterOneBurst) {
+  for (const int lasting : {EPERM, ENETDOWN, ECONNABORTED}) {
+    Acceptor acceptor(base.get(), clock, *Address::parse("127.0.0.1:0"), account, spare, taker());
+    const int fd = connectTo(acceptor.port());
+    error = lasting;
+    failures = 1 << 20;
+    calls = 0;
+    event_base_loop(base.get(), EVLOOP_ONCE);
+    const int burst = calls;
+    EXPECT_GT(burst, 0);
+    EXPECT_GT(acceptor.pausing().count(), 0) << lasting;
+    event_base_loop(base.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
+    EXPECT_EQ(calls, burst) << lasting << ": not before the pause is over";
+    failures = 0;
+    taken = 0;
+    event_base_loop(base.get(), EVLOOP_ONCE);
+    while (taken == 0) ASSERT_EQ(event_base_loop(base.get(), EVLOOP_ONCE), 0);
+    EXPECT_EQ(acceptor.pausing().count(), 0);
+    close(fd);
+  }
+}
+TEST_F(AcceptTest, TheRestOfTheBacklogIsTakenPastConnectionsThatAreGone) {
+  for (const int passing : {ECONNABORTED, EINTR, EPROTO}) {
+    Acceptor acceptor(base.get(), clock, *Address::parse("127.0.0.1:0"), account, spare, taker());
+    const int one = connectTo(acceptor.port()), two = connectTo(acceptor.port());
+    error = passing;
+    failures = 3;
+    taken = 0;
+    acceptor.takeRest();
+    EXPECT_EQ(taken, 2) << passing;
+    close(one);
+    close(two);
+  }
+}
+
 // ---- connections to data servers ----------------------------------------------------------------------
 TEST_F(ServerCallsTest, AConnectThatFailsForWantOfSomethingHereIsHeldAgainstNoServer) {
   for (const int error : {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ENOMEM, EAGAIN, EPERM}) {
