--- a/src/membership/dnssd/resolver.cpp
+++ b/src/membership/dnssd/resolver.cpp
@@ -7,6 +7,7 @@
 #include <cstring>
 #include <utility>
 
+#include "core/system.hpp"
 #include "log/log.hpp"
 #include "membership/dnssd/directory.hpp"
 
@@ -85,9 +86,17 @@
   }
   // This server has failed for this question.
   void fail(const std::string& why) {
+    owner_.servers_.failed(at_, owner_.clock_.now());
+    tryNext(why);
+  }
+  // It is not held against the server where this machine had no socket or no way to it.
+  void failedCall(SocketFault fault, int error) {
+    if (fault == SocketFault::Peer) return fail(std::strerror(error));
+    tryNext(std::strerror(error));
+  }
+  void tryNext(const std::string& why) {
     close();
     why_ = server().text() + ": " + why;
-    owner_.servers_.failed(at_, owner_.clock_.now());
     next();
   }
   void close() {
@@ -106,11 +115,15 @@
   void overUdp() {
     ++owner_.counts_.udp;
     socket_.reset(::socket(server().data()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    const std::string bytes = query();
+    if (socket_.fd < 0) return failSoon(SocketCall::Open, errno);
     // Connected, so that the kernel passes on only what comes from this server's address and port.
-    if (socket_.fd < 0 || connect(socket_.fd, server().data(), server().size()) != 0 ||
-        send(socket_.fd, bytes.data(), bytes.size(), 0) != static_cast<ssize_t>(bytes.size()))
-      return failSoon(std::strerror(errno));
+    if (connect(socket_.fd, server().data(), server().size()) != 0)
+      return failSoon(SocketCall::Connect, errno);
+    const std::string bytes = query();
+    ssize_t sent;
+    do sent = send(socket_.fd, bytes.data(), bytes.size(), 0);
+    while (sent < 0 && errno == EINTR);
+    if (sent < 0) return failSoon(SocketCall::Transfer, errno);
     event_.reset(event_new(
         owner_.base_, socket_.fd, EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* self) { static_cast<Lookup*>(self)->readUdp(); }, this));
@@ -118,13 +131,14 @@
     startTimer(timer_.get(), owner_.settings_.tryTimeout);
   }
   // Not within the call that brought it about: all servers may fail like this.
-  void failSoon(const char* why) {
-    soon_ = why;
+  void failSoon(SocketCall call, int error) {
+    fault_ = classify(call, error);
+    error_ = error;
     event_.reset(event_new(
         owner_.base_, -1, 0,
         [](evutil_socket_t, short, void* self) {
           auto& l = *static_cast<Lookup*>(self);
-          l.fail(l.soon_);
+          l.failedCall(l.fault_, l.error_);
         },
         this));
     event_del(timer_.get());
@@ -135,8 +149,11 @@
     static char bytes[kLongestDatagram];  // one loop, one thread
     for (int k = 0; k < kDatagramsAtOnce; ++k) {
       const ssize_t n = recv(socket_.fd, bytes, sizeof bytes, 0);
-      if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-      if (n < 0) return fail(std::strerror(errno));  // refused: nobody listens there
+      if (n < 0) {
+        const SocketFault fault = classify(SocketCall::Transfer, errno);
+        if (fault == SocketFault::None || fault == SocketFault::Transient) return;
+        return failedCall(fault, errno);  // ECONNREFUSED: nobody listens there
+      }
       auto m = dns::parse({bytes, static_cast<std::size_t>(n)});
       if (m && answers(*m)) return take(std::move(*m), false);
       ++owner_.counts_.passedOver;
@@ -168,14 +185,12 @@
   void overTcp() {
     ++owner_.counts_.tcp;
     const std::string bytes = query();
-    tcp_.reset(bufferevent_socket_new(owner_.base_, -1, BEV_OPT_CLOSE_ON_FREE));
+    const StartedConnect started = startConnect(server());
+    if (started.fd < 0) return failSoon(SocketCall::Connect, started.error);
+    tcp_.reset(bufferevent_socket_new(owner_.base_, started.fd, BEV_OPT_CLOSE_ON_FREE));
     const char length[2] = {static_cast<char>(bytes.size() >> 8), static_cast<char>(bytes.size())};
     append(bufferevent_get_output(tcp_.get()), {length, sizeof length});
     append(bufferevent_get_output(tcp_.get()), bytes);
-    bufferevent_enable(tcp_.get(), EV_READ | EV_WRITE);
-    startTimer(timer_.get(), owner_.settings_.tryTimeout);
-    if (bufferevent_socket_connect(tcp_.get(), server().data(), static_cast<int>(server().size())) != 0)
-      return failSoon("no connection over TCP");
     bufferevent_setcb(
         tcp_.get(), [](bufferevent*, void* self) { static_cast<Lookup*>(self)->readTcp(); }, nullptr,
         [](bufferevent*, short what, void* self) {
@@ -183,6 +198,9 @@
             static_cast<Lookup*>(self)->fail("the TCP connection ended or never came up");
         },
         this);
+    bufferevent_enable(tcp_.get(), EV_READ | EV_WRITE);
+    startTimer(timer_.get(), owner_.settings_.tryTimeout);
+    bufferevent_socket_connect(tcp_.get(), nullptr, 0);  // it is under way: this waits for its end
   }
   void readTcp() {
     evbuffer* const in = bufferevent_get_input(tcp_.get());
@@ -210,7 +228,9 @@
   std::size_t at_ = 0;
   std::uint16_t id_ = 0;
   bool started_ = false;
-  std::string why_ = "no name server", soon_;
+  std::string why_ = "no name server";
+  SocketFault fault_ = SocketFault::None;  // of a call that failed, until the loop's next pass
+  int error_ = 0;
 };
 
 Resolver::Resolver(event_base* base, const Clock& clock, const DnsSdSettings& settings, Done done)
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -552,5 +552,71 @@
   EXPECT_EQ((first.statements.empty() ? second : first).statements[0].substr(0, 14), "SELECT 1 /* d=");
 }
 
+// ---- discovery ------------------------------------------------------------------------------------------
+struct DiscoveryCallsTest : testing::Test {
+  CallFaults faults;
+  EventBase base{event_base_new()};
+  void SetUp() override { active = &faults; }
+  void TearDown() override { active = nullptr; }
+  static Address nameOf(int fd) {
+    sockaddr_storage at{};
+    socklen_t size = sizeof at;
+    getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
+    return Address::fromSocket(reinterpret_cast<const sockaddr*>(&at));
+  }
+  static int bound(int type) {
+    const int fd = socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    const Address any = *Address::parse("127.0.0.1:0");
+    EXPECT_EQ(bind(fd, any.data(), any.size()), 0);
+    return fd;
+  }
+};
+// Loopback refuses within connect(2): there is no later event to wait for.
+TEST_F(DiscoveryCallsTest, AWatchThatIsRefusedAtOnceIsToldAtOnce) {
+  struct Taker : ListTaker {
+    int failures = 0;
+    void listed(InstanceList) override {}
+    void listFailed(const std::string&) override { ++failures; }
+    std::uint64_t generation() const override { return 1; }
+  } taker;
+  const int nobodyListens = bound(SOCK_STREAM);
+  Discovery watch(base.get(), taker, nameOf(nobodyListens));
+  watch.watch(1);
+  for (int k = 0; k < 3; ++k) event_base_loop(base.get(), EVLOOP_NONBLOCK);
+  EXPECT_EQ(taker.failures, 1);
+  close(nobodyListens);
+}
+TEST_F(DiscoveryCallsTest, AQuestionThatFindsNoBufferIsNotHeldAgainstItsNameServer) {
+  const int first = bound(SOCK_DGRAM), second = bound(SOCK_DGRAM);
+  DnsSdSettings settings;
+  settings.servers = {nameOf(first), nameOf(second)};
+  settings.tryTimeout = 1h;
+  const Clock clock;
+  Resolver resolver(base.get(), clock, settings, [](const dns::Question&, const Resolver::Reply&) {});
+  const auto arrived = [](int fd) {
+    char bytes[512];
+    int n = 0;
+    while (recv(fd, bytes, sizeof bytes, 0) > 0) ++n;
+    return n;
+  };
+  const auto asked = [&](int datagrams) {
+    const auto end = std::chrono::steady_clock::now() + 10s;
+    while (faults.datagrams < datagrams && std::chrono::steady_clock::now() < end)
+      event_base_loop(base.get(), EVLOOP_ONCE);
+    return faults.datagrams == datagrams;
+  };
+  faults.datagramErrors = 1;
+  resolver.ask(dns::Question{"example.org.", dns::Type::Ptr}, false);
+  ASSERT_TRUE(asked(2));
+  EXPECT_EQ(arrived(first), 0);
+  EXPECT_EQ(arrived(second), 1) << "the question goes on to the next";
+  resolver.ask(dns::Question{"example.org.", dns::Type::Ptr}, false);
+  ASSERT_TRUE(asked(3));
+  EXPECT_EQ(arrived(first), 1) << "the next one starts with the first again";
+  EXPECT_EQ(arrived(second), 0);
+  close(first);
+  close(second);
+}
+
 }  // namespace
 }  // namespace sablespur::test
