--- a/src/back/pg/upstream.cpp
+++ b/src/back/pg/upstream.cpp
@@ -42,6 +42,9 @@
 // An answer whose first byte has come is whole by then: a data server writes it in one go. Guards against
 // lengths that promise more than comes.
 constexpr Time kWhole = std::chrono::milliseconds(250);
+// A query tells how much time is left, and servers may be told of 0.15 s too much at most: a process that is
+// held up takes its part of that, and so does a server that does not read.
+constexpr Time kFlushWithin = std::chrono::milliseconds(100);
 // Guards the memory: answers of any number of rows are held whole until they are complete.
 constexpr std::size_t kLongestAnswer = 256 << 10;
 // Salted passwords that are kept: as many as there are data servers with a salt of their own, within reason.
@@ -105,7 +108,8 @@
     // A connect that fails at once is told by the timer: this call's own caller is not done yet.
     startTimer(timer.get(), fd < 0 ? Time(0) : owner.config_.dialTimeout);
     bufferevent_setcb(
-        bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); }, nullptr,
+        bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); },
+        [](bufferevent*, void* self) { static_cast<Connection*>(self)->drained(); },
         [](bufferevent*, short what, void* self) { static_cast<Connection*>(self)->event(what); }, this);
     if (fd < 0) return;
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
@@ -130,6 +134,18 @@
            recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
            (errno == EAGAIN || errno == EWOULDBLOCK);
   }
+  // A query, as far as the kernel takes it now. What it does not take within kFlushWithin of `composed`, when
+  // the time that it tells was right, never goes out: the connection ends.
+  void writeAtOnce(evbuffer* query, Time composed) {
+    if (flushed()) evbuffer_write(query, bufferevent_getfd(bev_.get()));  // an error comes back as an event
+    evbuffer_add_buffer(output(), query);
+    if (flushed()) return;
+    flushing_ = true;
+    const Time left = composed + kFlushWithin - owner_.engine_.now();
+    if (left <= Time(0))
+      bufferevent_disable(bev_.get(), EV_WRITE);  // nothing more of it, in this pass either
+    startTimer(timer.get(), left);
+  }
   bool badStatement() const { return job && badStatement_; }
   void begin(Job& j) {
     job = &j;
@@ -138,7 +154,7 @@
     answer_ = newBuffer();
     result_ = Result::Reset;
     stage_ = Stage::Start;
-    badStatement_ = cancelled_ = false;
+    badStatement_ = cancelled_ = flushing_ = false;
     role_ = Role::Unknown;
     positionMs_ = 0;
     report_.reset();
@@ -177,7 +193,14 @@
     if (classify(call, error) == SocketFault::OwnResource) return owner_.ranOut(*this, error);
     if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) owner_.lost(*this, failure_);
   }
-  void late() {  // dialing, idle for long enough, or amid an answer
+  void drained() {
+    if (!flushing_) return;
+    flushing_ = false;
+    event_del(timer.get());
+  }
+  void
+  late() {  // dialing, idle for long enough, amid a query that the server does not take, or amid an answer
+    if (job && flushing_) return owner_.lost(*this, Result::Reset);
     if (job) return owner_.spoilt(*this, "an answer that does not end");
     owner_.lost(*this, failure_);
   }
@@ -431,6 +454,7 @@
   Buffer answer_;
   enum class Stage { Start, Described, Row, Complete, Failed } stage_ = Stage::Start;  // of the answer
   bool badStatement_ = false, cancelled_ = false;
+  bool flushing_ = false;  // the timer runs for what the kernel has not taken of the query
   Role role_ = Role::Unknown;
   std::int64_t positionMs_ = 0;
   std::optional<std::string> report_;
@@ -683,32 +707,33 @@
   const auto it = attempts_.find({id, attempt});
   if (it == attempts_.end() || !it->second->on || it->second->written) return;
   Job& j = *it->second;
-  if (fit) return write(j);
-  Connection& c = *j.on;
-  c.job = nullptr;
-  j.on = nullptr;
-  Ending none;
-  none.result = Result::Moot;
-  finish(j, std::move(none));
-  stands(c);
+  fit ? write(j) : withdraw(j);
 }
 
+// The clock is read last, and the bytes go to the kernel within the same call: the time that they tell is
+// right but for how long this process is held up in between.
 void Upstream::write(Job& j) {
-  evbuffer* const out = j.on->output();
-  j.written = true;
-  if (j.probe()) return append(out, pg::query("SHOW load"));
+  if (j.probe()) {
+    j.written = true;
+    return append(j.on->output(), pg::query("SHOW load"));
+  }
   const bool backslashes = j.message->from && j.message->from->backslashes;
   if (backslashes != j.on->backslashes()) return rewrite(j);
+  const Time now = engine_.now();
+  const std::int64_t left = wholeMillisecondsLeft(j, now);
+  if (left < 1) return withdraw(j);
+  j.written = true;
   // The statement goes on as it came, by reference, but for the time that is left.
-  const auto left = std::max<std::int64_t>((j.until - engine_.now()).count() / 1000, 1);
   const std::string digits = std::to_string(left);
   const std::size_t before = evbuffer_get_length(j.message->before.get()),
                     length = before + (before > 0 ? digits.size() : 0) +
                              evbuffer_get_length(j.message->after.get());
-  append(out, pg::queryHead(length));
-  evbuffer_add_buffer_reference(out, j.message->before.get());
-  if (before > 0) append(out, digits);  // else the statement does not say how long it waits
-  evbuffer_add_buffer_reference(out, j.message->after.get());
+  const Buffer query = newBuffer();
+  append(query.get(), pg::queryHead(length));
+  evbuffer_add_buffer_reference(query.get(), j.message->before.get());
+  if (before > 0) append(query.get(), digits);  // else the statement does not say how long it waits
+  evbuffer_add_buffer_reference(query.get(), j.message->after.get());
+  j.on->writeAtOnce(query.get(), now);
 }
 
 // For a server that reads string literals otherwise than who wrote them.
@@ -719,14 +744,35 @@
     statement.resize(at + n);
     evbuffer_copyout(part, statement.data() + at, n);
   };
+  const Time now = engine_.now();
+  const std::int64_t left = wholeMillisecondsLeft(j, now);
+  if (left < 1) return withdraw(j);
+  j.written = true;
   copy(j.message->before.get());
-  if (!statement.empty())
-    statement += std::to_string(std::max<std::int64_t>((j.until - engine_.now()).count() / 1000, 1));
+  if (!statement.empty()) statement += std::to_string(left);
   copy(j.message->after.get());
   statement.pop_back();  // its NUL
   const std::string there = translate::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
   if (there.size() + 1 > pg::kLongestMessage) return tooLong(*j.on);
-  append(j.on->output(), pg::query(there));
+  const Buffer query = newBuffer();
+  append(query.get(), pg::query(there));
+  j.on->writeAtOnce(query.get(), now);
+}
+
+// Rounded down, so that no server is told of time that the client does not have.
+std::int64_t Upstream::wholeMillisecondsLeft(const Job& j, Time now) {
+  return std::chrono::floor<std::chrono::milliseconds>(j.until - now).count();
+}
+
+// The attempt never goes out; its connection is free for others.
+void Upstream::withdraw(Job& j) {
+  Connection& c = *j.on;
+  c.job = nullptr;
+  j.on = nullptr;
+  Ending none;
+  none.result = Result::Moot;
+  finish(j, std::move(none));
+  stands(c);
 }
 
 // By no fault of the server: the statement, or what it asks for, has no room here.
--- a/src/back/pg/upstream.hpp
+++ b/src/back/pg/upstream.hpp
@@ -58,6 +58,8 @@
   bool stands(Connection&);  // dialed or released: takes the next job or idles; false: it was dropped
   void write(Job&);
   void rewrite(Job&);
+  static std::int64_t wholeMillisecondsLeft(const Job&, Time now);
+  void withdraw(Job&);                         // has a connection, and did not go out on it
   void tooLong(Connection&);                   // ends its job
   void lost(Connection&, Result);              // its end; tells that of its job
   void ranOut(Connection&, int error);         // the same, for a fault of this machine
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -552,6 +552,78 @@
   EXPECT_EQ((first.statements.empty() ? second : first).statements[0].substr(0, 14), "SELECT 1 /* d=");
 }
 
+// ---- the time that a server is told -------------------------------------------------------------------
+struct TimeLeftTest : ServerCallsTest {
+  static constexpr RequestId kRequest = 77;  // the engine knows of none: the outcome is the witness's alone
+  void SetUp() override {
+    ServerCallsTest::SetUp();
+    startEngine();
+    first.answers = false;
+    ASSERT_TRUE(until([&] { return first.greeted() >= 2 && second.greeted() >= 2; }));
+    for (int k = 0; k < 3; ++k) pass();  // the greetings are read
+  }
+  void send(Time end, Message m) {
+    upstream->send(kRequest, 0, kFirst, end, std::make_shared<const Message>(std::move(m)));
+  }
+};
+// Bytes that wait for the loop's next pass tell of time that has gone by since.
+TEST_F(TimeLeftTest, IsWrittenToTheKernelInTheCallThatReadTheClock) {
+  const Time end = engine->now() + 3s;
+  send(end, statement());
+  const std::string query = first.unread();
+  EXPECT_NE(query.find(" */"), std::string::npos) << "whole, with no pass of the loop";
+  EXPECT_GT(timeTold(query), 0);
+  EXPECT_LE(timeTold(query), 3000);
+}
+TEST_F(TimeLeftTest, OfLessThanAMillisecondIsNotSent) {
+  const std::size_t held = account.part(Holder::Servers).held;
+  for (const Time left : {Time(999), Time(1), Time(0), Time(-1), Time(-500000)}) {
+    outcomes = Outcomes();
+    send(engine->now() + left, statement());
+    EXPECT_EQ(first.unread(), "") << left.count();
+    ASSERT_TRUE(until([&] { return !outcomes.all.empty(); }));
+    EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Moot}) << left.count();
+  }
+  EXPECT_EQ(account.part(Holder::Servers).held, held) << "its connection serves on";
+  EXPECT_TRUE(first.statements.empty());
+}
+TEST_F(ServerCallsTest, TheTimeLeftOfAnAttemptThatWaitedForItsConnectionCountsFromThen) {
+  config.dialTimeout = 1h;
+  first.greets = second.greets = false;
+  startEngine();
+  const Time deadline = engine->now() + 9s;
+  ask(kWrite, deadline);
+  ASSERT_TRUE(until([&] { return outcomes.sends == 1 && deadline - engine->now() < 8950ms; }));
+  const Time released = engine->now();
+  first.greetAll();
+  second.greetAll();
+  ASSERT_TRUE(until([&] { return first.statements.size() == 1; }));
+  EXPECT_GT(timeTold(first.statements[0]), 0);
+  EXPECT_LE(timeTold(first.statements[0]), (deadline - released) / 1ms);
+}
+// A server that does not read: what is left of the query would tell of time long gone.
+TEST_F(TimeLeftTest, GoesNoMoreWhereTheServerDoesNotTakeTheQueryInTime) {
+  int blocked = 0;
+  faults.onWrite = [&](int) { return ++blocked, EAGAIN; };
+  send(engine->now() + 1h, statement());
+  ASSERT_TRUE(until([&] { return !outcomes.all.empty(); }));
+  EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::ConnectFailed}) << "it never ran";
+  EXPECT_GT(blocked, 0);
+  faults.onWrite = nullptr;
+  for (int k = 0; k < 5; ++k) pass();
+  EXPECT_TRUE(first.statements.empty());
+}
+TEST_F(TimeLeftTest, AQueryThatGoesOutInPiecesIsAnsweredInItsTime) {
+  int calls = 0;
+  faults.longest = 16;
+  faults.onWrite = [&](int) { return ++calls % 2 ? 0 : EAGAIN; };
+  send(engine->now() + 3s, statement());
+  ASSERT_TRUE(until([&] { return first.statements.size() == 1; }));
+  first.answerAll();
+  ASSERT_TRUE(until([&] { return !outcomes.all.empty(); }));
+  EXPECT_EQ(outcomes.results(), std::vector<Result>{Result::Ok});
+}
+
 // ---- discovery ------------------------------------------------------------------------------------------
 struct DiscoveryCallsTest : testing::Test {
   CallFaults faults;
