--- a/src/store/rules.cpp
+++ b/src/store/rules.cpp
@@ -60,6 +60,11 @@
 }
 
 void sent(KeyRecord& r, Attempt a) {
+  // Told once more after a commit that failed and was durable all the same.
+  const bool known = std::any_of(r.attempts.begin(), r.attempts.end(), [&](const Attempt& other) {
+    return other.id == a.id && other.number == a.number;
+  });
+  if (known) return;
   if (r.attempts.size() >= kAttempts) {
     r.mayHaveRun = r.mayHaveRun || r.attempts.front().end != End::NeverRan;
     r.attempts.erase(r.attempts.begin());
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -14,13 +14,14 @@
 #include <utility>
 #include <vector>
 
+#include "store/backlog.hpp"
+
 namespace sablespur::store {
 namespace {
 
 constexpr std::size_t kLargestGroup = 1024;  // bounds how long one commit can take
 constexpr Time kRetryLeast = std::chrono::milliseconds(100), kRetryMost = std::chrono::seconds(5);
 constexpr Time kLastWait = std::chrono::seconds(1);
-constexpr std::size_t kMostTakenBack = 100000;
 constexpr std::size_t kMostNotes =
     65536;  // guards the memory while a disk hangs: a note that is lost makes nobody freer
 // Notes wait so long for a commit that somebody waits for, and then have one of their own.
@@ -135,10 +136,15 @@
 
 void Writer::serve(const std::shared_ptr<Shared>& shared) {
   Shared& s = *shared;
-  // Intents that were lost and never sent: once the disk is back they are taken back, lest a key that came
-  // while it failed be held for one that may have run.
-  std::deque<Operation> takeBack;
-  Time retry = kRetryLeast;
+  // What failed commits were to record; it is applied before anything else once the disk is back.
+  Backlog backlog;
+  Time retry = kRetryLeast;  // starts anew with the first group that is committed, not with the opening
+  Time retryAt{};
+  const auto backOff = [&] {
+    retryAt = monotonic() + retry;
+    retry = std::min(2 * retry, kRetryMost);
+  };
+  backOff();
   State state = s.state;
   std::unique_lock<std::mutex> lock(s.mutex);
   const auto turn = [&](State to, const std::string& why) {
@@ -149,13 +155,29 @@
   const auto lose = [&](std::vector<Shared::Piece>& pieces) {
     for (Shared::Piece& p : pieces) {
       ++s.figures.lost;
-      if (const auto* const a = std::get_if<AskKey>(&p.operation); a && takeBack.size() < kMostTakenBack)
-        takeBack.emplace_back(NoteLeft{a->asked.key, a->asked.id, false});
+      backlog.add(std::move(p.operation));
       if (p.done) s.results.push_back({std::move(p.done), p.wanted, false, {}});
     }
     pieces.clear();
     s.tell();
   };
+  const auto loseWaiting = [&] {
+    std::vector<Shared::Piece> all(std::make_move_iterator(s.waiting.begin()),
+                                   std::make_move_iterator(s.waiting.end()));
+    s.waiting.clear();
+    s.asked = 0;
+    if (!all.empty()) lose(all);
+  };
+  // Opens the ledger and applies the backlog; without the lock.
+  const auto reopen = [&] {
+    s.ledger.reset();
+    s.ledger = std::make_unique<Ledger>(s.files, s.settings);
+    while (!backlog.empty()) {
+      const std::vector<Operation> part = backlog.oldest(kLargestGroup);
+      s.ledger->apply(part);
+      backlog.drop(part.size());
+    }
+  };
   for (;;) {
     const auto something = [&] { return s.stop || !s.waiting.empty(); };
     const auto ready = [&] { return s.stop || s.asked > 0 || s.waiting.size() >= kLargestGroup; };
@@ -165,33 +187,21 @@
         const Time waited = monotonic() - s.waiting.front().since;
         if (waited < kNoteWait) s.more.wait_for(lock, kNoteWait - waited, ready);
       }
-    } else {
-      s.more.wait_for(lock, retry, something);
+    } else if (state == State::Damaged) {
+      s.more.wait(lock, something);
+    } else if (const Time now = monotonic(); now < retryAt) {
+      s.more.wait_for(lock, retryAt - now, something);
     }
     if (s.stop && (s.waiting.empty() || state != State::Up)) break;
     if (state != State::Up) {
-      std::vector<Shared::Piece> all(std::make_move_iterator(s.waiting.begin()),
-                                     std::make_move_iterator(s.waiting.end()));
-      s.waiting.clear();
-      s.asked = 0;
-      if (!all.empty()) {
-        lose(all);
-        if (state == State::Damaged) continue;
-        // Not at each operation that comes: the disk is tried at its own pace.
-        s.more.wait_for(lock, retry, [&] { return s.stop; });
-        if (s.stop) break;
-      }
-      if (state == State::Damaged) continue;
+      loseWaiting();
+      // Not at each operation that comes: the disk is tried at its own pace.
+      if (state == State::Damaged || monotonic() < retryAt) continue;
       lock.unlock();
       std::string why;
       bool damaged = false;
       try {
-        s.ledger.reset();
-        s.ledger = std::make_unique<Ledger>(s.files, s.settings);
-        if (!takeBack.empty()) {
-          s.ledger->apply(std::vector<Operation>(takeBack.begin(), takeBack.end()));
-          takeBack.clear();
-        }
+        reopen();
       } catch (const StoreError& e) {
         s.ledger.reset();
         why = e.what();
@@ -199,12 +209,11 @@
       }
       lock.lock();
       if (why.empty()) {
-        retry = kRetryLeast;
         turn(State::Up, "");
       } else if (damaged) {
         turn(State::Damaged, why);
       } else {
-        retry = std::min(2 * retry, kRetryMost);
+        backOff();
       }
       continue;
     }
@@ -235,8 +244,10 @@
     if (!why.empty()) {
       lose(s.group);
       turn(damaged ? State::Damaged : State::Down, why);
+      backOff();
       continue;
     }
+    retry = kRetryLeast;
     Figures& f = s.figures;
     f.operations += n;
     f.commits += s.ledger->commits() - commits;
@@ -255,7 +266,14 @@
     s.group.clear();
     if (anyone) s.tell();
   }
+  if (state == State::Down) loseWaiting();
   lock.unlock();
+  if (state == State::Down && !backlog.empty()) {
+    try {
+      reopen();                    // the last chance to record it
+    } catch (const StoreError&) {  // NOLINT(bugprone-empty-catch): it was said when the store went down
+    }
+  }
   s.ledger.reset();
   lock.lock();
   s.over = true;
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -3,8 +3,9 @@
 //
 // The loop never waits for it. What is asked brings one call back in the loop: carried out and durable, or
 // lost. Lost means that nothing may rely on it; it may be on the disk all the same. A disk that fails is
-// opened again by itself, at first after kRetryLeast, at last every kRetryMost; until then everything is lost
-// at once.
+// opened again by itself, at first after kRetryLeast, at last every kRetryMost; until then everything is told
+// as lost at once. What such operations were to record is kept in memory (backlog.hpp) and recorded when the
+// disk is back, or at the end in one last try.
 #pragma once
 
 #include <atomic>
@@ -34,7 +35,7 @@
   Writer(const Writer&) = delete;
 
   [[nodiscard]] Ticket ask(Operation, Done);
-  void note(Operation);  // nobody waits for it; it is lost while the store is down
+  void note(Operation);  // nobody waits for it
 
   State state() const;
   const std::string& why() const;
