--- a/tests/store_run.cpp
+++ b/tests/store_run.cpp
@@ -14,8 +14,13 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const std::size_t n = all_.size();
   all_.push_back({op, inner(path), std::string(bytes), inner(to), at});
-  if (n != failAt_ && !(lasting_ && n > failAt_)) return {};
+  if (n < failFrom_ || n >= failUntil_) return {};
+  const bool needsRoom =
+      op == FileOp::Open || op == FileOp::Append || op == FileOp::Overwrite || op == FileOp::MakeDirectory;
+  if (roomOnly_ && !needsRoom) return {};
   failed_ = true;
+  all_.back().failed = true;
+  all_.back().carried = std::min(carried_, bytes.size());
   return {leveldb::Status::IOError(path, "made to fail"), std::min(carried_, bytes.size())};
 }
 std::string Recorder::inner(const std::string& path) const {
@@ -23,8 +28,16 @@
 }
 void Recorder::failAt(std::size_t n, bool lasting, std::size_t carried) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  failAt_ = n;
-  lasting_ = lasting;
+  failFrom_ = n;
+  failUntil_ = lasting || n == SIZE_MAX ? SIZE_MAX : n + 1;
+  roomOnly_ = false;
+  carried_ = carried;
+}
+void Recorder::failWindow(std::size_t first, std::size_t count, bool roomOnly, std::size_t carried) {
+  const std::lock_guard<std::mutex> lock(mutex_);
+  failFrom_ = first;
+  failUntil_ = first + count;
+  roomOnly_ = roomOnly;
   carried_ = carried;
 }
 std::size_t Recorder::count() const {
@@ -126,6 +139,37 @@
   life.close();
 }
 
+void liveThroughFailures(Life& life, TestTime& time, const std::function<void()>& after) {
+  constexpr int kMostTries = 1000;  // each takes at least one operation of the failing window
+  const auto reopen = [&] {
+    for (int tries = 0; tries < kMostTries; ++tries) try {
+        life.close();
+        life.open();
+        return after();
+      } catch (const StoreError& e) {
+        if (e.kind != StoreError::Kind::Failed) throw;
+      }
+    throw std::runtime_error("it does not open again");
+  };
+  const auto step = [&](const std::function<void()>& work) {
+    try {
+      work();
+      after();
+    } catch (const StoreError& e) {
+      if (e.kind != StoreError::Kind::Failed) throw;
+      reopen();
+    }
+  };
+  reopen();
+  for (int n = 0; n < 18; ++n) {
+    step([&] { life.write(n, n); });
+    time.pass(std::chrono::milliseconds(170));
+    if (n % 7 == 6) step([&] { life.compact(); });
+    if (n == 12) reopen();
+  }
+  life.close();
+}
+
 std::string broken(const Facts& facts, Ledger& ledger, const TestTime& time) {
   for (const auto& [key, f] : facts.keys) {
     const Said s = ledger.apply({AskKey{{"look-" + key, key, "order", 3, kWindow}}})[0];
--- a/tests/store_run.hpp
+++ b/tests/store_run.hpp
@@ -44,6 +44,8 @@
   store::FileOp op;
   std::string path, bytes, to;  // names within the directory
   std::uint64_t at = 0;
+  bool failed = false;      // it was made to fail
+  std::size_t carried = 0;  // failed: of its bytes
 };
 
 // Sees every operation; one of them, by number, may be made to fail.
@@ -55,6 +57,9 @@
   // Fails number `n` (counted from 0), and all that follow while `lasting`; `carried` of its bytes are
   // written.
   void failAt(std::size_t n, bool lasting, std::size_t carried = 0);
+  // Fails `count` operations from number `first` on, then works again; `roomOnly`: of those alone that need
+  // room on the disk.
+  void failWindow(std::size_t first, std::size_t count, bool roomOnly, std::size_t carried);
   void mend() { failAt(SIZE_MAX, false); }
   std::size_t count() const;
   bool failed() const;
@@ -65,8 +70,8 @@
   const std::string dir_;
   mutable std::mutex mutex_;
   std::vector<Recorded> all_;
-  std::size_t failAt_ = SIZE_MAX, carried_ = 0;
-  bool lasting_ = false, failed_ = false;
+  std::size_t failFrom_ = SIZE_MAX, failUntil_ = SIZE_MAX, carried_ = 0;
+  bool roomOnly_ = false, failed_ = false;
 };
 
 // Steps of the life; each may throw StoreError, after which the facts are as they were.
@@ -94,6 +99,10 @@
 // The whole of it: writes, a compaction, a restart, more writes. Calls `after` when facts were added.
 void live(Life&, TestTime&, const std::function<void()>& after = {});
 
+// The same life on a disk that fails for a while: what fails is opened again until it opens, as the writer's
+// thread does, and the life goes on with the next write.
+void liveThroughFailures(Life&, TestTime&, const std::function<void()>& after);
+
 // What is not as it was promised; empty: all of it is. `time` is that of the look.
 std::string broken(const Facts&, store::Ledger&, const TestTime&);
 
--- a/tests/store_sweep.cpp
+++ b/tests/store_sweep.cpp
@@ -24,11 +24,28 @@
   std::string bytes;
   std::size_t synced = 0;
   bool named = false;  // its name is durable
+  // After a sync that failed the system may call clean what it never wrote: from here on no later sync of
+  // this file makes anything durable.
+  std::size_t lostFrom = SIZE_MAX;
 };
 using Disk = std::map<std::string, Contents>;
 
+// What an operation that was made to fail leaves.
+void carryOutFailed(Disk& d, const Recorded& r, std::size_t carried) {
+  const auto file = d.find(r.path);
+  if (r.op == FileOp::Sync && file != d.end())
+    file->second.lostFrom = std::min(file->second.lostFrom, file->second.synced);
+  const std::string part = r.bytes.substr(0, std::min(carried, r.carried));
+  if (part.empty()) return;
+  std::string& bytes = d[r.path].bytes;
+  const std::size_t at = r.op == FileOp::Append ? bytes.size() : r.at;
+  if (bytes.size() < at + part.size()) bytes.resize(at + part.size());
+  bytes.replace(at, part.size(), part);
+}
+
 // What an operation makes of the disk; of a write, `carried` bytes.
 void carryOut(Disk& d, const Recorded& r, std::size_t carried) {
+  if (r.failed) return carryOutFailed(d, r, carried);
   Contents* const c = r.op == FileOp::Remove || r.op == FileOp::MakeDirectory ? nullptr : &d[r.path];
   switch (r.op) {
     case FileOp::Open:
@@ -38,7 +55,7 @@
       c->bytes += r.bytes.substr(0, carried);
       break;
     case FileOp::Sync:
-      c->synced = c->bytes.size();
+      c->synced = std::min(c->bytes.size(), std::max(c->synced, c->lostFrom));
       c->named = true;
       break;
     case FileOp::Overwrite:
@@ -48,6 +65,7 @@
     case FileOp::Truncate:
       c->bytes.resize(r.at);
       c->synced = std::min(c->synced, c->bytes.size());
+      if (c->bytes.size() <= c->lostFrom) c->lostFrom = SIZE_MAX;
       break;
     case FileOp::Rename: {
       Contents moved = d[r.path];
@@ -73,7 +91,7 @@
 Disk afterPowerLoss(const Disk& d) {
   Disk left;
   for (const auto& [name, c] : d)
-    if (c.named || name == "DURABLE") left[name] = {c.bytes.substr(0, c.synced), c.synced, true};
+    if (c.named || name == "DURABLE") left[name] = {c.bytes.substr(0, c.synced), c.synced, true, SIZE_MAX};
   return left;
 }
 
@@ -98,16 +116,86 @@
   }
 }
 
+// After which of a life's operations what was promised.
+struct Promise {
+  std::size_t operations;
+  Facts facts;
+  TestTime time;
+};
+
+// One life with a failing window, ended at drawn bytes.
+void endAmidFailures(pcg64& random, std::size_t operations, FailureSweepResult& result) {
+  constexpr std::size_t kLongestWindow = 60, kBeyond = 60;  // operations
+  constexpr int kEnds = 8;
+  const auto drawn = [&](std::size_t most) {
+    return std::uniform_int_distribution<std::size_t>(0, most)(random);
+  };
+  const Folder folder;
+  const std::string dir = folder.path + "/store";
+  Recorder recorder(dir);
+  const std::size_t from = drawn(operations - 1), count = 1 + drawn(kLongestWindow - 1);
+  recorder.failWindow(from, count, drawn(1) == 0, drawn(40));
+  std::vector<Promise> promises;
+  {
+    Files files(&recorder);
+    TestTime time;
+    Life life(files, dir, time);
+    liveThroughFailures(life, time, [&] { promises.push_back({recorder.count(), life.facts(), time}); });
+  }
+  const std::vector<Recorded> all = recorder.recorded();
+  for (const Recorded& r : all) result.failedOperations += r.failed;
+  ++result.windows;
+  std::vector<std::size_t> ends(kEnds);
+  for (std::size_t& end : ends) end = std::min(from + drawn(count + kBeyond), all.size());
+  std::sort(ends.begin(), ends.end());
+  Disk disk;
+  std::size_t done = 0;
+  for (const std::size_t end : ends) {
+    for (; done < end; ++done) carryOut(disk, all[done], all[done].bytes.size());
+    Promise promised{0, {}, {}};
+    for (const Promise& p : promises)
+      if (p.operations <= end) promised = p;
+    Disk killed = disk;
+    if (end < all.size() && !all[end].bytes.empty())
+      carryOut(killed, all[end], drawn(all[end].bytes.size() - 1));
+    const auto tried = [&](const Disk& d, std::size_t FailureSweepResult::*which) {
+      const Look l =
+          look(d, folder.path + "/copy", promised.facts, promised.time, std::chrono::milliseconds(500));
+      ++(result.*which);
+      if (l.end == Ends::Whole) return;
+      ++result.broken;
+      if (result.first.empty())
+        result.first = l.why + " (operations " + std::to_string(from) + " to " +
+                       std::to_string(from + count) + " fail, it ends in " + std::to_string(end) + ")";
+    };
+    tried(killed, &FailureSweepResult::kills);
+    tried(afterPowerLoss(disk), &FailureSweepResult::losses);
+  }
+}
+
 }  // namespace
 
+FailureSweepResult sweepFailures(std::size_t windows, std::uint64_t seed) {
+  std::size_t operations = 0;
+  {
+    const Folder folder;
+    Recorder recorder(folder.path + "/store");
+    Files files(&recorder);
+    TestTime time;
+    Life life(files, folder.path + "/store", time);
+    liveThroughFailures(life, time, [] {});
+    operations = recorder.count();
+  }
+  FailureSweepResult result;
+  for (std::size_t window = 0; window < windows; ++window) {
+    pcg64 random(seed, window);
+    endAmidFailures(random, operations, result);
+  }
+  return result;
+}
+
 SweepResult sweep(double share, std::uint64_t seed, int threads) {
   SweepResult result;
-  // The life, and after which of its operations what was promised.
-  struct Promise {
-    std::size_t operations;
-    Facts facts;
-    TestTime time;
-  };
   std::vector<Promise> promises;
   std::vector<Recorded> all;
   {
--- a/tests/store_sweep.hpp
+++ b/tests/store_sweep.hpp
@@ -19,6 +19,16 @@
   std::size_t bytes = 0, operations = 0;    // of the life
 };
 
+// Lives during which a window of operations fails, then works again, ended at bytes drawn from the window and
+// what follows it, by the process's end and by the machine's.
+struct FailureSweepResult {
+  std::size_t windows = 0, kills = 0, losses = 0;
+  std::size_t failedOperations = 0;
+  std::size_t broken = 0;  // a promise broken, or an end taken for damage
+  std::string first;
+};
+FailureSweepResult sweepFailures(std::size_t windows, std::uint64_t seed);
+
 // `share` of the trials, drawn by `seed`; 1: all.
 SweepResult sweep(double share, std::uint64_t seed, int threads);
 
--- a/tests/store_sweep_main.cpp
+++ b/tests/store_sweep_main.cpp
@@ -15,6 +15,8 @@
   app.add_option("--share", share, "of the trials")->check(CLI::Range(0.0, 1.0))->capture_default_str();
   app.add_option("--seed", seed)->capture_default_str();
   app.add_option("--threads", threads)->check(CLI::Range(1, 64))->capture_default_str();
+  std::size_t windows = 500;
+  app.add_option("--windows", windows, "lives on a disk that fails for a while")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   const auto start = std::chrono::steady_clock::now();
   const auto r = sablespur::test::sweep(share, seed, threads);
@@ -31,5 +33,12 @@
       r.cuts, r.losses, r.sectors, r.flips, r.recovered, r.reported, r.withoutOffset, r.damagedCuts,
       r.silent);
   if (!r.first.empty()) std::printf("\nfirst: %s\n", r.first.c_str());
-  return r.silent + r.damagedCuts == 0 ? 0 : 1;
+  const auto failures = sablespur::test::sweepFailures(windows, seed);
+  std::printf(
+      "\n| a disk that fails for a while | trials |\n| --- | --- |\n"
+      "| windows | %zu |\n| operations that failed | %zu |\n| the process ends at a byte | %zu |\n"
+      "| the machine ends | %zu |\n| a promise broken, or an end taken for damage | %zu |\n",
+      failures.windows, failures.failedOperations, failures.kills, failures.losses, failures.broken);
+  if (!failures.first.empty()) std::printf("\nfirst: %s\n", failures.first.c_str());
+  return r.silent + r.damagedCuts + failures.broken == 0 ? 0 : 1;
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -403,6 +403,14 @@
   EXPECT_GT(r.flips, 10u);
   EXPECT_GT(r.reported, 0u);
 }
+TEST(StoreSweep, ADiskThatFailsForAWhileAndAnEndAtAnyByteKeepWhatWasPromised) {
+  const FailureSweepResult r = sweepFailures(60, 20261202);
+  EXPECT_EQ(r.broken, 0u) << r.first;
+  EXPECT_EQ(r.windows, 60u);
+  EXPECT_EQ(r.kills, 8 * r.windows);
+  EXPECT_EQ(r.losses, 8 * r.windows);
+  EXPECT_GT(r.failedOperations, r.windows);
+}
 // A check that cannot fail would prove nothing.
 TEST(StoreSweep, BrokenPromisesAreSeen) {
   const Folder folder;
