--- /dev/null
+++ b/src/core/file_calls.hpp
@@ -0,0 +1,78 @@
+// The calls that files are written and read with, at one place so that tests can have them fail, be
+// interrupted or stop short; and what carries a whole piece through such calls.
+#pragma once
+
+#include <sys/types.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <cstddef>
+#include <string_view>
+
+namespace sablespur {
+
+struct FileCalls {
+  ssize_t (*write)(int, const void*, std::size_t) = ::write;
+  ssize_t (*pwrite)(int, const void*, std::size_t, off_t) = ::pwrite;
+  ssize_t (*read)(int, void*, std::size_t) = ::read;
+  ssize_t (*pread)(int, void*, std::size_t, off_t) = ::pread;
+  int (*fsync)(int) = ::fsync;
+  int (*fdatasync)(int) = ::fdatasync;
+};
+// Replaced by tests alone, before any thread uses it.
+inline FileCalls& fileCalls() {
+  static FileCalls calls;
+  return calls;
+}
+
+// Each returns false, or -1, with errno set where the call itself fails; an interrupted call is made again,
+// one that stopped short goes on where it stopped.
+inline bool writeFully(int file, std::string_view bytes) {
+  while (!bytes.empty()) {
+    const ssize_t written = fileCalls().write(file, bytes.data(), bytes.size());
+    if (written < 0 && errno == EINTR) continue;
+    if (written == 0) errno = EIO;
+    if (written <= 0) return false;
+    bytes.remove_prefix(static_cast<std::size_t>(written));
+  }
+  return true;
+}
+inline bool writeFullyAt(int file, std::string_view bytes, off_t offset) {
+  while (!bytes.empty()) {
+    const ssize_t written = fileCalls().pwrite(file, bytes.data(), bytes.size(), offset);
+    if (written < 0 && errno == EINTR) continue;
+    if (written == 0) errno = EIO;
+    if (written <= 0) return false;
+    bytes.remove_prefix(static_cast<std::size_t>(written));
+    offset += written;
+  }
+  return true;
+}
+// As many bytes as there are, at most `size`; fewer only at the file's end.
+inline ssize_t readFullyAt(int file, char* to, std::size_t size, off_t offset) {
+  std::size_t have = 0;
+  while (have < size) {
+    const ssize_t got = fileCalls().pread(file, to + have, size - have, offset + static_cast<off_t>(have));
+    if (got < 0 && errno == EINTR) continue;
+    if (got < 0) return -1;
+    if (got == 0) break;
+    have += static_cast<std::size_t>(got);
+  }
+  return static_cast<ssize_t>(have);
+}
+inline bool syncFully(int file) {
+  int result = 0;
+  do {
+    result = fileCalls().fsync(file);
+  } while (result != 0 && errno == EINTR);
+  return result == 0;
+}
+inline bool syncDataFully(int file) {
+  int result = 0;
+  do {
+    result = fileCalls().fdatasync(file);
+  } while (result != 0 && errno == EINTR);
+  return result == 0;
+}
+
+}  // namespace sablespur
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -9,6 +9,8 @@
 #include <memory>
 #include <utility>
 
+#include "core/file_calls.hpp"
+
 namespace sablespur::store {
 namespace {
 
@@ -36,19 +38,13 @@
 };
 
 Status writeAll(int fd, const std::string& path, std::string_view bytes) {
-  while (!bytes.empty()) {
-    const ssize_t n = ::write(fd, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) return failed(path);
-    bytes.remove_prefix(static_cast<std::size_t>(n));
-  }
-  return Status::OK();
+  return writeFully(fd, bytes) ? Status::OK() : failed(path);
 }
 
 Status syncDirectoryOf(const std::string& path) {
   const std::string dir = path.substr(0, path.rfind('/'));
   const Descriptor d(::open(dir.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  return d && ::fsync(d.get()) == 0 ? Status::OK() : failed(dir);
+  return d && syncFully(d.get()) ? Status::OK() : failed(dir);
 }
 
 }  // namespace
@@ -85,7 +81,7 @@
   Status Sync() override {
     if (const Status s = Flush(); !s.ok()) return s;
     if (const FileHook::Fate fate = files_.ask(FileOp::Sync, path_); !fate.status.ok()) return fate.status;
-    if (::fdatasync(fd_.get()) != 0) return failed(path_);
+    if (!syncDataFully(fd_.get())) return failed(path_);
     // Guards against a file that is durable under no name.
     if (std::exchange(named_, true)) return Status::OK();
     return syncDirectoryOf(path_);
@@ -165,7 +161,8 @@
    public:
     Plain(std::string path, Descriptor fd) : path_(std::move(path)), fd_(std::move(fd)) {}
     Status Read(std::uint64_t offset, std::size_t n, Slice* result, char* scratch) const override {
-      const ssize_t got = ::pread(fd_.get(), scratch, n, static_cast<off_t>(offset));
+      // A piece that stopped short would be taken for damage.
+      const ssize_t got = readFullyAt(fd_.get(), scratch, n, static_cast<off_t>(offset));
       *result = Slice(scratch, got < 0 ? 0 : static_cast<std::size_t>(got));
       return got < 0 ? failed(path_) : Status::OK();
     }
@@ -201,19 +198,18 @@
   const FileHook::Fate fate = ask(FileOp::Overwrite, path, bytes, at);
   const Descriptor fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
   if (!fd) return fate.status.ok() ? failed(path) : fate.status;
-  const std::size_t n = fate.status.ok() ? bytes.size() : fate.carried;
-  if (::pwrite(fd.get(), bytes.data(), n, static_cast<off_t>(at)) != static_cast<ssize_t>(n))
-    return failed(path);
+  const std::string_view written = fate.status.ok() ? bytes : bytes.substr(0, fate.carried);
+  if (!writeFullyAt(fd.get(), written, static_cast<off_t>(at))) return failed(path);
   if (!fate.status.ok()) return fate.status;
   if (!durable) return Status::OK();
   if (const FileHook::Fate sync = ask(FileOp::Sync, path); !sync.status.ok()) return sync.status;
-  return ::fdatasync(fd.get()) == 0 ? Status::OK() : failed(path);
+  return syncDataFully(fd.get()) ? Status::OK() : failed(path);
 }
 Status Files::truncate(const std::string& path, std::uint64_t size) {
   const FileHook::Fate fate = ask(FileOp::Truncate, path, {}, size);
   if (!fate.status.ok()) return fate.status;
   const Descriptor fd(::open(path.c_str(), O_WRONLY | O_CLOEXEC));
-  if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(size)) != 0 || ::fdatasync(fd.get()) != 0)
+  if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(size)) != 0 || !syncDataFully(fd.get()))
     return failed(path);
   return Status::OK();
 }
--- a/src/store/whole_file.cpp
+++ b/src/store/whole_file.cpp
@@ -14,7 +14,9 @@
   if (s.ok()) s = file->Sync();
   if (s.ok()) s = file->Close();
   if (s.ok()) s = files.RenameFile(fresh, path);
-  return s.ok() ? std::string() : s.ToString();
+  if (s.ok()) return {};
+  if (files.FileExists(fresh)) files.RemoveFile(fresh);  // what it takes may be the room that the disk lacks
+  return s.ToString();
 }
 
 std::optional<std::string> readWhole(Files& files, const std::string& path) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -5,12 +5,16 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <atomic>
+#include <cerrno>
 #include <filesystem>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <pcg_random.hpp>
 
+#include "core/file_calls.hpp"
 #include "store/inspect.hpp"
+#include "store/whole_file.hpp"
 #include "store_run.hpp"
 #include "store_sweep.hpp"
 
@@ -499,6 +503,61 @@
   for (int k = 1; k < 20; ++k) EXPECT_EQ(ask(*l, "k" + std::to_string(k), "b").verdict, Verdict::Run);
 }
 
+// Every first call of a kind is interrupted, every other one carries a third of its bytes at most.
+struct InterruptedCalls {
+  InterruptedCalls() {
+    calls = 0;
+    fileCalls().write = [](int fd, const void* from, std::size_t n) {
+      return interrupted() ? -1 : ::write(fd, from, n / 3 + 1 < n ? n / 3 + 1 : n);
+    };
+    fileCalls().pwrite = [](int fd, const void* from, std::size_t n, off_t at) {
+      return interrupted() ? -1 : ::pwrite(fd, from, n / 3 + 1 < n ? n / 3 + 1 : n, at);
+    };
+    fileCalls().pread = [](int fd, void* to, std::size_t n, off_t at) {
+      return interrupted() ? -1 : ::pread(fd, to, n / 3 + 1 < n ? n / 3 + 1 : n, at);
+    };
+    fileCalls().fsync = [](int fd) { return interrupted() ? -1 : ::fsync(fd); };
+    fileCalls().fdatasync = [](int fd) { return interrupted() ? -1 : ::fdatasync(fd); };
+  }
+  ~InterruptedCalls() { fileCalls() = FileCalls(); }
+  static bool interrupted() {
+    if (++calls % 2 == 0) return false;
+    errno = EINTR;
+    return true;
+  }
+  inline static std::atomic<int> calls{0};
+};
+TEST(StoreFaults, CallsThatAreInterruptedOrStopShortAreNoFailure) {
+  const Folder folder;
+  Files files;
+  TestTime time;
+  Life life(files, folder.path + "/store", time);
+  const InterruptedCalls calls;
+  ASSERT_NO_THROW(live(life, time));
+  life.open();
+  EXPECT_EQ(broken(life.facts(), life.ledger(), time), "");
+  EXPECT_EQ(replaceWhole(files, folder.path + "/whole", std::string(5000, 'w')), "");
+  EXPECT_EQ(slurp(folder.path + "/whole"), std::string(5000, 'w'));
+  EXPECT_GT(InterruptedCalls::calls, 100);
+}
+TEST(StoreFaults, AWholeFileThatCannotBeWrittenLeavesTheEarlierOne) {
+  const Folder folder;
+  const std::string path = folder.path + "/whole";
+  Recorder recorder(folder.path);
+  Files files(&recorder);
+  ASSERT_EQ(replaceWhole(files, path, "earlier"), "");
+  const std::size_t each = recorder.count();
+  for (std::size_t operation = 0; operation < each; ++operation) {
+    recorder.failAt(recorder.count() + operation, false, 3);
+    EXPECT_NE(replaceWhole(files, path, "later"), "") << operation;
+    EXPECT_EQ(slurp(path), "earlier") << operation;
+    EXPECT_FALSE(fs::exists(path + ".new")) << "it takes room that the disk may lack: " << operation;
+  }
+  recorder.mend();
+  EXPECT_EQ(replaceWhole(files, path, "later"), "");
+  EXPECT_EQ(slurp(path), "later");
+}
+
 // A process that writes all the while is ended by SIGKILL at moments drawn by seed; what it had been promised
 // by then it has told through a pipe.
 TEST(StoreKill, AtAnyMomentUnderLoadNothingPromisedIsLost) {
