--- a/src/app/staff.cpp
+++ b/src/app/staff.cpp
@@ -44,9 +44,10 @@
           text = call.id + " was never on the list";
           return false;
         }
-        bans_.set(call.id, on);
+        const bool kept = bans_.set(call.id, on);
         logEvent(LogLevel::Info, on ? "member_suspended" : "member_restored", {{"name", call.id}});
         text = call.id + (on ? " suspended" : " restored");
+        if (!kept) text += ", in this process alone: not kept on disk yet";
         return true;
       }
     }
--- a/src/control/bans.cpp
+++ b/src/control/bans.cpp
@@ -4,11 +4,13 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
 #include <utility>
 
+#include "core/file_calls.hpp"
 #include "log/log.hpp"
 
 namespace sablespur::control {
@@ -16,6 +18,7 @@
 
 constexpr std::string_view kHead = "sablespur bans 1\n";
 constexpr std::size_t kLongestFile = std::size_t{2} << 20;
+constexpr int kMostPollsSkipped = 25;  // 5 s where the file is looked at each 200 ms
 
 std::optional<std::pair<unsigned long, long>> mark(const std::string& path) {
   struct stat s {};
@@ -24,6 +27,36 @@
                         s.st_mtim.tv_sec * 1000000000l + s.st_mtim.tv_nsec);
 }
 
+// False, with errno set: it could not be read.
+bool readFile(const std::string& path, std::string& text) {
+  const int file = open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
+  if (file < 0) return false;
+  char bytes[4096];
+  ssize_t got = 0;
+  while (text.size() <= kLongestFile) {
+    got = fileCalls().read(file, bytes, sizeof bytes);
+    if (got < 0 && errno == EINTR) continue;
+    if (got <= 0) break;
+    text.append(bytes, static_cast<std::size_t>(got));
+  }
+  const int error = errno;
+  close(file);
+  errno = error;
+  return got >= 0;
+}
+
+bool syncDirectoryOf(const std::string& path) {
+  const std::size_t slash = path.rfind('/');
+  const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash + 1);
+  const int file = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (file < 0) return false;
+  const bool good = syncFully(file);
+  const int error = errno;
+  close(file);
+  errno = error;
+  return good;
+}
+
 }  // namespace
 
 std::string writeBans(const std::set<std::string>& all) {
@@ -50,40 +83,86 @@
 bool Bans::load() {
   const auto now = mark(path_);
   if (path_.empty() || now == seen_) return false;
-  seen_ = now;
-  if (!now) return false;  // gone: what is known stands
+  if (!now) {
+    seen_ = now;
+    return false;  // gone: what is known stands
+  }
   std::string text;
-  const int fd = open(path_.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
-  char bytes[4096];
-  for (ssize_t n; fd >= 0 && text.size() <= kLongestFile && (n = read(fd, bytes, sizeof bytes)) > 0;)
-    text.append(bytes, static_cast<std::size_t>(n));
-  if (fd >= 0) close(fd);
+  if (!readFile(path_, text)) {  // looked at again: the file may be good
+    if (!std::exchange(unreadable_, true))
+      logEvent(LogLevel::Error, "bans_unreadable", {{"file", path_}, {"why", std::strerror(errno)}});
+    return false;
+  }
+  seen_ = now;
+  unreadable_ = false;
   auto read = readBans(text);
   if (!read) {
     logEvent(LogLevel::Error, "bans_unreadable", {{"file", path_}});
     return false;
   }
+  for (const auto& [id, banned] : unwritten_) {
+    if (banned)
+      read->insert(id);
+    else
+      read->erase(id);
+  }
   const bool other = *read != all_;
   all_ = std::move(*read);
   return other;
 }
 
-bool Bans::poll() { return load(); }
+bool Bans::poll() {
+  const bool other = load();
+  if (!unwritten_.empty() && --pollsToSkip_ <= 0 && !save()) {
+    skippedNext_ = std::min(2 * skippedNext_, kMostPollsSkipped);
+    pollsToSkip_ = skippedNext_;
+  }
+  return other;
+}
 
 bool Bans::set(const std::string& id, bool banned) {
   load();  // what another process has said in the meantime stands
-  const bool other = banned ? all_.size() < kMostBans && all_.insert(id).second : all_.erase(id) > 0;
-  if (!other || path_.empty()) return !banned || all_.count(id) > 0;
-  const std::string text = writeBans(all_), part = path_ + "." + std::to_string(getpid());
-  const int fd = open(part.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  bool good = fd >= 0 && write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size());
-  good = (fd < 0 || close(fd) == 0) && good && std::rename(part.c_str(), path_.c_str()) == 0;
-  if (!good) {
-    logEvent(LogLevel::Error, "bans_unwritten", {{"file", path_}, {"why", std::strerror(errno)}});
-    unlink(part.c_str());
+  const bool full = banned && all_.size() >= kMostBans && all_.count(id) == 0;
+  if (full) return false;
+  const bool other = banned ? all_.insert(id).second : all_.erase(id) > 0;
+  if (path_.empty() || (!other && unwritten_.empty())) return true;
+  if (other) unwritten_[id] = banned;
+  return save();
+}
+
+// Writes all(), those included that could not be written before.
+bool Bans::save() {
+  if (!replaceFile(writeBans(all_))) {
+    if (!std::exchange(failing_, true))
+      logEvent(LogLevel::Error, "bans_unwritten", {{"file", path_}, {"why", std::strerror(errno)}});
+    seen_ = mark(path_);
+    return false;
   }
+  if (std::exchange(failing_, false)) logEvent(LogLevel::Info, "bans_written", {{"file", path_}});
+  unwritten_.clear();
+  pollsToSkip_ = 0;
+  skippedNext_ = 1;
   seen_ = mark(path_);
-  return good;
+  return true;
+}
+
+// Durable under its name once this has returned true; else the earlier file stands whole, and errno tells
+// why.
+bool Bans::replaceFile(const std::string& text) const {
+  const std::string fresh = path_ + "." + std::to_string(getpid());
+  const int file = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  if (file < 0) return false;
+  bool good = writeFully(file, text) && syncFully(file);
+  int error = errno;
+  close(file);
+  if (good && std::rename(fresh.c_str(), path_.c_str()) != 0) {
+    good = false;
+    error = errno;
+  }
+  if (good) return syncDirectoryOf(path_);
+  unlink(fresh.c_str());
+  errno = error;
+  return false;
 }
 
 }  // namespace sablespur::control
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -5,6 +5,7 @@
 #include <unistd.h>
 
 #include <atomic>
+#include <cerrno>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -13,6 +14,7 @@
 #include "config/config.hpp"
 #include "control/bans.hpp"
 #include "control/line.hpp"
+#include "core/file_calls.hpp"
 #include "scenario.hpp"
 
 namespace sablespur {
@@ -100,6 +102,79 @@
   EXPECT_EQ(b.all().count("s-1"), 1u);
 }
 
+// A disk that fails by order, and what was synced.
+struct BanDisk {
+  BanDisk() {
+    failing = false;
+    syncs = calls = 0;
+    fileCalls().write = [](int file, const void* bytes, std::size_t size) -> ssize_t {
+      if (interrupted()) return -1;
+      if (failing) return errno = ENOSPC, -1;
+      return ::write(file, bytes, size / 2 + 1 < size ? size / 2 + 1 : size);
+    };
+    fileCalls().read = [](int file, void* bytes, std::size_t size) -> ssize_t {
+      return interrupted() ? -1 : ::read(file, bytes, size);
+    };
+    fileCalls().fsync = [](int file) {
+      if (interrupted()) return -1;
+      ++syncs;
+      if (failing) return errno = EIO, -1;
+      return ::fsync(file);
+    };
+  }
+  ~BanDisk() { fileCalls() = FileCalls(); }
+  static bool interrupted() {
+    if (++calls % 2 == 0) return false;
+    errno = EINTR;
+    return true;
+  }
+  inline static bool failing = false;
+  inline static int syncs = 0, calls = 0;
+};
+TEST_F(BansTest, AreDurableWithTheirNameWhenSetSaysSo) {
+  const BanDisk disk;
+  Bans b(path);
+  EXPECT_TRUE(b.set("s-1", true));
+  EXPECT_EQ(BanDisk::syncs, 2) << "the file and its folder";
+  EXPECT_EQ(Bans(path).all(), std::set<std::string>{"s-1"}) << "interrupted and short calls are no failure";
+}
+TEST_F(BansTest, ThatCouldNotBeWrittenLeaveTheEarlierFileAndAreWrittenOnceTheDiskIsBack) {
+  const BanDisk disk;
+  Bans b(path);
+  ASSERT_TRUE(b.set("s-1", true));
+  BanDisk::failing = true;
+  EXPECT_FALSE(b.set("s-2", true));
+  EXPECT_FALSE(b.set("s-2", true)) << "again is not yet as once";
+  EXPECT_FALSE(b.allWritten());
+  for (int k = 0; k < 100; ++k) EXPECT_FALSE(b.poll());
+  EXPECT_EQ(Bans(path).all(), std::set<std::string>{"s-1"});
+  EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
+            1)
+      << "nothing half written is left";
+  // The process beside writes: what is owed here stands beside what it says.
+  std::ofstream(path) << control::writeBans({"s-1", "s-3"});
+  EXPECT_TRUE(b.poll());
+  EXPECT_EQ(b.all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
+  BanDisk::failing = false;
+  for (int k = 0; k < 30; ++k) b.poll();
+  EXPECT_TRUE(b.allWritten());
+  EXPECT_EQ(Bans(path).all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
+}
+TEST_F(BansTest, AreTriedEverMoreRarelyWhileTheDiskFails) {
+  const BanDisk disk;
+  Bans b(path);
+  BanDisk::failing = true;
+  EXPECT_FALSE(b.set("s-1", true));
+  int tries = 0;
+  for (int k = 0; k < 500; ++k) {
+    const int before = BanDisk::calls;
+    b.poll();
+    tries += BanDisk::calls != before;
+  }
+  EXPECT_GE(tries, 500 / 25);
+  EXPECT_LE(tries, 500 / 25 + 6) << "after 1, 2, 4, 8, 16 and then 25 polls";
+}
+
 TEST(Adopt, ARequestUnderWayKeepsItsClassAndNewOnesComeBehind) {
   Config running = parseConfig(test::configuration({}, 1, {11, 12}));
   const Config start = running;
@@ -223,6 +298,19 @@
   t.run("s2 wait idle 2");
   EXPECT_TRUE(Bans(folder + "/sablespur-bans-n0").all().empty());
 }
+TEST_F(ControlProgram, ABanThatIsNotOnDiskYetIsAnsweredAsSuchAndWrittenOnceItCanBe) {
+  test::Scenario t(s);
+  t.run("s2 wait idle 2");
+  const std::string blocked = folder + "/sablespur-bans-n0." + std::to_string(t.pid());
+  std::filesystem::create_directory(blocked);
+  EXPECT_EQ(say(t, "SUSPEND s-2\n"), "SUCCESS s-2 suspended, in this process alone: not kept on disk yet\n");
+  t.run("s2 expect drained\nproxy expect log event=bans_unwritten");
+  t.serveFor(std::chrono::milliseconds(900));
+  EXPECT_EQ(t.logged("event=bans_unwritten"), 1u);
+  std::filesystem::remove(blocked);
+  t.run("proxy expect log event=bans_written");
+  EXPECT_EQ(Bans(folder + "/sablespur-bans-n0").all(), std::set<std::string>{"s-2"});
+}
 TEST_F(ControlProgram, SilentCallersTakeNoOnesTurn) {
   test::Scenario t(s);
   std::vector<int> silent;
