--- a/src/front/pg/session.cpp
+++ b/src/front/pg/session.cpp
@@ -214,7 +214,7 @@
 
 // ---- the connection -----------------------------------------------------------------------------------
 int Session::spare(Time now) {
-  if (lingering_) return 3;
+  if (lingering_) return evbuffer_get_length(output()) == 0 ? 3 : 0;  // answers may stand before its error
   if (request_ != 0 || ending_) return 0;
   if (!asked_) return now - lastActive_ >= kNewcomer ? 2 : 0;
   return idle() && evbuffer_get_length(output()) == 0 ? 1 : 0;
@@ -270,7 +270,8 @@
 bool Session::looksAlive(Time now) {
   if (paused_ && !ending_ && evbuffer_get_length(input()) > 0) readSoon();
   paused_ = false;
-  if (lingering_) return now - lastActive_ < kLinger;
+  // What stands before its last word is still owed; one that does not read it is ended by unread_answer.
+  if (lingering_ && evbuffer_get_length(output()) == 0) return now - lastActive_ < kLinger;
   if (request_ != 0 || ending_ || evbuffer_get_length(output()) > 0) return true;
   if (retiring_ && !batch_ && now - lastActive_ >= kGreeting && !unread()) return false;
   if (!asked_ && now - lastActive_ >= owner_.config_.firstQuery) return false;
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -45,8 +45,10 @@
 
 struct Peer {  // the client's end
   int fd = -1;
-  explicit Peer(int port) {
+  // receiveBuffer: what the system keeps of unread answers; 0: as it is.
+  explicit Peer(int port, int receiveBuffer = 0) {
     fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    if (receiveBuffer > 0) setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receiveBuffer, sizeof receiveBuffer);
     const Address to = *Address::parse("127.0.0.1:" + std::to_string(port));
     EXPECT_EQ(connect(fd, to.data(), to.size()), 0);
   }
@@ -110,8 +112,8 @@
     }
     return is;
   }
-  std::unique_ptr<Peer> welcomed() {
-    auto p = std::make_unique<Peer>(clients->port());
+  std::unique_ptr<Peer> welcomed(int receiveBuffer = 0) {
+    auto p = std::make_unique<Peer>(clients->port(), receiveBuffer);
     p->put(pg::startup("api", "ledger"));
     std::string got;
     EXPECT_TRUE(until([&] { return (got += p->take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
@@ -536,6 +538,54 @@
   EXPECT_NE(got.find("C08P01"), std::string::npos) << got;
   EXPECT_EQ(members.sent, 1);
 }
+// Answers that stand in our hands when the error is told are owed all the same.
+TEST_F(StoppedMidway, AnswersThatAreNotWrittenOutYetGoBeforeTheErrorAndTheEnd) {
+  constexpr int kReceiveBuffer = 4096;
+  // The system takes little of what is written, so that the rest stays in the output.
+  struct SmallSendBuffers {
+    const SystemCalls before = systemCalls();
+    SmallSendBuffers() {
+      systemCalls().accept = [](int listener, sockaddr* from, socklen_t* length) {
+        const int fd = accept4(listener, from, length, SOCK_NONBLOCK | SOCK_CLOEXEC);
+        const int bytes = 4096;
+        if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes);
+        return fd;
+      };
+    }
+    ~SmallSendBuffers() { systemCalls() = before; }
+  } small;
+  const std::string value = pg::message('C', std::string(8000, 'v'));
+  const std::string unknown = pg::message('z', "");
+  int id = 0;
+  // Answers `most` requests of a client that does not read, or until none is taken any more; sends `behind`
+  // behind the last.
+  const auto fill = [&](const Peer& c, int most, const std::string& behind) {
+    c.put(query(std::to_string(++id)));
+    for (int answers = 0;; ++answers) {
+      for (int k = 0; k < 10 && members.out.empty(); ++k) pass();
+      if (answers == most || members.out.empty()) return answers;
+      c.put(answers + 1 == most ? behind : query(std::to_string(++id)));
+      answer(value);
+    }
+  };
+  int most = 0;
+  {
+    const auto full = welcomed(kReceiveBuffer);
+    most = fill(*full, 10000, "");
+    ASSERT_LT(most, 10000);
+  }
+  const auto c = welcomed(kReceiveBuffer);
+  ASSERT_EQ(fill(*c, most - 1, unknown), most - 1);  // now less than a full output waits here
+  const Time told = engine.now();
+  until([&] { return engine.now() - told >= 800ms; });
+  std::string got;
+  EXPECT_TRUE(until([&] {
+    got += c->take();
+    return c->state() != Peer::State::Open;
+  }));
+  EXPECT_NE(got.find("C0A000"), std::string::npos) << "cut short after " << got.size() << " bytes";
+  EXPECT_EQ(std::count(got.begin(), got.end(), 'v'), 8000 * (most - 1));
+}
 // It has stood there for its whole time while the request before it was out: it is not given that anew.
 TEST_F(StoppedMidway, TheTimeOfHalfAMessageRunsWhileItStandsBehindARequest) {
   config.halfMessage = 2s;
