--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -165,6 +165,26 @@
     s2 expect closed
   )");
 }
+// Data servers drop what has no time left without a word.
+TEST(Proxy, RequestsWithHardlyAnyTimeHaveOneFinalAnswerEachInOrder) {
+  Scenario t;
+  t.run(R"(
+    s1 serves v
+    s2 serves v
+    c1 send query SELECT hang /* id=1,c=read,d=0,cluster=3 */
+    c1 send query SELECT hang /* id=2,c=read,d=1,cluster=3 */
+    c1 send query SELECT hang /* id=3,c=read,d=2,cluster=3 */
+    c1 send query SELECT 1 /* id=4,c=read,d=7000,cluster=3 */
+    c1 expect error 53300
+    c1 expect error 53300
+    c1 expect error 53300
+    c1 expect row v
+    c1 send query SELECT hang /* id=5,c=read,d=2,cluster=3 */
+    c1 expect error 53300
+    c1 send query
+    c1 expect empty
+  )");
+}
 TEST(Proxy, AClientThatLeavesEndsItsAttempt) {
   Scenario t;
   t.run(R"(
@@ -174,6 +194,31 @@
     s2 expect closed
   )");
 }
+// Both data servers take connections and do not greet: the attempt waits for its connection. Its client
+// leaves, and an answer to another client shows that its end was read.
+TEST(Proxy, AnAttemptThatWaitsForItsConnectionIsNotBegunForAClientThatLeft) {
+  Scenario t;
+  t.run(R"(
+    s1 wait idle 2
+    s2 wait idle 2
+    s1 wait silent
+    s2 wait silent
+    s1 close idle
+    s2 close idle
+    c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
+    c2 send query
+    c2 expect empty
+    c1 close
+    c2 send query
+    c2 expect empty
+    s1 wait speak
+    s2 wait speak
+    c2 send query SELECT 1 /* id=2,c=read,d=7000,cluster=3 */
+    s2 expect query id=2
+    s2 send row v
+    c2 expect row v
+  )");
+}
 TEST(Proxy, ADeadProcessAndClosedIdleConnectionsCostNoRequest) {
   Scenario t;
   t.run(R"(
@@ -398,6 +443,32 @@
     proxy expect exit 0
   )");
 }
+// Several within a moment, a bad one between: the last good one counts, and what is out is answered.
+TEST(Proxy, OfConfigurationsInQuickSuccessionTheLastGoodOneCounts) {
+  Scenario t;
+  t.run(R"(
+    s2 wait idle 2
+    c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
+    s2 expect query id=1
+    proxy reload moved
+    list expect watch after=5
+    proxy reload broken
+    proxy expect log event=settings_unchanged
+    proxy reload moved
+    proxy reload moved
+    proxy reload same
+    list expect watch after=5
+    s2 send row v
+    c1 expect row v
+  )" + ("list send line " + t.list(2, "leaving", 6)) +
+        R"(
+    s2 expect closed
+    c1 send query SELECT 1 /* id=2,c=read,d=7000,cluster=3 */
+    s1 expect query id=2
+    s1 send row w
+    c1 expect row w
+  )");
+}
 // New settings, and in the next moment the discovery that they name tells of a drain.
 TEST(Proxy, ADrainRightAfterAReloadIsKept) {
   Scenario t;
@@ -484,6 +555,22 @@
     proxy expect exit 0
   )");
 }
+// The data server hangs through the whole shutdown, and the request has more time than SIGKILL waits: the
+// longest deadline counts as 3 s, so its final answer comes 3.5 s after SIGTERM.
+TEST(Proxy, ARequestWhoseServerHangsThroughTheShutdownIsFailedInTime) {
+  Scenario t;
+  t.run(R"(
+    c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
+    s2 expect query id=1
+    c1 send query SELECT 1 /* id=2,c=read,d=7000,cluster=3 */
+    proxy send TERM
+    c1 expect error 40003
+    c1 expect error 53300
+    c1 expect closed
+    c1 close
+    proxy expect exit 0
+  )");
+}
 // The descriptor table is full long before the bounds that the configuration asks for: something else in the
 // process holds its part.
 TEST(Proxy, AFullDescriptorTableOnlyPausesAccept) {
