--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -74,7 +74,10 @@
 void Engine::probed(MemberId member, bool ok, const std::vector<double>& report) {
   events_.emplace_back(Probed{member, ok, report});
 }
-void Engine::heard(std::vector<peers::Hint> hints) { events_.emplace_back(Heard{std::move(hints)}); }
+void Engine::heard(const peers::Hint& hint) {
+  if (gossip_.empty()) events_.emplace_back(Heard{});
+  gossip_.push_back(hint);
+}
 bool Engine::suspend(const std::string& name, bool on) {
   if (everListed_.count(name) == 0 && banned_.count(name) == 0) return false;
   events_.emplace_back(Suspended{name, on});
@@ -204,8 +207,8 @@
 }
 
 // What other proxies had from members. A member is believed in only when the list has named it here.
-void Engine::tell(Heard& e) {
-  for (const peers::Hint& h : e.hints) {
+void Engine::tell(Heard&) {
+  for (const peers::Hint& h : gossip_) {
     const auto it = tagged_.find(h.tag);
     if (it == tagged_.end() || it->second == 0) continue;
     const std::uint32_t position = millisecondsSince(zero_, h.positionMs) << 2;
@@ -213,6 +216,7 @@
       balancer_->heard(now_, it->second, position | static_cast<std::uint32_t>(h.role), h.cls,
                        Time(h.latencyUs));
   }
+  gossip_.clear();
 }
 
 void Engine::tell(Suspended& e) {
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -129,7 +129,7 @@
   void connected(RequestId, int attempt);  // a new connection stands: may the attempt still go out?
   void ended(RequestId, int attempt, MemberId, Ending);
   void probed(MemberId, bool ok, const std::vector<double>& report);  // positions in Unix seconds
-  void heard(std::vector<peers::Hint>);  // from other proxies: weighed, never needed
+  void heard(const peers::Hint&);  // from another proxy: weighed, never needed
   void listed(InstanceList) override;
   void listFailed(const std::string& why) override;
 
@@ -172,9 +172,7 @@
     bool failed;
     InstanceList list;
   };
-  struct Heard {
-    std::vector<peers::Hint> hints;
-  };
+  struct Heard {};  // see gossip_
   struct Suspended {
     std::string name;
     bool on;
@@ -232,6 +230,7 @@
   Witness* witness_ = nullptr;
   Confidant* confidant_ = nullptr;
   std::vector<Incoming> events_;
+  std::vector<peers::Hint> gossip_;             // heard since the last turn; keeps its storage
   std::vector<std::function<void()>> actions_;  // recorded in the order in which they take effect
   std::unordered_map<RequestId, Held> held_;
   std::unordered_map<std::string, MemberId> ids_;
--- a/src/front/recoverer.cpp
+++ b/src/front/recoverer.cpp
@@ -361,7 +361,7 @@
 
   void look() {
     const Time now = engine_.now();
-    if (!naive_.empty()) engine_.heard(std::exchange(naive_, {}));
+    for (const peers::Hint& h : std::exchange(naive_, {})) engine_.heard(h);
     for (const std::size_t peer : inquiry_.due(now)) {
       Head q = headOf(own_);
       q.question = true;
--- a/src/peers/gossip.cpp
+++ b/src/peers/gossip.cpp
@@ -12,14 +12,6 @@
 constexpr int kNoClass = 255;
 constexpr double kSteps = 10;          // of latency, an octave: 100 us to an hour
 constexpr std::int64_t kAhead = 1000;  // ms: clocks of two machines may differ so much
-// A position is told again once it has gone on by this share of the bound: with as much again for the way,
-// and the member's own lag, it still proves what a read needs.
-constexpr std::int64_t kNewsShare = 4;
-// Guards against a large fleet that talks more than it serves: each answer earns so many bytes delivered at
-// all peers together, so that the price of a request stays the same however many proxies there are.
-constexpr double kBytesAnAnswer = 512, kMostBytes = 64 * 1024;
-constexpr std::size_t kMostKnown = 4096;       // members
-constexpr std::int64_t kForgetMs = 60 * 1000;  // after so long without a word
 
 void put(std::string& to, std::uint64_t v, int bytes) {
   for (int k = bytes - 1; k >= 0; --k) to += static_cast<char>(v >> (8 * k));
@@ -39,6 +31,10 @@
   return std::llround(100 * std::exp2(static_cast<double>(scale) / kSteps));
 }
 
+std::uint64_t positionWordOf(std::string_view datagram, std::size_t index) {
+  return get(datagram, 1 + index * kHintBytes + 5, 3);
+}
+
 }  // namespace
 
 std::uint64_t tagOf(std::string_view name) {
@@ -63,52 +59,35 @@
 
 bool holdsHints(std::string_view d) { return !d.empty() && d[0] == kVersion; }
 
-std::vector<Hint> decode(std::string_view d, std::int64_t nowMs) {
-  std::vector<Hint> hints;
+std::size_t hintsIn(std::string_view d) {
   if (d.size() <= 1 || d.size() > kLongestDatagram || d[0] != kVersion || (d.size() - 1) % kHintBytes != 0)
-    return hints;
-  for (std::size_t at = 1; at < d.size(); at += kHintBytes) {
-    const std::uint64_t word = get(d, at + 5, 3), role = word >> kPositionBits;
-    if (role > static_cast<std::uint64_t>(HintRole::Replica)) return {};
-    const auto low = static_cast<std::int64_t>(word) % kWrap;
-    std::int64_t back = (nowMs + kAhead - low) % kWrap;  // how far before the latest instant that is believed
-    if (back < 0) back += kWrap;
-    Hint h{get(d, at, 5), nowMs + kAhead - back, static_cast<HintRole>(role)};
-    const auto cls = static_cast<int>(get(d, at + 8, 1));
-    if (cls != kNoClass) h.cls = cls, h.latencyUs = latencyOf(get(d, at + 9, 1));
-    hints.push_back(h);
-  }
-  return hints;
+    return 0;
+  const std::size_t count = (d.size() - 1) / kHintBytes;
+  for (std::size_t k = 0; k < count; ++k)
+    if (positionWordOf(d, k) >> kPositionBits > static_cast<std::uint64_t>(HintRole::Replica)) return 0;
+  return count;
 }
 
-Gossip::Gossip(const Policy& policy) : policy_(policy), purse_(kMostBytes / 8) {}
-
-bool Gossip::learned(const Hint& h, std::int64_t nowMs) {
-  const double cost = static_cast<double>(policy_.peers * (kHintBytes + 1));
-  purse_ = std::min(purse_ + kBytesAnAnswer, std::max(kMostBytes, cost));
-  const auto it = told_.find(h.tag);
-  const bool other = it == told_.end() || it->second.role != h.role;
-  if (!other && h.positionMs - it->second.positionMs < policy_.boundMs / kNewsShare) return false;
-  // Data too old for any read prove nothing that is of use; another role is news all the same.
-  if (!other && nowMs - h.positionMs >= policy_.boundMs) return false;
-  if (policy_.peers == 0 || purse_ < cost) return false;
-  purse_ -= cost;
-  note(h, nowMs);
-  return true;
+Hint hintAt(std::string_view d, std::size_t index, std::int64_t nowMs) {
+  const std::size_t at = 1 + index * kHintBytes;
+  const std::uint64_t word = positionWordOf(d, index);
+  const auto low = static_cast<std::int64_t>(word) % kWrap;
+  std::int64_t back = (nowMs + kAhead - low) % kWrap;  // how far before the latest instant that is believed
+  if (back < 0) back += kWrap;
+  Hint h{get(d, at, 5), nowMs + kAhead - back, static_cast<HintRole>(word >> kPositionBits)};
+  const auto cls = static_cast<int>(get(d, at + 8, 1));
+  if (cls != kNoClass) {
+    h.cls = cls;
+    h.latencyUs = latencyOf(get(d, at + 9, 1));
+  }
+  return h;
 }
 
-void Gossip::heard(const Hint& h, std::int64_t nowMs) { note(h, nowMs); }
-
-void Gossip::note(const Hint& h, std::int64_t nowMs) {
-  const auto it = told_.find(h.tag);
-  if (it != told_.end()) {
-    if (h.positionMs >= it->second.positionMs) it->second = {h.positionMs, nowMs, h.role};
-    return;
-  }
-  if (told_.size() >= kMostKnown)
-    for (auto old = told_.begin(); old != told_.end();)
-      old = nowMs - old->second.atMs > kForgetMs ? told_.erase(old) : std::next(old);
-  if (told_.size() < kMostKnown) told_[h.tag] = {h.positionMs, nowMs, h.role};
+std::vector<Hint> decode(std::string_view d, std::int64_t nowMs) {
+  std::vector<Hint> hints;
+  const std::size_t count = hintsIn(d);
+  for (std::size_t k = 0; k < count; ++k) hints.push_back(hintAt(d, k, nowMs));
+  return hints;
 }
 
 }  // namespace sablespur::peers
--- a/src/peers/gossip.hpp
+++ b/src/peers/gossip.hpp
@@ -1,4 +1,5 @@
-// What proxies tell each other of members, and when it is worth its price: pure, no sockets, no clock.
+// What proxies tell each other of members and the form of their datagrams: pure, no sockets, no clock. What
+// is sent when is the GossipScheduler's decision.
 //
 // A hint is a fact that some proxy had from a member itself: up to where its data went, and its role then. A
 // position never goes back, so an old hint, a repeated one or one out of order proves less and harms nothing;
@@ -8,7 +9,6 @@
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
 namespace sablespur::peers {
@@ -34,34 +34,11 @@
 constexpr std::size_t kHintBytes = 10, kHintsPerDatagram = (kLongestDatagram - 1) / kHintBytes;
 std::string encode(const std::vector<Hint>&, std::size_t from = 0);
 bool holdsHints(std::string_view datagram);  // by its version alone
-// Empty where the bytes are no such datagram. Positions after nowMs + 1000 are left out: no member is there.
+// How many hints the datagram holds; 0 where the bytes are no such datagram.
+std::size_t hintsIn(std::string_view datagram);
+// One of them, by its index below hintsIn. No position lies after nowMs + 1000: no member is there.
+Hint hintAt(std::string_view datagram, std::size_t index, std::int64_t nowMs);
+// All of them; empty where the bytes are no such datagram.
 std::vector<Hint> decode(std::string_view datagram, std::int64_t nowMs);
 
-// What has been told of each member, by whomever, and what another word would cost.
-class Gossip {
- public:
-  struct Policy {
-    std::size_t peers = 0;       // that get each datagram
-    std::int64_t boundMs = 200;  // data older than this serve no read
-  };
-  explicit Gossip(const Policy&);
-
-  // Whether what an answer has just told is worth telling on. Each call is one answer and earns its part of
-  // the budget.
-  bool learned(const Hint&, std::int64_t nowMs);
-  void heard(const Hint&, std::int64_t nowMs);  // from a peer: nobody needs to be told this again
-  std::size_t known() const { return told_.size(); }
-
- private:
-  struct Told {
-    std::int64_t positionMs, atMs;
-    HintRole role;
-  };
-  void note(const Hint&, std::int64_t nowMs);
-
-  const Policy policy_;
-  double purse_;  // bytes that may still be delivered
-  std::unordered_map<std::uint64_t, Told> told_;
-};
-
 }  // namespace sablespur::peers
--- /dev/null
+++ b/src/peers/scheduler.cpp
@@ -0,0 +1,266 @@
+#include "peers/scheduler.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <numeric>
+
+namespace sablespur::peers {
+namespace {
+
+// A position is told again once it has gone on by this share of the bound: with as much again for the way,
+// and the member's own lag, it still proves what a read needs.
+constexpr std::int64_t kNewsShare = 4;
+// A position that has used up three quarters of the bound before it is sent proves too little on arrival.
+constexpr std::int64_t kFreshNumerator = 3, kFreshDenominator = 4;
+// Each answer earns so many bytes delivered at all peers together, so that the price of a request stays the
+// same however many proxies there are; what a full datagram to all costs can always be saved up.
+constexpr double kBytesPerAnswer = 512, kLeastByteBudget = 64 * 1024;
+constexpr std::size_t kMostKnown = 4096;       // members
+constexpr std::int64_t kForgetMs = 60 * 1000;  // after so long without a word
+constexpr std::int64_t kForgetEveryMs = 1000;  // a look at all members is not taken more often
+constexpr std::size_t kMostPending = 4 * kHintsPerDatagram;
+// A small fleet answers faster than its interval now and then; what it left unused for so long it may use.
+constexpr double kBurstMs = 250;
+constexpr double kUrgentBurst = 3;                       // datagrams beyond the first
+constexpr double kLeastJitter = 0.5, kMostJitter = 1.5;  // of an interval; 1 in the mean
+// The delay of a change of role: 900 proxies that see it at once spread over 200 ms, several times what a
+// datagram takes to arrive, and the first is out after a fraction of one.
+constexpr double kUrgentDelayMsPerPeer = 0.25, kMostUrgentDelayMs = 200;
+constexpr int kUrgentSends = 2;              // a datagram may be lost
+constexpr std::int64_t kRepeatAfterMs = 80;  // more than a datagram takes to arrive
+constexpr std::int64_t kUrgentForMs = 3000;  // by then ordinary news has told it
+
+double budgetIntervalMs(std::size_t receivers, double perSecond) {
+  return 1000.0 * static_cast<double>(receivers) / perSecond;
+}
+
+}  // namespace
+
+std::int64_t RateLimiter::allowedFromMs() const {
+  return static_cast<std::int64_t>(std::ceil(nextMs_ - burstMs_));
+}
+void RateLimiter::spend(std::int64_t nowMs, double jitter) {
+  nextMs_ = std::max(nextMs_, static_cast<double>(nowMs)) + intervalMs_ * jitter;
+}
+
+GossipScheduler::GossipScheduler(const Policy& policy)
+    : policy_(policy),
+      receivers_(policy.broadcast ? policy.peers : std::min(policy.peers, kFanout)),
+      random_(policy.seed),
+      ordinary_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
+      urgent_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
+              kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
+      byteBudget_(std::max(kLeastByteBudget / 8, costOf(kHintsPerDatagram))),
+      order_(policy.peers) {
+  std::iota(order_.begin(), order_.end(), std::size_t{0});
+}
+
+void GossipScheduler::learned(const Hint& hint, std::int64_t nowMs) {
+  if (policy_.peers == 0) return;
+  if (!started_) {
+    started_ = true;  // proxies that start together don't send together
+    ordinary_.startAt(static_cast<double>(nowMs) + firstPhase() * ordinary_.intervalMs());
+  }
+  byteBudget_ =
+      std::min(byteBudget_ + kBytesPerAnswer, std::max(kLeastByteBudget, costOf(kHintsPerDatagram)));
+  if (const std::optional<News> news = newsIn(hint, nowMs)) enqueue(hint, *news, nowMs);
+}
+
+void GossipScheduler::received(const Hint& hint, std::int64_t nowMs) {
+  if (!sampled()) {
+    const auto own = find(hint.tag);
+    if (own != pending_.end() && own->news == News::RoleChange && own->hint.role == hint.role)
+      pending_.erase(own);  // all others have heard it too
+    note(hint, nowMs);
+    return;
+  }
+  // Others may not have got it: only a change of role is passed on, once.
+  if (!changesRole(hint)) return;
+  note(hint, nowMs);
+  enqueue(hint, News::RoleChange, nowMs);
+}
+
+bool GossipScheduler::changesRole(const Hint& hint) const {
+  if (hint.role == HintRole::Unknown) return false;
+  const auto told = told_.find(hint.tag);
+  if (told == told_.end()) return hint.role == HintRole::Primary;
+  return told->second.role != hint.role && hint.positionMs >= told->second.positionMs;
+}
+
+std::optional<GossipScheduler::News> GossipScheduler::newsIn(const Hint& hint, std::int64_t nowMs) const {
+  if (changesRole(hint)) return News::RoleChange;
+  const auto told = told_.find(hint.tag);
+  if (told == told_.end()) return News::Position;
+  const bool tooOld = nowMs - hint.positionMs >= policy_.boundMs;
+  if (tooOld && hint.role == HintRole::Replica && !told->second.lagging &&
+      hint.positionMs >= told->second.positionMs)
+    return News::Lag;
+  // Data too old for any read prove nothing that is of use.
+  if (tooOld || hint.positionMs - told->second.positionMs < policy_.boundMs / kNewsShare) return std::nullopt;
+  return News::Position;
+}
+
+void GossipScheduler::enqueue(const Hint& hint, News news, std::int64_t nowMs) {
+  auto entry = find(hint.tag);
+  if (entry == pending_.end()) {
+    makeRoom(nowMs);
+    entry = pending_.insert(pending_.end(), Pending{hint, news});
+  } else {
+    if (hint.positionMs < entry->hint.positionMs) return;
+    const HintRole role = hint.role != HintRole::Unknown ? hint.role : entry->hint.role;
+    const bool sameChange = entry->news == News::RoleChange && entry->hint.role == role;
+    entry->hint = hint;
+    entry->hint.role = role;
+    if (sameChange) return;
+    entry->news = news;
+  }
+  if (news != News::RoleChange) return;
+  entry->dueMs = nowMs + urgentDelayMs();
+  entry->sendsLeft = sampled() ? 1 : kUrgentSends;
+}
+
+std::vector<GossipScheduler::Pending>::iterator GossipScheduler::find(std::uint64_t tag) {
+  return std::find_if(pending_.begin(), pending_.end(), [&](const Pending& p) { return p.hint.tag == tag; });
+}
+
+void GossipScheduler::makeRoom(std::int64_t nowMs) {
+  if (pending_.size() < kMostPending) return;
+  dropUseless(nowMs);
+  if (pending_.size() >= kMostPending) pending_.erase(pending_.begin());  // the oldest
+}
+
+// Where in its interval a proxy starts, as if it had been sending for ever: a long interval is met more often
+// than a short one. With a plain uniform draw a fleet that starts together would send too much later on.
+double GossipScheduler::firstPhase() {
+  std::uniform_real_distribution<> unit(0, 1);
+  const double interval =
+      std::sqrt(kLeastJitter * kLeastJitter +
+                unit(random_) * (kMostJitter * kMostJitter - kLeastJitter * kLeastJitter));
+  return unit(random_) * interval;
+}
+
+std::int64_t GossipScheduler::urgentDelayMs() {
+  const double most =
+      std::min(kMostUrgentDelayMs, kUrgentDelayMsPerPeer * static_cast<double>(policy_.peers));
+  return static_cast<std::int64_t>(std::uniform_real_distribution<>(0, most)(random_));
+}
+
+bool GossipScheduler::worthSending(const Pending& p, std::int64_t nowMs) const {
+  const std::int64_t age = nowMs - p.hint.positionMs;
+  const auto told = told_.find(p.hint.tag);
+  switch (p.news) {
+    case News::RoleChange: {
+      const bool outdated = told != told_.end() && told->second.positionMs > p.hint.positionMs &&
+                            told->second.role != p.hint.role;
+      return !outdated && age < std::max(kUrgentForMs, policy_.boundMs);
+    }
+    case News::Lag:
+      return told == told_.end() || !told->second.lagging;
+    case News::Position:
+      break;
+  }
+  if (told == told_.end()) return true;
+  return age * kFreshDenominator < policy_.boundMs * kFreshNumerator &&
+         p.hint.positionMs - told->second.positionMs >= policy_.boundMs / kNewsShare;
+}
+
+void GossipScheduler::dropUseless(std::int64_t nowMs) {
+  pending_.erase(std::remove_if(pending_.begin(), pending_.end(),
+                                [&](const Pending& p) { return !worthSending(p, nowMs); }),
+                 pending_.end());
+}
+
+bool GossipScheduler::urgentDue(std::int64_t nowMs) const {
+  return urgent_.allows(nowMs) && std::any_of(pending_.begin(), pending_.end(), [&](const Pending& p) {
+           return p.news == News::RoleChange && p.dueMs <= nowMs;
+         });
+}
+
+bool GossipScheduler::take(std::int64_t nowMs, std::vector<Hint>& datagram) {
+  datagram.clear();
+  if (pending_.empty()) return false;
+  const bool ordinary = ordinary_.allows(nowMs);
+  if (!ordinary && !urgentDue(nowMs)) return false;
+  dropUseless(nowMs);
+  if (pending_.empty()) return false;
+  const bool urgent = urgentDue(nowMs);
+  if (!urgent && (!ordinary || byteBudget_ < costOf(std::min(pending_.size(), kHintsPerDatagram))))
+    return false;
+  fill(nowMs, urgent, datagram);
+  if (datagram.empty()) return false;
+  const double jitter = std::uniform_real_distribution<>(kLeastJitter, kMostJitter)(random_);
+  (urgent ? urgent_ : ordinary_).spend(nowMs, jitter);
+  if (!urgent) byteBudget_ -= costOf(datagram.size());
+  return true;
+}
+
+// First what nobody else may know, then the newest positions.
+void GossipScheduler::fill(std::int64_t nowMs, bool urgent, std::vector<Hint>& datagram) {
+  std::sort(pending_.begin(), pending_.end(), [](const Pending& a, const Pending& b) {
+    return a.news != b.news ? a.news > b.news : a.hint.positionMs > b.hint.positionMs;
+  });
+  const std::size_t count = std::min(pending_.size(), kHintsPerDatagram);
+  std::vector<Pending> kept;
+  for (std::size_t k = 0; k < count; ++k) {
+    Pending& p = pending_[k];
+    const bool change = p.news == News::RoleChange;
+    if (change && !urgent && p.dueMs > nowMs) {
+      kept.push_back(p);
+      continue;
+    }
+    datagram.push_back(p.hint);
+    note(p.hint, nowMs);
+    if (!change || --p.sendsLeft <= 0) continue;
+    p.dueMs = nowMs + kRepeatAfterMs;
+    kept.push_back(p);
+  }
+  pending_.erase(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(count));
+  pending_.insert(pending_.end(), kept.begin(), kept.end());
+}
+
+std::optional<std::int64_t> GossipScheduler::urgentAtMs() const {
+  std::optional<std::int64_t> first;
+  for (const Pending& p : pending_)
+    if (p.news == News::RoleChange) first = std::min(first.value_or(p.dueMs), p.dueMs);
+  if (first) first = std::max(*first, urgent_.allowedFromMs());
+  return first;
+}
+
+const std::vector<std::size_t>& GossipScheduler::drawReceivers() {
+  drawnPeers_.clear();
+  for (std::size_t k = 0; k < receivers_; ++k) {
+    if (sampled())
+      std::swap(order_[k], order_[std::uniform_int_distribution<std::size_t>(k, order_.size() - 1)(random_)]);
+    drawnPeers_.push_back(order_[k]);
+  }
+  return drawnPeers_;
+}
+
+double GossipScheduler::costOf(std::size_t hints) const {
+  return static_cast<double>(receivers_ * (1 + hints * kHintBytes));
+}
+
+void GossipScheduler::note(const Hint& hint, std::int64_t nowMs) {
+  auto it = told_.find(hint.tag);
+  if (it == told_.end()) {
+    if (told_.size() >= kMostKnown) forgetOld(nowMs);
+    if (told_.size() >= kMostKnown) return;
+    it = told_.emplace(hint.tag, Told{}).first;
+  } else if (hint.positionMs < it->second.positionMs) {
+    return;
+  }
+  Told& told = it->second;
+  told.positionMs = hint.positionMs;
+  told.atMs = nowMs;
+  if (hint.role != HintRole::Unknown) told.role = hint.role;
+  told.lagging = nowMs - hint.positionMs >= policy_.boundMs;
+}
+
+void GossipScheduler::forgetOld(std::int64_t nowMs) {
+  if (nowMs - forgotMs_ < kForgetEveryMs) return;
+  forgotMs_ = nowMs;
+  for (auto it = told_.begin(); it != told_.end();)
+    it = nowMs - it->second.atMs > kForgetMs ? told_.erase(it) : std::next(it);
+}
+
+}  // namespace sablespur::peers
--- /dev/null
+++ b/src/peers/udp/datagrams.hpp
@@ -0,0 +1,77 @@
+// The UDP socket between proxies: sends and receives datagrams, none of whose errors ends it. Knows no form
+// of a datagram.
+#pragma once
+
+#include <sys/socket.h>
+
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include "base/address.hpp"
+#include "core/event.hpp"
+
+namespace sablespur {
+
+// The system's calls; at one place so that tests can make them fail.
+struct DatagramCalls {
+  ssize_t (*receive)(int fd, void* bytes, std::size_t size, int flags, sockaddr* from, socklen_t* length);
+  ssize_t (*send)(int fd, const void* bytes, std::size_t size, int flags, const sockaddr* to,
+                  socklen_t length);
+};
+DatagramCalls& datagramCalls();
+
+// Which known sender an address is, found by its bytes.
+class SenderTable {
+ public:
+  static constexpr std::size_t kUnknown = static_cast<std::size_t>(-1);
+  bool add(const Address&, std::size_t index);  // false: it is known already
+  std::size_t find(const sockaddr*) const;
+
+ private:
+  struct Key {
+    std::uint64_t high = 0, low = 0;  // the address
+    std::uint32_t portAndFamily = 0;
+    friend bool operator==(const Key& a, const Key& b) {
+      return a.high == b.high && a.low == b.low && a.portAndFamily == b.portAndFamily;
+    }
+  };
+  struct Hash {
+    std::size_t operator()(const Key&) const;
+  };
+  static Key keyOf(const sockaddr*);
+  std::unordered_map<Key, std::size_t, Hash> indices_;
+};
+
+class DatagramSocket {
+ public:
+  // Called for each datagram from a known sender; the bytes are valid during the call.
+  using Receiver = std::function<void(std::size_t sender, std::string_view datagram)>;
+  // Binds; where that fails ready() is false and error() the errno.
+  DatagramSocket(event_base*, const Address& listen, std::size_t longest, Receiver);
+  ~DatagramSocket();
+  DatagramSocket(const DatagramSocket&) = delete;
+  DatagramSocket& operator=(const DatagramSocket&) = delete;
+
+  bool ready() const { return readable_ != nullptr; }
+  int error() const { return error_; }
+  SenderTable& senders() { return senders_; }
+  // False: the machine takes none just now, and others need not be tried. Any other loss is of this one
+  // alone.
+  bool send(const Address& to, std::string_view datagram);
+
+ private:
+  void read();
+
+  int fd_ = -1;
+  int error_ = 0;
+  Receiver receiver_;
+  SenderTable senders_;
+  std::vector<char> buffer_;
+  Event readable_, resume_;
+};
+
+}  // namespace sablespur
--- a/src/peers/udp/link.cpp
+++ b/src/peers/udp/link.cpp
@@ -1,98 +1,95 @@
 #include "peers/udp/link.hpp"
 
-#include <fcntl.h>
-#include <sys/socket.h>
-#include <unistd.h>
-
-#include <cerrno>
+#include <algorithm>
 #include <cstring>
+#include <functional>
 
 #include "log/log.hpp"
 
 namespace sablespur {
 namespace {
 
-constexpr int kBurst = 128;  // datagrams in one pass of the loop: requests come between
-
 std::int64_t tightestBoundMs(const knotstack::Settings& s) {
-  std::int64_t t = 1000;
+  std::int64_t tightest = 1000;
   for (const auto& c : s.classes)
-    if (c.need == knotstack::Need::Bounded) t = std::min(t, std::int64_t{c.bound.count() / 1000});
-  return t;
+    if (c.need == knotstack::Need::Bounded)
+      tightest = std::min(tightest, std::int64_t{c.bound.count() / 1000});
+  return tightest;
+}
+
+std::vector<Address> othersOf(const Config& config, SenderTable& senders) {
+  std::vector<Address> others;
+  for (const Address& peer : config.peers)
+    if (peer != config.peerListen && senders.add(peer, others.size())) others.push_back(peer);
+  return others;
+}
+
+peers::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
+  // The proxies of a fleet may be given one seed; their addresses differ.
+  const std::uint64_t seed = config.seed ^ peers::tagOf(config.peerListen.text());
+  return {others, tightestBoundMs(config.settings), !config.peersAll.none(), seed};
 }
 
 }  // namespace
 
 PeerLink::PeerLink(event_base* base, Engine& engine, const Config& config)
-    : engine_(engine), config_(config), gossip_({config.peers.size(), tightestBoundMs(config.settings)}) {
-  for (const Address& a : config.peers)
-    if (a != config.peerListen && from_.emplace(a.text(), others_.size()).second) others_.push_back(a);
-  fd_ = socket(config.peerListen.v6() ? AF_INET6 : AF_INET, SOCK_DGRAM, 0);
-  if (fd_ < 0 || evutil_make_socket_nonblocking(fd_) != 0 || evutil_make_socket_closeonexec(fd_) != 0 ||
-      bind(fd_, config.peerListen.data(), config.peerListen.size()) != 0) {
-    logEvent(LogLevel::Warning, "peers_unheard", {{"why", std::strerror(errno)}});
-    return;
-  }
-  readable_.reset(event_new(
-      base, fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->read(); }, this));
-  event_add(readable_.get(), nullptr);
-}
-PeerLink::~PeerLink() {
-  readable_.reset();
-  if (fd_ >= 0) close(fd_);
+    : engine_(engine),
+      config_(config),
+      socket_(base, config.peerListen, peers::kLongestDatagram,
+              [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
+      others_(othersOf(config, socket_.senders())),
+      scheduler_(policyOf(config, others_.size())),
+      urgent_(event_new(
+          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->flush(); },
+          this)) {
+  if (!socket_.ready())
+    logEvent(LogLevel::Warning, "peers_unheard", {{"why", std::strerror(socket_.error())}});
 }
 
 void PeerLink::send(std::size_t peer, const std::string& datagram) {
-  if (!readable_ || peer >= others_.size() || datagram.size() > peers::kLongestDatagram) return;
-  const Address& to = others_[peer];
-  sendto(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT, to.data(), to.size());
+  if (peer >= others_.size() || datagram.size() > peers::kLongestDatagram) return;
+  socket_.send(others_[peer], datagram);
 }
 
 void PeerLink::learned(const peers::Hint& h) {
-  if (config_.hints && gossip_.learned(h, nowMs())) pending_.push_back(h);
+  if (config_.hints) scheduler_.learned(h, nowMs());
 }
 
 void PeerLink::flush() {
-  std::vector<peers::Hint> hints;
-  hints.swap(pending_);
-  if (!readable_) return;
-  if (tracing() && !hints.empty()) logEvent(LogLevel::Trace, "told", {{"hints", hints.size()}});
-  for (std::size_t at = 0; at < hints.size(); at += peers::kHintsPerDatagram) {
-    const std::string datagram = peers::encode(hints, at);
-    const auto tell = [&](const Address& to) {
-      sendto(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT, to.data(), to.size());  // lost is lost
-    };
-    if (!config_.peersAll.none())
-      tell(config_.peersAll);
-    else
-      for (const Address& to : others_) tell(to);
+  while (scheduler_.take(nowMs(), due_)) transmit();
+  armTimer();
+}
+
+void PeerLink::transmit() {
+  if (tracing()) logEvent(LogLevel::Trace, "told", {{"hints", due_.size()}});
+  const std::string datagram = peers::encode(due_);
+  if (!config_.peersAll.none()) {
+    socket_.send(config_.peersAll, datagram);
+    return;
   }
+  for (const std::size_t peer : scheduler_.drawReceivers())
+    if (!socket_.send(others_[peer], datagram)) return;
 }
 
-void PeerLink::read() {
-  std::vector<peers::Hint> all;
-  for (int n = 0; n < kBurst; ++n) {
-    char bytes[peers::kLongestDatagram + 1];
-    sockaddr_storage from{};
-    socklen_t length = sizeof from;
-    const ssize_t got =
-        recvfrom(fd_, bytes, sizeof bytes, MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &length);
-    if (got < 0) break;
-    const auto who = from_.find(Address::fromSocket(reinterpret_cast<const sockaddr*>(&from)).text());
-    if (who == from_.end() || got == 0) continue;
-    const std::string_view datagram(bytes, static_cast<std::size_t>(got));
-    if (heads_ && !peers::holdsHints(datagram)) {
-      heads_(who->second, datagram);
-      continue;
-    }
-    if (!config_.hints) continue;
-    for (const peers::Hint& h : peers::decode(datagram, nowMs())) {
-      gossip_.heard(h, nowMs());
-      all.push_back(h);
-    }
+void PeerLink::armTimer() {
+  const auto at = scheduler_.urgentAtMs();
+  if (!at) return;
+  startTimer(urgent_.get(), std::chrono::milliseconds(std::max<std::int64_t>(*at - nowMs(), 0)));
+}
+
+void PeerLink::receive(std::size_t peer, std::string_view datagram) {
+  if (!peers::holdsHints(datagram)) {
+    if (heads_) heads_(peer, datagram);
+    return;
+  }
+  if (!config_.hints) return;
+  const std::int64_t now = nowMs();
+  const std::size_t count = peers::hintsIn(datagram);
+  for (std::size_t k = 0; k < count; ++k) {
+    const peers::Hint h = peers::hintAt(datagram, k, now);
+    scheduler_.received(h, now);
+    engine_.heard(h);
   }
-  if (!all.empty()) engine_.heard(std::move(all));
 }
 
 }  // namespace sablespur
--- a/src/peers/udp/link.hpp
+++ b/src/peers/udp/link.hpp
@@ -3,22 +3,25 @@
 
 #include <cstdint>
 #include <functional>
-#include <unordered_map>
+#include <string>
+#include <string_view>
 #include <vector>
 
 #include "config/config.hpp"
 #include "core/engine.hpp"
 #include "core/event.hpp"
-#include "peers/gossip.hpp"
+#include "peers/scheduler.hpp"
+#include "peers/udp/datagrams.hpp"
 
 namespace sablespur {
 
-// Tells on what the engine learns and hands it what others tell. Where its address cannot be had the log says
-// so and the proxy does without: hints are never needed to keep a rule.
+// Carries out what the GossipScheduler decides on what the engine learns, and hands the engine what others
+// tell. Where its address cannot be had the log says so and the proxy does without: hints are never needed to
+// keep a rule.
 class PeerLink final : public Confidant {
  public:
   PeerLink(event_base*, Engine&, const Config&);
-  ~PeerLink() override;
+  ~PeerLink() override = default;
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
@@ -32,17 +35,18 @@
   std::size_t others() const { return others_.size(); }
 
  private:
-  void read();
+  void receive(std::size_t peer, std::string_view datagram);
+  void transmit();
+  void armTimer();
   std::int64_t nowMs() const { return engine_.now().count() / 1000; }
 
   Engine& engine_;
   const Config& config_;
-  int fd_ = -1;
-  Event readable_;
-  peers::Gossip gossip_;
-  std::vector<peers::Hint> pending_;
+  DatagramSocket socket_;
   std::vector<Address> others_;
-  std::unordered_map<std::string, std::size_t> from_;  // senders that are believed, by their index
+  peers::GossipScheduler scheduler_;
+  std::vector<peers::Hint> due_;  // the datagram that is being sent
+  Event urgent_;                  // a change of role does not wait for the next turn
   Heads heads_;
 };
 
--- /dev/null
+++ b/tests/gossip_fleet_test.cpp
@@ -0,0 +1,242 @@
+// A fleet of gossip schedulers on a simulated network: what each proxy receives stays flat as the fleet
+// grows, the positions it knows stay fresh, and a change of role reaches everyone.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <memory>
+#include <queue>
+#include <random>
+#include <vector>
+
+#include "peers/scheduler.hpp"
+
+namespace sablespur::peers {
+namespace {
+
+constexpr std::int64_t kStartMs = 1767225600000;
+constexpr std::uint64_t kMembers = 12;
+constexpr std::int64_t kBoundMs = 200;
+constexpr double kAnswersPerSecond = 35;  // of each proxy
+constexpr double kLoss = 0.02;            // of a datagram, at each receiver by itself
+constexpr int kLeastDelayMs = 1, kMostDelayMs = 40;
+constexpr std::int64_t kWarmMs = 1000, kSpanMs = 3000;  // measured: the span after the warm-up
+
+struct Figures {
+  double datagrams = 0, bytes = 0;  // received a second, a proxy in the mean
+  double busiest = 0;               // datagrams a second, the proxy that received most
+  std::int64_t p50 = 0, p99 = 0;    // ms: age of the newest position known, at each answer
+};
+
+class FleetSimulation {
+ public:
+  FleetSimulation(std::size_t proxies, bool broadcast, std::uint64_t seed)
+      : random_(seed), proxies_(proxies), broadcast_(broadcast) {
+    for (std::size_t k = 0; k < proxies; ++k) {
+      schedulers_.push_back(std::make_unique<GossipScheduler>(
+          GossipScheduler::Policy{proxies - 1, kBoundMs, broadcast, seed * 100000 + k}));
+      answers_.push({kStartMs + uniform(0, 28), k});
+    }
+    newest_.assign(proxies * kMembers, 0);
+    knowsPrimary_.assign(proxies, kMembers);
+    received_.assign(proxies, 0);
+  }
+
+  // From `atMs` on member `to` says that it is the primary, and the one before that it is none.
+  void failOver(std::int64_t atMs, std::uint64_t to, bool onlyOneProxySeesIt) {
+    failOverMs_ = kStartMs + atMs;
+    newPrimary_ = to;
+    lonely_ = onlyOneProxySeesIt;
+  }
+
+  Figures run() {
+    for (now_ = kStartMs; now_ < kStartMs + kWarmMs + kSpanMs; ++now_) {
+      deliver();
+      if (lonely_ && now_ == failOverMs_) {
+        schedulers_[0]->learned(answerOf(newPrimary_), now_);
+        know(0, answerOf(newPrimary_));
+      }
+      answer();
+      for (std::size_t k = 0; k < proxies_; ++k) send(k);
+      countInformed();
+    }
+    return figures();
+  }
+
+  // Ms from the change of role until so many of the proxies knew of it; -1: never.
+  std::int64_t informedAfterMs(double share) const {
+    for (const auto& [ms, n] : informed_)
+      if (static_cast<double>(n) >= share * static_cast<double>(proxies_)) return ms - failOverMs_;
+    return -1;
+  }
+  std::size_t urgentDatagrams() const { return sentAtFailOver_; }
+
+ private:
+  struct Answer {
+    std::int64_t atMs;
+    std::size_t proxy;
+    bool operator<(const Answer& o) const { return atMs > o.atMs; }
+  };
+  struct Delivery {
+    std::size_t proxy, author;
+    std::shared_ptr<const std::vector<Hint>> hints;
+  };
+
+  std::int64_t uniform(std::int64_t least, std::int64_t most) {
+    return std::uniform_int_distribution<std::int64_t>(least, most)(random_);
+  }
+  bool failedOver() const { return failOverMs_ > 0 && now_ >= failOverMs_; }
+  std::uint64_t primary() const { return failedOver() ? newPrimary_ : 0; }
+
+  // Replicas lag by 5 to 45 ms.
+  Hint answerOf(std::uint64_t member) {
+    const bool isPrimary = member == primary();
+    return {member, now_ - (isPrimary ? 0 : uniform(5, 45)),
+            isPrimary ? HintRole::Primary : HintRole::Replica, 0, 20000};
+  }
+  void answer() {
+    while (!answers_.empty() && answers_.top().atMs <= now_) {
+      const Answer a = answers_.top();
+      answers_.pop();
+      const auto gap = std::exponential_distribution<>(kAnswersPerSecond / 1000)(random_);
+      answers_.push({now_ + 1 + static_cast<std::int64_t>(gap), a.proxy});
+      auto member = static_cast<std::uint64_t>(uniform(0, kMembers - 1));
+      // Where one proxy alone is to see the change, no other gets an answer of the two that changed.
+      if (lonely_ && failedOver() && a.proxy != 0 && (member == newPrimary_ || member == 0))
+        member = newPrimary_ + 1;
+      const std::int64_t position = newest_[a.proxy * kMembers + member];
+      if (now_ >= kStartMs + kWarmMs && position > 0) ages_.push_back(now_ - position);
+      const Hint hint = answerOf(member);
+      schedulers_[a.proxy]->learned(hint, now_);
+      know(a.proxy, hint);
+    }
+  }
+  void know(std::size_t proxy, const Hint& hint) {
+    std::int64_t& newest = newest_[proxy * kMembers + hint.tag];
+    newest = std::max(newest, hint.positionMs);
+    if (hint.role == HintRole::Primary && hint.tag == primary()) knowsPrimary_[proxy] = hint.tag;
+  }
+
+  void send(std::size_t proxy) {
+    std::vector<Hint> datagram;
+    while (schedulers_[proxy]->take(now_, datagram)) {
+      EXPECT_LE(datagram.size(), kHintsPerDatagram);
+      const auto hints = std::make_shared<const std::vector<Hint>>(datagram);
+      const bool tellsChange =
+          failedOver() && std::any_of(datagram.begin(), datagram.end(), [&](const Hint& h) {
+            return h.tag == newPrimary_ && h.role == HintRole::Primary;
+          });
+      sentAtFailOver_ += tellsChange && now_ < failOverMs_ + 250;
+      for (const std::size_t peer : schedulers_[proxy]->drawReceivers())
+        if (std::uniform_real_distribution<>(0, 1)(random_) >= kLoss)
+          arrivals_[static_cast<std::size_t>(now_ + uniform(kLeastDelayMs, kMostDelayMs)) % kSlots].push_back(
+              {peer < proxy ? peer : peer + 1, proxy, hints});
+    }
+  }
+  void deliver() {
+    std::vector<Delivery>& due = arrivals_[static_cast<std::size_t>(now_) % kSlots];
+    for (const Delivery& d : due) {
+      if (now_ >= kStartMs + kWarmMs) {
+        ++received_[d.proxy];
+        bytes_ += static_cast<double>(1 + d.hints->size() * kHintBytes);
+      }
+      for (const Hint& hint : *d.hints) {
+        schedulers_[d.proxy]->received(hint, now_);
+        know(d.proxy, hint);
+      }
+    }
+    due.clear();
+  }
+  void countInformed() {
+    if (!failedOver()) return;
+    const auto knowing = std::count(knowsPrimary_.begin(), knowsPrimary_.end(), newPrimary_);
+    informed_.emplace_back(now_, static_cast<std::size_t>(knowing));
+  }
+
+  Figures figures() {
+    Figures f;
+    const double seconds = kSpanMs / 1000.0, n = static_cast<double>(proxies_);
+    double all = 0;
+    for (const std::size_t r : received_) {
+      all += static_cast<double>(r);
+      f.busiest = std::max(f.busiest, static_cast<double>(r) / seconds);
+    }
+    f.datagrams = all / n / seconds;
+    f.bytes = bytes_ / n / seconds;
+    std::sort(ages_.begin(), ages_.end());
+    f.p50 = ages_[ages_.size() / 2];
+    f.p99 = ages_[ages_.size() * 99 / 100];
+    return f;
+  }
+
+  static constexpr std::size_t kSlots = kMostDelayMs + 1;  // a slot of arrivals for each ms ahead
+  std::mt19937_64 random_;
+  const std::size_t proxies_;
+  const bool broadcast_;
+  std::vector<std::unique_ptr<GossipScheduler>> schedulers_;
+  std::priority_queue<Answer> answers_;
+  std::vector<Delivery> arrivals_[kSlots];
+  std::vector<std::int64_t> newest_;  // by proxy and member
+  std::vector<std::uint64_t> knowsPrimary_;
+  std::vector<std::size_t> received_;
+  double bytes_ = 0;
+  std::vector<std::int64_t> ages_;
+  std::int64_t now_ = 0, failOverMs_ = 0;
+  std::uint64_t newPrimary_ = 0;
+  bool lonely_ = false;
+  std::vector<std::pair<std::int64_t, std::size_t>> informed_;  // when, how many know
+  std::size_t sentAtFailOver_ = 0;
+};
+
+constexpr std::size_t kSizes[] = {6, 60, 350, 900};
+
+TEST(GossipFleet, WhatAProxyReceivesIsFlatAndPositionsStayFresh) {
+  std::printf("proxies  reach   datagrams/s  busiest  bytes/s  age p50  p99 ms\n");
+  for (const bool broadcast : {true, false}) {
+    Figures at60;
+    for (const std::size_t n : kSizes) {
+      const Figures f = FleetSimulation(n, broadcast, n).run();
+      std::printf("%7zu  %-7s %11.1f %8.1f %8.0f %8lld %7lld\n", n, broadcast ? "all" : "sample", f.datagrams,
+                  f.busiest, f.bytes, static_cast<long long>(f.p50), static_cast<long long>(f.p99));
+      if (n == 60) at60 = f;
+      EXPECT_LE(f.datagrams, kReceivedPerSecond + kUrgentReceivedPerSecond) << n;
+      EXPECT_LE(f.busiest, 1.5 * (kReceivedPerSecond + kUrgentReceivedPerSecond)) << n;
+      EXPECT_LE(f.p50, kBoundMs) << n;
+      EXPECT_LE(f.p99, n == 6 ? 1200 : 600) << n;  // six proxies have few answers to tell of
+      if (n <= 60) continue;
+      EXPECT_LE(f.datagrams, 1.4 * at60.datagrams) << n;
+      EXPECT_LE(f.bytes, 1.4 * at60.bytes) << n;
+    }
+  }
+}
+
+TEST(GossipFleet, AChangeOfRoleThatOneProxySeesReachesAllButOneInAHundredWithinHalfASecond) {
+  std::printf("proxies  reach   99%% informed after ms  datagrams\n");
+  for (const bool broadcast : {true, false})
+    for (const std::size_t n : kSizes) {
+      FleetSimulation fleet(n, broadcast, n + 7);
+      fleet.failOver(1500, 5, true);
+      fleet.run();
+      const std::int64_t after = fleet.informedAfterMs(0.99);
+      std::printf("%7zu  %-7s %22lld %10zu\n", n, broadcast ? "all" : "sample", static_cast<long long>(after),
+                  fleet.urgentDatagrams());
+      EXPECT_GE(after, 0) << n << " never";
+      EXPECT_LE(after, 500) << n;
+    }
+}
+
+TEST(GossipFleet, AChangeOfRoleThatAllSeeIsToldByFew) {
+  for (const std::size_t n : kSizes) {
+    FleetSimulation fleet(n, true, n + 11);
+    fleet.failOver(1500, 5, false);
+    fleet.run();
+    std::printf("%7zu proxies: 99%% informed after %lld ms, %zu datagrams\n", n,
+                static_cast<long long>(fleet.informedAfterMs(0.99)), fleet.urgentDatagrams());
+    EXPECT_GE(fleet.informedAfterMs(0.99), 0) << n << " never";
+    EXPECT_LE(fleet.informedAfterMs(0.99), 500) << n;
+    EXPECT_LE(fleet.urgentDatagrams(), 60u) << n;
+  }
+}
+
+}  // namespace
+}  // namespace sablespur::peers
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -3,14 +3,17 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "peers/gossip.hpp"
+#include <algorithm>
+#include <cerrno>
+
+#include "peers/scheduler.hpp"
 #include "peers/udp/link.hpp"
 #include "scenario.hpp"
 
 namespace sablespur {
 namespace {
 
-using peers::Gossip;
+using peers::GossipScheduler;
 using peers::Hint;
 using peers::HintRole;
 
@@ -60,41 +63,125 @@
   EXPECT_EQ(peers::decode(peers::encode(many, 90), kNow).size(), 10u);
 }
 
+// What the next datagram holds at `nowMs`; empty: none is due.
+std::vector<Hint> sentAt(GossipScheduler& scheduler, std::int64_t nowMs) {
+  std::vector<Hint> datagram;
+  scheduler.take(nowMs, datagram);
+  return datagram;
+}
+bool tells(GossipScheduler& scheduler, const Hint& hint, std::int64_t nowMs) {
+  scheduler.learned(hint, nowMs);
+  const std::vector<Hint> datagram = sentAt(scheduler, nowMs);
+  return std::any_of(datagram.begin(), datagram.end(), [&](const Hint& h) {
+    return h.tag == hint.tag && h.positionMs == hint.positionMs && h.role == hint.role;
+  });
+}
+
 TEST(PeersGossip, TellsProgressAndRolesOnce) {
-  Gossip g({4, 200});
-  EXPECT_TRUE(g.learned({1, kNow, HintRole::Replica, 0, 1}, kNow));
-  EXPECT_FALSE(g.learned({1, kNow + 10, HintRole::Replica, 0, 1}, kNow + 10)) << "no progress to speak of";
-  EXPECT_TRUE(g.learned({1, kNow + 60, HintRole::Replica, 0, 1}, kNow + 60));
-  EXPECT_TRUE(g.learned({1, kNow + 61, HintRole::Primary, 0, 1}, kNow + 61)) << "another role is news";
-  EXPECT_FALSE(g.learned({1, kNow + 2000, HintRole::Primary, 0, 1}, kNow + 4000)) << "too old for any read";
+  GossipScheduler g({4, 200, true, 1});
+  EXPECT_TRUE(tells(g, {1, kNow, HintRole::Replica, 0, 1}, kNow));
+  EXPECT_FALSE(tells(g, {1, kNow + 10, HintRole::Replica, 0, 1}, kNow + 10)) << "no progress to speak of";
+  EXPECT_TRUE(tells(g, {1, kNow + 60, HintRole::Replica, 0, 1}, kNow + 60));
+  g.learned({1, kNow + 61, HintRole::Primary, 0, 1}, kNow + 61);
+  const auto change = sentAt(g, kNow + 63);
+  ASSERT_EQ(change.size(), 1u) << "another role is news";
+  EXPECT_EQ(change[0].role, HintRole::Primary);
+  EXPECT_FALSE(sentAt(g, kNow + 300).empty()) << "told twice, since a datagram may be lost";
+  EXPECT_TRUE(sentAt(g, kNow + 600).empty());
+  EXPECT_FALSE(tells(g, {1, kNow + 2000, HintRole::Primary, 0, 1}, kNow + 4000)) << "too old for any read";
 }
 
 TEST(PeersGossip, WhatAPeerToldIsNotToldAgain) {
-  Gossip g({4, 200});
-  g.heard({1, kNow, HintRole::Replica, -1, 0}, kNow);
-  EXPECT_FALSE(g.learned({1, kNow + 20, HintRole::Replica, 0, 1}, kNow + 20));
-  g.heard({1, kNow - 5000, HintRole::Replica, -1, 0}, kNow + 30);  // out of order
-  EXPECT_FALSE(g.learned({1, kNow + 30, HintRole::Replica, 0, 1}, kNow + 30));
+  GossipScheduler g({4, 200, true, 1});
+  g.received({1, kNow, HintRole::Replica, -1, 0}, kNow);
+  EXPECT_FALSE(tells(g, {1, kNow + 20, HintRole::Replica, 0, 1}, kNow + 20));
+  g.received({1, kNow - 5000, HintRole::Replica, -1, 0}, kNow + 30);  // out of order
+  EXPECT_FALSE(tells(g, {1, kNow + 30, HintRole::Replica, 0, 1}, kNow + 30));
+}
+
+TEST(PeersGossip, NewsThatAPeerTellsWhileItWaitsIsDropped) {
+  GossipScheduler g({900, 200, true, 1});
+  g.received({1, kNow, HintRole::Replica, -1, 0}, kNow);
+  g.received({2, kNow, HintRole::Replica, -1, 0}, kNow);
+  g.learned({1, kNow, HintRole::Replica, 0, 1}, kNow);  // from here on its intervals run
+  const std::int64_t then = kNow + 20000;               // the interval of 900 proxies is over
+  g.learned({1, then, HintRole::Replica, 0, 1}, then);
+  g.learned({2, then, HintRole::Primary, 0, 1}, then);
+  g.received({1, then + 1, HintRole::Replica, 0, 1}, then + 1);
+  g.received({2, then + 1, HintRole::Primary, 0, 1}, then + 1);
+  for (std::int64_t ms = then + 1; ms < then + 1000; ++ms) EXPECT_TRUE(sentAt(g, ms).empty());
+}
+
+TEST(PeersGossip, AChangeOfRoleLeavesAheadOfTheIntervalAndFirst) {
+  GossipScheduler g({900, 200, true, 1});
+  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.received({tag, kNow, HintRole::Replica, -1, 0}, kNow);
+  g.learned({1, kNow, HintRole::Replica, 0, 1}, kNow);  // from here on its intervals run
+  std::int64_t now = kNow + 30000;
+  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.learned({tag, now, HintRole::Replica, 0, 1}, now);
+  ASSERT_EQ(sentAt(g, now).size(), peers::kHintsPerDatagram);
+  now += 100;
+  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.learned({tag, now, HintRole::Replica, 0, 1}, now);
+  EXPECT_TRUE(sentAt(g, now).empty()) << "the next datagram of ordinary news is seconds away";
+  g.learned({7, now - 50, HintRole::Primary, 0, 1}, now);
+  EXPECT_TRUE(sentAt(g, now).empty()) << "older than what shows it as a replica";
+  g.learned({7, now + 1, HintRole::Primary, 0, 1}, now + 1);
+  ASSERT_TRUE(g.urgentAtMs());
+  EXPECT_LE(*g.urgentAtMs(), now + 1 + 200);
+  const auto datagram = sentAt(g, *g.urgentAtMs());
+  ASSERT_FALSE(datagram.empty());
+  EXPECT_EQ(datagram[0].tag, 7u);
+  EXPECT_EQ(datagram[0].role, HintRole::Primary);
+}
+
+TEST(PeersGossip, AReplicaThatFallsBehindIsToldOnce) {
+  GossipScheduler g({4, 200, true, 1});
+  EXPECT_TRUE(tells(g, {1, kNow, HintRole::Replica, 0, 1}, kNow));
+  EXPECT_TRUE(tells(g, {1, kNow + 100, HintRole::Replica, 0, 1}, kNow + 1000));
+  EXPECT_FALSE(tells(g, {1, kNow + 200, HintRole::Replica, 0, 1}, kNow + 2000)) << "known already";
+  EXPECT_TRUE(tells(g, {1, kNow + 3000, HintRole::Replica, 0, 1}, kNow + 3000)) << "caught up";
 }
 
 TEST(PeersGossip, ThePriceOfAnAnswerIsTheSameAtAnySize) {
   for (const std::size_t n : {5u, 100u, 1000u, 10000u}) {
-    Gossip g({n, 200});
+    GossipScheduler g({n, 200, true, 1});
     double delivered = 0;
-    for (int k = 0; k < 20000; ++k)
-      if (g.learned({static_cast<std::uint64_t>(k % 60), kNow + 100 * k, HintRole::Replica, 0, 1},
-                    kNow + 100 * k))
-        delivered += static_cast<double>(n * (peers::kHintBytes + 1));
-    EXPECT_LE(delivered, 20000 * 512 + 64 * 1024 + static_cast<double>(n) * 11) << n;
+    std::vector<Hint> datagram;
+    for (int k = 0; k < 20000; ++k) {
+      g.learned({static_cast<std::uint64_t>(k % 60), kNow + 100 * k, HintRole::Replica, 0, 1},
+                kNow + 100 * k);
+      while (g.take(kNow + 100 * k, datagram))
+        delivered += static_cast<double>(n * (1 + datagram.size() * peers::kHintBytes));
+    }
+    EXPECT_LE(delivered, 20000 * 512 + 64 * 1024 + static_cast<double>(n) * 256) << n;
     EXPECT_GT(delivered, 0) << n;
   }
 }
 
+TEST(PeersGossip, WhatAProxyReceivesStaysWithinTheBudgetAtAnySize) {
+  for (const std::size_t n : {5u, 59u, 349u, 899u, 9999u})
+    for (const bool broadcast : {true, false}) {
+      GossipScheduler g({n, 200, broadcast, n});
+      const std::size_t receivers = g.drawReceivers().size();
+      EXPECT_EQ(receivers, broadcast ? n : std::min(n, peers::kFanout));
+      constexpr int kSpanMs = 600 * 1000;
+      double sent = 0;
+      std::vector<Hint> datagram;
+      for (int ms = 0; ms < kSpanMs; ++ms) {
+        g.learned({static_cast<std::uint64_t>(ms % 60), kNow + ms, HintRole::Replica, 0, 1}, kNow + ms);
+        while (g.take(kNow + ms, datagram)) ++sent;
+      }
+      // Each of n others sends so much, and receivers/n of it reach one proxy.
+      const double received = sent * static_cast<double>(receivers) / (kSpanMs / 1000.0);
+      EXPECT_LE(received, 1.15 * peers::kReceivedPerSecond) << n << " peers, broadcast " << broadcast;
+      EXPECT_GT(received, 0.5 * peers::kReceivedPerSecond) << n << " peers, broadcast " << broadcast;
+    }
+}
+
 TEST(PeersGossip, RemembersABoundedNumberOfMembers) {
-  Gossip g({1, 200});
-  for (std::uint64_t k = 0; k < 20000; ++k) g.heard({k, kNow, HintRole::Replica, -1, 0}, kNow);
+  GossipScheduler g({1, 200, true, 1});
+  for (std::uint64_t k = 0; k < 20000; ++k) g.received({k, kNow, HintRole::Replica, -1, 0}, kNow);
   EXPECT_LE(g.known(), 4096u);
-  g.heard({1u << 20, kNow, HintRole::Replica, -1, 0}, kNow + 120000);
+  g.received({1u << 20, kNow, HintRole::Replica, -1, 0}, kNow + 120000);
   EXPECT_EQ(g.known(), 1u) << "what is old makes room";
 }
 
@@ -149,5 +236,136 @@
   EXPECT_FALSE(engine.pending());
 }
 
+// The system's calls for datagrams, some of which fail.
+struct DatagramFaults : PeerLinkTest {
+  static inline int receiveErrors, receiveErrno, receiveCalls, sendErrors, sendErrno, sendCalls;
+  const DatagramCalls real = datagramCalls();
+
+  DatagramFaults() {
+    receiveErrors = receiveErrno = receiveCalls = sendErrors = sendErrno = sendCalls = 0;
+    datagramCalls().receive = [](int fd, void* b, std::size_t n, int f, sockaddr* a,
+                                 socklen_t* l) -> ssize_t {
+      ++receiveCalls;
+      if (receiveErrors-- <= 0) return recvfrom(fd, b, n, f, a, l);
+      errno = receiveErrno;
+      return -1;
+    };
+    datagramCalls().send = [](int fd, const void* b, std::size_t n, int f, const sockaddr* a,
+                              socklen_t l) -> ssize_t {
+      ++sendCalls;
+      if (sendErrors-- <= 0) return sendto(fd, b, n, f, a, l);
+      errno = sendErrno;
+      return -1;
+    };
+  }
+  ~DatagramFaults() override { datagramCalls() = real; }
+
+  const EventBase base{event_base_new()};
+  const Address a = own(), b = own();
+  const Config ca = config(a, {a, b}), cb = config(b, {a, b});
+  Engine ea{base.get(), ca}, eb{base.get(), cb};
+  PeerLink la{base.get(), ea, ca}, lb{base.get(), eb, cb};
+
+  void tell(std::uint64_t tag) {
+    la.learned({tag, ea.now().count() / 1000, HintRole::Replica, 0, 1000});
+    la.flush();
+  }
+  void passes(int n) {
+    for (int k = 0; k < n; ++k) event_base_loop(base.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
+  }
+  // The loop waits for the link's own timer.
+  void waitUntilHeard() {
+    for (int k = 0; k < 100 && !eb.pending(); ++k) event_base_loop(base.get(), EVLOOP_ONCE);
+  }
+};
+
+TEST_F(DatagramFaults, AReceiveThatFailsForASignalOrAnEarlierDatagramGoesOnInTheSamePass) {
+  for (const int error : {EINTR, ECONNREFUSED, EHOSTUNREACH, ENETUNREACH}) {
+    tell(static_cast<std::uint64_t>(error));
+    receiveErrors = 3, receiveErrno = error;
+    passes(1);
+    EXPECT_TRUE(eb.pending()) << error;
+    eb.turn();
+  }
+}
+
+TEST_F(DatagramFaults, AReceiveThatKeepsFailingNeitherSpinsNorEndsTheLink) {
+  for (const int error : {ENOMEM, ENOBUFS, EIO}) {
+    receiveErrors = 1 << 30, receiveErrno = error, receiveCalls = 0;
+    tell(static_cast<std::uint64_t>(error));
+    passes(50);
+    EXPECT_LE(receiveCalls, 2) << error;
+    receiveErrors = 0;
+    waitUntilHeard();
+    EXPECT_TRUE(eb.pending()) << error;
+    eb.turn();
+  }
+}
+
+TEST_F(DatagramFaults, AReceiveThatIsInterruptedWithoutEndNeitherSpinsNorEndsTheLink) {
+  receiveErrors = 1 << 30, receiveErrno = EINTR;
+  tell(1);
+  passes(50);
+  EXPECT_LE(receiveCalls, 64);
+  receiveErrors = 0;
+  waitUntilHeard();
+  EXPECT_TRUE(eb.pending());
+}
+
+TEST_F(DatagramFaults, ASendThatMeetsAnEarlierDatagramsErrorIsMadeOnceMore) {
+  for (const int error : {EINTR, ECONNREFUSED}) {
+    sendErrors = 1, sendErrno = error;
+    tell(static_cast<std::uint64_t>(error));
+    passes(2);
+    EXPECT_TRUE(eb.pending()) << error;
+    eb.turn();
+  }
+}
+
+TEST_F(DatagramFaults, ASendThatFailsIsDroppedAndTheNextOneGoesOut) {
+  for (const int error : {EAGAIN, ENOBUFS, ENETUNREACH, EMSGSIZE, EPERM, ECONNREFUSED, EINTR}) {
+    sendErrors = 1 << 30, sendErrno = error, sendCalls = 0;
+    tell(static_cast<std::uint64_t>(error));
+    passes(2);
+    EXPECT_FALSE(eb.pending()) << error;
+    EXPECT_LE(sendCalls, 2) << error;
+    sendErrors = 0;
+    tell(static_cast<std::uint64_t>(error) + 1000);
+    passes(2);
+    EXPECT_TRUE(eb.pending()) << error;
+    eb.turn();
+  }
+}
+
+TEST_F(DatagramFaults, AChangeOfRoleLeavesByItsTimerWithoutATurnAndWithoutSpinning) {
+  std::vector<Address> peers{a, b};
+  for (int k = 0; k < 398; ++k) peers.push_back(*Address::parse("127.0.1.1:" + std::to_string(2000 + k)));
+  const Address c = own();
+  Config many = config(c, peers);
+  many.peersAll = b;
+  Engine engine(base.get(), many);
+  PeerLink link(base.get(), engine, many);
+  const std::int64_t now = engine.now().count() / 1000;
+  for (std::uint64_t tag = 1; tag <= 3; ++tag) link.learned({tag, now, HintRole::Primary, 0, 1000});
+  link.flush();
+  int loops = 0;
+  while (sendCalls < 2 && ++loops < 1000) event_base_loop(base.get(), EVLOOP_ONCE);
+  EXPECT_EQ(sendCalls, 2);
+  EXPECT_LE(loops, 40);
+}
+
+TEST_F(DatagramFaults, AMachineThatTakesNoDatagramIsNotAskedForEachPeer) {
+  std::vector<Address> peers{a};
+  for (int k = 0; k < 10; ++k) peers.push_back(*Address::parse("127.0.0.1:" + std::to_string(2000 + k)));
+  const Address c = own();
+  const Config many = config(c, peers);
+  Engine engine(base.get(), many);
+  PeerLink link(base.get(), engine, many);
+  sendErrors = 1 << 30, sendErrno = ENOBUFS;
+  link.learned({1, engine.now().count() / 1000, HintRole::Replica, 0, 1000});
+  link.flush();
+  EXPECT_EQ(sendCalls, 1);
+}
+
 }  // namespace
 }  // namespace sablespur
