--- a/include/knotstack/balancer.hpp
+++ b/include/knotstack/balancer.hpp
@@ -152,6 +152,9 @@
   // late event about one is ignored like any about what is not known.
   std::vector<MemberId> forget(Time now);
   void countFrom(Time zero);  // positions in later answers and reports count from here
+  // The caller's idea of other machines' clocks has changed: instants that they told, and that are known
+  // here, lie later by so much on the caller's clock than was thought (earlier, if it is negative).
+  void instantsMoved(Time now, Time by);
 
  private:
   struct Core;
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1037,4 +1037,21 @@
 
 void Balancer::countFrom(Time zero) { core_->s.zero = zero; }
 
+// What was seen by this router's own clock (a role, a fresh read's arrival) stays where it is.
+void Balancer::instantsMoved(Time now, Time by) {
+  Core& c = *core_;
+  c.now = now;
+  const auto move = [by](Time& t) {
+    if (t != never) t = std::max(t + by, Time(0));
+  };
+  for (auto& [id, m] : c.members) {
+    move(m.position);
+    for (auto& [seenAt, age] : m.lags) age -= by;
+  }
+  for (auto& [session, commit] : c.commits) move(commit);
+  for (auto& [id, g] : c.groups) move(g.forgotten);
+  for (auto& [id, r] : c.open)
+    if (c.classOf(r).need == Need::Session) move(r.commit);
+}
+
 }  // namespace knotstack
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
 
 #include "log/log.hpp"
 
@@ -17,7 +18,9 @@
 // After so long, zero moves on: at two hours an f32 of seconds still tells half a millisecond apart, and
 // 4 x milliseconds fill a u32 only after twelve days.
 constexpr Time kRebase = std::chrono::hours(2);
+constexpr float kLeastTokenMs = 0.001f;  // 0 would say that no write was told
 constexpr Time kSweep = std::chrono::seconds(1);
+constexpr Time kWallEvery = std::chrono::milliseconds(100);  // between looks at the wall clock
 constexpr std::size_t kMostNames = 65536;  // that the list has ever had: staff may name no other
 
 }  // namespace
@@ -34,8 +37,9 @@
   return since > 0 && since < (std::int64_t{1} << 30) ? static_cast<std::uint32_t>(since) : 0;
 }
 
-Engine::Engine(event_base* base, const Config& config)
+Engine::Engine(event_base* base, const Config& config, ClockSource clock)
     : config_(config),
+      clock_(std::move(clock)),
       now_(clock_.now()),
       zero_(std::max(now_ - kBeforeZero, Time(0))),
       alarm_(event_new(
@@ -90,6 +94,7 @@
 
 void Engine::turn() {
   now_ = std::max(now_, clock_.now());
+  followWallClock();
   rebase();
   std::vector<Incoming> events;
   events.swap(events_);
@@ -119,6 +124,8 @@
       names_.erase(name);
     }
     ready_.erase(id);
+    probedAt_.erase(id);
+    reference_.forget(id);
     if (const auto tag = tags_.find(id); tag != tags_.end()) {
       tagged_.erase(tag->second);
       tags_.erase(tag);
@@ -127,6 +134,30 @@
   }
 }
 
+// ---- other machines' time --------------------------------------------------------------------------------
+void Engine::followWallClock() {
+  if (now_ - wallReadAt_ < kWallEvery) return;
+  wallReadAt_ = now_;
+  if (const std::optional<Time> offset = clock_.wallOffset()) reference_.readWall(*offset);
+  applyOffset();
+}
+
+void Engine::primaryTold(MemberId member, Time position, Time sent) {
+  reference_.primaryAnswered(member, position, sent, now_);
+  applyOffset();
+}
+
+void Engine::applyOffset() {
+  // Whole milliseconds, rounded up: data must not look newer than they are.
+  const Time offset = std::chrono::ceil<std::chrono::milliseconds>(reference_.offset());
+  const Time by = offset_ - offset;
+  if (by == Time(0)) return;
+  offset_ = offset;
+  logEvent(LogLevel::Warning, "reference_clock_moved",
+           {{"by_ms", -by.count() / 1000}, {"offset_ms", offset_.count() / 1000}});
+  balancer_->instantsMoved(now_, by);
+}
+
 void Engine::rebase() {
   if (now_ - zero_ < kRebase) return;
   zero_ = std::chrono::duration_cast<std::chrono::milliseconds>(now_ - kBeforeZero);
@@ -138,6 +169,11 @@
   if (tracing())
     logEvent(LogLevel::Trace, "asked",
              {{"r", e.request.id}, {"class", e.request.cls}, {"group", e.request.group}});
+  // The reference may have moved since the age of the session's last write was counted.
+  if (const auto it = held_.find(e.request.id); it != held_.end() && e.request.tokenMs > 0) {
+    const Time moved = offset_ - it->second.message->clockOffset;
+    e.request.tokenMs = std::max(kLeastTokenMs, e.request.tokenMs + static_cast<float>(moved.count()) / 1e3f);
+  }
   balancer_->request(now_, e.request);
 }
 
@@ -172,7 +208,12 @@
   // A bad statement is the client's fault: it is not tried elsewhere, nor held against the member.
   if (e.ending.badStatement) o.result = Result::Cancelled;
   o.closed = it == held_.end() || o.result == Result::Ok || e.ending.badStatement;
-  o.note = millisecondsSince(zero_, e.ending.positionMs) << 2;
+  const std::chrono::milliseconds position(e.ending.positionMs);
+  if (e.ending.role == Role::Primary && e.ending.positionMs > 0 && it != held_.end())
+    primaryTold(e.member, position, it->second.sent[static_cast<std::size_t>(e.attempt)].at);
+  else if (e.ending.role == Role::Replica)
+    reference_.forget(e.member);
+  o.note = millisecondsSince(zero_ + offset_, e.ending.positionMs) << 2;
   if (e.ending.role == Role::Primary) o.note |= 1;
   if (e.ending.role == Role::Replica) o.note |= 2;
   if (it != held_.end() && o.closed) {
@@ -191,7 +232,7 @@
 // An answer with a position, for the other proxies; how long it took too, if it was a full one.
 void Engine::tellOn(const Ended& e) {
   const auto tag = tags_.find(e.member);
-  if (!confidant_ || e.ending.positionMs <= 0 || e.ending.positionMs > now_.count() / 1000 ||
+  if (!confidant_ || e.ending.positionMs <= 0 || e.ending.positionMs > (now_ + offset_).count() / 1000 ||
       tag == tags_.end())
     return;
   peers::Hint h{tag->second, e.ending.positionMs,
@@ -211,7 +252,7 @@
   for (const peers::Hint& h : gossip_) {
     const auto it = tagged_.find(h.tag);
     if (it == tagged_.end() || it->second == 0) continue;
-    const std::uint32_t position = millisecondsSince(zero_, h.positionMs) << 2;
+    const std::uint32_t position = millisecondsSince(zero_ + offset_, h.positionMs) << 2;
     if (position > 0)
       balancer_->heard(now_, it->second, position | static_cast<std::uint32_t>(h.role), h.cls,
                        Time(h.latencyUs));
@@ -239,29 +280,43 @@
 }
 
 void Engine::tell(Probed& e) {
+  const auto probedAt = probedAt_.find(e.member);
+  const Time sent = probedAt == probedAt_.end() ? Time(0) : probedAt->second;
+  const peers::Hint said = hintOf(e);
+  if (said.role == peers::HintRole::Primary && said.positionMs > 0)
+    primaryTold(e.member, std::chrono::milliseconds(said.positionMs), sent);
+  else if (said.role == peers::HintRole::Replica)
+    reference_.forget(e.member);
   knotstack::Probe p;
   p.member = e.member;
   p.ok = e.ok;
   for (std::size_t k = 0; k < e.report.size() && k < config_.settings.figures.size(); ++k)
     p.report.push_back(config_.settings.figures[k] == knotstack::Figure::Position
-                           ? secondsSince(zero_, e.report[k])
+                           ? secondsSince(zero_ + offset_, e.report[k])
                            : static_cast<float>(e.report[k]));
   if (tracing()) logEvent(LogLevel::Trace, "probed", {{"m", nameOf(e.member)}, {"ok", e.ok}});
   balancer_->probed(now_, p);
   tellOn(e);
 }
 
-void Engine::tellOn(const Probed& e) {
-  const auto tag = tags_.find(e.member);
-  if (!confidant_ || !e.ok || tag == tags_.end()) return;
+// What a report says of position and role.
+peers::Hint Engine::hintOf(const Probed& e) const {
   peers::Hint h;
-  h.tag = tag->second;
+  if (!e.ok) return h;
   for (std::size_t k = 0; k < e.report.size() && k < config_.settings.figures.size(); ++k) {
     if (config_.settings.figures[k] == knotstack::Figure::Position)
       h.positionMs = static_cast<std::int64_t>(e.report[k] * 1000);
     if (config_.settings.figures[k] == knotstack::Figure::Primary)
       h.role = e.report[k] > 0 ? peers::HintRole::Primary : peers::HintRole::Replica;
   }
+  return h;
+}
+
+void Engine::tellOn(const Probed& e) {
+  const auto tag = tags_.find(e.member);
+  if (!confidant_ || !e.ok || tag == tags_.end()) return;
+  peers::Hint h = hintOf(e);
+  h.tag = tag->second;
   if (h.positionMs > 0) confidant_->learned(h);
 }
 
@@ -359,6 +414,7 @@
 void Engine::timer(Time in, std::uint64_t token) { timers_.push({now_ + in, ++timersSet_, token}); }
 void Engine::probe(MemberId member) {
   if (tracing()) logEvent(LogLevel::Trace, "probe", {{"m", nameOf(member)}});
+  probedAt_[member] = now_;
   actions_.emplace_back([this, member] { members_->probe(member); });
 }
 void Engine::subscribe() {
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -14,6 +14,7 @@
 #include "config/config.hpp"
 #include "core/clock.hpp"
 #include "core/event.hpp"
+#include "core/reference_clock.hpp"
 #include "knotstack/balancer.hpp"
 #include "peers/gossip.hpp"
 
@@ -34,6 +35,7 @@
   std::shared_ptr<const translate::Side>
       from;             // what its writer said of itself; null: what everyone takes for granted
   std::string id, key;  // as its writer named it, and its idempotency key; empty: none
+  Time clockOffset{};   // Engine::clockOffset() when the request's tokenMs was counted
 };
 
 // What a member answered, as it came; the engine passes it on unseen.
@@ -117,7 +119,7 @@
 
 class Engine final : public Entrance, public ListTaker, knotstack::Sink {
  public:
-  Engine(event_base*, const Config&);
+  Engine(event_base*, const Config&, ClockSource = {});
   ~Engine() override;
   void witness(Witness* w) { witness_ = w; }        // null: none
   void confidant(Confidant* c) { confidant_ = c; }  // null: none
@@ -145,6 +147,9 @@
   void sweep(Time now);  // forgets what is gone and quiet; the turn does it now and then
   Time now() const { return clock_.now(); }
   const Clock& clock() const { return clock_; }
+  // Unix time, for what other machines tell in it: an instant to be compared with theirs, never a span's end.
+  Time unixNow() const { return clock_.now() + offset_; }
+  Time clockOffset() const { return offset_; }
 
  private:
   struct Arrived {
@@ -208,8 +213,12 @@
   void tell(Settled&);
   void tellOn(const Ended&);
   void tellOn(const Probed&);
+  peers::Hint hintOf(const Probed&) const;
   void tellList(knotstack::ListKind, const InstanceList&);
   void rebase();
+  void followWallClock();
+  void primaryTold(MemberId, Time position, Time sent);
+  void applyOffset();
   MemberId idOf(const std::string& name);
 
   void send(RequestId, MemberId, Time until) override;
@@ -223,8 +232,11 @@
 
   const Config& config_;
   Clock clock_;
-  Time now_;   // of this turn
-  Time zero_;  // positions are told to the Balancer from here on
+  ReferenceClock reference_;
+  Time offset_{};      // of other machines' Unix time to clock_, as the Balancer has been told
+  Time wallReadAt_{};  // when the wall clock was last looked at
+  Time now_;           // of this turn
+  Time zero_;          // positions are told to the Balancer from here on
   Members* members_ = nullptr;
   Lists* lists_ = nullptr;
   Witness* witness_ = nullptr;
@@ -241,6 +253,7 @@
   std::unordered_map<std::uint64_t, MemberId> tagged_;  // 0: two members share the tag, so it names neither
   std::unordered_map<MemberId, std::uint64_t> tags_;
   std::uint64_t generation_ = 0;
+  std::unordered_map<MemberId, Time> probedAt_;
   MemberId lastMember_ = 0;
   RequestId lastId_ = 0;
   Time swept_{};
--- a/src/front/keeper.cpp
+++ b/src/front/keeper.cpp
@@ -285,14 +285,16 @@
     });
   }
   void sawUpTo(Entered& e, Time position) {
-    e.q.tokenMs =
-        std::max(0.001f, static_cast<float>(static_cast<double>((engine_.now() - position).count()) / 1e3));
+    e.message.clockOffset = engine_.clockOffset();
+    e.q.tokenMs = std::max(
+        0.001f, static_cast<float>(static_cast<double>((engine_.unixNow() - position).count()) / 1e3));
   }
   // What the session has seen is not known: nothing older than now will do.
-  void unproved(Entered& e) { sawUpTo(e, engine_.now()); }
+  void unproved(Entered& e) { sawUpTo(e, engine_.unixNow()); }
 
   void go(Entered& e) {
-    Message m{std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {}};
+    Message m{std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {},
+              e.message.clockOffset};
     e.inEngine = next_.request(e, e.q, std::move(m));
     byEngine_.emplace(e.inEngine, &e);
   }
--- a/src/front/pg/session.cpp
+++ b/src/front/pg/session.cpp
@@ -782,8 +782,9 @@
                                 : settings.deadline);
   q.deadline = std::min(q.deadline, owner_.answerBy_);
   if (comment.after > 0)
-    q.tokenMs = std::max(0.001f, static_cast<float>(static_cast<double>(now.count()) / 1e3 -
-                                                    static_cast<double>(comment.after)));
+    q.tokenMs =
+        std::max(0.001f, static_cast<float>(static_cast<double>(owner_.engine_.unixNow().count()) / 1e3 -
+                                            static_cast<double>(comment.after)));
   if (owner_.config_.sessions) {
     char start[kStart];
     const auto got = evbuffer_copyout(statement.get(), start, sizeof start);
@@ -792,6 +793,7 @@
     if (!key.empty()) q.session = std::max<std::uint64_t>(fnv1a(key), 1);
   }
   Message message{newBuffer(), std::move(statement), told_, {}, {}};
+  message.clockOffset = owner_.engine_.clockOffset();
   if (owner_.config_.store) {
     message.id = id;
     message.key = comment.key;
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -5,35 +5,15 @@
 
 #include <map>
 
+#include "engine_fakes.hpp"
 #include "scenario.hpp"
 
 namespace sablespur {
 namespace {
 
-struct FakeMembers : Members {
-  struct Sent {
-    RequestId id;
-    int attempt;
-    MemberId member;
-  };
-  std::vector<Sent> sent, cancelled;
-  std::vector<MemberId> probes;
-  std::vector<std::pair<int, bool>> started;  // attempt, fit
-  std::map<MemberId, bool> ready;
-  void listed(MemberId m, const Address&, bool isReady, Time) override { ready[m] = isReady; }
-  void send(RequestId id, int attempt, MemberId m, Time, std::shared_ptr<const Message>) override {
-    sent.push_back({id, attempt, m});
-  }
-  void start(RequestId, int attempt, bool fit) override { started.emplace_back(attempt, fit); }
-  void cancel(RequestId id, int attempt) override { cancelled.push_back({id, attempt, 0}); }
-  void probe(MemberId m) override { probes.push_back(m); }
-  std::vector<MemberId> forgotten;
-  void forget(MemberId m) override { forgotten.push_back(m); }
-};
-struct FakeLists : Lists {
-  std::vector<std::uint64_t> watches;
-  void watch(std::uint64_t after) override { watches.push_back(after); }
-};
+using test::FakeLists;
+using test::FakeMembers;
+
 struct Asker : Requester {
   std::string got;
   void served(Answer answer) override {
