--- a/src/front/pg/clients.cpp
+++ b/src/front/pg/clients.cpp
@@ -116,8 +116,11 @@
   shutdown(fd, SHUT_WR);
   // Closing on unread input would reset the connection, and the word be lost; what has come is read.
   char startup[1024];
-  while (recv(fd, startup, sizeof startup, MSG_DONTWAIT) == static_cast<ssize_t>(sizeof startup)) {
-  }
+  ssize_t got = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
+  // A cancel needs no place: what it calls off would be tried again for nobody.
+  if (got > 0)
+    if (const auto key = pg::parseCancel({startup, static_cast<std::size_t>(got)})) cancel(*key);
+  while (got == static_cast<ssize_t>(sizeof startup)) got = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
 }
 
 // Accepts while there is room, or someone to make it; the rest waits in the listener's backlog. With a Gate
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -697,14 +697,16 @@
   EXPECT_FALSE(done);
 }
 // ---- a place that is asked back
-struct OpenGate final : Gate {  // lets everyone in
+struct OpenGate final : Gate {  // lets everyone in until it is full
   Entrance& next;
   std::vector<Guest*> guests;
+  bool full = false;
   explicit OpenGate(Entrance& n) : next(n) {}
   bool hidesClients(const Address&) const override { return false; }
   Admission arrived(Guest& g, const Address&) override {
-    guests.push_back(&g);
     Admission a;
+    if (full) return a;
+    guests.push_back(&g);
     a.place = guests.size();
     return a;
   }
@@ -714,7 +716,7 @@
     return a;
   }
   bool knowsNames() const override { return false; }
-  std::size_t antechamber() const override { return 8; }
+  std::size_t antechamber() const override { return 0; }
   void left(PlaceId) override {}
   void busy(PlaceId) override {}
   void idle(PlaceId) override {}
@@ -746,6 +748,24 @@
   EXPECT_TRUE(until([&] { return (got += c->take()).find(kDone) != std::string::npos; }));
   EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
 }
+TEST_F(GateTest, ACancelThatIsTurnedAwayForWantOfRoomIsCarriedOut) {
+  const Peer c(clients->port());
+  c.put(pg::startup("api", "ledger"));
+  std::string got;
+  ASSERT_TRUE(until([&] { return (got += c.take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
+  std::optional<pg::Key> key;
+  for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + pg::readInt32(got.data() + at + 1))
+    if (got[at] == 'K') key = pg::parseKeyData(got.substr(at + 5, pg::readInt32(got.data() + at + 1) - 4));
+  ASSERT_TRUE(key);
+  c.put(query("1"));
+  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+  gate.full = true;
+  const Peer caller(clients->port());
+  caller.put(pg::cancel(*key));  // it has come before the connection is accepted
+  EXPECT_TRUE(until([&] { return (got += c.take()).find("57014") != std::string::npos; }, 2s));
+  pass();
+  EXPECT_TRUE(members.out.empty());
+}
 TEST_F(GateTest, OneThatRestsIsEndedAtOnceWhenItsPlaceIsAskedBack) {
   const auto c = welcomed();
   c->put(pg::query(""));
