--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -137,6 +137,16 @@
   return at;
 }
 
+// Clamped once and then kept: told as a later now each time, the same start would be a new one each time.
+std::int64_t Membership::startedNoLaterThan(Entry& e, Time now) {
+  const std::int64_t stamp = e.instance.startedMs;
+  if (stamp == e.aheadStampMs) return e.aheadToldMs;
+  if (stamp <= unixMs(now)) return stamp;
+  e.aheadStampMs = stamp;
+  e.aheadToldMs = unixMs(now);
+  return e.aheadToldMs;
+}
+
 std::optional<InstanceList> Membership::take(Time now) {
   if (!raw_.empty()) {
     InstanceList list = std::move(raw_.front());
@@ -175,7 +185,7 @@
   for (auto& [name, e] : order) {
     const bool wanted = e->present && !e->leftOut;
     Instance next = e->instance;
-    next.startedMs = next.startedMs > 0 ? std::min(next.startedMs, unixMs(now)) : e->startedMs;
+    next.startedMs = next.startedMs > 0 ? startedNoLaterThan(*e, now) : e->startedMs;
     // An id stands for one server: with another address or group it is another server, under a name of its
     // own.
     const bool other =
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -76,9 +76,10 @@
     Instance instance;  // as the source has it
     bool present = false;
     bool toldEngine = false;
-    Instance told;               // as the engine has it
-    Time since{};                // of the present presence, or of the absence
-    std::int64_t startedMs = 0;  // where the source tells none
+    Instance told;                                   // as the engine has it
+    Time since{};                                    // of the present presence, or of the absence
+    std::int64_t startedMs = 0;                      // where the source tells none
+    std::int64_t aheadStampMs = 0, aheadToldMs = 0;  // a start that lay ahead when it came, and what was told
     double penalty = 0;
     Time penaltyAt{};
     unsigned withdrawals = 0, incarnation = 1;
@@ -90,6 +91,7 @@
   void appear(Entry&, Time now, bool first);
   void withdraw(Entry&, Time now);
   void forget(Time now);
+  static std::int64_t startedNoLaterThan(Entry&, Time now);
 
   MembershipPolicy policy_;
   std::map<std::string, Entry> entries_;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -89,6 +89,23 @@
       EXPECT_EQ(i.startedMs, (back + seconds(1)).count() / 1000);
     }
 }
+// Found by reading: where this machine's clock is behind, one start was told as a new one with each list.
+TEST(Membership, AStartThatLiesAheadIsToldOnce) {
+  Membership m;
+  const std::int64_t ahead = (kStart + seconds(3600)).count() / 1000;
+  m.found(kStart, {at("s-1", 1, ahead)});
+  const auto first = m.take(kStart);
+  ASSERT_TRUE(first);
+  EXPECT_EQ(first->instances[0].startedMs, kStart.count() / 1000);
+  for (const Time later : {seconds(1), seconds(60), seconds(3500), seconds(3700)}) {
+    m.found(kStart + later, {at("s-1", 1, ahead)});
+    EXPECT_FALSE(m.take(kStart + later)) << later.count();
+  }
+  m.found(kStart + seconds(3800), {at("s-1", 1, ahead + 150000)});
+  const auto anew = m.take(kStart + seconds(3800));
+  ASSERT_TRUE(anew);
+  EXPECT_EQ(anew->instances[0].startedMs, ahead + 150000);
+}
 TEST(Membership, AFlappingNameIsHeldBackAndItsWithdrawalsNever) {
   Membership m;
   m.found(kStart, {at("s-1", 1), at("s-2", 2)});
