--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -21,7 +21,10 @@
 constexpr float kLeastTokenMs = 0.001f;  // 0 would say that no write was told
 constexpr Time kSweep = std::chrono::seconds(1);
 constexpr Time kWallEvery = std::chrono::milliseconds(100);  // between looks at the wall clock
-constexpr std::size_t kMostNames = 65536;  // that the list has ever had: staff may name no other
+// The list that the settings hold and the first that discovery tells: what is in them need not be new.
+constexpr int kFirstLists = 2;
+constexpr Time kStartMoves = std::chrono::seconds(1);  // less is not worth what the module knows of it
+constexpr std::size_t kMostNames = 65536;              // that the list has ever had: staff may name no other
 
 }  // namespace
 
@@ -124,6 +127,7 @@
       names_.erase(name);
     }
     ready_.erase(id);
+    starts_.erase(id);
     probedAt_.erase(id);
     reference_.forget(id);
     if (const auto tag = tags_.find(id); tag != tags_.end()) {
@@ -156,6 +160,40 @@
   logEvent(LogLevel::Warning, "reference_clock_moved",
            {{"by_ms", -by.count() / 1000}, {"offset_ms", offset_.count() / 1000}});
   balancer_->instantsMoved(now_, by);
+  judgeStartsAnew();
+}
+
+// A start that is first seen now counts as recent, whatever its stamp says: the warming window runs from
+// here. In the first lists it may be long ago, which only the stamp can tell.
+Time Engine::startOf(MemberId id, const Instance& instance, bool fromFirstLists) {
+  if (instance.startedMs == 0) {
+    starts_.erase(id);
+    return Time(0);
+  }
+  const auto known = starts_.find(id);
+  if (known != starts_.end() && known->second.stampMs == instance.startedMs) return known->second.at;
+  Start start;
+  start.stampMs = instance.startedMs;
+  start.byStamp = fromFirstLists;
+  start.at = now_;
+  if (fromFirstLists)
+    start.at = std::clamp<Time>(std::chrono::milliseconds(instance.startedMs) - offset_, Time(1), now_);
+  starts_[id] = start;
+  return start.at;
+}
+
+// Guards against a server that has just started and was taken for warm since the wall clock was ahead.
+void Engine::judgeStartsAnew() {
+  std::vector<knotstack::ListedMember> later;
+  for (auto& [id, start] : starts_) {
+    if (!start.byStamp) continue;
+    const Time at = std::clamp<Time>(std::chrono::milliseconds(start.stampMs) - offset_, Time(1), now_);
+    const bool warming = now_ < at + config_.settings.coldFor;
+    if (at < start.at + kStartMoves || !warming || start.listed.state != Lifecycle::Ready) continue;
+    start.at = start.listed.started = at;
+    later.push_back(start.listed);
+  }
+  if (!later.empty()) balancer_->list(now_, ListKind::Delta, later);
 }
 
 void Engine::rebase() {
@@ -328,6 +366,8 @@
 }
 
 void Engine::tellList(ListKind kind, const InstanceList& list) {
+  const bool fromFirstLists = listsTold_ < kFirstLists;
+  ++listsTold_;
   std::vector<knotstack::ListedMember> entries;
   for (const Instance& i : list.instances) {
     const bool unknown = ids_.find(i.name) == ids_.end();
@@ -339,9 +379,10 @@
     m.zone = static_cast<int>(zone - config_.zones.begin());
     m.state = i.state;
     m.weight = i.weight;
-    m.started = std::chrono::milliseconds(i.startedMs);
+    m.started = startOf(m.id, i, fromFirstLists);
     m.suspended = banned_.count(i.name) > 0;
     entries.push_back(m);
+    if (const auto start = starts_.find(m.id); start != starts_.end()) start->second.listed = m;
     if (i.state == Lifecycle::Ready)
       ready_.insert(m.id);
     else
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -219,6 +219,8 @@
   void followWallClock();
   void primaryTold(MemberId, Time position, Time sent);
   void applyOffset();
+  Time startOf(MemberId, const Instance&, bool fromFirstLists);
+  void judgeStartsAnew();
   MemberId idOf(const std::string& name);
 
   void send(RequestId, MemberId, Time until) override;
@@ -231,6 +233,13 @@
   void log(const std::string& line) override;
 
   const Config& config_;
+  struct Start {
+    std::int64_t stampMs = 0;  // as the list tells it
+    Time at{};                 // on this process's clock
+    bool byStamp = false;      // judged by the stamp: it was in the first lists
+    knotstack::ListedMember listed;
+  };
+
   Clock clock_;
   ReferenceClock reference_;
   Time offset_{};      // of other machines' Unix time to clock_, as the Balancer has been told
@@ -253,7 +262,9 @@
   std::unordered_map<std::uint64_t, MemberId> tagged_;  // 0: two members share the tag, so it names neither
   std::unordered_map<MemberId, std::uint64_t> tags_;
   std::uint64_t generation_ = 0;
+  std::unordered_map<MemberId, Start> starts_;  // of those whose start the list tells
   std::unordered_map<MemberId, Time> probedAt_;
+  int listsTold_ = 0;
   MemberId lastMember_ = 0;
   RequestId lastId_ = 0;
   Time swept_{};
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -104,6 +104,7 @@
 constexpr Time kTick = milliseconds(10);
 constexpr MemberId kPrimary = 1, kReplica = 2;
 constexpr Time kBound = seconds(5);  // of the configuration's class 0
+constexpr Time kWarmUp = seconds(18);
 constexpr int kRead = 0, kWrite = 1;
 
 struct CountingRequester : Requester {
@@ -339,5 +340,56 @@
   }
 }
 
+// ---- starts ----------------------------------------------------------------------------------------------
+Instance serverStarted(const World& world, Time at) {
+  Instance i = world.config().known.instances[1];
+  i.name = "s-3";
+  i.startedMs = at.count() / 1000;
+  return i;
+}
+std::vector<Instance> knownWithStart(Time at) {
+  std::vector<Instance> known = parseConfig(test::configuration({}, 1, {11, 12})).known.instances;
+  known[1].startedMs = at.count() / 1000;
+  return known;
+}
+
+TEST(WallClock, AStartThatIsFirstSeenNowIsRecentWhateverItsStamp) {
+  for (const Time error : {Time(0), Time(hours(1)), -Time(hours(1))})
+    for (const Time stamp : {kTrueStart - hours(1), kTrueStart + seconds(2), kTrueStart + hours(1)}) {
+      World world(error);
+      world.list({6, false, {}});
+      world.run(seconds(2));
+      world.list({7, false, {serverStarted(world, stamp)}});
+      const Time warmAt = world.members().warmAt[3];
+      EXPECT_EQ(warmAt, world.engine().now() + kWarmUp) << error.count() << " " << stamp.count();
+      world.run(seconds(2));
+      world.list({8, false, {serverStarted(world, stamp)}});
+      EXPECT_EQ(world.members().warmAt[3], warmAt) << "told again, it is the same start";
+    }
+}
+TEST(WallClock, AStartInTheFirstListIsJudgedByItsStamp) {
+  World longAgo(Time(0), knownWithStart(kTrueStart - hours(1)));
+  EXPECT_LT(longAgo.members().warmAt[kReplica], longAgo.engine().now());
+  World justNow(Time(0), knownWithStart(kTrueStart - seconds(2)));
+  EXPECT_EQ(justNow.members().warmAt[kReplica], justNow.engine().now() - seconds(2) + kWarmUp);
+  World behind(-hours(1), knownWithStart(kTrueStart - seconds(2)));
+  EXPECT_EQ(behind.members().warmAt[kReplica], behind.engine().now() + kWarmUp) << "not an hour from now";
+}
+// Taken for warm since the wall clock was ahead, until primaries have shown that it is.
+TEST(WallClock, AServerThatHasJustStartedIsNotTakenForWarmOnceTheClockIsKnownToBeAhead) {
+  const auto replicaReads = [](Time error, Time started) {
+    World world(error, knownWithStart(started));
+    world.run(seconds(3));
+    const int before = world.replicaReads;
+    world.run(seconds(3));
+    return world.replicaReads - before;
+  };
+  const int warm = replicaReads(Time(0), kTrueStart - hours(1));
+  const int warming = replicaReads(Time(0), kTrueStart);
+  ASSERT_LT(warming, warm - 5);
+  EXPECT_LE(replicaReads(hours(1), kTrueStart), warming + 2);
+  EXPECT_LE(replicaReads(seconds(20), kTrueStart), warming + 2);
+}
+
 }  // namespace
 }  // namespace sablespur
