--- a/src/front/recoverer.cpp
+++ b/src/front/recoverer.cpp
@@ -121,7 +121,7 @@
     for (Instance& i : list.instances) {
       // Where the source tells no starts, each may have started while this proxy was down.
       if (startsUnknown_ && i.startedMs == 0 && i.state == knotstack::Lifecycle::Ready)
-        i.startedMs = assumed_.emplace(i.name, began_.count() / 1000).first->second;
+        i.startedMs = assumed_.emplace(i.name, (began_ + engine_.clockOffset()).count() / 1000).first->second;
       note(i);
     }
     if (tags_.size() > 4 * members_.size() + 64) retag();
@@ -152,7 +152,7 @@
     if (h.role != peers::HintRole::Primary) return;
     Seen& p = primaries_[group];
     const bool other = p.member != it->second;
-    p = {it->second, now.count() / 1000};
+    p = {it->second, nowMs()};
     if (!other) return;
     const std::optional<std::uint64_t> claim = inquiry_.confirmed(group, h.tag);
     if (!done_) order_.primary(now, group);
@@ -249,7 +249,7 @@
   }
 
   bool comesBack() const { return view_.snapshot != "none"; }  // there was a run before this one
-  std::int64_t nowMs() const { return engine_.now().count() / 1000; }
+  std::int64_t nowMs() const { return engine_.unixNow().count() / 1000; }
   static double decayed(const Figures& f, Time now) {
     return f.answers *
            std::exp(-static_cast<double>((now - f.at).count()) / static_cast<double>(kRateSpan.count()));
