--- a/src/store/database.cpp
+++ b/src/store/database.cpp
@@ -4,6 +4,7 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <cerrno>
 #include <cstdarg>
 #include <cstring>
 #include <map>
@@ -30,6 +31,18 @@
   void Logv(const char*, va_list) override {}
 };
 
+// Whether a lock could not be had since another has it; LevelDB tells it by its text alone. All else (a disk
+// that is read-only or fails, no descriptors) may pass.
+bool heldElsewhere(const Status& s) {
+  const std::string text = s.ToString();
+  const auto endsWith = [&](const std::string& end) {
+    return text.size() >= end.size() && text.compare(text.size() - end.size(), end.size(), end) == 0;
+  };
+  return text.find("lock ") != std::string::npos &&
+         (endsWith(std::strerror(EAGAIN)) || endsWith(std::strerror(EACCES)) ||
+          endsWith("already held by process"));
+}
+
 Slice slice(std::string_view s) { return {s.data(), s.size()}; }
 std::string_view view(const Slice& s) { return {s.data(), s.size()}; }
 std::uint64_t big64(std::string_view s) {
@@ -64,9 +77,8 @@
       quiet_(std::make_unique<Quiet>()) {
   files_.CreateDir(dir_);  // it may be there
   if (const Status s = files_.LockFile(dir_ + "/" + kLockFile, &lock_); !s.ok()) {
-    const bool missing = !files_.FileExists(dir_ + "/" + kLockFile);
-    throw StoreError(missing ? StoreError::Kind::Failed : StoreError::Kind::Busy,
-                     missing ? "cannot be opened: " + s.ToString() : dir_ + " is open in another process");
+    if (heldElsewhere(s)) throw StoreError(StoreError::Kind::Busy, dir_ + " is open in another process");
+    throw StoreError(StoreError::Kind::Failed, "cannot be opened: " + s.ToString());
   }
   try {
     inspect();
@@ -123,7 +135,8 @@
   for (const std::string& n : names)
     if (n.size() > 4 && n.compare(n.size() - 4, 4, ".log") == 0)
       logs[std::strtoull(n.c_str(), nullptr, 10)] = n;
-  files_.read(dir_ + "/CURRENT", current);
+  if (const Status s = files_.read(dir_ + "/CURRENT", current); !s.ok() && !s.IsNotFound())
+    fail(s, "reading");
   while (!current.empty() && current.back() == '\n') current.pop_back();
   std::uint64_t next = 0, reached = 0, firstLog = 0;
   const auto look = [&](const std::string& name, LogKind kind, bool last) {
@@ -173,7 +186,9 @@
 
 void Database::readMark() {
   std::string bytes;
-  if (!files_.read(dir_ + "/" + kMarkFile, bytes).ok()) return;  // none was written yet
+  const Status read = files_.read(dir_ + "/" + kMarkFile, bytes);
+  if (read.IsNotFound()) return;  // none was written yet
+  if (!read.ok()) fail(read, "reading the mark");
   for (std::size_t k = 0; k < kMarkPlaces; ++k) {
     if (bytes.size() < k * kMarkStride + kMarkBytes) continue;
     const std::string one = bytes.substr(k * kMarkStride, kMarkBytes);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -487,6 +487,22 @@
   EXPECT_EQ(ask(*l, "k1", "d").verdict, Verdict::Again);
   EXPECT_EQ(ask(*l, "k3", "e").verdict, Verdict::Run);
 }
+// A file that cannot be opened or read for the moment is neither another process's nor damage: here a folder
+// stands in its place, which fails as a disk may.
+TEST_F(StoreTest, AFileThatCannotBeReadForTheMomentIsADiskThatFails) {
+  open().reset();
+  for (const char* const name : {"OWNER", "DURABLE", "CURRENT"}) {
+    const std::string path = dir + "/" + name;
+    fs::rename(path, path + "-away");
+    fs::create_directory(path);
+    const StoreError e = error();
+    EXPECT_EQ(e.kind, StoreError::Kind::Failed) << name << ": " << e.what();
+    EXPECT_STRNE(e.what(), "it opened") << name;
+    fs::remove(path);
+    fs::rename(path + "-away", path);
+    EXPECT_NO_THROW(open()) << name;
+  }
+}
 TEST_F(StoreTest, ADiskThatIsFullAmidAGroupLosesTheGroupWhole) {
   auto l = open();
   ask(*l, "k0", "a");
