--- a/src/front/recoverer.cpp
+++ b/src/front/recoverer.cpp
@@ -430,7 +430,9 @@
         [this](const std::string& why) {
           writing_.reset();
           ++(why.empty() ? view_.written : view_.lost);
-          if (!why.empty()) logEvent(LogLevel::Warning, "snapshot_lost", {{"why", why}});
+          const bool failedBefore = std::exchange(writeFailed_, !why.empty());
+          if (!why.empty() && !failedBefore) logEvent(LogLevel::Warning, "snapshot_lost", {{"why", why}});
+          if (why.empty() && failedBefore) logEvent(LogLevel::Info, "snapshot_written_again");
         });
   }
 
@@ -462,6 +464,7 @@
   std::uint64_t epoch_ = 0, sequence_ = 0, turnedAway_ = 0;
   bool asking_ = true, done_ = false, startsUnknown_ = false;
   Workers::Ticket writing_;
+  bool writeFailed_ = false;  // the last one; logged already
   Event deliver_, look_, write_;
 };
 
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -637,6 +637,24 @@
   )");
 }
 
+TEST_F(StoreStep, ASnapshotThatCannotBeWrittenIsSaidOnceAndTheEarlierStands) {
+  Setting s = setting();
+  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  const std::string path = folder.path + "/store.snapshot";
+  Scenario t(s);
+  t.serveUntil([&] { return fs::exists(path); });
+  const rlimit none{0, RLIM_INFINITY}, all{RLIM_INFINITY, RLIM_INFINITY};
+  ASSERT_EQ(prlimit(t.pid(), RLIMIT_FSIZE, &none, nullptr), 0);
+  t.run("proxy expect log event=snapshot_lost\n");
+  const auto size = fs::file_size(path);
+  EXPECT_GT(size, 0u);
+  t.serveFor(std::chrono::milliseconds(200));
+  EXPECT_EQ(t.logged("event=snapshot_lost"), 1u);
+  EXPECT_EQ(fs::file_size(path), size);
+  ASSERT_EQ(prlimit(t.pid(), RLIMIT_FSIZE, &all, nullptr), 0);
+  t.run("proxy expect log event=snapshot_written_again\n");
+}
+
 struct Told {
   int status;
   std::string text;
