--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -5,6 +5,7 @@
 #include <time.h>
 
 #include <algorithm>
+#include <cstddef>
 #include <cstdio>
 #include <functional>
 #include <limits>
@@ -15,7 +16,7 @@
 #include <vector>
 
 #if defined(__SANITIZE_ADDRESS__)
-#include <sanitizer/allocator_interface.h>
+extern "C" std::size_t __sanitizer_get_current_allocated_bytes();  // its header is not everywhere
 #endif
 
 #include "core/engine.hpp"
