--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -46,6 +46,7 @@
 constexpr Time kKindle = milliseconds(40);  // between probes, by all routers, of one none hears of
 constexpr double kPlan = 0.8, kSaved = 1;   // of a cold member's budget: planned; saved up at most
 constexpr double kLeast = 1.5;              // requests that all may send it in a window, whatever it can do
+constexpr int kFewestProxies = 3;           // that share kLeast: more may run than the settings name
 constexpr double kCrowd = 1.5;              // times what it can do is the most that a group is asked
 constexpr Time kScout = milliseconds(250);  // pause between probes for a missing primary
 constexpr Time kAskFirst = milliseconds(200), kAskMost = milliseconds(600);  // after failed calls
@@ -828,13 +829,13 @@
     const double all = each(asked, began) / totals.groupsInUse, writes = all * wrote;
     const double ramp = s.startCapacity + (1 - s.startCapacity) * ratio(now - m.listed.started, s.coldFor);
     const double able = (2 * ramp * m.listed.weight * perWeight + each(m.served, m.listed.started)) / 2.7;
-    double part = std::max(kPlan * s.fallMultiple * able, kLeast / s.balancers);  // for a window
+    const double least = kLeast / std::max(s.balancers, kFewestProxies);
+    double part = std::max(kPlan * s.fallMultiple * able, least);  // for a window
     if (!write && groups.at(m.listed.group).primary == m.listed.id) part = std::max(part - writes, 0.0);
     const double due = std::max(write ? writes : all - writes, 1e-9);
-    const double most = std::max({kSaved * part, kLeast / s.balancers, std::min(1.0, part / due)});
+    const double most = std::max({kSaved * part, least, std::min(1.0, part / due)});
     const double more = part * ratio(now - a.at, std::max(s.fallFor, kTick));
-    a.saved = a.at == never ? std::min(1.0, std::max(most, 2 * kLeast / s.balancers))
-                            : std::min(most, a.saved + more);
+    a.saved = a.at == never ? std::min(1.0, std::max(most, 2 * least)) : std::min(most, a.saved + more);
     const double cost = costOf(r.q.cls), odds = std::min(1.0, a.saved / cost);
     a.at = a.drawnAt = now, a.drawnFor = r.q.id, a.price = odds * cost;
     a.drawn = chance(r.q.id, m.listed.id + static_cast<std::uint64_t>(now.count()) * 31) < odds;
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -26,6 +26,9 @@
   bool all = false;        // everything does
   int again = 0;           // times that a client comes again, 50 ms after it was turned away
   bool alone = false;      // in each group the one that started is left alone: the others drain
+  int told = 0;            // proxies that the settings tell of; 0: as many as there are
+  bool restarted = false;  // the proxies start anew as well and have seen no traffic
+  int warming = 1;         // members of each group that start anew, where a replica does
 };
 
 Settings coldSettings(const Plan& p) {
@@ -45,7 +48,7 @@
   write.deadline = seconds(3);
   s.classes.push_back(write);
   s.figures = {Figure::Position, Figure::Primary, Figure::Inflight};
-  s.balancers = p.routers;
+  s.balancers = p.told > 0 ? p.told : p.routers;
   s.positionsInAnswers = true;
   s.attemptsCap = 8;
   s.coldFor = seconds(12);
@@ -95,7 +98,8 @@
     std::vector<ListedMember> delta;
     for (auto& [id, x] : servers) {
       const bool first = (id - 1) % static_cast<MemberId>(plan.each) == 0,
-                 last = id % static_cast<MemberId>(plan.each) == 0;
+                 last = (id - 1) % static_cast<MemberId>(plan.each) >=
+                        static_cast<MemberId>(plan.each - plan.warming);
       const bool anew = plan.all || (plan.primaries ? first : last);
       if (anew) {
         x.started = now;
@@ -285,7 +289,7 @@
   std::vector<Case> all;
   for (const double budget : {2.0, 10.0, 35.0, 100.0}) {
     // What many routers make of a large budget, or of the least, costs much and tells no more.
-    if ((budget > 35 && routers > 20) || (budget < 10 && routers > 30)) continue;
+    if ((budget > 35 && (routers > 20 || routers == 1)) || (budget < 10 && routers > 30)) continue;
     Plan p;
     p.routers = routers;
     p.budget = budget;
@@ -311,12 +315,22 @@
   p.routers = routers;
   p.again = 4;
   all.push_back({"everything, and clients come again", p});
+  p.load = 0.6;
+  p.restarted = true;
+  all.push_back({"everything, and the proxies have just started too", p});
+  p.all = false;
+  p.warming = 3;
+  all.push_back({"three of each group, and the proxies have just started too", p});
+  p.restarted = false;
+  p.groups = 4;
+  p.load = 0.8;
+  all.push_back({"three of each of four groups", p});
   return all;
 }
 
 // Bursts of half as much again, as the bench has them.
 void play(Fleet& f) {
-  f.run(2);
+  if (!f.plan.restarted) f.run(2);
   f.start();
   for (int k = 0; k < 3; ++k) f.run(1.5, k % 2 ? 1.5 : 1);
 }
@@ -334,7 +348,23 @@
                             << " calls where N is " << x.thatBudget;
   }
 }
-INSTANTIATE_TEST_SUITE_P(Of, ColdFleet, testing::Values(3, 20, 30, 300));
+// Where the settings name fewer proxies than there are, nobody is told of the others.
+class UntoldColdFleet : public testing::TestWithParam<int> {};
+TEST_P(UntoldColdFleet, NoServerIsPushedOverByMoreProxiesThanTheSettingsName) {
+  std::uint64_t seed = 100;
+  for (Case c : cases(30)) {
+    c.plan.told = GetParam();
+    Fleet f(c.plan, ++seed);
+    play(f);
+    for (const auto& [id, x] : f.servers)
+      EXPECT_LE(x.worst, 1) << c.name << ", 30 routers, told of " << c.plan.told << ", N " << c.plan.budget
+                            << ", server " << id << ": " << x.mostCalls << " calls where N is "
+                            << x.thatBudget;
+  }
+}
+INSTANTIATE_TEST_SUITE_P(Of, UntoldColdFleet, testing::Values(1, 3, 5));
+
+INSTANTIATE_TEST_SUITE_P(Of, ColdFleet, testing::Values(1, 3, 20, 30, 300, 350, 900));
 
 // Nor is one left cold: of what it can do it gets its part, and writes have their one way.
 TEST(ColdServer, OneThatHasJustStartedIsUsedAndWritesGoThrough) {
