--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -13,6 +13,7 @@
 #include <pcg_random.hpp>
 
 #include "core/file_calls.hpp"
+#include "store/backlog.hpp"
 #include "store/inspect.hpp"
 #include "store/whole_file.hpp"
 #include "store_run.hpp"
@@ -519,6 +520,42 @@
   for (int k = 1; k < 20; ++k) EXPECT_EQ(ask(*l, "k" + std::to_string(k), "b").verdict, Verdict::Run);
 }
 
+// ---- what failed commits were to record ---------------------------------------------------------------
+TEST(StoreBacklog, KeepsOperationsInOrderAndAnIntentAsItsWithdrawal) {
+  Backlog b;
+  EXPECT_TRUE(b.add(AskKey{{"a", "k1", "order", 3, kWindow}}));
+  EXPECT_TRUE(b.add(Finish{"k2", "b", Outcome::Served, "row", 0, 0, true}));
+  EXPECT_TRUE(b.add(NoteSeen{7, 500}));
+  EXPECT_TRUE(b.add(NoteSeen{7, 400}));
+  EXPECT_FALSE(b.add(AskSession{7}));
+  const std::vector<Operation> all = b.oldest(10);
+  ASSERT_EQ(all.size(), 3u);
+  EXPECT_EQ(std::get<NoteSeen>(all[0]).positionMs, 500) << "never back";
+  EXPECT_EQ(std::get<NoteLeft>(all[1]).id, "a");
+  EXPECT_FALSE(std::get<NoteLeft>(all[1]).mayHaveRun);
+  EXPECT_EQ(std::get<Finish>(all[2]).answer, "row");
+  b.drop(2);
+  ASSERT_EQ(b.oldest(10).size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<Finish>(b.oldest(10)[0]));
+  b.drop(1);
+  EXPECT_TRUE(b.empty());
+}
+TEST(StoreBacklog, IsBoundedInOperationsSessionsAndBytes) {
+  Backlog operations, sessions, bytes;
+  for (std::size_t k = 0; k < Backlog::kMostOperations; ++k) ASSERT_TRUE(operations.add(NoteTold{"k", "a"}));
+  EXPECT_FALSE(operations.add(NoteTold{"k", "a"}));
+  for (std::size_t k = 0; k < Backlog::kMostSessions; ++k) ASSERT_TRUE(sessions.add(NoteSeen{k + 1, 1}));
+  EXPECT_FALSE(sessions.add(NoteSeen{Backlog::kMostSessions + 1, 1}));
+  EXPECT_TRUE(sessions.add(NoteSeen{1, 2})) << "of one that is known";
+  const std::string answer(16 << 10, 'x');
+  std::size_t kept = 0;
+  while (bytes.add(Finish{"k", "a", Outcome::Served, answer, 0, 0, true})) ++kept;
+  EXPECT_LE(kept * answer.size(), Backlog::kMostBytes);
+  EXPECT_GT(kept, 200u);
+  bytes.drop(1);
+  EXPECT_TRUE(bytes.add(Finish{"k", "a", Outcome::Served, answer, 0, 0, true}));
+}
+
 // Every first call of a kind is interrupted, every other one carries a third of its bytes at most.
 struct InterruptedCalls {
   InterruptedCalls() {
