--- a/src/peers/scheduler.cpp
+++ b/src/peers/scheduler.cpp
@@ -83,7 +83,7 @@
 bool GossipScheduler::changesRole(const Hint& hint) const {
   if (hint.role == HintRole::Unknown) return false;
   const auto told = told_.find(hint.tag);
-  if (told == told_.end()) return hint.role == HintRole::Primary;
+  if (told == told_.end() || told->second.role == HintRole::Unknown) return hint.role == HintRole::Primary;
   return told->second.role != hint.role && hint.positionMs >= told->second.positionMs;
 }
 
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -133,6 +133,16 @@
   EXPECT_EQ(datagram[0].role, HintRole::Primary);
 }
 
+TEST(PeersGossip, AFirstWordOfAReplicaIsNotUrgentAndOneOfAPrimaryIs) {
+  GossipScheduler g({900, 200, true, 1});
+  g.received({1, kNow, HintRole::Unknown, -1, 0}, kNow);
+  g.learned({1, kNow + 1, HintRole::Replica, 0, 1}, kNow + 1);
+  g.learned({2, kNow + 1, HintRole::Replica, 0, 1}, kNow + 1);
+  EXPECT_FALSE(g.urgentAtMs());
+  g.learned({1, kNow + 2, HintRole::Primary, 0, 1}, kNow + 2);
+  EXPECT_TRUE(g.urgentAtMs());
+}
+
 TEST(PeersGossip, AReplicaThatFallsBehindIsToldOnce) {
   GossipScheduler g({4, 200, true, 1});
   EXPECT_TRUE(tells(g, {1, kNow, HintRole::Replica, 0, 1}, kNow));
