--- a/src/peers/udp/link.cpp
+++ b/src/peers/udp/link.cpp
@@ -24,6 +24,12 @@
   return others;
 }
 
+// The same hint with its position counted by a clock that is ahead by `byMs`.
+peers::Hint moved(peers::Hint hint, std::int64_t byMs) {
+  hint.positionMs += byMs;
+  return hint;
+}
+
 peers::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
   // The proxies of a fleet may be given one seed; their addresses differ.
   const std::uint64_t seed = config.seed ^ peers::tagOf(config.peerListen.text());
@@ -38,7 +44,7 @@
       socket_(base, config.peerListen, peers::kLongestDatagram,
               [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
       others_(othersOf(config, socket_.senders())),
-      scheduler_(policyOf(config, others_.size())),
+      scheduler_(std::in_place, policyOf(config, others_.size())),
       urgent_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->flush(); },
           this)) {
@@ -51,28 +57,40 @@
   socket_.send(others_[peer], datagram);
 }
 
-void PeerLink::learned(const peers::Hint& h) {
-  if (config_.hints) scheduler_.learned(h, nowMs());
+void PeerLink::learned(const peers::Hint& hint) {
+  if (!config_.hints) return;
+  followReference();
+  scheduler_->learned(moved(hint, -offsetMs_), nowMs());
 }
 
 void PeerLink::flush() {
-  while (scheduler_.take(nowMs(), due_)) transmit();
+  followReference();
+  while (scheduler_->take(nowMs(), due_)) transmit();
   armTimer();
 }
 
+// What was told under another reference says nothing of what peers still need to hear.
+void PeerLink::followReference() {
+  const std::int64_t offsetMs = engine_.clockOffset().count() / 1000;
+  if (offsetMs == offsetMs_) return;
+  offsetMs_ = offsetMs;
+  scheduler_.emplace(policyOf(config_, others_.size()));
+}
+
 void PeerLink::transmit() {
   if (tracing()) logEvent(LogLevel::Trace, "told", {{"hints", due_.size()}});
+  for (peers::Hint& hint : due_) hint = moved(hint, offsetMs_);
   const std::string datagram = peers::encode(due_);
   if (!config_.peersAll.none()) {
     socket_.send(config_.peersAll, datagram);
     return;
   }
-  for (const std::size_t peer : scheduler_.drawReceivers())
+  for (const std::size_t peer : scheduler_->drawReceivers())
     if (!socket_.send(others_[peer], datagram)) return;
 }
 
 void PeerLink::armTimer() {
-  const auto at = scheduler_.urgentAtMs();
+  const auto at = scheduler_->urgentAtMs();
   if (!at) return;
   startTimer(urgent_.get(), std::chrono::milliseconds(std::max<std::int64_t>(*at - nowMs(), 0)));
 }
@@ -83,12 +101,13 @@
     return;
   }
   if (!config_.hints) return;
+  followReference();
   const std::int64_t now = nowMs();
   const std::size_t count = peers::hintsIn(datagram);
   for (std::size_t k = 0; k < count; ++k) {
-    const peers::Hint h = peers::hintAt(datagram, k, now);
-    scheduler_.received(h, now);
-    engine_.heard(h);
+    const peers::Hint hint = peers::hintAt(datagram, k, now + offsetMs_);
+    scheduler_->received(moved(hint, -offsetMs_), now);
+    engine_.heard(hint);
   }
 }
 
--- a/src/peers/udp/link.hpp
+++ b/src/peers/udp/link.hpp
@@ -3,6 +3,7 @@
 
 #include <cstdint>
 #include <functional>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -38,15 +39,17 @@
   void receive(std::size_t peer, std::string_view datagram);
   void transmit();
   void armTimer();
+  void followReference();
   std::int64_t nowMs() const { return engine_.now().count() / 1000; }
 
   Engine& engine_;
   const Config& config_;
   DatagramSocket socket_;
   std::vector<Address> others_;
-  peers::GossipScheduler scheduler_;
-  std::vector<peers::Hint> due_;  // the datagram that is being sent
-  Event urgent_;                  // a change of role does not wait for the next turn
+  std::optional<peers::GossipScheduler> scheduler_;  // never empty; made anew when the reference clock moves
+  std::int64_t offsetMs_ = 0;                        // the reference clock's, which scheduler_ counts without
+  std::vector<peers::Hint> due_;                     // the datagram that is being sent
+  Event urgent_;                                     // a change of role does not wait for the next turn
   Heads heads_;
 };
 
