--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -5,9 +5,9 @@
 #include <random>
 #include <string>
 
-#include "admission/door.hpp"
-#include "admission/known.hpp"
-#include "admission/lanes.hpp"
+#include "admission/connection_admission.hpp"
+#include "admission/recent_clients.hpp"
+#include "admission/request_queues.hpp"
 
 namespace {
 
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -19,7 +19,7 @@
 #include <thread>
 #include <vector>
 
-#include "store/writer.hpp"
+#include "durability/group_commit_writer.hpp"
 
 namespace {
 
--- a/fuzz/dns.cpp
+++ b/fuzz/dns.cpp
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "fuzz/target.hpp"
-#include "wire/dns/message.hpp"
+#include "protocol/dns/message.hpp"
 
 using namespace sablespur;
 
--- a/fuzz/extended.cpp
+++ b/fuzz/extended.cpp
@@ -1,16 +1,16 @@
 // Startups, logins and the extended sub-protocol: what clients send, and answers as they are read and written
 // again.
-#include "wire/pg/extended.hpp"
+#include "protocol/postgres/extended.hpp"
 
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "translate/answer.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/login.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg/startup.hpp"
-#include "wire/pg2/codec.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/login.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/startup.hpp"
+#include "protocol/postgres2/codec.hpp"
+#include "translation/answer.hpp"
 
 using namespace sablespur;
 
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,10 +1,9 @@
 // The HTTP registry's answer, in pieces whose sizes the input chooses, and each line of it as a list.
-#include "membership/list.hpp"
-
 #include <string>
 
+#include "discovery/endpoint_list.hpp"
 #include "fuzz/target.hpp"
-#include "wire/http/http.hpp"
+#include "protocol/http/http.hpp"
 
 using namespace sablespur;
 
--- a/fuzz/peers.cpp
+++ b/fuzz/peers.cpp
@@ -2,8 +2,8 @@
 // written again to the same datagram.
 #include <cstdlib>
 
+#include "cluster/scheduler.hpp"
 #include "fuzz/target.hpp"
-#include "peers/scheduler.hpp"
 
 using namespace sablespur;
 
--- a/fuzz/pg.cpp
+++ b/fuzz/pg.cpp
@@ -1,5 +1,5 @@
 // PostgreSQL messages from either side: heads, errors, parameters, rows, tags and the comment of a statement.
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/pg.hpp"
 
 #include <algorithm>
 #include <cstdlib>
--- a/fuzz/pg2.cpp
+++ b/fuzz/pg2.cpp
@@ -1,5 +1,5 @@
 // Version 2's messages from either side. What a client sends, and what a stand-in client reads.
-#include "wire/pg2/pg2.hpp"
+#include "protocol/postgres2/pg2.hpp"
 
 #include <cstdlib>
 
--- a/fuzz/proxy_protocol.cpp
+++ b/fuzz/proxy_protocol.cpp
@@ -2,7 +2,7 @@
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "wire/proxy_protocol/header.hpp"
+#include "protocol/proxy_protocol/header.hpp"
 
 using namespace sablespur;
 
--- a/fuzz/store.cpp
+++ b/fuzz/store.cpp
@@ -3,9 +3,9 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
+#include "durability/inspect.hpp"
+#include "durability/record.hpp"
 #include "fuzz/target.hpp"
-#include "store/inspect.hpp"
-#include "store/record.hpp"
 
 using namespace sablespur::store;
 
--- a/fuzz/translate.cpp
+++ b/fuzz/translate.cpp
@@ -2,10 +2,10 @@
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
-#include "translate/answer.hpp"
-#include "translate/parameters.hpp"
-#include "translate/scanner.hpp"
-#include "translate/values.hpp"
+#include "translation/answer.hpp"
+#include "translation/parameters.hpp"
+#include "translation/scanner.hpp"
+#include "translation/values.hpp"
 
 using namespace sablespur;
 
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "translate/values.hpp"
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "translation/values.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/pg.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <sstream>
 
-#include "base/ini.hpp"
-#include "base/units.hpp"
+#include "support/ini.hpp"
+#include "support/units.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "base/fault.hpp"
 #include "lab/clients.hpp"
 #include "lab/crowd.hpp"
 #include "lab/fleet.hpp"
+#include "support/fault.hpp"
 
 namespace sablespur::lab {
 
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/pg.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -1,11 +1,11 @@
 #include "lab/generation.hpp"
 
 #include "auth/scram.hpp"
-#include "translate/values.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/login.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg/startup.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/login.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/startup.hpp"
+#include "translation/values.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/dns/message.hpp"
+#include "protocol/dns/message.hpp"
 
 namespace sablespur::lab {
 
--- a/lab/rogue.cpp
+++ b/lab/rogue.cpp
@@ -28,9 +28,9 @@
 #include <thread>
 #include <vector>
 
-#include "base/ini.hpp"
-#include "wire/dns/message.hpp"
-#include "wire/pg/pg.hpp"
+#include "protocol/dns/message.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "support/ini.hpp"
 
 namespace {
 
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -4,10 +4,10 @@
 #include <map>
 
 #include "auth/scram.hpp"
-#include "wire/pg/extended.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg/startup.hpp"
-#include "wire/pg2/pg2.hpp"
+#include "protocol/postgres/extended.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/startup.hpp"
+#include "protocol/postgres2/pg2.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/src/control/line.cpp
+++ b/src/admin/command_parser.cpp
@@ -1,4 +1,4 @@
-#include "control/line.hpp"
+#include "admin/command_parser.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/src/control/listener.cpp
+++ b/src/admin/listener.cpp
@@ -1,4 +1,4 @@
-#include "control/listener.hpp"
+#include "admin/listener.hpp"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "core/system.hpp"
+#include "engine/system_calls.hpp"
 
 namespace sablespur::control {
 namespace {
--- a/src/control/listener.hpp
+++ b/src/admin/listener.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "base/address.hpp"
-#include "control/line.hpp"
-#include "core/event.hpp"
+#include "admin/command_parser.hpp"
+#include "engine/event.hpp"
+#include "support/address.hpp"
 
 namespace sablespur::control {
 
--- a/src/control/bans.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -1,4 +1,4 @@
-#include "control/bans.hpp"
+#include "admin/suspended_endpoints.hpp"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -10,8 +10,8 @@
 #include <cstring>
 #include <utility>
 
-#include "core/file_calls.hpp"
-#include "log/log.hpp"
+#include "engine/file_calls.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur::control {
 namespace {
--- a/src/admission/limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-#include "admission/limit.hpp"
+#include "admission/concurrency_limit.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/admission/door.cpp
+++ b/src/admission/connection_admission.cpp
@@ -1,4 +1,4 @@
-#include "admission/door.hpp"
+#include "admission/connection_admission.hpp"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/admission/known.cpp
+++ b/src/admission/recent_clients.cpp
@@ -1,4 +1,4 @@
-#include "admission/known.hpp"
+#include "admission/recent_clients.hpp"
 
 #include <algorithm>
 
--- a/src/admission/requests.cpp
+++ b/src/admission/request_limiter.cpp
@@ -1,4 +1,4 @@
-#include "admission/requests.hpp"
+#include "admission/request_limiter.hpp"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/admission/requests.hpp
+++ b/src/admission/request_limiter.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/limit.hpp"
+#include "admission/concurrency_limit.hpp"
 
 namespace sablespur::admission {
 
--- a/src/admission/lanes.cpp
+++ b/src/admission/request_queues.cpp
@@ -1,4 +1,4 @@
-#include "admission/lanes.hpp"
+#include "admission/request_queues.hpp"
 
 #include <algorithm>
 
--- a/src/admission/lanes.hpp
+++ b/src/admission/request_queues.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/requests.hpp"
+#include "admission/request_limiter.hpp"
 
 namespace sablespur::admission {
 
--- a/src/admission/settings.hpp
+++ b/src/admission/settings.hpp
@@ -7,10 +7,10 @@
 #include <optional>
 #include <string>
 
-#include "admission/door.hpp"
-#include "admission/known.hpp"
+#include "admission/connection_admission.hpp"
 #include "admission/networks.hpp"
-#include "admission/requests.hpp"
+#include "admission/recent_clients.hpp"
+#include "admission/request_limiter.hpp"
 
 namespace sablespur::admission {
 
--- a/src/app/staff.cpp
+++ b/src/app/admin_handler.cpp
@@ -1,12 +1,12 @@
-#include "app/staff.hpp"
+#include "app/admin_handler.hpp"
 
 #include <set>
 #include <string>
 
-#include "control/bans.hpp"
-#include "control/listener.hpp"
-#include "front/pg/clients.hpp"
-#include "log/log.hpp"
+#include "admin/listener.hpp"
+#include "admin/suspended_endpoints.hpp"
+#include "frontend/postgres/clients.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/app/staff.hpp
+++ b/src/app/admin_handler.hpp
@@ -1,11 +1,11 @@
-// What staff may do to a running proxy: the calls of src/control, carried out.
+// What staff may do to a running proxy: the calls of src/admin, carried out.
 #pragma once
 
 #include <memory>
 
 #include "config/config.hpp"
-#include "core/engine.hpp"
-#include "core/event.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
 
 namespace sablespur {
 
--- a/src/app/list_source.cpp
+++ b/src/app/list_source.cpp
@@ -1,9 +1,9 @@
 #include "app/list_source.hpp"
 
-#include "log/log.hpp"
-#include "membership/registry/watch.hpp"
+#include "discovery/registry/watch.hpp"
+#include "logging/log.hpp"
 #ifdef SABLESPUR_DNSSD
-#include "membership/dnssd/source.hpp"
+#include "discovery/dnssd/source.hpp"
 #endif
 
 namespace sablespur {
--- a/src/app/list_source.hpp
+++ b/src/app/list_source.hpp
@@ -3,8 +3,8 @@
 
 #include <memory>
 
-#include "core/engine.hpp"
-#include "core/member_feed.hpp"
+#include "engine/endpoint_updater.hpp"
+#include "engine/engine.hpp"
 
 namespace sablespur {
 
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -9,8 +9,8 @@
 
 #include "app/list_source.hpp"
 #include "app/table.hpp"
-#include "core/event.hpp"
-#include "log/log.hpp"
+#include "engine/event.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/app/members.hpp
+++ b/src/app/members.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "config/config.hpp"
-#include "membership/membership.hpp"
+#include "discovery/endpoint_table.hpp"
 
 namespace sablespur {
 
--- a/src/app/password.cpp
+++ b/src/app/password.cpp
@@ -9,8 +9,8 @@
 #ifdef SABLESPUR_AUTH
 #include "auth/scram.hpp"
 #endif
-#include "base/fault.hpp"
-#include "base/secret.hpp"
+#include "support/fault.hpp"
+#include "support/secret.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -5,22 +5,22 @@
 #include <optional>
 #include <stdexcept>
 
+#include "app/admin_handler.hpp"
 #include "app/list_source.hpp"
-#include "app/staff.hpp"
 #include "app/status.hpp"
-#include "back/pg/upstream.hpp"
-#include "core/account.hpp"
-#include "core/engine.hpp"
-#include "core/event.hpp"
-#include "core/member_feed.hpp"
-#include "core/system.hpp"
-#include "core/workers.hpp"
-#include "front/keeper.hpp"
-#include "front/pg/clients.hpp"
-#include "front/recoverer.hpp"
-#include "log/log.hpp"
-#include "peers/udp/link.hpp"
-#include "wire/pg/codec.hpp"
+#include "backend/postgres/backend_pool.hpp"
+#include "cluster/udp/link.hpp"
+#include "durability/idempotency_handler.hpp"
+#include "engine/endpoint_updater.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
+#include "engine/resource_budget.hpp"
+#include "engine/system_calls.hpp"
+#include "engine/workers.hpp"
+#include "frontend/postgres/clients.hpp"
+#include "logging/log.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "recovery/coordinator.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -13,7 +13,7 @@
 #include <stdexcept>
 
 #include "app/table.hpp"
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/app/status.hpp
+++ b/src/app/status.hpp
@@ -4,11 +4,11 @@
 #include <memory>
 #include <string>
 
-#include "core/account.hpp"
-#include "core/engine.hpp"
-#include "front/gate.hpp"
-#include "front/keeper.hpp"
-#include "front/recoverer.hpp"
+#include "durability/idempotency_handler.hpp"
+#include "engine/engine.hpp"
+#include "engine/resource_budget.hpp"
+#include "frontend/admission_controller.hpp"
+#include "recovery/coordinator.hpp"
 
 namespace sablespur {
 
--- a/src/app/store.cpp
+++ b/src/app/store.cpp
@@ -7,7 +7,7 @@
 
 #include "app/table.hpp"
 #ifdef SABLESPUR_STORE
-#include "store/ledger.hpp"
+#include "durability/idempotency_store.hpp"
 #endif
 
 namespace sablespur {
--- a/src/back/pg/upstream.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -1,4 +1,4 @@
-#include "back/pg/upstream.hpp"
+#include "backend/postgres/backend_pool.hpp"
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -10,15 +10,15 @@
 #include <cstring>
 #include <optional>
 
-#include "back/pg/cancel_call.hpp"
-#include "back/pg/login.hpp"
-#include "core/system.hpp"
-#include "log/log.hpp"
-#include "translate/settings.hpp"
-#include "translate/values.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/login.hpp"
-#include "wire/pg/startup.hpp"
+#include "backend/postgres/cancel_request.hpp"
+#include "backend/postgres/login.hpp"
+#include "engine/system_calls.hpp"
+#include "logging/log.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/login.hpp"
+#include "protocol/postgres/startup.hpp"
+#include "translation/settings.hpp"
+#include "translation/values.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/back/pg/upstream.hpp
+++ b/src/backend/postgres/backend_pool.hpp
@@ -10,11 +10,11 @@
 #include <utility>
 #include <vector>
 
-#include "core/account.hpp"
-#include "core/engine.hpp"
-#include "core/event.hpp"
-#include "core/workers.hpp"
-#include "wire/pg/pg.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
+#include "engine/resource_budget.hpp"
+#include "engine/workers.hpp"
+#include "protocol/postgres/pg.hpp"
 
 namespace sablespur {
 
--- a/src/back/pg/cancel_call.cpp
+++ b/src/backend/postgres/cancel_request.cpp
@@ -1,4 +1,4 @@
-#include "back/pg/cancel_call.hpp"
+#include "backend/postgres/cancel_request.hpp"
 
 #include <utility>
 
--- a/src/back/pg/cancel_call.hpp
+++ b/src/backend/postgres/cancel_request.hpp
@@ -4,9 +4,9 @@
 #include <functional>
 #include <string>
 
-#include "base/address.hpp"
-#include "core/event.hpp"
-#include "knotstack/balancer.hpp"
+#include "balancer/balancer.hpp"
+#include "engine/event.hpp"
+#include "support/address.hpp"
 
 namespace sablespur {
 
--- a/src/back/pg/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -1,11 +1,11 @@
-#include "back/pg/login.hpp"
+#include "backend/postgres/login.hpp"
 
 #ifdef SABLESPUR_AUTH
 #include <optional>
 
 #include "auth/login.hpp"
-#include "base/secret.hpp"
-#include "wire/pg/login.hpp"
+#include "protocol/postgres/login.hpp"
+#include "support/secret.hpp"
 #endif
 
 namespace sablespur {
--- a/src/balance.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,6 +1,8 @@
-// Every decision of knotstack; interface: include/knotstack/balancer.hpp; records: state.hpp. Members; the
+// Every decision of knotstack; interface: src/balancer/balancer.hpp; records: state.hpp. Members; the
 // need of a read; read sets; writes; attempts and retries; refusals; the list, drains and cold starts;
 // probes.
+#include "balancer/balancer.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <iterator>
@@ -11,8 +13,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "knotstack/balancer.hpp"
-#include "state.hpp"
+#include "balancer/state.hpp"
 
 namespace knotstack {
 namespace {
--- a/src/state.hpp
+++ b/src/balancer/state.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "knotstack/balancer.hpp"
+#include "balancer/balancer.hpp"
 
 namespace knotstack {
 
--- a/src/peers/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -1,4 +1,4 @@
-#include "peers/gossip.hpp"
+#include "cluster/gossip.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/peers/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "peers/scheduler.hpp"
+#include "cluster/scheduler.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/peers/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "peers/gossip.hpp"
+#include "cluster/gossip.hpp"
 
 namespace sablespur::peers {
 
--- a/src/peers/udp/datagrams.cpp
+++ b/src/cluster/udp/datagrams.cpp
@@ -1,4 +1,4 @@
-#include "peers/udp/datagrams.hpp"
+#include "cluster/udp/datagrams.hpp"
 
 #include <unistd.h>
 
--- a/src/peers/udp/datagrams.hpp
+++ b/src/cluster/udp/datagrams.hpp
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/address.hpp"
-#include "core/event.hpp"
+#include "engine/event.hpp"
+#include "support/address.hpp"
 
 namespace sablespur {
 
--- a/src/peers/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -1,10 +1,10 @@
-#include "peers/udp/link.hpp"
+#include "cluster/udp/link.hpp"
 
 #include <algorithm>
 #include <cstring>
 #include <functional>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/peers/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
+#include "cluster/scheduler.hpp"
+#include "cluster/udp/datagrams.hpp"
 #include "config/config.hpp"
-#include "core/engine.hpp"
-#include "core/event.hpp"
-#include "peers/scheduler.hpp"
-#include "peers/udp/datagrams.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
 
 namespace sablespur {
 
--- a/src/config/admission.hpp
+++ b/src/config/admission.hpp
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "admission/settings.hpp"
-#include "base/units.hpp"
 #include "config/keys.hpp"
+#include "support/units.hpp"
 
 namespace sablespur {
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "auth/method.hpp"
-#include "base/fault.hpp"
-#include "knotstack/balancer.hpp"
-#include "log/log.hpp"
-#include "membership/list.hpp"
+#include "balancer/balancer.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "logging/log.hpp"
+#include "support/fault.hpp"
 
 namespace sablespur::auth {
 class Users;
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -14,9 +14,9 @@
 #ifdef SABLESPUR_ADMISSION
 #include "config/admission.hpp"
 #endif
-#include "base/ini.hpp"
 #include "config/config.hpp"
 #include "config/keys.hpp"
+#include "support/ini.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -5,8 +5,8 @@
 #include <sstream>
 
 #include "config/config.hpp"
-#include "membership/json.hpp"
-#include "wire.hpp"
+#include "discovery/json.hpp"
+#include "simulator/protocol.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "base/units.hpp"
 #include "config/config.hpp"
+#include "support/units.hpp"
 
 namespace sablespur {
 
--- a/src/membership/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -1,8 +1,8 @@
-#include "membership/dnssd/directory.hpp"
+#include "discovery/dnssd/directory.hpp"
 
 #include <algorithm>
 
-#include "membership/dnssd/records.hpp"
+#include "discovery/dnssd/records.hpp"
 
 namespace sablespur {
 
--- a/src/membership/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -25,7 +25,7 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "wire/dns/message.hpp"
+#include "protocol/dns/message.hpp"
 
 namespace sablespur {
 
--- a/src/membership/dnssd/name_servers.cpp
+++ b/src/discovery/dnssd/name_servers.cpp
@@ -1,4 +1,4 @@
-#include "membership/dnssd/name_servers.hpp"
+#include "discovery/dnssd/name_servers.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/membership/dnssd/records.cpp
+++ b/src/discovery/dnssd/records.cpp
@@ -1,4 +1,4 @@
-#include "membership/dnssd/records.hpp"
+#include "discovery/dnssd/records.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/membership/dnssd/resolver.cpp
+++ b/src/discovery/dnssd/resolver.cpp
@@ -1,4 +1,4 @@
-#include "membership/dnssd/resolver.hpp"
+#include "discovery/dnssd/resolver.hpp"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -7,9 +7,9 @@
 #include <cstring>
 #include <utility>
 
-#include "core/system.hpp"
-#include "log/log.hpp"
-#include "membership/dnssd/directory.hpp"
+#include "discovery/dnssd/directory.hpp"
+#include "engine/system_calls.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/membership/dnssd/resolver.hpp
+++ b/src/discovery/dnssd/resolver.hpp
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "core/clock.hpp"
-#include "core/event.hpp"
-#include "membership/dnssd/name_servers.hpp"
-#include "wire/dns/message.hpp"
+#include "discovery/dnssd/name_servers.hpp"
+#include "engine/clock.hpp"
+#include "engine/event.hpp"
+#include "protocol/dns/message.hpp"
 
 namespace sablespur {
 
--- a/src/membership/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -1,6 +1,6 @@
-#include "membership/dnssd/source.hpp"
+#include "discovery/dnssd/source.hpp"
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 
--- a/src/membership/dnssd/source.hpp
+++ b/src/discovery/dnssd/source.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "core/member_feed.hpp"
-#include "membership/dnssd/directory.hpp"
-#include "membership/dnssd/resolver.hpp"
+#include "discovery/dnssd/directory.hpp"
+#include "discovery/dnssd/resolver.hpp"
+#include "engine/endpoint_updater.hpp"
 
 namespace sablespur {
 
--- a/src/membership/list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,6 +1,6 @@
-#include "membership/list.hpp"
+#include "discovery/endpoint_list.hpp"
 
-#include "membership/json.hpp"
+#include "discovery/json.hpp"
 
 namespace sablespur {
 
--- a/src/membership/list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/address.hpp"
-#include "knotstack/balancer.hpp"
+#include "balancer/balancer.hpp"
+#include "support/address.hpp"
 
 namespace sablespur {
 
--- a/src/membership/membership.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -1,4 +1,4 @@
-#include "membership/membership.hpp"
+#include "discovery/endpoint_table.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/membership/membership.hpp
+++ b/src/discovery/endpoint_table.hpp
@@ -24,7 +24,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace sablespur {
 
--- a/src/membership/json.hpp
+++ b/src/discovery/json.hpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "membership/list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace sablespur {
 
--- a/src/membership/registry/watch.cpp
+++ b/src/discovery/registry/watch.cpp
@@ -1,7 +1,7 @@
-#include "membership/registry/watch.hpp"
+#include "discovery/registry/watch.hpp"
 
-#include "log/log.hpp"
-#include "membership/list.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/membership/registry/watch.hpp
+++ b/src/discovery/registry/watch.hpp
@@ -1,11 +1,11 @@
 // Discovery's watch: one connection at a time, from the call to its end.
 #pragma once
 
-#include "core/engine.hpp"
-#include "core/event.hpp"
-#include "core/system.hpp"
-#include "membership/list.hpp"
-#include "wire/http/http.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
+#include "engine/system_calls.hpp"
+#include "protocol/http/http.hpp"
 
 namespace sablespur {
 
--- a/src/store/backlog.cpp
+++ b/src/durability/backlog.cpp
@@ -1,4 +1,4 @@
-#include "store/backlog.hpp"
+#include "durability/backlog.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/store/backlog.hpp
+++ b/src/durability/backlog.hpp
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "store/ledger.hpp"
+#include "durability/idempotency_store.hpp"
 
 namespace sablespur::store {
 
--- a/src/store/database.cpp
+++ b/src/durability/database.cpp
@@ -1,4 +1,4 @@
-#include "store/database.hpp"
+#include "durability/database.hpp"
 
 #include <leveldb/cache.h>
 #include <xxhash.h>
@@ -10,7 +10,7 @@
 #include <map>
 #include <vector>
 
-#include "store/inspect.hpp"
+#include "durability/inspect.hpp"
 
 namespace sablespur::store {
 namespace {
--- a/src/store/database.hpp
+++ b/src/durability/database.hpp
@@ -18,7 +18,7 @@
 #include <string>
 #include <string_view>
 
-#include "store/files.hpp"
+#include "durability/files.hpp"
 
 namespace sablespur::store {
 
--- a/src/store/files.cpp
+++ b/src/durability/files.cpp
@@ -1,4 +1,4 @@
-#include "store/files.hpp"
+#include "durability/files.hpp"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -9,7 +9,7 @@
 #include <memory>
 #include <utility>
 
-#include "core/file_calls.hpp"
+#include "engine/file_calls.hpp"
 
 namespace sablespur::store {
 namespace {
--- a/src/store/writer.cpp
+++ b/src/durability/group_commit_writer.cpp
@@ -1,4 +1,4 @@
-#include "store/writer.hpp"
+#include "durability/group_commit_writer.hpp"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "store/backlog.hpp"
+#include "durability/backlog.hpp"
 
 namespace sablespur::store {
 namespace {
--- a/src/store/writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -14,8 +14,8 @@
 #include <memory>
 #include <string>
 
-#include "core/event.hpp"
-#include "store/ledger.hpp"
+#include "durability/idempotency_store.hpp"
+#include "engine/event.hpp"
 
 namespace sablespur::store {
 
--- a/src/front/keeper.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -1,4 +1,4 @@
-#include "front/keeper.hpp"
+#include "durability/idempotency_handler.hpp"
 
 #include <algorithm>
 #include <ctime>
@@ -9,8 +9,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "log/log.hpp"
-#include "store/writer.hpp"
+#include "durability/group_commit_writer.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/front/keeper.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -1,6 +1,6 @@
 // Between the fronts (or the Gate) and the engine, where there is a store: what of a keyed write must be
-// durable before what. The rules are the ledger's (src/store/rules.hpp); here they meet requests, attempts
-// and time.
+// durable before what. The rules are the ledger's (src/durability/rules.hpp); here they meet requests,
+// attempts and time.
 //
 //   a keyed write      its intent is durable before the engine hears of it, so before any byte of it is sent;
 //                      its outcome is durable before its answer goes out
@@ -22,7 +22,7 @@
 #include <memory>
 #include <string>
 
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
 namespace sablespur::store {
 class FileHook;
--- a/src/store/ledger.cpp
+++ b/src/durability/idempotency_store.cpp
@@ -1,4 +1,4 @@
-#include "store/ledger.hpp"
+#include "durability/idempotency_store.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/store/ledger.hpp
+++ b/src/durability/idempotency_store.hpp
@@ -20,10 +20,10 @@
 #include <variant>
 #include <vector>
 
-#include "store/clock.hpp"
-#include "store/database.hpp"
-#include "store/record.hpp"
-#include "store/rules.hpp"
+#include "durability/database.hpp"
+#include "durability/record.hpp"
+#include "durability/rules.hpp"
+#include "durability/store_clock.hpp"
 
 namespace sablespur::store {
 
--- a/src/store/inspect.cpp
+++ b/src/durability/inspect.cpp
@@ -1,4 +1,4 @@
-#include "store/inspect.hpp"
+#include "durability/inspect.hpp"
 
 #include <boost/crc.hpp>
 
--- a/src/store/record.cpp
+++ b/src/durability/record.cpp
@@ -1,4 +1,4 @@
-#include "store/record.hpp"
+#include "durability/record.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/store/rules.cpp
+++ b/src/durability/rules.cpp
@@ -1,4 +1,4 @@
-#include "store/rules.hpp"
+#include "durability/rules.hpp"
 
 #include <algorithm>
 
--- a/src/store/rules.hpp
+++ b/src/durability/rules.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "store/record.hpp"
+#include "durability/record.hpp"
 
 namespace sablespur::store {
 
--- a/src/store/clock.cpp
+++ b/src/durability/store_clock.cpp
@@ -1,4 +1,4 @@
-#include "store/clock.hpp"
+#include "durability/store_clock.hpp"
 
 #include <time.h>
 
--- a/src/store/whole_file.cpp
+++ b/src/durability/whole_file.cpp
@@ -1,4 +1,4 @@
-#include "store/whole_file.hpp"
+#include "durability/whole_file.hpp"
 
 #include <memory>
 #include <stdexcept>
--- a/src/core/acceptor.cpp
+++ b/src/engine/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "core/acceptor.hpp"
+#include "engine/acceptor.hpp"
 
 #include <linux/filter.h>
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/core/acceptor.hpp
+++ b/src/engine/acceptor.hpp
@@ -11,11 +11,11 @@
 #include <chrono>
 #include <functional>
 
-#include "base/address.hpp"
-#include "core/account.hpp"
-#include "core/clock.hpp"
-#include "core/event.hpp"
-#include "core/system.hpp"
+#include "engine/clock.hpp"
+#include "engine/event.hpp"
+#include "engine/resource_budget.hpp"
+#include "engine/system_calls.hpp"
+#include "support/address.hpp"
 
 namespace sablespur {
 
--- a/src/core/member_feed.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -1,6 +1,6 @@
-#include "core/member_feed.hpp"
+#include "engine/endpoint_updater.hpp"
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/core/member_feed.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -3,9 +3,9 @@
 // told.
 #pragma once
 
-#include "core/clock.hpp"
-#include "core/event.hpp"
-#include "membership/membership.hpp"
+#include "discovery/endpoint_table.hpp"
+#include "engine/clock.hpp"
+#include "engine/event.hpp"
 
 namespace sablespur {
 
--- a/src/core/engine.cpp
+++ b/src/engine/engine.cpp
@@ -1,10 +1,10 @@
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <optional>
 
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 
--- a/src/core/engine.hpp
+++ b/src/engine/engine.hpp
@@ -11,12 +11,12 @@
 #include <variant>
 #include <vector>
 
+#include "balancer/balancer.hpp"
+#include "cluster/gossip.hpp"
 #include "config/config.hpp"
-#include "core/clock.hpp"
-#include "core/event.hpp"
-#include "core/reference_clock.hpp"
-#include "knotstack/balancer.hpp"
-#include "peers/gossip.hpp"
+#include "engine/clock.hpp"
+#include "engine/event.hpp"
+#include "engine/reference_clock.hpp"
 
 namespace sablespur::translate {
 class AnswerReader;
--- a/src/core/reference_clock.cpp
+++ b/src/engine/reference_clock.cpp
@@ -1,4 +1,4 @@
-#include "core/reference_clock.hpp"
+#include "engine/reference_clock.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/core/account.hpp
+++ b/src/engine/resource_budget.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "config/config.hpp"
-#include "core/system.hpp"
+#include "engine/system_calls.hpp"
 
 namespace sablespur {
 
--- a/src/core/system.cpp
+++ b/src/engine/system_calls.cpp
@@ -1,4 +1,4 @@
-#include "core/system.hpp"
+#include "engine/system_calls.hpp"
 
 #include <fcntl.h>
 #include <sys/resource.h>
--- a/src/core/system.hpp
+++ b/src/engine/system_calls.hpp
@@ -6,7 +6,7 @@
 
 #include <functional>
 
-#include "base/address.hpp"
+#include "support/address.hpp"
 
 namespace sablespur {
 
--- a/src/core/workers.cpp
+++ b/src/engine/workers.cpp
@@ -1,4 +1,4 @@
-#include "core/workers.hpp"
+#include "engine/workers.hpp"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
--- a/src/core/workers.hpp
+++ b/src/engine/workers.hpp
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-#include "core/event.hpp"
+#include "engine/event.hpp"
 
 namespace sablespur {
 
--- a/src/front/gate.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -1,13 +1,13 @@
-#include "front/gate.hpp"
+#include "frontend/admission_controller.hpp"
 
 #include <algorithm>
 #include <unordered_map>
 
-#include "admission/ceiling.hpp"
-#include "admission/lanes.hpp"
+#include "admission/connection_limit.hpp"
+#include "admission/rejection_period.hpp"
+#include "admission/request_queues.hpp"
 #include "admission/settings.hpp"
-#include "admission/spells.hpp"
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/front/gate.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
 namespace sablespur {
 
--- a/src/front/pg/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -1,16 +1,16 @@
-#include "front/pg/clients.hpp"
+#include "frontend/postgres/clients.hpp"
 
 #include <poll.h>
 #include <sys/socket.h>
 
 #include <algorithm>
 
-#include "base/secret.hpp"
-#include "front/pg/session.hpp"
-#include "front/pg/shutdown.hpp"
-#include "log/log.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/pg.hpp"
+#include "frontend/postgres/session.hpp"
+#include "frontend/postgres/shutdown.hpp"
+#include "logging/log.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "support/secret.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/front/pg/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -7,13 +7,13 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "core/acceptor.hpp"
-#include "core/account.hpp"
-#include "core/engine.hpp"
-#include "core/event.hpp"
-#include "core/workers.hpp"
-#include "front/gate.hpp"
-#include "wire/pg/startup.hpp"
+#include "engine/acceptor.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
+#include "engine/resource_budget.hpp"
+#include "engine/workers.hpp"
+#include "frontend/admission_controller.hpp"
+#include "protocol/postgres/startup.hpp"
 
 namespace sablespur {
 
--- a/src/front/pg/arrivals.cpp
+++ b/src/frontend/postgres/input_timestamps.cpp
@@ -1,4 +1,4 @@
-#include "front/pg/arrivals.hpp"
+#include "frontend/postgres/input_timestamps.hpp"
 
 #include <algorithm>
 
--- a/src/front/pg/arrivals.hpp
+++ b/src/frontend/postgres/input_timestamps.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "core/clock.hpp"
+#include "engine/clock.hpp"
 
 namespace sablespur {
 
--- a/src/front/pg/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -1,12 +1,12 @@
-#include "front/pg/login.hpp"
+#include "frontend/postgres/login.hpp"
 
 #ifdef SABLESPUR_AUTH
 #include <optional>
 
 #include "auth/login.hpp"
-#include "base/secret.hpp"
-#include "wire/pg/login.hpp"
-#include "wire/pg2/pg2.hpp"
+#include "protocol/postgres/login.hpp"
+#include "protocol/postgres2/pg2.hpp"
+#include "support/secret.hpp"
 #endif
 
 namespace sablespur {
--- a/src/front/pg/prepared.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -1,8 +1,8 @@
-#include "front/pg/prepared.hpp"
+#include "frontend/postgres/prepared_statements.hpp"
 
-#include "translate/parameters.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "translation/parameters.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/front/pg/prepared.hpp
+++ b/src/frontend/postgres/prepared_statements.hpp
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-#include "translate/answer.hpp"
-#include "wire/pg/extended.hpp"
+#include "protocol/postgres/extended.hpp"
+#include "translation/answer.hpp"
 
 namespace sablespur {
 
--- a/src/front/pg/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -1,4 +1,4 @@
-#include "front/pg/session.hpp"
+#include "frontend/postgres/session.hpp"
 
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -6,13 +6,13 @@
 
 #include <algorithm>
 
-#include "front/pg/clients.hpp"
-#include "log/log.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg2/codec.hpp"
-#include "wire/pg2/pg2.hpp"
-#include "wire/proxy_protocol/header.hpp"
+#include "frontend/postgres/clients.hpp"
+#include "logging/log.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres2/codec.hpp"
+#include "protocol/postgres2/pg2.hpp"
+#include "protocol/proxy_protocol/header.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/front/pg/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -7,17 +7,17 @@
 #include <string>
 #include <string_view>
 
-#include "core/account.hpp"
-#include "core/engine.hpp"
-#include "core/event.hpp"
-#include "core/workers.hpp"
-#include "front/gate.hpp"
-#include "front/pg/arrivals.hpp"
-#include "front/pg/login.hpp"
-#include "front/pg/prepared.hpp"
-#include "translate/settings.hpp"
-#include "translate/terms.hpp"
-#include "wire/pg/startup.hpp"
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
+#include "engine/resource_budget.hpp"
+#include "engine/workers.hpp"
+#include "frontend/admission_controller.hpp"
+#include "frontend/postgres/input_timestamps.hpp"
+#include "frontend/postgres/login.hpp"
+#include "frontend/postgres/prepared_statements.hpp"
+#include "protocol/postgres/startup.hpp"
+#include "translation/settings.hpp"
+#include "translation/terms.hpp"
 
 namespace sablespur {
 
--- a/src/front/pg/shutdown.hpp
+++ b/src/frontend/postgres/shutdown.hpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "core/clock.hpp"
+#include "engine/clock.hpp"
 
 namespace sablespur {
 
--- a/src/log/log.cpp
+++ b/src/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "log/log.hpp"
+#include "logging/log.hpp"
 
 #include <fmt/format.h>
 #include <spdlog/logger.h>
--- a/src/wire/dns/message.cpp
+++ b/src/protocol/dns/message.cpp
@@ -1,4 +1,4 @@
-#include "wire/dns/message.hpp"
+#include "protocol/dns/message.hpp"
 
 #include <ldns/ldns.h>
 
--- a/src/wire/http/http.cpp
+++ b/src/protocol/http/http.cpp
@@ -1,4 +1,4 @@
-#include "wire/http/http.hpp"
+#include "protocol/http/http.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/src/wire/pg/codec.cpp
+++ b/src/protocol/postgres/codec.cpp
@@ -1,9 +1,9 @@
-#include "wire/pg/codec.hpp"
+#include "protocol/postgres/codec.hpp"
 
 #include <algorithm>
 
-#include "wire/pg/bytes.hpp"
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/bytes.hpp"
+#include "protocol/postgres/pg.hpp"
 
 namespace sablespur::pg {
 namespace {
--- a/src/wire/pg/extended.cpp
+++ b/src/protocol/postgres/extended.cpp
@@ -1,7 +1,7 @@
-#include "wire/pg/extended.hpp"
+#include "protocol/postgres/extended.hpp"
 
-#include "wire/pg/bytes.hpp"
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/bytes.hpp"
+#include "protocol/postgres/pg.hpp"
 
 namespace sablespur::pg {
 namespace {
--- a/src/wire/pg/pg.cpp
+++ b/src/protocol/postgres/pg.cpp
@@ -1,9 +1,9 @@
-#include "wire/pg/pg.hpp"
+#include "protocol/postgres/pg.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-#include "wire/pg/bytes.hpp"
+#include "protocol/postgres/bytes.hpp"
 
 namespace sablespur::pg {
 namespace {
--- a/src/wire/pg2/codec.cpp
+++ b/src/protocol/postgres2/codec.cpp
@@ -1,6 +1,6 @@
-#include "wire/pg2/codec.hpp"
+#include "protocol/postgres2/codec.hpp"
 
-#include "wire/pg2/pg2.hpp"
+#include "protocol/postgres2/pg2.hpp"
 
 namespace sablespur::pg2 {
 
--- a/src/wire/pg2/codec.hpp
+++ b/src/protocol/postgres2/codec.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "translate/terms.hpp"
+#include "translation/terms.hpp"
 
 namespace sablespur::pg2 {
 
--- a/src/wire/pg2/pg2.cpp
+++ b/src/protocol/postgres2/pg2.cpp
@@ -1,4 +1,4 @@
-#include "wire/pg2/pg2.hpp"
+#include "protocol/postgres2/pg2.hpp"
 
 #include <algorithm>
 
--- a/src/wire/proxy_protocol/header.cpp
+++ b/src/protocol/proxy_protocol/header.cpp
@@ -1,4 +1,4 @@
-#include "wire/proxy_protocol/header.hpp"
+#include "protocol/proxy_protocol/header.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/wire/proxy_protocol/header.hpp
+++ b/src/protocol/proxy_protocol/header.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/address.hpp"
+#include "support/address.hpp"
 
 namespace sablespur::proxyproto {
 
--- a/src/wire/tds/packet.cpp
+++ b/src/protocol/tds/packet.cpp
@@ -1,4 +1,4 @@
-#include "wire/tds/packet.hpp"
+#include "protocol/tds/packet.hpp"
 
 #include <algorithm>
 
--- a/src/front/recoverer.cpp
+++ b/src/recovery/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "front/recoverer.hpp"
+#include "recovery/coordinator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,13 +8,13 @@
 #include <utility>
 #include <vector>
 
-#include "log/log.hpp"
-#include "peers/gossip.hpp"
-#include "recovery/inquiry.hpp"
-#include "recovery/order.hpp"
+#include "cluster/gossip.hpp"
+#include "durability/whole_file.hpp"
+#include "logging/log.hpp"
+#include "recovery/peer_state_exchange.hpp"
+#include "recovery/recovery_admission.hpp"
 #include "recovery/snapshot.hpp"
-#include "recovery/trust.hpp"
-#include "store/whole_file.hpp"
+#include "recovery/snapshot_validation.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/front/recoverer.hpp
+++ b/src/recovery/coordinator.hpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <string_view>
 
-#include "core/engine.hpp"
-#include "core/workers.hpp"
+#include "engine/engine.hpp"
+#include "engine/workers.hpp"
 
 namespace sablespur::store {
 class Files;
--- a/src/recovery/inquiry.cpp
+++ b/src/recovery/peer_state_exchange.cpp
@@ -1,4 +1,4 @@
-#include "recovery/inquiry.hpp"
+#include "recovery/peer_state_exchange.hpp"
 
 #include <algorithm>
 
--- a/src/recovery/order.cpp
+++ b/src/recovery/recovery_admission.cpp
@@ -1,4 +1,4 @@
-#include "recovery/order.hpp"
+#include "recovery/recovery_admission.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/recovery/trust.cpp
+++ b/src/recovery/snapshot_validation.cpp
@@ -1,4 +1,4 @@
-#include "recovery/trust.hpp"
+#include "recovery/snapshot_validation.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/wirehost.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,3 +1,3 @@
-#include "wire.hpp"
+#include "simulator/protocol.hpp"
 
 int main() { return knotstack::wire::run(0, 1); }
--- a/src/wire.cpp
+++ b/src/simulator/protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator/protocol.hpp"
 
 #include <unistd.h>
 
--- a/src/wire.hpp
+++ b/src/simulator/protocol.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "knotstack/balancer.hpp"
+#include "balancer/balancer.hpp"
 
 namespace knotstack::wire {
 
--- a/src/base/address.cpp
+++ b/src/support/address.cpp
@@ -1,4 +1,4 @@
-#include "base/address.hpp"
+#include "support/address.hpp"
 
 #include <arpa/inet.h>
 
--- a/src/base/ini.cpp
+++ b/src/support/ini.cpp
@@ -1,4 +1,4 @@
-#include "base/ini.hpp"
+#include "support/ini.hpp"
 
 #include <ini.h>
 
--- a/src/base/ini.hpp
+++ b/src/support/ini.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/fault.hpp"
+#include "support/fault.hpp"
 
 namespace sablespur {
 
--- a/src/base/secret.cpp
+++ b/src/support/secret.cpp
@@ -1,4 +1,4 @@
-#include "base/secret.hpp"
+#include "support/secret.hpp"
 
 #include <sys/random.h>
 
--- a/src/base/units.cpp
+++ b/src/support/units.cpp
@@ -1,4 +1,4 @@
-#include "base/units.hpp"
+#include "support/units.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/translate/answer.cpp
+++ b/src/translation/answer.cpp
@@ -1,11 +1,11 @@
-#include "translate/answer.hpp"
+#include "translation/answer.hpp"
 
 #include <charconv>
 #include <cmath>
 #include <cstring>
 
-#include "translate/parameters.hpp"
-#include "translate/values.hpp"
+#include "translation/parameters.hpp"
+#include "translation/values.hpp"
 
 namespace sablespur::translate {
 namespace {
--- a/src/translate/answer.hpp
+++ b/src/translation/answer.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "translate/terms.hpp"
+#include "translation/terms.hpp"
 
 namespace sablespur::translate {
 
--- a/src/translate/parameters.cpp
+++ b/src/translation/parameters.cpp
@@ -1,12 +1,12 @@
-#include "translate/parameters.hpp"
+#include "translation/parameters.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <cstring>
 
-#include "translate/scanner.hpp"
-#include "translate/values.hpp"
+#include "translation/scanner.hpp"
+#include "translation/values.hpp"
 
 namespace sablespur::translate {
 namespace {
--- a/src/translate/scanner.cpp
+++ b/src/translation/scanner.cpp
@@ -1,4 +1,4 @@
-#include "translate/scanner.hpp"
+#include "translation/scanner.hpp"
 
 namespace sablespur::translate {
 namespace {
--- a/src/translate/settings.cpp
+++ b/src/translation/settings.cpp
@@ -1,4 +1,4 @@
-#include "translate/settings.hpp"
+#include "translation/settings.hpp"
 
 #include <algorithm>
 
--- a/src/translate/values.cpp
+++ b/src/translation/values.cpp
@@ -1,9 +1,9 @@
-#include "translate/values.hpp"
+#include "translation/values.hpp"
 
 #include <algorithm>
 #include <cstring>
 
-#include "translate/scanner.hpp"
+#include "translation/scanner.hpp"
 
 namespace sablespur::translate {
 namespace {
--- a/src/translate/values.hpp
+++ b/src/translation/values.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "translate/terms.hpp"
+#include "translation/terms.hpp"
 
 namespace sablespur::translate {
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -7,13 +7,13 @@
 #include <pcg_random.hpp>
 #include <set>
 
-#include "admission/ceiling.hpp"
-#include "admission/door.hpp"
-#include "admission/known.hpp"
-#include "admission/lanes.hpp"
-#include "admission/limit.hpp"
-#include "admission/requests.hpp"
-#include "admission/spells.hpp"
+#include "admission/concurrency_limit.hpp"
+#include "admission/connection_admission.hpp"
+#include "admission/connection_limit.hpp"
+#include "admission/recent_clients.hpp"
+#include "admission/rejection_period.hpp"
+#include "admission/request_limiter.hpp"
+#include "admission/request_queues.hpp"
 
 namespace sablespur::admission {
 namespace {
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "core/engine.hpp"
-#include "core/reference_clock.hpp"
+#include "engine/engine.hpp"
+#include "engine/reference_clock.hpp"
 #include "engine_fakes.hpp"
 #include "scenario.hpp"
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -10,8 +10,8 @@
 
 #include "admission/settings.hpp"
 #include "app/members.hpp"
-#include "base/units.hpp"
 #include "scenario.hpp"
+#include "support/units.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -11,10 +11,10 @@
 #include <fstream>
 #include <thread>
 
+#include "admin/command_parser.hpp"
+#include "admin/suspended_endpoints.hpp"
 #include "config/config.hpp"
-#include "control/bans.hpp"
-#include "control/line.hpp"
-#include "core/file_calls.hpp"
+#include "engine/file_calls.hpp"
 #include "scenario.hpp"
 
 namespace sablespur {
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -19,9 +19,9 @@
 extern "C" std::size_t __sanitizer_get_current_allocated_bytes();  // its header is not everywhere
 #endif
 
-#include "core/engine.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "engine/engine.hpp"
 #include "harness.hpp"
-#include "membership/list.hpp"
 #include "scenario.hpp"
 
 namespace knotstack::test {
--- a/tests/decision_log.hpp
+++ b/tests/decision_log.hpp
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <vector>
 
-#include "knotstack/balancer.hpp"
+#include "balancer/balancer.hpp"
 
 namespace knotstack::test {
 
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -5,12 +5,12 @@
 
 #include <pcg_random.hpp>
 
-#include "core/member_feed.hpp"
+#include "discovery/dnssd/directory.hpp"
+#include "discovery/dnssd/name_servers.hpp"
+#include "discovery/dnssd/records.hpp"
+#include "discovery/dnssd/source.hpp"
+#include "engine/endpoint_updater.hpp"
 #include "lab/name_server.hpp"
-#include "membership/dnssd/directory.hpp"
-#include "membership/dnssd/name_servers.hpp"
-#include "membership/dnssd/records.hpp"
-#include "membership/dnssd/source.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -6,11 +6,11 @@
 #include <fstream>
 
 #include "auth/scram.hpp"
-#include "back/pg/upstream.hpp"
-#include "core/acceptor.hpp"
+#include "backend/postgres/backend_pool.hpp"
+#include "engine/acceptor.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/proxy_protocol/header.hpp"
 #include "scenario.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/proxy_protocol/header.hpp"
 
 namespace sablespur::test {
 namespace {
--- a/tests/engine_fakes.hpp
+++ b/tests/engine_fakes.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
 namespace sablespur::test {
 
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,5 +1,5 @@
 // The engine between a fake way to the members and a fake asker: no sockets.
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,7 +1,7 @@
 // Drives a Balancer by hand: a list, a write, a bounded read and a failure. Prints what it decides.
 #include <cstdio>
 
-#include "knotstack/balancer.hpp"
+#include "balancer/balancer.hpp"
 
 using namespace knotstack;
 using std::chrono::milliseconds;
--- a/tests/gossip_fleet_test.cpp
+++ b/tests/gossip_fleet_test.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "peers/scheduler.hpp"
+#include "cluster/scheduler.hpp"
 
 namespace sablespur::peers {
 namespace {
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "balancer/balancer.hpp"
 #include "decision_log.hpp"
-#include "knotstack/balancer.hpp"
 
 namespace knotstack::test {
 
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -1,7 +1,5 @@
 // What of a keyed write is durable before what: the keeper between fake members and a fake asker, with a disk
 // that hangs and fails by order; and the whole program, ended by SIGKILL and started anew on its store.
-#include "front/keeper.hpp"
-
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -12,10 +10,11 @@
 #include <mutex>
 #include <thread>
 
+#include "durability/idempotency_handler.hpp"
+#include "durability/idempotency_store.hpp"
+#include "protocol/postgres/codec.hpp"
 #include "scenario.hpp"
-#include "store/ledger.hpp"
 #include "store_run.hpp"
-#include "wire/pg/codec.hpp"
 
 namespace sablespur::test {
 namespace {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,12 +1,12 @@
 // What a member is since when: withdrawals at once, returns that are cold, flaps held back, one server an
 // address.
-#include "membership/membership.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <pcg_random.hpp>
 
+#include "discovery/endpoint_table.hpp"
+
 namespace sablespur {
 namespace {
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "log/log.hpp"
-#include "membership/list.hpp"
-#include "wire/http/http.hpp"
-#include "wire/pg/pg.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "logging/log.hpp"
+#include "protocol/http/http.hpp"
+#include "protocol/postgres/pg.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 #include <cerrno>
 
-#include "peers/scheduler.hpp"
-#include "peers/udp/link.hpp"
+#include "cluster/scheduler.hpp"
+#include "cluster/udp/link.hpp"
 #include "scenario.hpp"
 
 namespace sablespur {
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -9,10 +9,10 @@
 #include <random>
 #include <set>
 
-#include "recovery/inquiry.hpp"
-#include "recovery/order.hpp"
+#include "recovery/peer_state_exchange.hpp"
+#include "recovery/recovery_admission.hpp"
 #include "recovery/snapshot.hpp"
-#include "recovery/trust.hpp"
+#include "recovery/snapshot_validation.hpp"
 
 namespace sablespur::recovery {
 namespace {
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -17,10 +17,10 @@
 #include <sstream>
 
 #include "lab/name_server.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/login.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg/startup.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/login.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/startup.hpp"
 
 namespace sablespur::test {
 namespace {
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -1,6 +1,6 @@
 // A client's connection and the program's end of it, where the two cross: in one process, pass by pass of the
 // loop, so that each order is made and not hoped for.
-#include "front/pg/session.hpp"
+#include "frontend/postgres/session.hpp"
 
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -10,15 +10,15 @@
 #include <set>
 #include <thread>
 
-#include "core/engine.hpp"
-#include "core/system.hpp"
-#include "front/pg/arrivals.hpp"
-#include "front/pg/clients.hpp"
-#include "front/pg/shutdown.hpp"
+#include "engine/engine.hpp"
+#include "engine/system_calls.hpp"
+#include "frontend/postgres/clients.hpp"
+#include "frontend/postgres/input_timestamps.hpp"
+#include "frontend/postgres/shutdown.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/startup.hpp"
 #include "scenario.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg/startup.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/store_model_test.cpp
+++ b/tests/store_model_test.cpp
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-#include "store/ledger.hpp"
+#include "durability/idempotency_store.hpp"
 
 namespace sablespur::test {
 namespace {
--- a/tests/store_run.hpp
+++ b/tests/store_run.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "store/ledger.hpp"
+#include "durability/idempotency_store.hpp"
 
 namespace sablespur::test {
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -12,10 +12,10 @@
 #include <nlohmann/json.hpp>
 #include <pcg_random.hpp>
 
-#include "core/file_calls.hpp"
-#include "store/backlog.hpp"
-#include "store/inspect.hpp"
-#include "store/whole_file.hpp"
+#include "durability/backlog.hpp"
+#include "durability/inspect.hpp"
+#include "durability/whole_file.hpp"
+#include "engine/file_calls.hpp"
 #include "store_run.hpp"
 #include "store_sweep.hpp"
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "control/bans.hpp"
+#include "admin/suspended_endpoints.hpp"
+#include "durability/idempotency_store.hpp"
 #include "recovery/snapshot.hpp"
-#include "store/ledger.hpp"
 #include "store_run.hpp"
 
 namespace sablespur::test {
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,5 +1,7 @@
 // System calls that fail as Linux documents, on real connections over loopback: whose fault each failure is,
 // and that only the endpoint's own is held against it.
+#include "engine/system_calls.hpp"
+
 #include <dlfcn.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -12,13 +14,12 @@
 #include <list>
 #include <set>
 
-#include "back/pg/upstream.hpp"
-#include "core/acceptor.hpp"
-#include "core/system.hpp"
-#include "membership/dnssd/resolver.hpp"
-#include "membership/registry/watch.hpp"
+#include "backend/postgres/backend_pool.hpp"
+#include "discovery/dnssd/resolver.hpp"
+#include "discovery/registry/watch.hpp"
+#include "engine/acceptor.hpp"
+#include "protocol/postgres/pg.hpp"
 #include "scenario.hpp"
-#include "wire/pg/pg.hpp"
 
 namespace sablespur::test {
 namespace {
--- a/tests/tds_test.cpp
+++ b/tests/tds_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/tds/packet.hpp"
+#include "protocol/tds/packet.hpp"
 
 namespace sablespur::tds {
 namespace {
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -4,19 +4,19 @@
 #include <pcg_random.hpp>
 
 #include "auth/scram.hpp"
-#include "base/secret.hpp"
-#include "front/pg/prepared.hpp"
-#include "translate/answer.hpp"
-#include "translate/parameters.hpp"
-#include "translate/scanner.hpp"
-#include "translate/settings.hpp"
-#include "translate/values.hpp"
-#include "wire/pg/codec.hpp"
-#include "wire/pg/extended.hpp"
-#include "wire/pg/pg.hpp"
-#include "wire/pg/startup.hpp"
-#include "wire/pg2/codec.hpp"
-#include "wire/pg2/pg2.hpp"
+#include "frontend/postgres/prepared_statements.hpp"
+#include "protocol/postgres/codec.hpp"
+#include "protocol/postgres/extended.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/startup.hpp"
+#include "protocol/postgres2/codec.hpp"
+#include "protocol/postgres2/pg2.hpp"
+#include "support/secret.hpp"
+#include "translation/answer.hpp"
+#include "translation/parameters.hpp"
+#include "translation/scanner.hpp"
+#include "translation/settings.hpp"
+#include "translation/values.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,5 +1,5 @@
 // The registry's watch in one process: what the scenarios of the whole program cannot force.
-#include "membership/registry/watch.hpp"
+#include "discovery/registry/watch.hpp"
 
 #include <gtest/gtest.h>
 #include <sys/resource.h>
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,11 +1,11 @@
-#include "wire.hpp"
-
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include <cstring>
 #include <string>
 
+#include "simulator/protocol.hpp"
+
 namespace knotstack::wire {
 namespace {
 
