--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-using namespace sablespur::store;
+using namespace sablespur::durability;
 using Clock = std::chrono::steady_clock;
 namespace fs = std::filesystem;
 
--- a/fuzz/store.cpp
+++ b/fuzz/store.cpp
@@ -7,7 +7,7 @@
 #include "durability/record.hpp"
 #include "fuzz/target.hpp"
 
-using namespace sablespur::store;
+using namespace sablespur::durability;
 
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
--- a/fuzz/translate.cpp
+++ b/fuzz/translate.cpp
@@ -12,34 +12,34 @@
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   for (const bool backslashes : {false, true}) {
-    translate::Scanner scanner(text, backslashes);
+    translation::Scanner scanner(text, backslashes);
     std::string_view piece;
     std::size_t covered = 0;
-    while (scanner.next(piece) != translate::Token::End) {
+    while (scanner.next(piece) != translation::Token::End) {
       if (piece.empty() || piece.data() != text.data() + covered) std::abort();
       covered += piece.size();
     }
     if (covered != size) std::abort();
     // Rewritten for the other side and read there, it is left alone from then on.
-    const std::string there = translate::rewriteLiterals(text, backslashes, !backslashes);
-    if (translate::rewriteLiterals(text, backslashes, backslashes) != text) std::abort();
+    const std::string there = translation::rewriteLiterals(text, backslashes, !backslashes);
+    if (translation::rewriteLiterals(text, backslashes, backslashes) != text) std::abort();
     if (there.size() < size) std::abort();
-    const auto n = translate::countParameters(text, backslashes);
+    const auto n = translation::countParameters(text, backslashes);
     if (n && *n < 64) {
       std::string why;
-      const std::vector<translate::Parameter> parameters(*n, {std::string_view("it's"), 0, false});
-      if (const auto out = translate::substitute(text, backslashes, parameters, 4096, why);
+      const std::vector<translation::Parameter> parameters(*n, {std::string_view("it's"), 0, false});
+      if (const auto out = translation::substitute(text, backslashes, parameters, 4096, why);
           out && out->size() > 4096)
         std::abort();
     }
   }
-  if (const auto bytes = translate::readBytea(text))
-    for (const auto form : {translate::ByteaForm::Hex, translate::ByteaForm::Escape})
-      if (translate::readBytea(translate::writeBytea(form, *bytes)) != *bytes) std::abort();
+  if (const auto bytes = translation::readBytea(text))
+    for (const auto form : {translation::ByteaForm::Hex, translation::ByteaForm::Escape})
+      if (translation::readBytea(translation::writeBytea(form, *bytes)) != *bytes) std::abort();
   for (const std::uint32_t type : {16u, 17u, 20u, 21u, 23u, 26u, 700u, 701u, 2950u, 1700u}) {
-    translate::toBinary(type, text);
+    translation::toBinary(type, text);
     std::string why;
-    translate::literalOf({text, type, true}, why);
+    translation::literalOf({text, type, true}, why);
   }
   return 0;
 }
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -78,7 +78,7 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c.ended();
         },
         this);
-    put(bev_.get(), speaker_ ? speaker_->hello() : pg::startup("api", "ledger"));
+    put(bev_.get(), speaker_ ? speaker_->hello() : postgres::startup("api", "ledger"));
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
     bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&o.target_), sizeof o.target_);
   }
@@ -89,7 +89,7 @@
     served_ = refused_ = failed_ = false;
     value_.clear();
     if (speaker_ && greeted_) askAsDesk();
-    if (!speaker_) put(bev_.get(), pg::query(request_.statement));
+    if (!speaker_) put(bev_.get(), postgres::query(request_.statement));
     late_.in(request_.deadline + kSlack - o_.c_.now());
   }
   bool busy() const { return busy_; }
@@ -158,7 +158,7 @@
         size.push_back(static_cast<char>(expected.size() >> shift));
     }
     bool right = row.size() == 3 && row[0] == size && row[1] && !row[2];
-    if (right) got = binary ? *row[1] : translate::readBytea(*row[1]).value_or("");
+    if (right) got = binary ? *row[1] : translation::readBytea(*row[1]).value_or("");
     right = right && got == expected && r.types == std::vector<std::uint32_t>{23, 17, 25};
     o_.audit_.value(right);
     value_ = right ? "v-" + request_.id : "something else";
@@ -174,9 +174,9 @@
     evbuffer* const in = bufferevent_get_input(bev_.get());
     if (speaker_) return readAsDesk(in);
     for (;;) {
-      char bytes[pg::kHead];
+      char bytes[postgres::kHead];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
-      const auto head = pg::parseHead(bytes);
+      const auto head = postgres::parseHead(bytes);
       if (!head) return ended();
       const std::size_t whole = sizeof bytes + head->body;
       if (evbuffer_get_length(in) < whole) return;
@@ -191,10 +191,10 @@
     if (type == 'D') {
       if (served_) o_.audit_.extra(o_.c_.now());
       served_ = true;
-      if (const auto v = pg::parseColumn(body)) value_ = std::string(*v);
+      if (const auto v = postgres::parseColumn(body)) value_ = std::string(*v);
     }
     if (type == 'E') {
-      const auto e = pg::parseError(body);
+      const auto e = postgres::parseError(body);
       refused_ = e.code == "53300" || e.code == "57P03";
       failed_ = !refused_;
       const std::size_t d = body.find(std::string("\0D", 2));
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -27,7 +27,7 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) one.gone();
         },
         this);
-    if (o.s_.way != "silent") put(bev.get(), pg::startup("api", "ledger"));
+    if (o.s_.way != "silent") put(bev.get(), postgres::startup("api", "ledger"));
     bufferevent_enable(bev.get(), o.s_.way == "mute" ? EV_WRITE : EV_READ | EV_WRITE);
     if (o.s_.way == "mute") ask();
     bufferevent_socket_connect(bev.get(), reinterpret_cast<const sockaddr*>(&o.target_), sizeof o.target_);
@@ -42,7 +42,7 @@
     const int group = std::uniform_int_distribution<int>(1, std::max(owner.s_.groups, 1))(owner.c_.random);
     at = owner.c_.now();
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(cls->giveUp).count();
-    put(bev.get(), pg::query("SELECT blob FROM rows WHERE handle = 'crowd' /* id=" + id + ",c=" + cls->name +
+    put(bev.get(), postgres::query("SELECT blob FROM rows WHERE handle = 'crowd' /* id=" + id + ",c=" + cls->name +
                              ",d=" + std::to_string(ms) + ",cluster=" + std::to_string(group) + " */"));
     asked = true;
     ++owner.asking_;
@@ -79,9 +79,9 @@
   void read() {
     evbuffer* const from = bufferevent_get_input(bev.get());
     for (;;) {
-      char bytes[pg::kHead];
+      char bytes[postgres::kHead];
       if (evbuffer_copyout(from, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
-      const auto head = pg::parseHead(bytes);
+      const auto head = postgres::parseHead(bytes);
       if (!head) return gone();
       const std::size_t whole = sizeof bytes + head->body;
       if (evbuffer_get_length(from) < whole) return;
@@ -103,10 +103,10 @@
   void take(char type, std::string_view body) {
     if (type == 'D') {
       served = true;
-      if (const auto v = pg::parseColumn(body)) value = std::string(*v);
+      if (const auto v = postgres::parseColumn(body)) value = std::string(*v);
     }
     if (type != 'E') return;
-    const bool full = pg::parseError(body).code == "53300";
+    const bool full = postgres::parseError(body).code == "53300";
     turnedAway = full;
     if (in || !full) return;
     refused = true;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -23,12 +23,12 @@
 std::string row(const std::string& value) {
   std::string column("\0\1blob\0", 7);
   column.append(18, '\0');
-  return pg::message('T', column) +
-         pg::message('D',
+  return postgres::message('T', column) +
+         postgres::message('D',
                      std::string("\0\1", 2) + number32(static_cast<std::uint32_t>(value.size())) + value);
 }
 std::string parameter(const std::string& name, const std::string& value) {
-  return pg::message('S', name + '\0' + value + '\0');
+  return postgres::message('S', name + '\0' + value + '\0');
 }
 // The work of a request is its own, whoever serves it.
 double fraction(std::string_view id) {
@@ -117,15 +117,15 @@
       }
       if (!greeted_) {
         char length[4];
-        if (have < 8 || evbuffer_copyout(in, length, 4) < 4 || have < pg::readInt32(length)) return;
-        evbuffer_drain(in, pg::readInt32(length));
+        if (have < 8 || evbuffer_copyout(in, length, 4) < 4 || have < postgres::readInt32(length)) return;
+        evbuffer_drain(in, postgres::readInt32(length));
         greeted_ = true;
-        put(bev_.get(), pg::greeting());
+        put(bev_.get(), postgres::greeting());
         continue;
       }
-      char bytes[pg::kHead];
+      char bytes[postgres::kHead];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
-      const auto head = pg::parseHead(bytes);
+      const auto head = postgres::parseHead(bytes);
       if (!head || head->type == 'X') return gone();
       if (have < sizeof bytes + head->body) return;
       const auto* const at = reinterpret_cast<const char*>(
@@ -204,9 +204,9 @@
       std::snprintf(report, sizeof report, "x0=%.3f,x1=%d,inflight=%zu",
                     static_cast<double>(s_.c_.unixMs(s_.position(now))) / 1e3,
                     s_.fleet_.primary(s_.group_) == &s_ ? 1 : 0, s_.machine_->held(now));
-      return put(bev_.get(), row(report) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
+      return put(bev_.get(), row(report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
     }
-    const pg::Comment comment = pg::parseComment(text);
+    const postgres::Comment comment = postgres::parseComment(text);
     const ClassModel* const cls = comment.fault ? nullptr : s_.fleet_.find(std::string(comment.cls));
     if (!cls) return error("08P01", "not in this form");
     const bool primary = s_.fleet_.primary(s_.group_) == &s_;
@@ -252,7 +252,7 @@
   // What a desk has written has to arrive as it meant it. False: it is answered already.
   bool check(const std::string& text) {
     if (text.rfind("SELECT missing", 0) == 0) {
-      put(bev_.get(), speaker_->problem("42703", "column \"missing\" does not exist") + pg::readyForQuery());
+      put(bev_.get(), speaker_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
       return false;
     }
     const std::size_t note = text.find("note = ");
@@ -267,7 +267,7 @@
   void error(const char* code, const char* text) {
     if (busy_) s_.audit_.ended(s_.c_.now(), token_, false);
     busy_ = false;
-    put(bev_.get(), pg::error("ERROR", code, text) + pg::readyForQuery());
+    put(bev_.get(), postgres::error("ERROR", code, text) + postgres::readyForQuery());
   }
   void finish() {
     if (closing_) return gone();
@@ -294,10 +294,10 @@
     const std::size_t size = std::max<std::size_t>(s_.fleet_.s_.valueBytes, 1);
     put(bev_.get(),
         between + (speaker_ ? speaker_->row(bytesOf(id_, size)) : row(value)) +
-            pg::message('C', std::string(cls_->write ? "INSERT 0 1" : "SELECT 1") + '\0') +
+            postgres::message('C', std::string(cls_->write ? "INSERT 0 1" : "SELECT 1") + '\0') +
             parameter("role", primary ? "primary" : "replica") +
             parameter("applied_ms", std::to_string(s_.c_.unixMs(position) + (cls_->write ? 1 : 0))) +
-            pg::readyForQuery());
+            postgres::readyForQuery());
   }
 
   DataServer& s_;
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -30,49 +30,49 @@
 ServerSpeaker::~ServerSpeaker() = default;
 
 std::string ServerSpeaker::greeting() const {
-  std::string m = pg::authentication(pg::kAuthOk);
-  m += pg::parameterStatus("server_version", generation_.backslashes ? "8.4.22"
+  std::string m = postgres::authentication(postgres::kAuthOk);
+  m += postgres::parameterStatus("server_version", generation_.backslashes ? "8.4.22"
                                              : generation_.minor > 0 ? "18.1"
                                                                      : "12.4");
-  m += pg::parameterStatus("client_encoding", "UTF8");
-  m += pg::parameterStatus("standard_conforming_strings", generation_.backslashes ? "off" : "on");
-  if (generation_.chatty) m += pg::parameterStatus("search_path", "\"$user\", public");  // reported since 18
-  m += pg::keyData({number_, std::string(generation_.minor > 0 ? 32 : 4, 'k')});
-  return m + pg::readyForQuery();
+  m += postgres::parameterStatus("client_encoding", "UTF8");
+  m += postgres::parameterStatus("standard_conforming_strings", generation_.backslashes ? "off" : "on");
+  if (generation_.chatty) m += postgres::parameterStatus("search_path", "\"$user\", public");  // reported since 18
+  m += postgres::keyData({number_, std::string(generation_.minor > 0 ? 32 : 4, 'k')});
+  return m + postgres::readyForQuery();
 }
 
 ServerSpeaker::Got ServerSpeaker::take(std::string& in, std::string& send) {
   if (!started_) {
-    if (in.size() < 8 || in.size() < pg::readInt32(in.data())) return Got::More;
-    const std::string packet = in.substr(0, pg::readInt32(in.data()));
+    if (in.size() < 8 || in.size() < postgres::readInt32(in.data())) return Got::More;
+    const std::string packet = in.substr(0, postgres::readInt32(in.data()));
     in.erase(0, packet.size());
-    if (const auto key = pg::parseCancel(packet)) {
+    if (const auto key = postgres::parseCancel(packet)) {
       cancelled_ = key->process;
       const bool right = key->secret == std::string(generation_.minor > 0 ? 32 : 4, 'k');
       return right ? Got::Cancel : Got::Out;
     }
-    const auto hello = pg::parseStartup(packet);
+    const auto hello = postgres::parseStartup(packet);
     if (!hello) return Got::Out;
     started_ = true;
     askedMinor_ = hello->minor;
-    if (hello->minor > generation_.minor) send += pg::negotiate(generation_.minor, {});
+    if (hello->minor > generation_.minor) send += postgres::negotiate(generation_.minor, {});
     if (generation_.login.empty()) {
       send += greeting();
       return Got::In;
     }
     if (hello->user != kInnerUser) return Got::Out;
-    send += generation_.login == "scram" ? pg::saslMechanisms()
-            : generation_.login == "md5" ? pg::authentication(pg::kAuthMd5, "salt")
-                                         : pg::authentication(pg::kAuthCleartext);
+    send += generation_.login == "scram" ? postgres::saslMechanisms()
+            : generation_.login == "md5" ? postgres::authentication(postgres::kAuthMd5, "salt")
+                                         : postgres::authentication(postgres::kAuthCleartext);
   }
-  if (in.size() < 5 || in.size() < 1 + pg::readInt32(in.data() + 1)) return Got::More;
-  const std::size_t length = pg::readInt32(in.data() + 1);
+  if (in.size() < 5 || in.size() < 1 + postgres::readInt32(in.data() + 1)) return Got::More;
+  const std::size_t length = postgres::readInt32(in.data() + 1);
   const char type = in[0];
   const std::string body = in.substr(5, length - 4);
   in.erase(0, 1 + length);
   Got got = Got::More;
   if (!login(type, body, send, got)) {
-    send += pg::error("FATAL", "28P01", "password authentication failed");
+    send += postgres::error("FATAL", "28P01", "password authentication failed");
     return Got::Out;
   }
   if (got == Got::In) send += greeting();
@@ -92,22 +92,22 @@
   if (!scram_) {
     static const auth::Verifier verifier = auth::makeVerifier(kInnerPassword, kSalt, 4096);
     scram_ = std::make_unique<Scram>(Scram{auth::ScramServer(verifier, nonce_)});
-    const auto initial = pg::parseSaslInitial(body);
+    const auto initial = postgres::parseSaslInitial(body);
     const auto first = initial ? scram_->server.first(*initial, why) : std::nullopt;
-    if (first) send += pg::authentication(pg::kAuthSaslContinue, *first);
+    if (first) send += postgres::authentication(postgres::kAuthSaslContinue, *first);
     return first.has_value();
   }
   const auto last = scram_->server.final(body, why);
   if (!last) return false;
-  send += pg::authentication(pg::kAuthSaslFinal, *last);
+  send += postgres::authentication(postgres::kAuthSaslFinal, *last);
   got = Got::In;
   return true;
 }
 
 std::string ServerSpeaker::row(std::string_view bytes) const {
-  const pg::Codec codec(generation_.minor);
-  const std::string value = translate::writeBytea(
-      generation_.escape ? translate::ByteaForm::Escape : translate::ByteaForm::Hex, bytes);
+  const postgres::Codec codec(generation_.minor);
+  const std::string value = translation::writeBytea(
+      generation_.escape ? translation::ByteaForm::Escape : translation::ByteaForm::Hex, bytes);
   const std::string size = std::to_string(bytes.size());
   return codec.columns(
              {{"size", 23, 4, -1, false}, {"blob", 17, -1, -1, false}, {"note", 25, -1, -1, false}}) +
@@ -116,13 +116,13 @@
 
 std::string ServerSpeaker::between() const {
   if (!generation_.chatty) return {};
-  std::string notice = pg::error("NOTICE", "01000", "the weather is fine");
+  std::string notice = postgres::error("NOTICE", "01000", "the weather is fine");
   notice[0] = 'N';
-  return pg::parameterStatus("in_hot_standby", "on") + notice;
+  return postgres::parameterStatus("in_hot_standby", "on") + notice;
 }
 
 std::string ServerSpeaker::problem(const char* code, const char* text) const {
-  translate::Problem p;
+  translation::Problem p;
   p.code = code;
   p.text = text;
   if (generation_.chatty) {
@@ -130,7 +130,7 @@
     p.table = "rows";
     p.constraint = "rows_pkey";
   }
-  return pg::Codec(generation_.chatty ? 2 : 0).problem(p);
+  return postgres::Codec(generation_.chatty ? 2 : 0).problem(p);
 }
 
 std::optional<std::string> ServerSpeaker::literal(std::string_view s, std::size_t at) const {
--- a/lab/rogue.cpp
+++ b/lab/rogue.cpp
@@ -112,7 +112,7 @@
   std::size_t at = 0;
   for (;;) {
     while (all.size() >= at + 5) {
-      const std::size_t whole = 1 + pg::readInt32(all.data() + at + 1);
+      const std::size_t whole = 1 + postgres::readInt32(all.data() + at + 1);
       if (all.size() < at + whole) break;
       if (all[at] == 'Z') return true;
       at += whole;
@@ -129,7 +129,7 @@
 std::string attempt(const Server& s, const std::string& statement) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   std::string greeting, answer;
-  const std::string hello = pg::startup("api", "ledger"), query = pg::query(statement);
+  const std::string hello = postgres::startup("api", "ledger"), query = postgres::query(statement);
   const bool ok = connect(fd, reinterpret_cast<const sockaddr*>(&s.address), sizeof s.address) == 0 &&
                   send(fd, hello.data(), hello.size(), MSG_NOSIGNAL) > 0 && readUntilReady(fd, greeting) &&
                   send(fd, query.data(), query.size(), MSG_NOSIGNAL) > 0 && readUntilReady(fd, answer);
@@ -150,7 +150,7 @@
 
 std::string serve(const std::string& statement) {
   const std::vector<Server> all = ofGroup(statement);
-  const std::string refused = pg::error("ERROR", "53300", "none") + pg::readyForQuery();
+  const std::string refused = postgres::error("ERROR", "53300", "none") + postgres::readyForQuery();
   if (all.empty()) return refused;
   const unsigned k = turn++;
   if (mode == "lose" && k % 10 == 9) return "";
@@ -185,14 +185,14 @@
   char bytes[65536];
   bool greeted = false;
   for (;;) {
-    if (!greeted && in.size() >= 4 && in.size() >= pg::readInt32(in.data())) {
-      in.erase(0, pg::readInt32(in.data()));
+    if (!greeted && in.size() >= 4 && in.size() >= postgres::readInt32(in.data())) {
+      in.erase(0, postgres::readInt32(in.data()));
       greeted = true;
-      const std::string hello = pg::greeting();
+      const std::string hello = postgres::greeting();
       if (send(fd, hello.data(), hello.size(), MSG_NOSIGNAL) < 0) break;
     }
-    if (greeted && in.size() >= 5 && in.size() >= 1 + pg::readInt32(in.data() + 1)) {
-      const std::size_t whole = 1 + pg::readInt32(in.data() + 1);
+    if (greeted && in.size() >= 5 && in.size() >= 1 + postgres::readInt32(in.data() + 1)) {
+      const std::size_t whole = 1 + postgres::readInt32(in.data() + 1);
       if (in[0] != 'Q') break;
       std::string answer = serve(in.substr(5, whole - 6));
       in.erase(0, whole);
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -12,7 +12,7 @@
 namespace sablespur::lab {
 namespace {
 
-std::string withType(char type, std::string_view body) { return pg::message(type, body); }
+std::string withType(char type, std::string_view body) { return postgres::message(type, body); }
 
 }  // namespace
 
@@ -30,34 +30,34 @@
 
 std::string Speaker::hello() const {
   if (version_ == Version::V20) return pg2::startup({pg2::kVersion, who_.database, who_.user, who_.options});
-  pg::Startup s;
+  postgres::Startup s;
   s.minor = version_ == Version::V32 ? 2 : 0;
   s.user = who_.user;
   s.database = who_.database;
   s.settings = who_.settings;
   if (!who_.options.empty()) s.settings.emplace_back("options", who_.options);
-  return pg::startup(s);
+  return postgres::startup(s);
 }
 std::string Speaker::query(std::string_view statement) const {
-  return version_ == Version::V20 ? pg2::query(statement) : pg::query(statement);
+  return version_ == Version::V20 ? pg2::query(statement) : postgres::query(statement);
 }
 std::string Speaker::extended(std::string_view statement, const std::vector<Bound>& bound,
                               bool binaryResults) const {
   std::vector<std::uint32_t> types;
-  pg::Bind b;
+  postgres::Bind b;
   for (const Bound& p : bound) {
     types.push_back(p.type);
     b.formats.push_back(p.binary ? 1 : 0);
     b.values.push_back(p.value ? std::optional<std::string_view>(*p.value) : std::nullopt);
   }
   if (binaryResults) b.results = {1};
-  return pg::parseMessage("", statement, types) + pg::bindMessage(b) + pg::describeMessage({true, ""}) +
-         pg::executeMessage({"", 0}) + pg::syncMessage();
+  return postgres::parseMessage("", statement, types) + postgres::bindMessage(b) + postgres::describeMessage({true, ""}) +
+         postgres::executeMessage({"", 0}) + postgres::syncMessage();
 }
 std::string Speaker::cancel() const { return cancelWith(process_, secret_); }
 std::string Speaker::cancelWith(std::uint32_t process, std::string_view secret) const {
-  if (version_ == Version::V20) return pg2::cancel({process, pg::readInt32(secret.data())});
-  return pg::cancel({process, std::string(secret)});
+  if (version_ == Version::V20) return pg2::cancel({process, postgres::readInt32(secret.data())});
+  return postgres::cancel({process, std::string(secret)});
 }
 
 Reply Speaker::takeReply() {
@@ -149,7 +149,7 @@
   };
   for (;;) {
     if (in.size() < 5) return Got::More;
-    const std::size_t length = pg::readInt32(in.data() + 1);
+    const std::size_t length = postgres::readInt32(in.data() + 1);
     if (length < 4 || length > (8u << 20)) return broken("a length that is none");
     if (in.size() < 1 + length) return Got::More;
     const char type = in[0];
@@ -158,18 +158,18 @@
     reply_.seen += type;
     switch (type) {
       case 'R':
-        if (body.size() < 4 || !login(pg::readInt32(body.data()), std::string_view(body).substr(4), send))
+        if (body.size() < 4 || !login(postgres::readInt32(body.data()), std::string_view(body).substr(4), send))
           return broken("a login that cannot be met");
         break;
       case 'K': {
-        const auto key = pg::parseKeyData(body);
+        const auto key = postgres::parseKeyData(body);
         if (!key || (version_ == Version::V30 && key->secret.size() != 4)) return broken("a malformed key");
         process_ = key->process;
         secret_ = key->secret;
         break;
       }
       case 'v': {
-        const auto minor = pg::parseNegotiate(body);
+        const auto minor = postgres::parseNegotiate(body);
         if (!minor) return broken("a malformed negotiation");
         minor_ = *minor;
         break;
@@ -181,7 +181,7 @@
         for (std::size_t k = 0; k < columns_; ++k) {
           at = body.find('\0', at);
           if (at == std::string::npos || body.size() < at + 19) return broken("a malformed description");
-          reply_.types.push_back(pg::readInt32(body.data() + at + 7));
+          reply_.types.push_back(postgres::readInt32(body.data() + at + 7));
           at += 19;
         }
         break;
@@ -193,7 +193,7 @@
         std::size_t at = 2;
         for (std::size_t k = 0; k < n; ++k) {
           if (body.size() < at + 4) return broken("a malformed row");
-          const std::uint32_t size = pg::readInt32(body.data() + at);
+          const std::uint32_t size = postgres::readInt32(body.data() + at);
           at += 4;
           if (size == 0xffffffff) {
             row.emplace_back();
--- a/src/admin/command_parser.cpp
+++ b/src/admin/command_parser.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cctype>
 
-namespace sablespur::control {
+namespace sablespur::admin {
 namespace {
 
 std::string answer(const char* word, std::string_view text) {
@@ -61,4 +61,4 @@
   return state_;
 }
 
-}  // namespace sablespur::control
+}  // namespace sablespur::admin
--- a/src/admin/command_parser.hpp
+++ b/src/admin/command_parser.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace sablespur::control {
+namespace sablespur::admin {
 
 constexpr std::size_t kLongestLine = 256;  // bytes, its end not counted
 constexpr std::size_t kLongestId = 128;
@@ -35,4 +35,4 @@
   State state_ = State::More;
 };
 
-}  // namespace sablespur::control
+}  // namespace sablespur::admin
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -10,7 +10,7 @@
 
 #include "engine/system_calls.hpp"
 
-namespace sablespur::control {
+namespace sablespur::admin {
 namespace {
 
 constexpr std::size_t kCallers = 8;
@@ -114,4 +114,4 @@
   append(bufferevent_get_output(c.connection.get()), line);
 }
 
-}  // namespace sablespur::control
+}  // namespace sablespur::admin
--- a/src/admin/listener.hpp
+++ b/src/admin/listener.hpp
@@ -10,7 +10,7 @@
 #include "engine/event.hpp"
 #include "support/address.hpp"
 
-namespace sablespur::control {
+namespace sablespur::admin {
 
 // Carries out a call; answers at once. `text` goes into the answer.
 class Commands {
@@ -46,4 +46,4 @@
   std::unordered_map<bufferevent*, Caller> callers_;
 };
 
-}  // namespace sablespur::control
+}  // namespace sablespur::admin
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -13,7 +13,7 @@
 #include "engine/file_calls.hpp"
 #include "logging/log.hpp"
 
-namespace sablespur::control {
+namespace sablespur::admin {
 namespace {
 
 constexpr std::string_view kHead = "sablespur bans 1\n";
@@ -165,4 +165,4 @@
   return false;
 }
 
-}  // namespace sablespur::control
+}  // namespace sablespur::admin
--- a/src/admin/suspended_endpoints.hpp
+++ b/src/admin/suspended_endpoints.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <utility>
 
-namespace sablespur::control {
+namespace sablespur::admin {
 
 constexpr std::size_t kMostBans = 10000;
 
@@ -44,4 +44,4 @@
   int pollsToSkip_ = 0, skippedNext_ = 1;               // between tries to write
 };
 
-}  // namespace sablespur::control
+}  // namespace sablespur::admin
--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -15,7 +15,7 @@
 // after which a ban counts as known.
 constexpr Time kLook = std::chrono::milliseconds(200);
 
-class Desk final : public Staff, control::Commands {
+class Desk final : public Staff, admin::Commands {
  public:
   Desk(event_base* base, const Config& c, Engine& engine, const Clients& clients)
       : engine_(engine),
@@ -31,15 +31,15 @@
   }
 
  private:
-  bool carryOut(const control::Call& call, std::string& text) override {
+  bool carryOut(const admin::Call& call, std::string& text) override {
     switch (call.verb) {
-      case control::Verb::Status:
+      case admin::Verb::Status:
         text = clients_.draining() ? "draining"
                                    : "serving, " + std::to_string(bans_.all().size()) + " suspended";
         return !clients_.draining();
-      case control::Verb::Suspend:
-      case control::Verb::Restore: {
-        const bool on = call.verb == control::Verb::Suspend;
+      case admin::Verb::Suspend:
+      case admin::Verb::Restore: {
+        const bool on = call.verb == admin::Verb::Suspend;
         if (!engine_.suspend(call.id, on)) {
           text = call.id + " was never on the list";
           return false;
@@ -65,9 +65,9 @@
 
   Engine& engine_;
   const Clients& clients_;
-  control::Bans bans_;
+  admin::Bans bans_;
   Event look_;
-  control::Listener listener_;
+  admin::Listener listener_;
 };
 
 }  // namespace
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -15,12 +15,12 @@
 namespace sablespur {
 namespace {
 
-using knotstack::Lifecycle;
+using balancer::Lifecycle;
 
 const char* stateName(Lifecycle s) {
   return s == Lifecycle::Ready ? "active" : s == Lifecycle::Draining ? "leaving" : "left";
 }
-std::string groupName(const Config& c, knotstack::GroupId id) {
+std::string groupName(const Config& c, balancer::GroupId id) {
   for (const GroupName& g : c.groups)
     if (g.id == id) return g.name;
   return std::to_string(id);
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -29,7 +29,7 @@
 #ifdef SABLESPUR_STORE
   // Guards against a limit on the size of files that ends the process: it is one more failing disk.
   std::signal(SIGXFSZ, SIG_IGN);
-  return openKeeper(base, engine, next, c, pg::reader());
+  return openKeeper(base, engine, next, c, postgres::reader());
 #else
   (void)base, (void)engine, (void)next,
       (void)c;  // the settings' reader turns a store down where there is none
--- a/src/app/store.cpp
+++ b/src/app/store.cpp
@@ -22,7 +22,7 @@
   if (!std::filesystem::exists(directory + "/CURRENT"))
     throw std::runtime_error(directory + ": there is no store");
 }
-const char* kindName(store::StoreError::Kind k) {
+const char* kindName(durability::StoreError::Kind k) {
   constexpr const char* kNames[] = {"busy", "damaged", "newer", "failed"};
   return kNames[static_cast<int>(k)];
 }
@@ -33,7 +33,7 @@
     exists(o.directory);
     work();
     return 0;
-  } catch (const store::StoreError& e) {
+  } catch (const durability::StoreError& e) {
     if (o.json)
       std::printf("%s\n", Json{{"store", o.directory},
                                {"good", false},
@@ -48,7 +48,7 @@
     return 1;
   }
 }
-Json figures(const StoreOptions& o, const store::Census& c) {
+Json figures(const StoreOptions& o, const durability::Census& c) {
   return {{"store", o.directory},
           {"good", true},
           {"keys", c.keys},
@@ -68,8 +68,8 @@
 
 int storeCheck(const StoreOptions& o) {
   return guarded(o, [&] {
-    store::Files files;
-    const store::Census c = store::check(files, o.directory);
+    durability::Files files;
+    const durability::Census c = durability::check(files, o.directory);
     if (o.json) {
       std::printf("%s\n", figures(o, c).dump().c_str());
       return;
@@ -87,8 +87,8 @@
 }
 int storeStat(const StoreOptions& o) {
   return guarded(o, [&] {
-    store::Files files;
-    const Json j = figures(o, store::check(files, o.directory));
+    durability::Files files;
+    const Json j = figures(o, durability::check(files, o.directory));
     if (o.json) {
       std::printf("%s\n", j.dump().c_str());
       return;
@@ -101,8 +101,8 @@
 }
 int storeDump(const StoreOptions& o) {
   return guarded(o, [&] {
-    store::Files files;
-    store::dump(files, o.directory, [&](const nlohmann::json& j) {
+    durability::Files files;
+    durability::dump(files, o.directory, [&](const nlohmann::json& j) {
       if (o.json) {
         std::printf("%s\n", j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
         return;
@@ -119,15 +119,15 @@
 }
 int storeCompact(const StoreOptions& o) {
   return guarded(o, [&] {
-    store::Files files;
+    durability::Files files;
     std::uint64_t before = 0, after = 0;
     {
-      store::Database db(files, o.directory);
+      durability::Database db(files, o.directory);
       before = db.bytesOnDisk();
     }
-    store::compact(files, o.directory);
+    durability::compact(files, o.directory);
     {
-      store::Database db(files, o.directory);
+      durability::Database db(files, o.directory);
       after = db.bytesOnDisk();
     }
     if (o.json)
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -100,11 +100,11 @@
             owner.base_, -1, 0,
             [](evutil_socket_t, short, void* self) { static_cast<Connection*>(self)->late(); }, this)) {
     bev_.reset(bufferevent_socket_new(owner.base_, fd, BEV_OPT_CLOSE_ON_FREE));
-    pg::Startup hello;
+    postgres::Startup hello;
     hello.minor = minor;
     hello.user = owner.config_.serverUser;
     hello.database = owner.config_.serverDatabase;
-    append(output(), pg::startup(hello));
+    append(output(), postgres::startup(hello));
     // A connect that fails at once is told by the timer: this call's own caller is not done yet.
     startTimer(timer.get(), fd < 0 ? Time(0) : owner.config_.dialTimeout);
     bufferevent_setcb(
@@ -167,7 +167,7 @@
   bool callOff() {
     if (!key_ || call_) return false;
     callDescriptor_ = Account::Place(owner_.account_, Holder::Servers);
-    call_ = std::make_unique<CancelCall>(owner_.base_, address_, pg::cancel(*key_), owner_.config_.giveUpWait,
+    call_ = std::make_unique<CancelCall>(owner_.base_, address_, postgres::cancel(*key_), owner_.config_.giveUpWait,
                                          [this](bool taken) {
                                            const auto ended = std::move(call_);
                                            callDescriptor_ = Account::Place();
@@ -210,9 +210,9 @@
     while (evbuffer_get_length(in) > 0) {
       if (!dialing && !(job && job->written && flushed()))
         return owner_.spoilt(*this, "what nobody asked for");
-      char bytes[pg::kHead];
+      char bytes[postgres::kHead];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) break;
-      const auto head = pg::parseHead(bytes);
+      const auto head = postgres::parseHead(bytes);
       // Judged by its head, before the rest is read: it may promise gigabytes.
       if (!head || !due(head->type) || head->body > longest(head->type))
         return owner_.spoilt(*this, "a message that is none");
@@ -252,21 +252,21 @@
   bool strict() const { return job->probe() || !owner_.config_.anyRows; }
   std::size_t longest(char type) const {
     const bool any = !dialing && !strict();
-    if (type == 'D') return any ? pg::kLongestMessage : pg::kRowHead + pg::kLongestValue;
-    return any && type == 'T' ? pg::kLongestMessage : pg::kLongestNote;
+    if (type == 'D') return any ? postgres::kLongestMessage : postgres::kRowHead + postgres::kLongestValue;
+    return any && type == 'T' ? postgres::kLongestMessage : postgres::kLongestNote;
   }
   static bool isValue(evbuffer* in, std::size_t body) {
-    char row[pg::kHead + pg::kRowHead];
-    char columns[pg::kRowHead];
+    char row[postgres::kHead + postgres::kRowHead];
+    char columns[postgres::kRowHead];
     const bool enough = evbuffer_copyout(in, row, sizeof row) == static_cast<ev_ssize_t>(sizeof row);
-    std::copy(row + pg::kHead, row + sizeof row, columns);
-    return enough && pg::isRowHead(columns, body);
+    std::copy(row + postgres::kHead, row + sizeof row, columns);
+    return enough && postgres::isRowHead(columns, body);
   }
   // Whether the lengths within a row fit; the values are not looked at.
   bool isRow(evbuffer* in, std::size_t body) const {
     evbuffer_ptr at;
     char n[4];
-    if (body < 2 || evbuffer_ptr_set(in, &at, pg::kHead, EVBUFFER_PTR_SET) != 0 ||
+    if (body < 2 || evbuffer_ptr_set(in, &at, postgres::kHead, EVBUFFER_PTR_SET) != 0 ||
         evbuffer_copyout_from(in, &at, n, 2) != 2 ||
         (static_cast<unsigned char>(n[0]) << 8 | static_cast<unsigned char>(n[1])) !=
             static_cast<int>(columns_))
@@ -276,7 +276,7 @@
       if (left < 4 || evbuffer_ptr_set(in, &at, skip, EVBUFFER_PTR_ADD) != 0 ||
           evbuffer_copyout_from(in, &at, n, 4) != 4)
         return false;
-      const std::uint32_t length = pg::readInt32(n);
+      const std::uint32_t length = postgres::readInt32(n);
       const std::size_t value = length == 0xffffffff ? 0 : length;  // null
       left -= 4;
       if (value > left) return false;
@@ -321,7 +321,7 @@
   bool take(char type, std::string_view body) {
     switch (type) {
       case 'E': {
-        const pg::ErrorFields e = pg::parseError(body);
+        const postgres::ErrorFields e = postgres::parseError(body);
         if (e.code.empty()) return malformed("a malformed error");
         stage_ = Stage::Failed;
         // Syntax, data, protocol: the statement is at fault.
@@ -341,14 +341,14 @@
         }
         if (!dialing && badStatement_ && owner_.config_.tellStatementErrors) {
           evbuffer_drain(answer_.get(), evbuffer_get_length(answer_.get()));
-          append(answer_.get(), pg::message('E', body));
+          append(answer_.get(), postgres::message('E', body));
         }
         if (!dialing && e.severity != "FATAL") return true;
         owner_.lost(*this, result_);
         return false;
       }
       case 'S': {
-        const auto [name, value] = pg::parseParameter(body);
+        const auto [name, value] = postgres::parseParameter(body);
         if (name.empty()) return malformed("a malformed parameter");
         if (name == "role")
           role_ = value == "primary" ? Role::Primary : value == "replica" ? Role::Replica : Role::Unknown;
@@ -362,25 +362,25 @@
       }
       case 'R':
         if (body.size() < 4) return malformed("a malformed request for a login");
-        return authenticate(pg::readInt32(body.data()), body.substr(4));
+        return authenticate(postgres::readInt32(body.data()), body.substr(4));
       case 'K':
-        key_ = pg::parseKeyData(body);  // of another length: there is no cancelling then
+        key_ = postgres::parseKeyData(body);  // of another length: there is no cancelling then
         return true;
       case 'T':
-        if (strict() ? !pg::isRowDescription(body) : !described(body))
+        if (strict() ? !postgres::isRowDescription(body) : !described(body))
           return malformed("a malformed description");
         stage_ = Stage::Described;
         return true;
       case 'D':
-        if (const auto column = pg::parseColumn(body)) report_ = std::string(*column);
+        if (const auto column = postgres::parseColumn(body)) report_ = std::string(*column);
         stage_ = Stage::Row;
         return true;
       case 'C':
-        if (!pg::isTag(body, strict() && !job->probe())) return malformed("a malformed completion");
+        if (!postgres::isTag(body, strict() && !job->probe())) return malformed("a malformed completion");
         stage_ = Stage::Complete;
         return true;
       case 'v': {
-        const auto spoken = pg::parseNegotiate(body);
+        const auto spoken = postgres::parseNegotiate(body);
         if (!spoken || *spoken > minor_) return malformed("a malformed negotiation");
         owner_.endpoints_[member].minor = minor_ = *spoken;
         return true;
@@ -403,7 +403,7 @@
       owner_.lost(*this, Result::ConnectFailed);
       return false;
     };
-    if (code == pg::kAuthOk) {
+    if (code == postgres::kAuthOk) {
       if (login_ && !login_->mayEnter()) return out("it lets us in without having proved itself");
       login_.reset();
       return true;
@@ -421,8 +421,8 @@
     return owner_.salt(login_->challenge(), login_->slow()) ? true : out("too many logins at once");
   }
   bool described(std::string_view body) {
-    std::vector<translate::Column> columns;
-    if (!pg::readColumns(body, columns)) return false;
+    std::vector<translation::Column> columns;
+    if (!postgres::readColumns(body, columns)) return false;
     columns_ = columns.size();
     return true;
   }
@@ -440,7 +440,7 @@
     e.role = role_;
     e.positionMs = positionMs_;
     if (e.result == Result::Ok || evbuffer_get_length(answer_.get()) > 0)
-      e.answer = {std::move(answer_), &pg::reader(), e.result != Result::Ok};
+      e.answer = {std::move(answer_), &postgres::reader(), e.result != Result::Ok};
     owner_.finish(j, std::move(e));
   }
 
@@ -467,7 +467,7 @@
  private:
   int minor_;                           // of version 3, as asked for, then as agreed
   std::unique_ptr<ServerLogin> login_;  // until it lets us in
-  std::optional<pg::Key> key_;
+  std::optional<postgres::Key> key_;
   Account::Place callDescriptor_;
   std::unique_ptr<CancelCall> call_;
 
@@ -715,7 +715,7 @@
 void Upstream::write(Job& j) {
   if (j.probe()) {
     j.written = true;
-    return append(j.on->output(), pg::query("SHOW load"));
+    return append(j.on->output(), postgres::query("SHOW load"));
   }
   const bool backslashes = j.message->from && j.message->from->backslashes;
   if (backslashes != j.on->backslashes()) return rewrite(j);
@@ -729,7 +729,7 @@
                     length = before + (before > 0 ? digits.size() : 0) +
                              evbuffer_get_length(j.message->after.get());
   const Buffer query = newBuffer();
-  append(query.get(), pg::queryHead(length));
+  append(query.get(), postgres::queryHead(length));
   evbuffer_add_buffer_reference(query.get(), j.message->before.get());
   if (before > 0) append(query.get(), digits);  // else the statement does not say how long it waits
   evbuffer_add_buffer_reference(query.get(), j.message->after.get());
@@ -752,10 +752,10 @@
   if (!statement.empty()) statement += std::to_string(left);
   copy(j.message->after.get());
   statement.pop_back();  // its NUL
-  const std::string there = translate::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
-  if (there.size() + 1 > pg::kLongestMessage) return tooLong(*j.on);
+  const std::string there = translation::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
+  if (there.size() + 1 > postgres::kLongestMessage) return tooLong(*j.on);
   const Buffer query = newBuffer();
-  append(query.get(), pg::query(there));
+  append(query.get(), postgres::query(there));
   j.on->writeAtOnce(query.get(), now);
 }
 
@@ -784,9 +784,9 @@
   Ending e;
   e.result = Result::Error;
   e.badStatement = true;
-  e.answer = {newBuffer(), &pg::reader(), true};
+  e.answer = {newBuffer(), &postgres::reader(), true};
   append(e.answer.messages.get(),
-         pg::error("ERROR", "54000", "a statement or an answer that is too long to be passed on"));
+         postgres::error("ERROR", "54000", "a statement or an answer that is too long to be passed on"));
   finish(j, std::move(e));
 }
 
@@ -873,10 +873,10 @@
     double& v = figures[k];
     if (!figure(report, config_.reportNames[k], v) || !std::isfinite(v)) return {};
     switch (config_.settings.figures[k]) {
-      case knotstack::Figure::Position:
+      case balancer::Figure::Position:
         if (v < 0 || v > now + 1) return {};
         break;
-      case knotstack::Figure::Primary:
+      case balancer::Figure::Primary:
         if (v != 0 && v != 1) return {};
         break;
       default:
--- a/src/backend/postgres/cancel_request.cpp
+++ b/src/backend/postgres/cancel_request.cpp
@@ -5,7 +5,7 @@
 namespace sablespur {
 
 CancelCall::CancelCall(event_base* base, const Address& to, const std::string& request,
-                       knotstack::Time within, std::function<void(bool)> done)
+                       balancer::Time within, std::function<void(bool)> done)
     : bev_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
       timer_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<CancelCall*>(self)->end(false); },
@@ -28,7 +28,7 @@
   append(bufferevent_get_output(bev_.get()), request);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   const bool refused = bufferevent_socket_connect(bev_.get(), to.data(), static_cast<int>(to.size())) != 0;
-  startTimer(timer_.get(), refused ? knotstack::Time(0) : within);
+  startTimer(timer_.get(), refused ? balancer::Time(0) : within);
 }
 CancelCall::~CancelCall() = default;
 
--- a/src/backend/postgres/cancel_request.hpp
+++ b/src/backend/postgres/cancel_request.hpp
@@ -14,7 +14,7 @@
  public:
   // `done` comes once: true, the server has taken the request and closed; false, it could not be reached in
   // time. It may end this object, and comes after the constructor.
-  CancelCall(event_base*, const Address&, const std::string& request, knotstack::Time within,
+  CancelCall(event_base*, const Address&, const std::string& request, balancer::Time within,
              std::function<void(bool)> done);
   ~CancelCall();
   CancelCall(const CancelCall&) = delete;
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -21,21 +21,21 @@
   Said request(std::uint32_t code, std::string_view data) override {
     std::string why;
     switch (code) {
-      case pg::kAuthCleartext:
+      case postgres::kAuthCleartext:
         if (!guest_.allows(auth::Method::Cleartext))
           return {Next::Out, {}, "it wants the password in cleartext"};
-        return {Next::Send, pg::passwordMessage(guest_.cleartext()), {}};
-      case pg::kAuthMd5:
+        return {Next::Send, postgres::passwordMessage(guest_.cleartext()), {}};
+      case postgres::kAuthMd5:
         if (!guest_.allows(auth::Method::Md5) || data.size() != 4) return {Next::Out, {}, "it wants MD5"};
-        return {Next::Send, pg::passwordMessage(guest_.md5(data)), {}};
-      case pg::kAuthSasl:
-        if (!guest_.allows(auth::Method::Scram) || !pg::offersScram(data))
+        return {Next::Send, postgres::passwordMessage(guest_.md5(data)), {}};
+      case postgres::kAuthSasl:
+        if (!guest_.allows(auth::Method::Scram) || !postgres::offersScram(data))
           return {Next::Out, {}, "it offers no SASL mechanism that is allowed here"};
-        return {Next::Send, pg::saslInitial(guest_.scramFirst()), {}};
-      case pg::kAuthSaslContinue:
+        return {Next::Send, postgres::saslInitial(guest_.scramFirst()), {}};
+      case postgres::kAuthSaslContinue:
         challenge_ = guest_.challenged(data, why);
         return challenge_ ? Said{Next::Salt, {}, {}} : Said{Next::Out, {}, why};
-      case pg::kAuthSaslFinal:
+      case postgres::kAuthSaslFinal:
         return guest_.verified(data, why) ? Said{Next::Wait, {}, {}} : Said{Next::Out, {}, why};
       default:
         return {Next::Out, {}, "it wants a login that is not spoken here: " + std::to_string(code)};
@@ -46,7 +46,7 @@
     return challenge_ ? std::to_string(challenge_->iterations) + ":" + challenge_->salt : std::string();
   }
   Said salted(const std::string& result) override {
-    return {Next::Send, pg::saslResponse(guest_.scramFinal(result)), {}};
+    return {Next::Send, postgres::saslResponse(guest_.scramFinal(result)), {}};
   }
   bool mayEnter() const override { return guest_.mayEnter(); }
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -15,7 +15,7 @@
 
 #include "balancer/state.hpp"
 
-namespace knotstack {
+namespace sablespur::balancer {
 namespace {
 
 using std::chrono::milliseconds;
@@ -1056,4 +1056,4 @@
     if (c.classOf(r).need == Need::Session) move(r.commit);
 }
 
-}  // namespace knotstack
+}  // namespace sablespur::balancer
--- a/src/balancer/balancer.hpp
+++ b/src/balancer/balancer.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace knotstack {
+namespace sablespur::balancer {
 
 using Time = std::chrono::microseconds;  // an instant on the caller's clock, or an interval; never negative
 using MemberId = std::uint64_t;          // opaque, the same as long as the member keeps its address
@@ -161,4 +161,4 @@
   std::unique_ptr<Core> core_;
 };
 
-}  // namespace knotstack
+}  // namespace sablespur::balancer
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -8,7 +8,7 @@
 
 #include "balancer/balancer.hpp"
 
-namespace knotstack {
+namespace sablespur::balancer {
 
 constexpr Time never{-1};
 
@@ -109,4 +109,4 @@
   double expected;
 };
 
-}  // namespace knotstack
+}  // namespace sablespur::balancer
--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace sablespur::peers {
+namespace sablespur::cluster {
 namespace {
 
 constexpr char kVersion = 1;
@@ -90,4 +90,4 @@
   return hints;
 }
 
-}  // namespace sablespur::peers
+}  // namespace sablespur::cluster
--- a/src/cluster/gossip.hpp
+++ b/src/cluster/gossip.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace sablespur::peers {
+namespace sablespur::cluster {
 
 constexpr std::size_t kLongestDatagram = 256;  // bytes; the platform takes no more
 
@@ -41,4 +41,4 @@
 // All of them; empty where the bytes are no such datagram.
 std::vector<Hint> decode(std::string_view datagram, std::int64_t nowMs);
 
-}  // namespace sablespur::peers
+}  // namespace sablespur::cluster
--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <numeric>
 
-namespace sablespur::peers {
+namespace sablespur::cluster {
 namespace {
 
 // A position is told again once it has gone on by this share of the bound: with as much again for the way,
@@ -263,4 +263,4 @@
     it = nowMs - it->second.atMs > kForgetMs ? told_.erase(it) : std::next(it);
 }
 
-}  // namespace sablespur::peers
+}  // namespace sablespur::cluster
--- a/src/cluster/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -14,7 +14,7 @@
 
 #include "cluster/gossip.hpp"
 
-namespace sablespur::peers {
+namespace sablespur::cluster {
 
 // Datagrams a second that a proxy receives from all its peers together, where each of them has news. One
 // costs about 10 us, so 80 take under a thousandth of a core; with a few positions in each, every member of a
@@ -108,4 +108,4 @@
   std::vector<std::size_t> drawnPeers_;
 };
 
-}  // namespace sablespur::peers
+}  // namespace sablespur::cluster
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -9,10 +9,10 @@
 namespace sablespur {
 namespace {
 
-std::int64_t tightestBoundMs(const knotstack::Settings& s) {
+std::int64_t tightestBoundMs(const balancer::Settings& s) {
   std::int64_t tightest = 1000;
   for (const auto& c : s.classes)
-    if (c.need == knotstack::Need::Bounded)
+    if (c.need == balancer::Need::Bounded)
       tightest = std::min(tightest, std::int64_t{c.bound.count() / 1000});
   return tightest;
 }
@@ -25,14 +25,14 @@
 }
 
 // The same hint with its position counted by a clock that is ahead by `byMs`.
-peers::Hint moved(peers::Hint hint, std::int64_t byMs) {
+cluster::Hint moved(cluster::Hint hint, std::int64_t byMs) {
   hint.positionMs += byMs;
   return hint;
 }
 
-peers::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
+cluster::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
   // The proxies of a fleet may be given one seed; their addresses differ.
-  const std::uint64_t seed = config.seed ^ peers::tagOf(config.peerListen.text());
+  const std::uint64_t seed = config.seed ^ cluster::tagOf(config.peerListen.text());
   return {others, tightestBoundMs(config.settings), !config.peersAll.none(), seed};
 }
 
@@ -41,7 +41,7 @@
 PeerLink::PeerLink(event_base* base, Engine& engine, const Config& config)
     : engine_(engine),
       config_(config),
-      socket_(base, config.peerListen, peers::kLongestDatagram,
+      socket_(base, config.peerListen, cluster::kLongestDatagram,
               [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
       others_(othersOf(config, socket_.senders())),
       scheduler_(std::in_place, policyOf(config, others_.size())),
@@ -53,11 +53,11 @@
 }
 
 void PeerLink::send(std::size_t peer, const std::string& datagram) {
-  if (peer >= others_.size() || datagram.size() > peers::kLongestDatagram) return;
+  if (peer >= others_.size() || datagram.size() > cluster::kLongestDatagram) return;
   socket_.send(others_[peer], datagram);
 }
 
-void PeerLink::learned(const peers::Hint& hint) {
+void PeerLink::learned(const cluster::Hint& hint) {
   if (!config_.hints) return;
   followReference();
   scheduler_->learned(moved(hint, -offsetMs_), nowMs());
@@ -79,8 +79,8 @@
 
 void PeerLink::transmit() {
   if (tracing()) logEvent(LogLevel::Trace, "told", {{"hints", due_.size()}});
-  for (peers::Hint& hint : due_) hint = moved(hint, offsetMs_);
-  const std::string datagram = peers::encode(due_);
+  for (cluster::Hint& hint : due_) hint = moved(hint, offsetMs_);
+  const std::string datagram = cluster::encode(due_);
   if (!config_.peersAll.none()) {
     socket_.send(config_.peersAll, datagram);
     return;
@@ -96,16 +96,16 @@
 }
 
 void PeerLink::receive(std::size_t peer, std::string_view datagram) {
-  if (!peers::holdsHints(datagram)) {
+  if (!cluster::holdsHints(datagram)) {
     if (heads_) heads_(peer, datagram);
     return;
   }
   if (!config_.hints) return;
   followReference();
   const std::int64_t now = nowMs();
-  const std::size_t count = peers::hintsIn(datagram);
+  const std::size_t count = cluster::hintsIn(datagram);
   for (std::size_t k = 0; k < count; ++k) {
-    const peers::Hint hint = peers::hintAt(datagram, k, now + offsetMs_);
+    const cluster::Hint hint = cluster::hintAt(datagram, k, now + offsetMs_);
     scheduler_->received(moved(hint, -offsetMs_), now);
     engine_.heard(hint);
   }
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -26,7 +26,7 @@
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  void learned(const peers::Hint&) override;
+  void learned(const cluster::Hint&) override;
   void flush() override;
 
   // Datagrams of another kind than hints, by whoever sent them: an index among the other proxies.
@@ -46,9 +46,9 @@
   const Config& config_;
   DatagramSocket socket_;
   std::vector<Address> others_;
-  std::optional<peers::GossipScheduler> scheduler_;  // never empty; made anew when the reference clock moves
+  std::optional<cluster::GossipScheduler> scheduler_;  // never empty; made anew when the reference clock moves
   std::int64_t offsetMs_ = 0;                        // the reference clock's, which scheduler_ counts without
-  std::vector<peers::Hint> due_;                     // the datagram that is being sent
+  std::vector<cluster::Hint> due_;                     // the datagram that is being sent
   Event urgent_;                                     // a change of role does not wait for the next turn
   Heads heads_;
 };
--- a/src/config/adopt.cpp
+++ b/src/config/adopt.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t kMostPlaces = 1024;
 const std::string kNobody(1, '\0');  // no statement can name it
 
-bool same(const knotstack::ClassSettings& a, const knotstack::ClassSettings& b) {
-  const auto all = [](const knotstack::ClassSettings& c) {
+bool same(const balancer::ClassSettings& a, const balancer::ClassSettings& b) {
+  const auto all = [](const balancer::ClassSettings& c) {
     return std::tie(c.need, c.effect, c.scope, c.memory, c.bound, c.aim, c.deadline, c.worth, c.lateWorth);
   };
   return all(a) == all(b);
@@ -20,10 +20,10 @@
 
 void adopt(Config& running, const Config& read) {
   std::vector<std::string> names = running.classes;
-  std::vector<knotstack::ClassSettings> places = running.settings.classes;
+  std::vector<balancer::ClassSettings> places = running.settings.classes;
   std::fill(names.begin(), names.end(), kNobody);
   for (std::size_t k = 0; k < read.classes.size(); ++k) {
-    const knotstack::ClassSettings& c = read.settings.classes[k];
+    const balancer::ClassSettings& c = read.settings.classes[k];
     std::size_t at = 0;
     while (at < places.size() && !(running.classes[at] == read.classes[k] && same(places[at], c))) ++at;
     if (at < places.size()) {
@@ -37,7 +37,7 @@
   running.classes.resize(running.settings.classes.size());
   if (places.size() > kMostPlaces)
     throw BadInput("key settings.classes: too many have come and gone; a restart is needed");
-  const knotstack::Settings was = running.settings;
+  const balancer::Settings was = running.settings;
   running.settings = read.settings;
   running.settings.classes = std::move(places);
   running.settings.figures =
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -23,13 +23,13 @@
 }
 namespace sablespur {
 
-using knotstack::Time;
+using balancer::Time;
 
 enum class Source { Registry, DnsSd, Fixed };  // where the list of data servers comes from
 
 struct GroupName {
   std::string name;
-  knotstack::GroupId id = 0;
+  balancer::GroupId id = 0;
 };
 
 // DNS-SD: what is asked, whom, how often.
@@ -41,7 +41,7 @@
   Time tryTimeout{};                   // of one question to one name server
   double queriesPerSecond = 50;        // for single records, where an answer has no room for all
   int udpPayload = 0;                  // EDNS0
-  std::optional<knotstack::GroupId> defaultGroup;  // of instances that do not say
+  std::optional<balancer::GroupId> defaultGroup;  // of instances that do not say
   std::string defaultGroupName;                    // as the file has it
   Time keepFor{};                   // the last list stands so long when no name server answers; 0: for ever
   Time flapHalfLife{}, flapMost{};  // see MembershipPolicy
@@ -83,7 +83,7 @@
   std::size_t askingClients = 0;    // of the clients, those that have asked something, idle ones included
   std::size_t largeStatements = 0;  // bytes that statements too long to be read ahead may take, all together
   InstanceList known;
-  knotstack::Settings settings;
+  balancer::Settings settings;
   std::vector<std::string> classes;  // names, in the order of settings.classes
   std::vector<std::string> zones;
   std::vector<std::string> reportNames;  // in the order of settings.figures
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -21,8 +21,8 @@
 namespace sablespur {
 namespace {
 
-using knotstack::Effect;
-using knotstack::Need;
+using balancer::Effect;
+using balancer::Need;
 
 class Reader {
  public:
@@ -241,10 +241,10 @@
     if (!faults_.empty()) return;
     config_.settings.cancel = true;
     config_.settings.step = std::chrono::milliseconds(5);
-    config_.settings.discovery = config_.source == Source::Registry ? knotstack::Discovery::Subscribe
-                                                                    : knotstack::Discovery::Automatic;
+    config_.settings.discovery = config_.source == Source::Registry ? balancer::Discovery::Subscribe
+                                                                    : balancer::Discovery::Automatic;
     if (config_.source != Source::Registry) config_.settings.mustAskIn = Time(0);
-    if (config_.settings.reports == knotstack::Reports::Silent) {
+    if (config_.settings.reports == balancer::Reports::Silent) {
       config_.settings.figures.clear();
       config_.reportNames.clear();
     }
@@ -287,8 +287,8 @@
       fault(keyLine("store", "come_back_most"), "[store] come_back_most",
             {"it is below come_back_least", "raise it, or lower the other"});
     for (std::size_t k = 0; k < config_.classes.size(); ++k) {
-      const knotstack::ClassSettings& s = config_.settings.classes[k];
-      if (s.effect != knotstack::Effect::Keyed || c.keep >= s.deadline + s.memory) continue;
+      const balancer::ClassSettings& s = config_.settings.classes[k];
+      if (s.effect != balancer::Effect::Keyed || c.keep >= s.deadline + s.memory) continue;
       fault(keyLine("store", "keep"), "[store] keep",
             {"class " + config_.classes[k] + " may be asked for again after that",
              "at least its give_up and repeats_dropped_for together"});
@@ -413,12 +413,12 @@
       wrong("group", {"'" + d.defaultGroupName + "' is neither a [group] nor a number up to 65535",
                       "add [group " + d.defaultGroupName + "] with its number"});
   }
-  std::optional<knotstack::GroupId> groupOf(const std::string& text) const {
+  std::optional<balancer::GroupId> groupOf(const std::string& text) const {
     for (const GroupName& g : config_.groups)
       if (g.name == text) return g.id;
     const auto number = readCount(text);
     const std::int64_t* const id = std::get_if<std::int64_t>(&number);
-    if (id && *id >= 0 && *id <= 65535) return static_cast<knotstack::GroupId>(*id);
+    if (id && *id >= 0 && *id <= 65535) return static_cast<balancer::GroupId>(*id);
     return std::nullopt;
   }
   int sectionLine(const std::string& type) const {
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -111,8 +111,8 @@
   std::string lines;
   flatten(settings, "", lines);
   try {
-    c.settings = knotstack::wire::parseSettings(lines);
-  } catch (const knotstack::wire::BadSetting& e) {
+    c.settings = sablespur::simulator::parseSettings(lines);
+  } catch (const sablespur::simulator::BadSetting& e) {
     throw BadInput(std::string("key settings: ") + e.what());
   }
   std::size_t n = 0;
@@ -120,7 +120,7 @@
     c.classes.emplace_back(
         jsonField<std::string_view>(e, "name", "settings.classes[" + std::to_string(n++) + "]."));
   c.zones = names(settings, "settings.", "zones");
-  if (c.settings.reports != knotstack::Reports::Silent)
+  if (c.settings.reports != balancer::Reports::Silent)
     c.reportNames = names(jsonField<element>(settings, "report", "settings."), "settings.report.", "names");
   const auto allowed = jsonField<element>(settings, "allowed", "settings.");
   const std::string path = "settings.allowed.";
@@ -138,7 +138,7 @@
   if (root["control"].get(text) == simdjson::SUCCESS) c.control = parseAddress(text, "control");
   for (std::size_t k = 0; k < c.settings.classes.size(); ++k) {
     const auto& cls = c.settings.classes[k];
-    c.sessions = c.sessions || cls.need == knotstack::Need::Session;
+    c.sessions = c.sessions || cls.need == balancer::Need::Session;
     if (cls.aim <= Time(0) || cls.deadline < cls.aim)
       throw BadInput("key settings.classes[" + std::to_string(k) + "].promiseUs: 0 or past deadlineUs");
   }
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -7,13 +7,13 @@
 namespace sablespur {
 namespace {
 
-using knotstack::Checks;
-using knotstack::Effect;
-using knotstack::Figure;
-using knotstack::KeyScope;
-using knotstack::Need;
-using knotstack::Reports;
-using knotstack::RoleListed;
+using balancer::Checks;
+using balancer::Effect;
+using balancer::Figure;
+using balancer::KeyScope;
+using balancer::Need;
+using balancer::Reports;
+using balancer::RoleListed;
 
 constexpr double kMillisecond = 1e3, kSecond = 1e6, kHour = 3600e6;
 
@@ -625,7 +625,7 @@
 
           {"group", "number", Kind::Count, nullptr, 0, 65535, "",
            [](Draft& d,
-              const KeyValue& v) { d.group.id = static_cast<knotstack::GroupId>(as<std::int64_t>(v)); },
+              const KeyValue& v) { d.group.id = static_cast<balancer::GroupId>(as<std::int64_t>(v)); },
            "The number that statements carry (`cluster=`)."},
 
           {"member", "address", Kind::Address, nullptr, 0, 0, "",
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -59,7 +59,7 @@
   Config& config;
   std::uint64_t memory = 0;
   std::size_t descriptors = 0;
-  knotstack::ClassSettings cls;  // of the [class] at hand
+  balancer::ClassSettings cls;  // of the [class] at hand
   Instance member;               // of the [member] at hand
   std::string memberGroup;       // a name or a number
   GroupName group;               // of the [group] at hand
--- a/src/discovery/dnssd/records.cpp
+++ b/src/discovery/dnssd/records.cpp
@@ -22,7 +22,7 @@
 
 std::optional<std::string> readTxt(const std::vector<std::string>& strings,
                                    const std::vector<GroupName>& groups,
-                                   std::optional<knotstack::GroupId> defaultGroup, Instance& i) {
+                                   std::optional<balancer::GroupId> defaultGroup, Instance& i) {
   std::map<std::string, std::string> values;
   for (const std::string& s : strings) {
     const std::size_t eq = s.find('=');
@@ -62,7 +62,7 @@
   const std::string& state = values["state"];
   if (!state.empty() && state != "active" && state != "leaving")
     return wrong("state", "neither active nor leaving");
-  i.state = state == "leaving" ? knotstack::Lifecycle::Draining : knotstack::Lifecycle::Ready;
+  i.state = state == "leaving" ? balancer::Lifecycle::Draining : balancer::Lifecycle::Ready;
   if (!values["started"].empty() && (!number(values["started"], i.startedMs) || i.startedMs < 0))
     return wrong("started", "no Unix time in milliseconds");
   return std::nullopt;
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -4,7 +4,7 @@
 
 namespace sablespur {
 
-using knotstack::Lifecycle;
+using balancer::Lifecycle;
 using simdjson::dom::element;
 
 bool operator==(const Instance& a, const Instance& b) {
@@ -81,7 +81,7 @@
   if (has("cell")) {
     const auto cell = jsonField<std::int64_t>(e, "cell", path);
     if (cell < 0 || cell > 65535) throw BadInput("key " + path + "cell: out of range");
-    i.group = static_cast<knotstack::GroupId>(cell);
+    i.group = static_cast<balancer::GroupId>(cell);
   }
   if (has("weight")) i.weight = jsonField<double>(e, "weight", path);
   if (has("startedAtMs")) i.startedMs = jsonField<std::int64_t>(e, "startedAtMs", path);
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -17,8 +17,8 @@
   Address address;  // none: not told, as it may be for one that has left
   std::string zone;
   std::string kind;  // of machine; empty: not told
-  knotstack::GroupId group = 0;
-  knotstack::Lifecycle state = knotstack::Lifecycle::Ready;
+  balancer::GroupId group = 0;
+  balancer::Lifecycle state = balancer::Lifecycle::Ready;
   double weight = 1;
   std::int64_t startedMs = 0;  // Unix time; 0: long ago
 };
--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -7,7 +7,7 @@
 
 namespace sablespur {
 
-using knotstack::Lifecycle;
+using balancer::Lifecycle;
 
 namespace {
 
--- a/src/durability/backlog.cpp
+++ b/src/durability/backlog.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 struct TextBytes {
@@ -61,4 +61,4 @@
   }
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/backlog.hpp
+++ b/src/durability/backlog.hpp
@@ -13,7 +13,7 @@
 
 #include "durability/idempotency_store.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 class Backlog {
  public:
@@ -35,4 +35,4 @@
   std::size_t bytes_ = 0;
 };
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/database.cpp
+++ b/src/durability/database.cpp
@@ -12,7 +12,7 @@
 
 #include "durability/inspect.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 using leveldb::Slice;
@@ -276,4 +276,4 @@
                    baseName(at.path), at.offset);
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/database.hpp
+++ b/src/durability/database.hpp
@@ -20,7 +20,7 @@
 
 #include "durability/files.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 struct StoreError : std::runtime_error {
   enum class Kind {
@@ -92,4 +92,4 @@
   std::uint64_t marksSinceSync_ = 0;
 };
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/files.cpp
+++ b/src/durability/files.cpp
@@ -11,7 +11,7 @@
 
 #include "engine/file_calls.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 using leveldb::Slice;
@@ -229,4 +229,4 @@
   return last_;
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/files.hpp
+++ b/src/durability/files.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 enum class FileOp { Open, Append, Sync, Overwrite, Truncate, Rename, Remove, MakeDirectory };
 const char* fileOpName(FileOp);
@@ -67,4 +67,4 @@
   LastRead last_;
 };
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/group_commit_writer.cpp
+++ b/src/durability/group_commit_writer.cpp
@@ -16,7 +16,7 @@
 
 #include "durability/backlog.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 constexpr std::size_t kLargestGroup = 1024;  // bounds how long one commit can take
@@ -317,4 +317,4 @@
   return shared_->figures;
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/group_commit_writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -17,7 +17,7 @@
 #include "durability/idempotency_store.hpp"
 #include "engine/event.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 class Writer {
  public:
@@ -60,4 +60,4 @@
   Event woken_;
 };
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -15,13 +15,13 @@
 namespace sablespur {
 namespace {
 
-using knotstack::Effect;
-using knotstack::Need;
-using store::End;
-using store::Outcome;
-using store::Said;
-using store::Verdict;
-using store::Writer;
+using balancer::Effect;
+using balancer::Need;
+using durability::End;
+using durability::Outcome;
+using durability::Said;
+using durability::Verdict;
+using durability::Writer;
 
 constexpr Time kLook = std::chrono::milliseconds(10);  // at what waits for the disk
 constexpr Time kLeastWait = std::chrono::milliseconds(1);
@@ -41,8 +41,8 @@
   }
 }
 
-store::LedgerSettings ledgerSettings(const StoreConfig& c) {
-  store::LedgerSettings s;
+durability::LedgerSettings ledgerSettings(const StoreConfig& c) {
+  durability::LedgerSettings s;
   s.directory = c.directory;
   s.keep = c.keep;
   s.keepSessions = c.keepSessions;
@@ -55,7 +55,7 @@
 class StoreKeeper final : public Keeper, Witness {
  public:
   StoreKeeper(event_base* base, Engine& engine, Entrance& next, const Config& c,
-              const translate::AnswerReader& reader, store::FileHook* hook)
+              const translation::AnswerReader& reader, durability::FileHook* hook)
       : engine_(engine),
         next_(next),
         config_(*c.store),
@@ -84,8 +84,8 @@
   }
   ~StoreKeeper() override { engine_.witness(nullptr); }
 
-  RequestId request(Requester& asker, knotstack::Request q, Message m) override {
-    const knotstack::ClassSettings& c = classes_[static_cast<std::size_t>(q.cls)];
+  RequestId request(Requester& asker, balancer::Request q, Message m) override {
+    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.cls)];
     const bool keyed = c.need == Need::Write && c.effect == Effect::Keyed && !m.key.empty();
     const bool sessionRead = c.need == Need::Session && q.session != 0 && !tokensCarried_;
     const bool sessionWrite = c.need == Need::Write && q.session != 0 && !tokensCarried_;
@@ -116,7 +116,7 @@
     }
     // The engine hears of it in its next turn, and may send once more before: once it has gone on, it may
     // have run.
-    if (e.keyed && e.intended) writer_.note(store::NoteLeft{e.message.key, e.message.id, e.inEngine != 0});
+    if (e.keyed && e.intended) writer_.note(durability::NoteLeft{e.message.key, e.message.id, e.inEngine != 0});
     if (e.keyed && e.waits == Waits::Intent) takeBack(e);
     drop(e);
   }
@@ -147,7 +147,7 @@
   enum class Waits { Nothing, Turn, Intent, Session, Outcome };
   // A request between who asked and the engine.
   struct Entered final : Requester {
-    Entered(StoreKeeper& k, RequestId i, Requester& a, const knotstack::Request& r, Message&& m)
+    Entered(StoreKeeper& k, RequestId i, Requester& a, const balancer::Request& r, Message&& m)
         : keeper(k), id(i), asker(a), q(r), message(std::move(m)) {}
     void served(Answer a) override { keeper.served(*this, std::move(a)); }
     void refused(Time retryAfter) override { keeper.refused(*this, retryAfter); }
@@ -158,7 +158,7 @@
     StoreKeeper& keeper;
     const RequestId id;
     Requester& asker;
-    knotstack::Request q;
+    balancer::Request q;
     Message message;  // its id and key, once it has gone on
     RequestId inEngine = 0;
     bool keyed = false, session = false, write = false, intended = false;
@@ -219,14 +219,14 @@
       return later(e, comeBack());
     }
     wait(e, Waits::Intent);
-    const knotstack::ClassSettings& c = classes_[static_cast<std::size_t>(e.q.cls)];
-    store::Asked a;
+    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(e.q.cls)];
+    durability::Asked a;
     a.id = e.message.id;
     a.key = e.message.key;
     a.cls = names_[static_cast<std::size_t>(e.q.cls)];
     a.group = e.q.group;
     a.window = c.memory;
-    e.ticket = writer_.ask(store::AskKey{std::move(a)},
+    e.ticket = writer_.ask(durability::AskKey{std::move(a)},
                            [this, &e](bool durable, Said s) { judged(e, durable, std::move(s)); });
   }
   void judged(Entered& e, bool durable, Said s) {
@@ -256,14 +256,14 @@
         a.messages = newBuffer();
         append(a.messages.get(), s.answer);
         a.reader = &reader_;
-        writer_.note(store::NoteTold{e.message.key, e.message.id});
+        writer_.note(durability::NoteTold{e.message.key, e.message.id});
         Requester& asker = e.asker;
         drop(e);
         return asker.served(std::move(a));
       }
       case Verdict::Unknown:
         ++counts_.unknown;
-        writer_.note(store::NoteTold{e.message.key, e.message.id});
+        writer_.note(durability::NoteTold{e.message.key, e.message.id});
         return fail(e);
     }
   }
@@ -273,7 +273,7 @@
       return go(e);
     }
     wait(e, Waits::Session);
-    e.ticket = writer_.ask(store::AskSession{e.q.session}, [this, &e](bool durable, const Said& s) {
+    e.ticket = writer_.ask(durability::AskSession{e.q.session}, [this, &e](bool durable, const Said& s) {
       e.ticket.reset();
       e.waits = Waits::Nothing;
       if (!durable) {
@@ -305,7 +305,7 @@
     if (it == byEngine_.end()) return;
     Entered& e = *it->second;
     ++e.out;
-    if (e.keyed) writer_.note(store::NoteSent{e.message.key, e.message.id, member, attempt});
+    if (e.keyed) writer_.note(durability::NoteSent{e.message.key, e.message.id, member, attempt});
   }
   void ended(RequestId id, int attempt, const Ending& ending) override {
     const auto it = byEngine_.find(id);
@@ -315,14 +315,14 @@
     e.out -= e.out > 0;
     e.ran = e.ran || end != End::NeverRan;
     if (ending.result == Result::Ok) e.positionMs = ending.positionMs;
-    if (e.keyed) writer_.note(store::NoteEnded{e.message.key, e.message.id, attempt, end});
+    if (e.keyed) writer_.note(durability::NoteEnded{e.message.key, e.message.id, attempt, end});
   }
 
   // ---- how it ended ------------------------------------------------------------------------------------
   void served(Entered& e, Answer a) {
     byEngine_.erase(e.inEngine);
     if (!e.keyed && e.session && !e.write && e.positionMs > 0)
-      writer_.note(store::NoteSeen{e.q.session, e.positionMs});
+      writer_.note(durability::NoteSeen{e.q.session, e.positionMs});
     const bool problem = a.problem;
     if (problem || (!e.keyed && !(e.session && e.write && e.positionMs > 0))) {
       if (e.keyed) finish(e, problem && !e.ran ? Outcome::Refused : Outcome::Failed);
@@ -334,12 +334,12 @@
     wait(e, Waits::Outcome);
     const auto done = [this, &e](bool durable, const Said&) { recorded(e, durable); };
     if (!e.keyed) {
-      e.ticket = writer_.ask(store::NoteSeen{e.q.session, e.positionMs}, done);
+      e.ticket = writer_.ask(durability::NoteSeen{e.q.session, e.positionMs}, done);
       return;
     }
     evbuffer* const from = e.answer.messages.get();
     const std::size_t length = evbuffer_get_length(from);
-    store::Finish f{
+    durability::Finish f{
         e.message.key, e.message.id, Outcome::Served, {}, e.positionMs, e.session ? e.q.session : 0, true};
     if (length <= config_.longestAnswer) {
       f.answer.resize(length);
@@ -357,7 +357,7 @@
       ++counts_.notDurable;
       return fail(e);
     }
-    if (e.keyed) writer_.note(store::NoteTold{e.message.key, e.message.id});
+    if (e.keyed) writer_.note(durability::NoteTold{e.message.key, e.message.id});
     Requester& asker = e.asker;
     Answer a = std::move(e.answer);
     drop(e);
@@ -374,8 +374,8 @@
     fail(e);
   }
   void finish(const Entered& e, Outcome o) {
-    writer_.note(store::Finish{e.message.key, e.message.id, o, {}, 0, 0, e.mayHaveRun()});
-    writer_.note(store::NoteTold{e.message.key, e.message.id});
+    writer_.note(durability::Finish{e.message.key, e.message.id, o, {}, 0, 0, e.mayHaveRun()});
+    writer_.note(durability::NoteTold{e.message.key, e.message.id});
   }
   void refuse(Entered& e, Time wait) {
     Requester& asker = e.asker;
@@ -388,7 +388,7 @@
     asker.failed();
   }
   // Its intent may become durable yet; nothing of it is ever sent.
-  void takeBack(const Entered& e) { writer_.note(store::NoteLeft{e.message.key, e.message.id, false}); }
+  void takeBack(const Entered& e) { writer_.note(durability::NoteLeft{e.message.key, e.message.id, false}); }
 
   // A requester is never answered within its own call.
   void later(Entered& e, Time wait) {
@@ -456,7 +456,7 @@
     }
   }
   void opened() const {
-    const store::Recovered& r = writer_.recovered();
+    const durability::Recovered& r = writer_.recovered();
     logEvent(LogLevel::Info, "store_opened",
              {{"directory", config_.directory},
               {"epoch", r.epoch},
@@ -473,10 +473,10 @@
   Engine& engine_;
   Entrance& next_;
   const StoreConfig config_;
-  const std::vector<knotstack::ClassSettings> classes_;
+  const std::vector<balancer::ClassSettings> classes_;
   const std::vector<std::string> names_;
   const bool tokensCarried_, retryAfter_;
-  const translate::AnswerReader& reader_;
+  const translation::AnswerReader& reader_;
   std::mt19937 random_;
   std::unordered_map<RequestId, std::unique_ptr<Entered>> entered_;
   std::unordered_map<RequestId, Entered*> byEngine_;
@@ -505,17 +505,17 @@
 }  // namespace
 
 std::unique_ptr<Keeper> openKeeper(event_base* base, Engine& engine, Entrance& next, const Config& c,
-                                   const translate::AnswerReader& reader, store::FileHook* hook) {
+                                   const translation::AnswerReader& reader, durability::FileHook* hook) {
   if (!c.store) return nullptr;
   try {
     try {
       return std::make_unique<StoreKeeper>(base, engine, next, c, reader, hook);
-    } catch (const store::StoreError& e) {
-      if (e.kind != store::StoreError::Kind::Damaged || !c.store->setAside) throw;
+    } catch (const durability::StoreError& e) {
+      if (e.kind != durability::StoreError::Kind::Damaged || !c.store->setAside) throw;
       setAside(c.store->directory, e.what());
       return std::make_unique<StoreKeeper>(base, engine, next, c, reader, hook);
     }
-  } catch (const store::StoreError& e) {
+  } catch (const durability::StoreError& e) {
     throw std::runtime_error("key [store] directory: " + std::string(e.what()));
   }
 }
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -24,7 +24,7 @@
 
 #include "engine/engine.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 class FileHook;
 }
 namespace sablespur {
@@ -51,6 +51,6 @@
 // answers that are kept.
 // `next`: what takes the requests on, the engine or what stands before it.
 std::unique_ptr<Keeper> openKeeper(event_base*, Engine&, Entrance& next, const Config&,
-                                   const translate::AnswerReader& reader, store::FileHook* = nullptr);
+                                   const translation::AnswerReader& reader, durability::FileHook* = nullptr);
 
 }  // namespace sablespur
--- a/src/durability/idempotency_store.cpp
+++ b/src/durability/idempotency_store.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <unordered_map>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 constexpr const char *kClock = "!clock", *kTotals = "!totals", *kFormat = "!format";
@@ -189,7 +189,7 @@
     said.positionMs = c.record->positionMs;
   }
   totals_.keys += !c.record;
-  c.record = store::opened(c.record, o.asked, j, g.now, settings_.keep, recovered_.epoch, g.machine.wallMs);
+  c.record = durability::opened(c.record, o.asked, j, g.now, settings_.keep, recovered_.epoch, g.machine.wallMs);
   c.changed = true;
   return said;
 }
@@ -396,4 +396,4 @@
   db.compact();
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/idempotency_store.hpp
+++ b/src/durability/idempotency_store.hpp
@@ -25,7 +25,7 @@
 #include "durability/rules.hpp"
 #include "durability/store_clock.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 struct LedgerSettings {
   std::string directory;
@@ -152,4 +152,4 @@
 void dump(Files&, const std::string& directory, const std::function<void(const nlohmann::json&)>& each);
 void compact(Files&, const std::string& directory);
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/inspect.cpp
+++ b/src/durability/inspect.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/crc.hpp>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 constexpr std::size_t kBlock = 32768, kHeader = 7;  // log_format.md
@@ -197,4 +197,4 @@
   return i;
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/inspect.hpp
+++ b/src/durability/inspect.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 // The first pair of each batch: the number of the commit, counted from the store's beginning.
 constexpr std::string_view kCommitKey = "!commit";
@@ -40,4 +40,4 @@
 // LevelDB's checksum of a record's type and payload, or of a table's block and type.
 std::uint32_t maskedCrc(std::string_view);
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/record.cpp
+++ b/src/durability/record.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 using nlohmann::json;
@@ -200,4 +200,4 @@
   return j;
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/record.hpp
+++ b/src/durability/record.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 using Time = std::chrono::microseconds;
 
@@ -97,4 +97,4 @@
 const char* name(Outcome);
 nlohmann::json toJson(const KeyRecord&);  // for people: names in full, the answer's length in place of it
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/rules.cpp
+++ b/src/durability/rules.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 namespace {
 
 // Guards against a record that grows with its tries.
@@ -94,4 +94,4 @@
   if (r.outcome == Outcome::None && r.owed.empty()) r.outcome = Outcome::Failed;
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/rules.hpp
+++ b/src/durability/rules.hpp
@@ -6,7 +6,7 @@
 
 #include "durability/record.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 // A keyed write as it comes.
 struct Asked {
@@ -40,4 +40,4 @@
 void told(KeyRecord&, const std::string& id);
 void left(KeyRecord&, const std::string& id);  // its client has gone
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/store_clock.cpp
+++ b/src/durability/store_clock.cpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <fstream>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 MachineTime machineTime() {
   // Read once: it changes with the machine's start alone.
@@ -43,4 +43,4 @@
 }
 ClockRecord LedgerClock::record(const MachineTime& now) { return {at(now), boot_, now.us, gapAt_}; }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/store_clock.hpp
+++ b/src/durability/store_clock.hpp
@@ -11,7 +11,7 @@
 
 #include "durability/record.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 struct MachineTime {
   std::string boot;     // names this start of the machine
@@ -35,4 +35,4 @@
   bool gap_ = false;
 };
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/whole_file.cpp
+++ b/src/durability/whole_file.cpp
@@ -3,7 +3,7 @@
 #include <memory>
 #include <stdexcept>
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 std::string replaceWhole(Files& files, const std::string& path, std::string_view bytes) {
   const std::string fresh = path + ".new";
@@ -27,4 +27,4 @@
   return bytes;
 }
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/durability/whole_file.hpp
+++ b/src/durability/whole_file.hpp
@@ -7,7 +7,7 @@
 
 #include "durability/files.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 
 // Writes PATH.new, makes it durable, renames it into place and makes the name durable. Empty: done; else what
 // failed, and the file is as it was. Blocks; any thread.
@@ -15,4 +15,4 @@
 // Nothing where there is no such file. Throws std::runtime_error where it cannot be read.
 std::optional<std::string> readWhole(Files&, const std::string& path);
 
-}  // namespace sablespur::store
+}  // namespace sablespur::durability
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -7,9 +7,9 @@
 
 constexpr std::chrono::microseconds kLogAgain = std::chrono::seconds(30);
 
-const char* stateName(knotstack::Lifecycle s) {
-  return s == knotstack::Lifecycle::Ready      ? "active"
-         : s == knotstack::Lifecycle::Draining ? "leaving"
+const char* stateName(balancer::Lifecycle s) {
+  return s == balancer::Lifecycle::Ready      ? "active"
+         : s == balancer::Lifecycle::Draining ? "leaving"
                                                : "gone";
 }
 
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -8,8 +8,8 @@
 
 namespace sablespur {
 
-using knotstack::Lifecycle;
-using knotstack::ListKind;
+using balancer::Lifecycle;
+using balancer::ListKind;
 
 namespace {
 
@@ -49,10 +49,10 @@
           base, -1, 0, [](evutil_socket_t, short, void*) {}, nullptr)) {
   // Positions are whole milliseconds of Unix time; so is zero, lest rounding make data look newer.
   zero_ = std::chrono::duration_cast<std::chrono::milliseconds>(zero_);
-  knotstack::Settings settings = config.settings;
+  balancer::Settings settings = config.settings;
   settings.zero = zero_;
   balancer_ =
-      std::make_unique<knotstack::Balancer>(settings, config.seed, static_cast<knotstack::Sink&>(*this));
+      std::make_unique<balancer::Balancer>(settings, config.seed, static_cast<balancer::Sink&>(*this));
 }
 Engine::~Engine() = default;
 
@@ -62,7 +62,7 @@
   events_.emplace_back(Listed{false, config_.known});
 }
 
-RequestId Engine::request(Requester& asker, knotstack::Request q, Message message) {
+RequestId Engine::request(Requester& asker, balancer::Request q, Message message) {
   q.id = ++lastId_;
   held_[q.id] = Held{&asker, std::make_shared<const Message>(std::move(message)), q.cls, {}};
   events_.emplace_back(Arrived{q});
@@ -81,7 +81,7 @@
 void Engine::probed(MemberId member, bool ok, const std::vector<double>& report) {
   events_.emplace_back(Probed{member, ok, report});
 }
-void Engine::heard(const peers::Hint& hint) {
+void Engine::heard(const cluster::Hint& hint) {
   if (gossip_.empty()) events_.emplace_back(Heard{});
   gossip_.push_back(hint);
 }
@@ -91,7 +91,7 @@
   return true;
 }
 void Engine::ban(const std::string& name) { banned_.insert(name); }
-void Engine::settle(const knotstack::Settings& settings) { events_.emplace_back(Settled{settings}); }
+void Engine::settle(const balancer::Settings& settings) { events_.emplace_back(Settled{settings}); }
 void Engine::listed(InstanceList list) { events_.emplace_back(Listed{false, std::move(list)}); }
 void Engine::listFailed(const std::string&) { events_.emplace_back(Listed{true, {}}); }
 
@@ -184,7 +184,7 @@
 
 // Guards against a server that has just started and was taken for warm since the wall clock was ahead.
 void Engine::judgeStartsAnew() {
-  std::vector<knotstack::ListedMember> later;
+  std::vector<balancer::ListedMember> later;
   for (auto& [id, start] : starts_) {
     if (!start.byStamp) continue;
     const Time at = std::clamp<Time>(std::chrono::milliseconds(start.stampMs) - offset_, Time(1), now_);
@@ -238,7 +238,7 @@
               {"result", static_cast<int>(e.ending.result)},
               {"position_ms", e.ending.positionMs}});
   if (witness_) witness_->ended(e.id, e.attempt, e.ending);
-  knotstack::Outcome o;
+  balancer::Outcome o;
   o.request = e.id;
   o.attempt = e.attempt;
   o.member = e.member;
@@ -273,10 +273,10 @@
   if (!confidant_ || e.ending.positionMs <= 0 || e.ending.positionMs > (now_ + offset_).count() / 1000 ||
       tag == tags_.end())
     return;
-  peers::Hint h{tag->second, e.ending.positionMs,
-                e.ending.role == Role::Primary   ? peers::HintRole::Primary
-                : e.ending.role == Role::Replica ? peers::HintRole::Replica
-                                                 : peers::HintRole::Unknown};
+  cluster::Hint h{tag->second, e.ending.positionMs,
+                e.ending.role == Role::Primary   ? cluster::HintRole::Primary
+                : e.ending.role == Role::Replica ? cluster::HintRole::Replica
+                                                 : cluster::HintRole::Unknown};
   const auto it = held_.find(e.id);
   if (it != held_.end() && e.ending.result == Result::Ok) {
     h.cls = it->second.cls;
@@ -287,7 +287,7 @@
 
 // What other proxies had from members. A member is believed in only when the list has named it here.
 void Engine::tell(Heard&) {
-  for (const peers::Hint& h : gossip_) {
+  for (const cluster::Hint& h : gossip_) {
     const auto it = tagged_.find(h.tag);
     if (it == tagged_.end() || it->second == 0) continue;
     const std::uint32_t position = millisecondsSince(zero_ + offset_, h.positionMs) << 2;
@@ -320,16 +320,16 @@
 void Engine::tell(Probed& e) {
   const auto probedAt = probedAt_.find(e.member);
   const Time sent = probedAt == probedAt_.end() ? Time(0) : probedAt->second;
-  const peers::Hint said = hintOf(e);
-  if (said.role == peers::HintRole::Primary && said.positionMs > 0)
+  const cluster::Hint said = hintOf(e);
+  if (said.role == cluster::HintRole::Primary && said.positionMs > 0)
     primaryTold(e.member, std::chrono::milliseconds(said.positionMs), sent);
-  else if (said.role == peers::HintRole::Replica)
+  else if (said.role == cluster::HintRole::Replica)
     reference_.forget(e.member);
-  knotstack::Probe p;
+  balancer::Probe p;
   p.member = e.member;
   p.ok = e.ok;
   for (std::size_t k = 0; k < e.report.size() && k < config_.settings.figures.size(); ++k)
-    p.report.push_back(config_.settings.figures[k] == knotstack::Figure::Position
+    p.report.push_back(config_.settings.figures[k] == balancer::Figure::Position
                            ? secondsSince(zero_ + offset_, e.report[k])
                            : static_cast<float>(e.report[k]));
   if (tracing()) logEvent(LogLevel::Trace, "probed", {{"m", nameOf(e.member)}, {"ok", e.ok}});
@@ -338,14 +338,14 @@
 }
 
 // What a report says of position and role.
-peers::Hint Engine::hintOf(const Probed& e) const {
-  peers::Hint h;
+cluster::Hint Engine::hintOf(const Probed& e) const {
+  cluster::Hint h;
   if (!e.ok) return h;
   for (std::size_t k = 0; k < e.report.size() && k < config_.settings.figures.size(); ++k) {
-    if (config_.settings.figures[k] == knotstack::Figure::Position)
+    if (config_.settings.figures[k] == balancer::Figure::Position)
       h.positionMs = static_cast<std::int64_t>(e.report[k] * 1000);
-    if (config_.settings.figures[k] == knotstack::Figure::Primary)
-      h.role = e.report[k] > 0 ? peers::HintRole::Primary : peers::HintRole::Replica;
+    if (config_.settings.figures[k] == balancer::Figure::Primary)
+      h.role = e.report[k] > 0 ? cluster::HintRole::Primary : cluster::HintRole::Replica;
   }
   return h;
 }
@@ -353,7 +353,7 @@
 void Engine::tellOn(const Probed& e) {
   const auto tag = tags_.find(e.member);
   if (!confidant_ || !e.ok || tag == tags_.end()) return;
-  peers::Hint h = hintOf(e);
+  cluster::Hint h = hintOf(e);
   h.tag = tag->second;
   if (h.positionMs > 0) confidant_->learned(h);
 }
@@ -368,11 +368,11 @@
 void Engine::tellList(ListKind kind, const InstanceList& list) {
   const bool fromFirstLists = listsTold_ < kFirstLists;
   ++listsTold_;
-  std::vector<knotstack::ListedMember> entries;
+  std::vector<balancer::ListedMember> entries;
   for (const Instance& i : list.instances) {
     const bool unknown = ids_.find(i.name) == ids_.end();
     if (unknown && i.state == Lifecycle::Gone) continue;  // it came and went unseen
-    knotstack::ListedMember m;
+    balancer::ListedMember m;
     m.id = idOf(i.name);
     m.group = i.group;
     const auto zone = std::find(config_.zones.begin(), config_.zones.end(), i.zone);
@@ -393,7 +393,7 @@
   }
   if (kind != ListKind::Delta) {
     std::unordered_set<MemberId> listed;
-    for (const knotstack::ListedMember& m : entries) listed.insert(m.id);
+    for (const balancer::ListedMember& m : entries) listed.insert(m.id);
     for (const auto& [name, id] : ids_) {
       if (listed.count(id) > 0) continue;
       ready_.erase(id);
@@ -408,7 +408,7 @@
   lastMember_ += added;  // no id is given twice, for late events bear them
   if (added) {
     names_[it->second] = name;
-    const std::uint64_t tag = peers::tagOf(name);
+    const std::uint64_t tag = cluster::tagOf(name);
     tags_[it->second] = tag;
     const auto [same, alone] = tagged_.emplace(tag, it->second);
     if (!alone) same->second = 0;
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -18,21 +18,21 @@
 #include "engine/event.hpp"
 #include "engine/reference_clock.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 class AnswerReader;
 struct Side;
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
 
 namespace sablespur {
 
-using knotstack::MemberId;
-using knotstack::RequestId;
-using knotstack::Result;
+using balancer::MemberId;
+using balancer::RequestId;
+using balancer::Result;
 
 // A request as it goes on to a member; between the two parts stands what is left of its time, in ms.
 struct Message {
   Buffer before, after;
-  std::shared_ptr<const translate::Side>
+  std::shared_ptr<const translation::Side>
       from;             // what its writer said of itself; null: what everyone takes for granted
   std::string id, key;  // as its writer named it, and its idempotency key; empty: none
   Time clockOffset{};   // Engine::clockOffset() when the request's tokenMs was counted
@@ -41,7 +41,7 @@
 // What a member answered, as it came; the engine passes it on unseen.
 struct Answer {
   Buffer messages;
-  const translate::AnswerReader* reader = nullptr;  // of the form that they are in
+  const translation::AnswerReader* reader = nullptr;  // of the form that they are in
   bool problem = false;                             // one error, for what the statement says
 };
 
@@ -59,7 +59,7 @@
  public:
   virtual ~Entrance() = default;
   // Answered by the Requester, after this call has returned.
-  virtual RequestId request(Requester&, knotstack::Request, Message) = 0;  // the request's id is given here
+  virtual RequestId request(Requester&, balancer::Request, Message) = 0;  // the request's id is given here
   virtual void left(RequestId) = 0;
 };
 
@@ -77,7 +77,7 @@
 class Confidant {
  public:
   virtual ~Confidant() = default;
-  virtual void learned(const peers::Hint&) = 0;
+  virtual void learned(const cluster::Hint&) = 0;
   virtual void flush() = 0;
 };
 
@@ -117,7 +117,7 @@
 float secondsSince(Time zero, double unixSeconds);
 std::uint32_t millisecondsSince(Time zero, std::int64_t unixMs);  // below 2^30
 
-class Engine final : public Entrance, public ListTaker, knotstack::Sink {
+class Engine final : public Entrance, public ListTaker, balancer::Sink {
  public:
   Engine(event_base*, const Config&, ClockSource = {});
   ~Engine() override;
@@ -126,12 +126,12 @@
   void start(Members&, Lists&);  // tells the Balancer the list that the configuration holds
 
   // What has come in; it waits for the turn.
-  RequestId request(Requester&, knotstack::Request, Message) override;
+  RequestId request(Requester&, balancer::Request, Message) override;
   void left(RequestId) override;
   void connected(RequestId, int attempt);  // a new connection stands: may the attempt still go out?
   void ended(RequestId, int attempt, MemberId, Ending);
   void probed(MemberId, bool ok, const std::vector<double>& report);  // positions in Unix seconds
-  void heard(const peers::Hint&);  // from another proxy: weighed, never needed
+  void heard(const cluster::Hint&);  // from another proxy: weighed, never needed
   void listed(InstanceList) override;
   void listFailed(const std::string& why) override;
 
@@ -140,7 +140,7 @@
   // it.
   bool suspend(const std::string& name, bool on);
   void ban(const std::string& name);        // before the start: from an earlier process of this proxy
-  void settle(const knotstack::Settings&);  // new settings, for what comes from here on
+  void settle(const balancer::Settings&);  // new settings, for what comes from here on
   std::string nameOf(MemberId) const;
   bool pending() const { return !events_.empty(); }
   void turn();
@@ -153,7 +153,7 @@
 
  private:
   struct Arrived {
-    knotstack::Request request;
+    balancer::Request request;
   };
   struct Left {
     RequestId id;
@@ -183,7 +183,7 @@
     bool on;
   };
   struct Settled {
-    knotstack::Settings settings;
+    balancer::Settings settings;
   };
   using Incoming = std::variant<Arrived, Left, Connected, Ended, Probed, Listed, Heard, Suspended, Settled>;
   struct Held {
@@ -213,8 +213,8 @@
   void tell(Settled&);
   void tellOn(const Ended&);
   void tellOn(const Probed&);
-  peers::Hint hintOf(const Probed&) const;
-  void tellList(knotstack::ListKind, const InstanceList&);
+  cluster::Hint hintOf(const Probed&) const;
+  void tellList(balancer::ListKind, const InstanceList&);
   void rebase();
   void followWallClock();
   void primaryTold(MemberId, Time position, Time sent);
@@ -237,7 +237,7 @@
     std::int64_t stampMs = 0;  // as the list tells it
     Time at{};                 // on this process's clock
     bool byStamp = false;      // judged by the stamp: it was in the first lists
-    knotstack::ListedMember listed;
+    balancer::ListedMember listed;
   };
 
   Clock clock_;
@@ -251,7 +251,7 @@
   Witness* witness_ = nullptr;
   Confidant* confidant_ = nullptr;
   std::vector<Incoming> events_;
-  std::vector<peers::Hint> gossip_;             // heard since the last turn; keeps its storage
+  std::vector<cluster::Hint> gossip_;             // heard since the last turn; keeps its storage
   std::vector<std::function<void()>> actions_;  // recorded in the order in which they take effect
   std::unordered_map<RequestId, Held> held_;
   std::unordered_map<std::string, MemberId> ids_;
@@ -271,7 +271,7 @@
   std::priority_queue<Timer, std::vector<Timer>, std::greater<Timer>> timers_;
   std::uint64_t timersSet_ = 0;
   Event alarm_;  // wakes the loop for the first timer
-  std::unique_ptr<knotstack::Balancer> balancer_;
+  std::unique_ptr<balancer::Balancer> balancer_;
 };
 
 }  // namespace sablespur
--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -90,7 +90,7 @@
     for (const admission::ConnectionId id : door_.spare(engine_.now(), kShortage)) askBack(id);
   }
 
-  RequestId request(Requester& asker, knotstack::Request q, Message m, PlaceId place) override {
+  RequestId request(Requester& asker, balancer::Request q, Message m, PlaceId place) override {
     if (!requests_) return next_.request(asker, q, std::move(m));
     const RequestId key = ++lastKey_;
     auto e = std::make_unique<Entered>(*this, key, asker, q, std::move(m));
@@ -176,7 +176,7 @@
   // A request between its front and the engine. The engine answers it, and it tells the decisions how that
   // ended before its front hears of it.
   struct Entered final : Requester {
-    Entered(AdmissionGate& g, RequestId k, Requester& a, const knotstack::Request& r, Message&& m)
+    Entered(AdmissionGate& g, RequestId k, Requester& a, const balancer::Request& r, Message&& m)
         : gate(g), key(k), asker(a), q(r), message(std::move(m)) {}
     void served(Answer answer) override {
       Requester& to = asker;
@@ -196,7 +196,7 @@
     AdmissionGate& gate;
     const RequestId key;
     Requester& asker;
-    knotstack::Request q;
+    balancer::Request q;
     Message message;
     RequestId inEngine = 0;  // 0: it has not gone on
     Time arrived{}, went{};
@@ -226,17 +226,17 @@
     g->giveUpPlace();
   }
 
-  const knotstack::ClassSettings& classOf(const knotstack::Request& q) const {
+  const balancer::ClassSettings& classOf(const balancer::Request& q) const {
     return classes_[static_cast<std::size_t>(q.cls)];
   }
   // Who has to queue does so to be answered within the aim. Later an answer may still have some worth, but a
   // place that it takes then is one that another could have had on time.
-  Time aimOf(const knotstack::Request& q) const {
+  Time aimOf(const balancer::Request& q) const {
     return std::min(classOf(q).aim, q.deadline - engine_.now());
   }
-  admission::LaneKey laneOf(const knotstack::Request& q) const {
-    const knotstack::Need need = classOf(q).need;
-    const bool primary = need == knotstack::Need::Write || need == knotstack::Need::Fresh;
+  admission::LaneKey laneOf(const balancer::Request& q) const {
+    const balancer::Need need = classOf(q).need;
+    const bool primary = need == balancer::Need::Write || need == balancer::Need::Fresh;
     return static_cast<admission::LaneKey>(q.group) << 1 | (primary ? 1 : 0);
   }
   void go(Entered& e) {
@@ -326,7 +326,7 @@
   };
   Engine& engine_;
   Entrance& next_;
-  const std::vector<knotstack::ClassSettings> classes_;
+  const std::vector<balancer::ClassSettings> classes_;
   std::shared_ptr<const admission::Settings> s_;
   admission::Door door_;
   admission::Known known_;
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -76,7 +76,7 @@
 
   // As Entrance::request and Entrance::left; ids are the Gate's own. What is not let on is told by
   // Requester::refused, after this call has returned.
-  virtual RequestId request(Requester&, knotstack::Request, Message, PlaceId) = 0;
+  virtual RequestId request(Requester&, balancer::Request, Message, PlaceId) = 0;
   virtual void gone(RequestId) = 0;
 
   virtual void reload(const Config&) = 0;
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -69,22 +69,22 @@
 
 int Clients::port() const { return acceptor_->port(); }
 
-RequestId Clients::request(Requester& asker, const knotstack::Request& q, Message m, PlaceId place) {
+RequestId Clients::request(Requester& asker, const balancer::Request& q, Message m, PlaceId place) {
   return gate_ ? gate_->request(asker, q, std::move(m), place) : entrance_.request(asker, q, std::move(m));
 }
 void Clients::left(RequestId id) { gate_ ? gate_->gone(id) : entrance_.left(id); }
 
 // Unguessable, both the number that stands for a process and the secret.
-pg::Key Clients::newKey(Session& s, std::size_t length) {
+postgres::Key Clients::newKey(Session& s, std::size_t length) {
   for (;;) {
     const std::string bytes = randomBytes(4 + length);
     const std::uint32_t process =
-        pg::readInt32(bytes.data()) & 0x7fffffff;  // as the numbers of processes are
+        postgres::readInt32(bytes.data()) & 0x7fffffff;  // as the numbers of processes are
     if (process == 0 || !keys_.emplace(process, &s).second) continue;
     return {process, bytes.substr(4)};
   }
 }
-void Clients::cancel(const pg::Key& key) {
+void Clients::cancel(const postgres::Key& key) {
   const auto it = keys_.find(key.process);
   if (it != keys_.end() && sameSecret(it->second->key().secret, key.secret)) it->second->cancelled();
 }
@@ -104,13 +104,13 @@
 
 // In version 3's words, whatever it speaks: there is no descriptor to hold it on until it has said so.
 void Clients::turnAway(evutil_socket_t fd, Time comeBack) {
-  translate::Problem p;
+  translation::Problem p;
   p.severity = "FATAL";
   p.code = "53300";
   p.text = "too many connections";
   const auto ms = (comeBack.count() + 999) / 1000;
   if (ms > 0) p.comeBackMs = static_cast<std::uint32_t>(ms);
-  const std::string last = pg::Codec(0).problem(p);
+  const std::string last = postgres::Codec(0).problem(p);
   const ssize_t sent = send(fd, last.data(), last.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   (void)sent;  // it is the last word either way
   shutdown(fd, SHUT_WR);
@@ -119,7 +119,7 @@
   ssize_t got = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
   // A cancel needs no place: what it calls off would be tried again for nobody.
   if (got > 0)
-    if (const auto key = pg::parseCancel({startup, static_cast<std::size_t>(got)})) cancel(*key);
+    if (const auto key = postgres::parseCancel({startup, static_cast<std::size_t>(got)})) cancel(*key);
   while (got == static_cast<ssize_t>(sizeof startup)) got = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
 }
 
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -46,8 +46,8 @@
   void logRejection(const char* code, std::string_view why, const Address& from);
   void watchEnd(Session&, bool on);  // of one that is not read for now
   void lookForEnds();
-  pg::Key newKey(Session&, std::size_t length);  // the session takes it out of keys_ at its end
-  void cancel(const pg::Key&);                   // by a CancelRequest; a wrong key changes nothing
+  postgres::Key newKey(Session&, std::size_t length);  // the session takes it out of keys_ at its end
+  void cancel(const postgres::Key&);                   // by a CancelRequest; a wrong key changes nothing
   void stopListening();
   void finishAnswers();
   // The shutdown's time for final answers is over: nothing more is read.
@@ -58,7 +58,7 @@
   Entrance& entrance_;
   Workers& workers_;
   // Requests go by the Gate where there is one, else straight to the Entrance.
-  RequestId request(Requester&, const knotstack::Request&, Message, PlaceId);
+  RequestId request(Requester&, const balancer::Request&, Message, PlaceId);
   void left(RequestId);
 
   Account& account_;
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -21,20 +21,20 @@
   std::string ask() override {
     switch (*host_.method()) {
       case auth::Method::Cleartext:
-        return version2_ ? pg2::askCleartext() : pg::authentication(pg::kAuthCleartext);
+        return version2_ ? pg2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
       case auth::Method::Md5:
-        return version2_ ? pg2::askMd5(host_.salt()) : pg::authentication(pg::kAuthMd5, host_.salt());
+        return version2_ ? pg2::askMd5(host_.salt()) : postgres::authentication(postgres::kAuthMd5, host_.salt());
       default:
         break;
     }
-    return pg::saslMechanisms();
+    return postgres::saslMechanisms();
   }
   Said take(std::string_view message) override {
     std::optional<std::string_view> word = message;
     if (host_.method() == auth::Method::Scram) {
-      if (!begun_) word = pg::parseSaslInitial(message);
+      if (!begun_) word = postgres::parseSaslInitial(message);
     } else if (!version2_) {
-      word = pg::parsePassword(message);
+      word = postgres::parsePassword(message);
     }
     if (!word) return {Next::Out, {}};
     begun_ = true;
@@ -46,9 +46,9 @@
  private:
   Said said(auth::Next n) {
     const std::string& word = host_.say();
-    if (n == auth::Next::Ask) return {Next::Ask, pg::authentication(pg::kAuthSaslContinue, word)};
+    if (n == auth::Next::Ask) return {Next::Ask, postgres::authentication(postgres::kAuthSaslContinue, word)};
     if (n == auth::Next::In)
-      return {Next::In, word.empty() ? "" : pg::authentication(pg::kAuthSaslFinal, word)};
+      return {Next::In, word.empty() ? "" : postgres::authentication(postgres::kAuthSaslFinal, word)};
     return {n == auth::Next::Salt ? Next::Salt : Next::Out, {}};
   }
   auth::Host host_;
--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -19,14 +19,14 @@
 bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n;") == std::string_view::npos; }
 
 // A RowDescription as the asker gets it, with its formats.
-std::string described(const std::string& body, const translate::Wanted& wanted) {
-  std::vector<translate::Column> columns;
-  if (!pg::readColumns(body, columns)) return pg::noData();
+std::string described(const std::string& body, const translation::Wanted& wanted) {
+  std::vector<translation::Column> columns;
+  if (!postgres::readColumns(body, columns)) return postgres::noData();
   for (std::size_t k = 0; k < columns.size(); ++k) {
     const auto& r = wanted.results;
     columns[k].binary = r.size() == 1 ? r[0] == 1 : k < r.size() && r[k] == 1;
   }
-  return pg::Codec(0).columns(columns);
+  return postgres::Codec(0).columns(columns);
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
 }
 
 Prepared::Said Prepared::parse(std::string_view body, bool backslashes) {
-  auto m = pg::parseParse(body);
+  auto m = postgres::parseParse(body);
   if (!m) return malformed("Parse");
   if (const auto old = statements_.find(m->name); old != statements_.end()) {
     if (!m->name.empty()) return fault("42P05", "prepared statement " + quoted(m->name) + " already exists");
@@ -49,7 +49,7 @@
   }
   if (statements_.size() >= kMostNames)
     return fault("53400", "too many prepared statements, " + std::to_string(kMostNames) + " at most");
-  const auto n = translate::countParameters(m->statement, backslashes);
+  const auto n = translation::countParameters(m->statement, backslashes);
   if (!n) return fault("42P02", "a parameter's number is out of range");
   Statement s;
   s.text = std::string(m->statement);
@@ -57,11 +57,11 @@
   s.parameters = std::max(*n, s.types.size());
   bytes_ += s.text.size();
   statements_.emplace(std::string(m->name), std::move(s));
-  return {pg::parseComplete(), nullptr, {}};
+  return {postgres::parseComplete(), nullptr, {}};
 }
 
 Prepared::Said Prepared::bind(std::string_view body, bool backslashes, std::size_t longest) {
-  auto m = pg::parseBind(body);
+  auto m = postgres::parseBind(body);
   if (!m) return malformed("Bind");
   const auto it = statements_.find(m->statement);
   if (it == statements_.end())
@@ -79,11 +79,11 @@
   }
   if (portals_.size() >= kMostNames)
     return fault("53400", "too many portals, " + std::to_string(kMostNames) + " at most");
-  std::vector<translate::Parameter> parameters;
+  std::vector<translation::Parameter> parameters;
   for (std::size_t k = 0; k < m->values.size(); ++k)
     parameters.push_back({m->values[k], k < s.types.size() ? s.types[k] : 0, m->binary(k)});
   std::string why;
-  auto text = translate::substitute(s.text, backslashes, parameters, longest, why);
+  auto text = translation::substitute(s.text, backslashes, parameters, longest, why);
   if (!text) return fault("0A000", why);
   Portal p;
   p.statement = std::string(m->statement);
@@ -91,11 +91,11 @@
   p.wanted.results = std::move(m->results);
   bytes_ += p.text.size();
   portals_.emplace(std::string(m->portal), std::move(p));
-  return {pg::bindComplete(), nullptr, {}};
+  return {postgres::bindComplete(), nullptr, {}};
 }
 
 Prepared::Said Prepared::describe(std::string_view body) {
-  const auto m = pg::parseTarget(body);
+  const auto m = postgres::parseTarget(body);
   if (!m) return malformed("Describe");
   if (m->portal) {
     const auto it = portals_.find(m->name);
@@ -113,8 +113,8 @@
   std::vector<std::uint32_t> types = s.types;
   types.resize(s.parameters);
   for (std::uint32_t& t : types)
-    if (t == 0) t = translate::kText;
-  return {pg::parameterDescription(types) + (s.columns.empty() ? pg::noData() : described(s.columns, {})),
+    if (t == 0) t = translation::kText;
+  return {postgres::parameterDescription(types) + (s.columns.empty() ? postgres::noData() : described(s.columns, {})),
           nullptr,
           {}};
 }
@@ -127,24 +127,24 @@
     const auto s = statements_.find(p.statement);
     if (s == statements_.end() || !s->second.ran)
       return fault("0A000", "Describe of a portal without its Execute is not supported");
-    answer += s->second.columns.empty() ? pg::noData() : described(s->second.columns, p.wanted);
+    answer += s->second.columns.empty() ? postgres::noData() : described(s->second.columns, p.wanted);
   }
   return {answer, nullptr, {}};
 }
 
 Prepared::Said Prepared::close(std::string_view body) {
-  const auto m = pg::parseTarget(body);
+  const auto m = postgres::parseTarget(body);
   if (!m) return malformed("Close");
   if (m->portal) {
     if (const auto it = portals_.find(m->name); it != portals_.end()) drop(it);
   } else if (const auto it = statements_.find(m->name); it != statements_.end()) {
     drop(it);
   }
-  return {pg::closeComplete(), nullptr, {}};
+  return {postgres::closeComplete(), nullptr, {}};
 }
 
 Prepared::Said Prepared::execute(std::string_view body, std::optional<Asked>& asked) {
-  const auto m = pg::parseExecute(body);
+  const auto m = postgres::parseExecute(body);
   if (!m) return malformed("Execute");
   const auto it = portals_.find(m->portal);
   if (it == portals_.end()) return fault("34000", "portal " + quoted(m->portal) + " does not exist");
--- a/src/frontend/postgres/prepared_statements.hpp
+++ b/src/frontend/postgres/prepared_statements.hpp
@@ -27,7 +27,7 @@
   // What an Execute asks.
   struct Asked {
     std::string statement;  // empty: of nothing but blanks
-    translate::Wanted wanted;
+    translation::Wanted wanted;
     bool described = false;  // its columns are still owed
     std::size_t mostRows = 0;
   };
@@ -57,7 +57,7 @@
   struct Portal {
     std::string statement;  // by name
     std::string text;
-    translate::Wanted wanted;
+    translation::Wanted wanted;
     bool describe = false, suspended = false, ran = false;
   };
   void drop(std::map<std::string, Statement, std::less<>>::iterator);
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -34,7 +34,7 @@
     64 << 10;  // of small answers, when their form changes; long ones at most double
 constexpr std::size_t kLongestSet = 1024, kLongestName = 63;
 
-const pg::Codec kVersion30(0), kVersion32(2);
+const postgres::Codec kVersion30(0), kVersion32(2);
 const pg2::Codec kVersion20;
 
 std::uint64_t fnv1a(std::string_view text) {
@@ -42,8 +42,8 @@
   for (const unsigned char c : text) h = (h ^ c) * 0x100000001b3ull;
   return h;
 }
-translate::Problem problem(const char* severity, const char* code, std::string_view text) {
-  translate::Problem p;
+translation::Problem problem(const char* severity, const char* code, std::string_view text) {
+  translation::Problem p;
   p.severity = severity;
   p.code = code;
   p.text = std::string(text);
@@ -108,7 +108,7 @@
     outside(place_ == 0);
   }
   if (place_ != 0) return true;
-  translate::Problem p = problem("FATAL", "53300", "too many connections of this client's group");
+  translation::Problem p = problem("FATAL", "53300", "too many connections of this client's group");
   p.comeBackMs = static_cast<std::uint32_t>(std::max<std::int64_t>((comeBack_.count() + 999) / 1000, 1));
   tell(p);
   lingers();
@@ -129,7 +129,7 @@
 }
 void Session::refused(Time retryAfter) {
   request_ = 0;
-  translate::Problem p = problem("ERROR", "53300", "no data server can take this request now");
+  translation::Problem p = problem("ERROR", "53300", "no data server can take this request now");
   const auto ms = (retryAfter.count() + 999) / 1000;
   if (ms > 0) p.comeBackMs = static_cast<std::uint32_t>(ms);
   tell(p);
@@ -148,7 +148,7 @@
   answered();
 }
 
-void Session::tell(const translate::Problem& p) {
+void Session::tell(const translation::Problem& p) {
   append(output(), codec_->problem(p));
   skipping_ = extended_;
 }
@@ -163,27 +163,27 @@
   };
   if (answer.problem) return tell(answer.reader->problem(whole()));
   const bool same =
-      speaks_ == Speaks::Version3 && answer.reader == &pg::reader() && wanted_.plain() && mostRows_ == 0;
+      speaks_ == Speaks::Version3 && answer.reader == &postgres::reader() && wanted_.plain() && mostRows_ == 0;
   if (same && !extended_) {
     evbuffer_add_buffer(output(), from);
     return;
   }
   std::string columns;
-  if (extended_ && answer.reader == &pg::reader()) {
-    char bytes[pg::kHead];
+  if (extended_ && answer.reader == &postgres::reader()) {
+    char bytes[postgres::kHead];
     if (evbuffer_copyout(from, bytes, sizeof bytes) == sizeof bytes && bytes[0] == 'T') {
-      const auto head = pg::parseHead(bytes);
+      const auto head = postgres::parseHead(bytes);
       const auto* const at = evbuffer_pullup(from, static_cast<ev_ssize_t>(sizeof bytes + head->body));
       columns.assign(reinterpret_cast<const char*>(at) + sizeof bytes, head->body);
       if (same && !described_) evbuffer_drain(from, sizeof bytes + head->body);
     }
   }
-  if (extended_ && described_ && columns.empty()) append(output(), pg::noData());
+  if (extended_ && described_ && columns.empty()) append(output(), postgres::noData());
   if (same) {
     evbuffer_add_buffer(output(), from);
     return prepared_->executed(columns, false);
   }
-  translate::Conversion conversion(*codec_, wanted_, described_, 2 * length + kGrowth, mostRows_);
+  translation::Conversion conversion(*codec_, wanted_, described_, 2 * length + kGrowth, mostRows_);
   if (!answer.reader->answer(whole(), conversion)) {
     const std::string why = conversion.why().empty() ? "a malformed answer" : conversion.why();
     logEvent(LogLevel::Warning, "not_translated", {{"why", why}});
@@ -192,7 +192,7 @@
   std::string told = conversion.take();
   told.size() > kReadAhead ? appendLong(output(), std::move(told)) : append(output(), told);
   if (!extended_) return;
-  if (conversion.suspended()) append(output(), pg::portalSuspended());
+  if (conversion.suspended()) append(output(), postgres::portalSuspended());
   prepared_->executed(columns, conversion.suspended());
 }
 
@@ -395,9 +395,9 @@
 
 // ---- the startup --------------------------------------------------------------------------------------
 bool Session::takeHeader() {
-  const std::size_t have = std::min(evbuffer_get_length(input()), proxyproto::kLongestV2);
+  const std::size_t have = std::min(evbuffer_get_length(input()), proxy_protocol::kLongestV2);
   if (have == 0) return false;
-  const proxyproto::Header h = proxyproto::parse(pull(have));
+  const proxy_protocol::Header h = proxy_protocol::parse(pull(have));
   if (h.bad) {
     reject("08P01", "expected a PROXY header", true);
     return false;
@@ -421,22 +421,22 @@
     return false;
   }
   if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
-  const std::uint32_t length = pg::readInt32(head), code = pg::readInt32(head + 4);
-  if (length < sizeof head || length > pg::kLongestStartup) {
+  const std::uint32_t length = postgres::readInt32(head), code = postgres::readInt32(head + 4);
+  if (length < sizeof head || length > postgres::kLongestStartup) {
     reject("08P01", "malformed startup message", true);
     return false;
   }
   if (evbuffer_get_length(input()) < length) return false;
-  if (code == pg::kSslRequest || code == pg::kGssEncRequest) {
+  if (code == postgres::kSslRequest || code == postgres::kGssEncRequest) {
     evbuffer_drain(input(), length);
     append(output(), "N");
     return true;
   }
   const std::string packet(pull(length));
   evbuffer_drain(input(), length);
-  if (code == pg::kCancelRequest) {
+  if (code == postgres::kCancelRequest) {
     // Of every version: what differs is how long the key is. Nothing is answered, whether it fits or not.
-    if (const auto key = pg::parseCancel(packet)) owner_.cancel(*key);
+    if (const auto key = postgres::parseCancel(packet)) owner_.cancel(*key);
     end();
     return false;
   }
@@ -450,7 +450,7 @@
 }
 
 bool Session::takeVersion3(std::string_view packet) {
-  const auto s = pg::parseStartup(packet);
+  const auto s = postgres::parseStartup(packet);
   if (!s) {
     reject("08P01", "malformed startup message", true);
     return false;
@@ -458,16 +458,16 @@
   for (const auto& [name, value] : s->settings) {
     // Guards against turning away clients for what changes nothing: only what is known here can be wrong.
     const auto why =
-        name == "options" ? translate::applyOptions(side_, value)
+        name == "options" ? translation::applyOptions(side_, value)
         : name == "standard_conforming_strings" || name == "bytea_output" || name == "client_encoding"
-            ? translate::apply(side_, name, value)
+            ? translation::apply(side_, name, value)
             : std::nullopt;
     if (!why) continue;
     reject("22023", *why, true);
     return false;
   }
-  const int minor = pg::agreedMinor(s->minor);
-  if (minor != s->minor || !s->extensions.empty()) append(output(), pg::negotiate(minor, s->extensions));
+  const int minor = postgres::agreedMinor(s->minor);
+  if (minor != s->minor || !s->extensions.empty()) append(output(), postgres::negotiate(minor, s->extensions));
   speaks_ = Speaks::Version3;
   if (minor > 0) codec_ = &kVersion32;
   enter(s->user);
@@ -478,8 +478,8 @@
   codec_ = &kVersion20;
   const auto s = pg2::parseStartup(packet);
   side_.backslashes = true;  // in its time nothing else was known
-  side_.bytea = translate::ByteaForm::Escape;
-  const auto why = s ? translate::applyOptions(side_, s->options) : std::nullopt;
+  side_.bytea = translation::ByteaForm::Escape;
+  const auto why = s ? translation::applyOptions(side_, s->options) : std::nullopt;
   if (!s || why) {
     reject("08P01", why ? *why : "malformed startup packet", true);
     return false;
@@ -517,9 +517,9 @@
     if (!password) return false;
     body = *password;
   } else {
-    char bytes[pg::kHead];
+    char bytes[postgres::kHead];
     if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return false;
-    const auto head = pg::parseHead(bytes);
+    const auto head = postgres::parseHead(bytes);
     if (!head || head->type != 'p' || head->body > kLongestLogin) {
       reject("08P01", "expected a password", true);
       return false;
@@ -558,11 +558,11 @@
 }
 
 void Session::welcome() {
-  key_ = owner_.newKey(*this, codec_ == &kVersion32 ? pg::kLongKey : pg::kShortKey);
+  key_ = owner_.newKey(*this, codec_ == &kVersion32 ? postgres::kLongKey : postgres::kShortKey);
   append(output(), speaks_ == Speaks::Version3
-                       ? pg::welcome(key_, side_.backslashes)
+                       ? postgres::welcome(key_, side_.backslashes)
                        : pg2::authenticationOk() +
-                             pg2::keyData({key_.process, pg::readInt32(key_.secret.data())}) + pg2::ready());
+                             pg2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) + pg2::ready());
   lastActive_ = owner_.engine_.now();
   sideTold();
   if (owner_.gate_) owner_.gate_->idle(place_);
@@ -570,7 +570,7 @@
 }
 
 void Session::sideTold() {
-  told_ = side_.backslashes ? std::make_shared<const translate::Side>(side_) : nullptr;
+  told_ = side_.backslashes ? std::make_shared<const translation::Side>(side_) : nullptr;
   wanted_.bytea = side_.bytea;
 }
 
@@ -581,9 +581,9 @@
 }
 
 bool Session::takeMessage() {
-  char bytes[pg::kHead];
+  char bytes[postgres::kHead];
   if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return false;
-  const auto head = pg::parseHead(bytes);
+  const auto head = postgres::parseHead(bytes);
   if (!head) {
     reject("08P01", "a message's length is out of range", true);
     return false;
@@ -671,7 +671,7 @@
 }
 
 void Session::takeExtended(char type, std::string_view body) {
-  const std::size_t whole = pg::kHead + body.size();
+  const std::size_t whole = postgres::kHead + body.size();
   if (!prepared_) prepared_ = std::make_unique<Prepared>();
   Prepared& p = *prepared_;
   std::optional<Prepared::Asked> asked;
@@ -687,7 +687,7 @@
         take(p.parse(body, side_.backslashes));
         break;
       case 'B':
-        take(p.bind(body, side_.backslashes, pg::kLongestMessage));
+        take(p.bind(body, side_.backslashes, postgres::kLongestMessage));
         break;
       case 'D':
         take(p.describe(body));
@@ -723,17 +723,17 @@
 }
 
 bool Session::takeSetting(std::string_view text) {
-  const auto set = translate::parseSet(text);
+  const auto set = translation::parseSet(text);
   if (!set) return false;
-  if (const auto why = translate::apply(side_, set->first, set->second)) {
+  if (const auto why = translation::apply(side_, set->first, set->second)) {
     reject("22023", *why, false);
     return true;
   }
   sideTold();
-  if (extended_ && described_) append(output(), pg::noData());
+  if (extended_ && described_) append(output(), postgres::noData());
   append(output(), codec_->completed("SET"));
   if (set->first == "standard_conforming_strings" && speaks_ == Speaks::Version3)
-    append(output(), pg::parameterStatus(set->first, side_.backslashes ? "off" : "on"));
+    append(output(), postgres::parameterStatus(set->first, side_.backslashes ? "off" : "on"));
   answered();
   return true;
 }
@@ -750,11 +750,11 @@
     return reject("08P01", "a query's end is not where its length says", true);
   const std::string_view text(tail, n - 1);
   if (n == length && text.find_first_not_of(" \t\r\n;") == std::string_view::npos) {
-    if (extended_ && described_) append(output(), pg::noData());
+    if (extended_ && described_) append(output(), postgres::noData());
     append(output(), codec_->emptyStatement());
     return answered();
   }
-  const pg::Comment comment = pg::parseComment(text);
+  const postgres::Comment comment = postgres::parseComment(text);
   if (comment.fault) {
     if (length < kLongestSet &&
         takeSetting({reinterpret_cast<const char*>(evbuffer_pullup(statement.get(), -1)), length - 1}))
@@ -772,7 +772,7 @@
   if (cls == classes.end()) return reject("42704", "unknown class", false);
 
   const Time now = owner_.engine_.now();
-  knotstack::Request q;
+  balancer::Request q;
   q.cls = static_cast<int>(cls - classes.begin());
   q.group = comment.cluster;
   const auto& settings = owner_.config_.settings.classes[static_cast<std::size_t>(q.cls)];
@@ -789,7 +789,7 @@
     char start[kStart];
     const auto got = evbuffer_copyout(statement.get(), start, sizeof start);
     const std::string_view key =
-        pg::parseKey({start, static_cast<std::size_t>(std::max<ev_ssize_t>(got, 0))});
+        postgres::parseKey({start, static_cast<std::size_t>(std::max<ev_ssize_t>(got, 0))});
     if (!key.empty()) q.session = std::max<std::uint64_t>(fnv1a(key), 1);
   }
   Message message{newBuffer(), std::move(statement), told_, {}, {}};
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -42,7 +42,7 @@
   // answer.
   void cancelled();
 
-  const pg::Key& key() const { return key_; }
+  const postgres::Key& key() const { return key_; }
   evutil_socket_t socket() const;
   bool idle() { return request_ == 0 && !ending_ && !batch_ && evbuffer_get_length(input()) == 0; }
   // How readily this client gives up its place to a new one; 0: not at all.
@@ -87,7 +87,7 @@
 
   // An answer or an error is written; what waits behind comes next.
   void answered();
-  void tell(const translate::Problem&);
+  void tell(const translation::Problem&);
   void reject(const char* code, std::string_view text, bool fatal);
   void take(const Prepared::Said&);
 
@@ -127,18 +127,18 @@
   bool outside_ = false;  // the Gate has not let it in
   Time comeBack_{};       // what it is told then
   Speaks speaks_ = Speaks::Nothing;
-  const translate::ClientCodec* codec_;
-  pg::Key key_;
+  const translation::ClientCodec* codec_;
+  postgres::Key key_;
   std::string user_;
   std::unique_ptr<Login> login_;  // until it is let in
   Workers::Ticket salting_;
-  translate::Side side_;
-  std::shared_ptr<const translate::Side> told_;  // side_, where it is not what data servers take for granted
+  translation::Side side_;
+  std::shared_ptr<const translation::Side> told_;  // side_, where it is not what data servers take for granted
   std::unique_ptr<Prepared> prepared_;           // once it sends something of the extended sub-protocol
   bool extended_ = false;                        // the request that is out comes from an Execute
   bool skipping_ = false;                        // until Sync, after an error
   bool batch_ = false;                           // a Sync is still to come
-  translate::Wanted wanted_;                     // of the request that is out
+  translation::Wanted wanted_;                     // of the request that is out
   bool described_ = true;                        // its columns are told
   std::size_t mostRows_ = 0;
   bool asked_ = false, ending_ = false, retiring_ = false;
--- a/src/protocol/postgres/bytes.hpp
+++ b/src/protocol/postgres/bytes.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 
 inline void put16(std::string& to, std::size_t v) {
   to.push_back(static_cast<char>(v >> 8));
@@ -27,4 +27,4 @@
   return text;
 }
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/codec.cpp
+++ b/src/protocol/postgres/codec.cpp
@@ -5,12 +5,12 @@
 #include "protocol/postgres/bytes.hpp"
 #include "protocol/postgres/pg.hpp"
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 namespace {
 
-using translate::Column;
-using translate::Problem;
-using translate::Value;
+using translation::Column;
+using translation::Problem;
+using translation::Value;
 
 constexpr std::size_t kColumnTail = 18;  // table, column, type, size, modifier, format
 
@@ -110,7 +110,7 @@
   columns.clear();
   if (body.size() < 2) return false;
   const std::size_t n = read16(body, 0);
-  if (n > translate::kMostColumns) return false;
+  if (n > translation::kMostColumns) return false;
   body.remove_prefix(2);
   for (std::size_t k = 0; k < n; ++k) {
     const std::size_t end = body.find('\0');
@@ -133,7 +133,7 @@
   return readRow(body, values) && values.size() == columns;
 }
 
-bool readAnswer(std::string_view in, translate::AnswerTaker& taker) {
+bool readAnswer(std::string_view in, translation::AnswerTaker& taker) {
   std::vector<Value> values;
   std::vector<Column> columns;
   while (in.size() >= kHead) {
@@ -157,9 +157,9 @@
 }
 
 namespace {
-class Reader final : public translate::AnswerReader {
+class Reader final : public translation::AnswerReader {
  public:
-  bool answer(std::string_view messages, translate::AnswerTaker& taker) const override {
+  bool answer(std::string_view messages, translation::AnswerTaker& taker) const override {
     return readAnswer(messages, taker);
   }
   Problem problem(std::string_view messages) const override {
@@ -167,7 +167,7 @@
   }
 };
 }  // namespace
-const translate::AnswerReader& reader() {
+const translation::AnswerReader& reader() {
   static const Reader one;
   return one;
 }
@@ -193,4 +193,4 @@
   return p;
 }
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/codec.hpp
+++ b/src/protocol/postgres/codec.hpp
@@ -8,16 +8,16 @@
 
 #include "translation/terms.hpp"
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 
-class Codec final : public translate::ClientCodec {
+class Codec final : public translation::ClientCodec {
  public:
   explicit Codec(int minor) : minor_(minor) {}
-  std::string columns(const std::vector<translate::Column>&) const override;
-  void addRow(std::string& to, const std::vector<translate::Value>&, bool binary) const override;
+  std::string columns(const std::vector<translation::Column>&) const override;
+  void addRow(std::string& to, const std::vector<translation::Value>&, bool binary) const override;
   std::string completed(std::string_view tag) const override;
   std::string emptyStatement() const override;
-  std::string problem(const translate::Problem&) const override;
+  std::string problem(const translation::Problem&) const override;
   std::string ready() const override;
 
  private:
@@ -25,17 +25,17 @@
 };
 
 // Version 3's answers, whatever the minor version.
-const translate::AnswerReader& reader();
+const translation::AnswerReader& reader();
 
 // Messages of an answer, from RowDescription or CommandComplete on; false: they are malformed, or the taker
 // said so.
-bool readAnswer(std::string_view messages, translate::AnswerTaker&);
+bool readAnswer(std::string_view messages, translation::AnswerTaker&);
 // The body of a RowDescription: names point into it. False: it is malformed.
-bool readColumns(std::string_view body, std::vector<translate::Column>&);
+bool readColumns(std::string_view body, std::vector<translation::Column>&);
 // The form alone, for answers that are passed on as they are: a DataRow of so many columns.
 bool isRow(std::string_view body, std::size_t columns);
 // The body of an ErrorResponse; fields that are not known are passed over. Its code is empty where it is
 // malformed.
-translate::Problem readProblem(std::string_view body);
+translation::Problem readProblem(std::string_view body);
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/extended.cpp
+++ b/src/protocol/postgres/extended.cpp
@@ -3,7 +3,7 @@
 #include "protocol/postgres/bytes.hpp"
 #include "protocol/postgres/pg.hpp"
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 namespace {
 
 // Reads a body from its start; after a fault everything it gives is empty, and done() is false.
@@ -170,4 +170,4 @@
 std::string syncMessage() { return message('S', {}); }
 std::string flushMessage() { return message('H', {}); }
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/extended.hpp
+++ b/src/protocol/postgres/extended.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 
 struct Parse {
   std::string_view name, statement;
@@ -53,4 +53,4 @@
 std::string syncMessage();
 std::string flushMessage();
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/login.cpp
+++ b/src/protocol/postgres/login.cpp
@@ -3,7 +3,7 @@
 #include "protocol/postgres/bytes.hpp"
 #include "protocol/postgres/pg.hpp"
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 namespace {
 
 using namespace std::string_view_literals;
@@ -46,4 +46,4 @@
   return body.substr(4);
 }
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/login.hpp
+++ b/src/protocol/postgres/login.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 
 enum Authentication : std::uint32_t {
   kAuthOk = 0,
@@ -29,4 +29,4 @@
 std::optional<std::string_view> parsePassword(std::string_view body);
 std::optional<std::string_view> parseSaslInitial(std::string_view body);  // of SCRAM-SHA-256
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/pg.cpp
+++ b/src/protocol/postgres/pg.cpp
@@ -5,7 +5,7 @@
 
 #include "protocol/postgres/bytes.hpp"
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 namespace {
 
 // Guards against a client that fills the memory with groups that do not exist: the list knows no larger
@@ -180,4 +180,4 @@
   return to == std::string_view::npos ? std::string_view() : text.substr(from + 1, to - from - 1);
 }
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/pg.hpp
+++ b/src/protocol/postgres/pg.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 
 constexpr std::size_t kHead = 5;                    // type and length of a message
 constexpr std::size_t kLongestMessage = 160 << 10;  // a value of 64 KiB in hex, and the statement round it
@@ -66,4 +66,4 @@
 // The quoted key of a statement, from its beginning; empty where there is none.
 std::string_view parseKey(std::string_view text);
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/startup.cpp
+++ b/src/protocol/postgres/startup.cpp
@@ -3,7 +3,7 @@
 #include "protocol/postgres/bytes.hpp"
 #include "protocol/postgres/pg.hpp"
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 namespace {
 
 std::string withLength(const std::string& body) {
@@ -118,4 +118,4 @@
   return m + keyData(key) + readyForQuery();
 }
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres/startup.hpp
+++ b/src/protocol/postgres/startup.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-namespace sablespur::pg {
+namespace sablespur::postgres {
 
 constexpr int kNewestMinor = 2;  // 3.2; 3.1 was never spoken
 constexpr std::size_t kShortKey = 4, kLongKey = 32, kLongestKey = 256;
@@ -46,4 +46,4 @@
 // What answers a startup once the client is let in: AuthenticationOk, parameters, its key, ReadyForQuery.
 std::string welcome(const Key&, bool backslashes);
 
-}  // namespace sablespur::pg
+}  // namespace sablespur::postgres
--- a/src/protocol/postgres2/codec.cpp
+++ b/src/protocol/postgres2/codec.cpp
@@ -4,13 +4,13 @@
 
 namespace sablespur::pg2 {
 
-std::string Codec::columns(const std::vector<translate::Column>& columns) const {
+std::string Codec::columns(const std::vector<translation::Column>& columns) const {
   std::vector<Column> own;
-  for (const translate::Column& c : columns) own.push_back({std::string(c.name), c.type, c.size, c.modifier});
+  for (const translation::Column& c : columns) own.push_back({std::string(c.name), c.type, c.size, c.modifier});
   return cursor() + rowDescription(own);
 }
 
-void Codec::addRow(std::string& to, const std::vector<translate::Value>& values, bool binary) const {
+void Codec::addRow(std::string& to, const std::vector<translation::Value>& values, bool binary) const {
   pg2::addRow(to, values, binary);
 }
 
@@ -21,7 +21,7 @@
 std::string Codec::emptyStatement() const { return emptyQuery(); }
 std::string Codec::ready() const { return pg2::ready(); }
 
-std::string Codec::problem(const translate::Problem& p) const {
+std::string Codec::problem(const translation::Problem& p) const {
   std::string text = p.severity + ":  " + p.text;
   if (!p.detail.empty()) text += "\nDETAIL:  " + p.detail;
   if (!p.hint.empty()) text += "\nHINT:  " + p.hint;
--- a/src/protocol/proxy_protocol/header.cpp
+++ b/src/protocol/proxy_protocol/header.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <vector>
 
-namespace sablespur::proxyproto {
+namespace sablespur::proxy_protocol {
 namespace {
 
 constexpr std::string_view kSignature("\r\n\r\n\0\r\nQUIT\n", 12);
@@ -115,4 +115,4 @@
   return s;
 }
 
-}  // namespace sablespur::proxyproto
+}  // namespace sablespur::proxy_protocol
--- a/src/protocol/proxy_protocol/header.hpp
+++ b/src/protocol/proxy_protocol/header.hpp
@@ -10,7 +10,7 @@
 
 #include "support/address.hpp"
 
-namespace sablespur::proxyproto {
+namespace sablespur::proxy_protocol {
 
 constexpr std::size_t kLongestV1 = 107;  // "PROXY ... \r\n", section 2.1
 constexpr std::size_t kHeadV2 = 16;      // signature, version and command, family, length
@@ -30,4 +30,4 @@
 std::string version1(const Address& client, const Address& server);
 std::string version2(const Address& client, const Address& server);
 
-}  // namespace sablespur::proxyproto
+}  // namespace sablespur::proxy_protocol
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -85,9 +85,9 @@
   }
 
   // ---- requests ------------------------------------------------------------------------------------------
-  RequestId request(Requester& asker, knotstack::Request q, Message m) override {
+  RequestId request(Requester& asker, balancer::Request q, Message m) override {
     if (done_) return engine_.request(asker, std::move(q), std::move(m));
-    const bool write = classes_[static_cast<std::size_t>(q.cls)].need == knotstack::Need::Write;
+    const bool write = classes_[static_cast<std::size_t>(q.cls)].need == balancer::Need::Write;
     const std::uint32_t group = q.group;
     const recovery::Order::Decision d = order_.ask(engine_.now(), group, write);
     if (!d.go) {
@@ -120,7 +120,7 @@
     if (list.reset) members_.clear();
     for (Instance& i : list.instances) {
       // Where the source tells no starts, each may have started while this proxy was down.
-      if (startsUnknown_ && i.startedMs == 0 && i.state == knotstack::Lifecycle::Ready)
+      if (startsUnknown_ && i.startedMs == 0 && i.state == balancer::Lifecycle::Ready)
         i.startedMs = assumed_.emplace(i.name, (began_ + engine_.clockOffset()).count() / 1000).first->second;
       note(i);
     }
@@ -132,7 +132,7 @@
 
   // ---- what answers and probes tell
   // ------------------------------------------------------------------------
-  void learned(const peers::Hint& h) override {
+  void learned(const cluster::Hint& h) override {
     if (next_) next_->learned(h);
     const auto it = tags_.find(h.tag);
     if (it == tags_.end()) return;
@@ -149,7 +149,7 @@
       f.at = now;
     }
     if (!done_) order_.answered(now, group);
-    if (h.role != peers::HintRole::Primary) return;
+    if (h.role != cluster::HintRole::Primary) return;
     Seen& p = primaries_[group];
     const bool other = p.member != it->second;
     p = {it->second, nowMs()};
@@ -271,7 +271,7 @@
     h.sequence = s.sequence;
     h.wallMs = s.wallMs;
     for (const recovery::PrimaryFact& p : s.primaries)
-      h.primaries.push_back({p.group, peers::tagOf(p.member)});
+      h.primaries.push_back({p.group, cluster::tagOf(p.member)});
     return h;
   }
   Head current() const {
@@ -282,14 +282,14 @@
     h.sequence = sequence_;
     h.wallMs = nowMs();
     h.primaries.clear();
-    for (const auto& [group, p] : primaries_) h.primaries.push_back({group, peers::tagOf(p.member)});
+    for (const auto& [group, p] : primaries_) h.primaries.push_back({group, cluster::tagOf(p.member)});
     return h;
   }
 
   Snapshot read() {
     view_.snapshot = "none";
     try {
-      const std::optional<std::string> bytes = store::readWhole(*files_, path_);
+      const std::optional<std::string> bytes = durability::readWhole(*files_, path_);
       if (!bytes) return {};
       const Snapshot s = recovery::decode(*bytes);
       view_.snapshot = "read";
@@ -332,17 +332,17 @@
       if (settings_.trust != Trust::Nothing && n > 0) order_.usual(group, n);
     if (settings_.trust != Trust::All) return;
     // For the lab: what trust by kind guards against.
-    std::vector<peers::Hint> hints;
+    std::vector<cluster::Hint> hints;
     for (const MemberFact& m : own_.members) {
       const bool primary = std::any_of(own_.primaries.begin(), own_.primaries.end(),
                                        [&](const auto& p) { return p.member == m.name; });
-      hints.push_back({peers::tagOf(m.name), m.positionMs,
-                       primary ? peers::HintRole::Primary : peers::HintRole::Replica});
+      hints.push_back({cluster::tagOf(m.name), m.positionMs,
+                       primary ? cluster::HintRole::Primary : cluster::HintRole::Replica});
     }
     naive_ = std::move(hints);
   }
   void note(const Instance& i) {
-    if (i.state == knotstack::Lifecycle::Gone) {
+    if (i.state == balancer::Lifecycle::Gone) {
       members_.erase(i.name);
       return;
     }
@@ -350,18 +350,18 @@
     const Address was = m.address;
     m = i;
     if (m.address.none()) m.address = was;
-    tags_[peers::tagOf(i.name)] = i.name;
+    tags_[cluster::tagOf(i.name)] = i.name;
   }
   void retag() {
     tags_.clear();
-    for (const auto& [name, m] : members_) tags_[peers::tagOf(name)] = name;
+    for (const auto& [name, m] : members_) tags_[cluster::tagOf(name)] = name;
     for (auto it = figures_.begin(); it != figures_.end();)
       it = members_.count(it->first) ? std::next(it) : figures_.erase(it);
   }
 
   void look() {
     const Time now = engine_.now();
-    for (const peers::Hint& h : std::exchange(naive_, {})) engine_.heard(h);
+    for (const cluster::Hint& h : std::exchange(naive_, {})) engine_.heard(h);
     for (const std::size_t peer : inquiry_.due(now)) {
       Head q = headOf(own_);
       q.question = true;
@@ -401,7 +401,7 @@
     s.sequence = ++sequence_;
     s.wallMs = nowMs();
     for (const auto& [name, i] : members_) {
-      if (i.state != knotstack::Lifecycle::Ready) continue;
+      if (i.state != balancer::Lifecycle::Ready) continue;
       MemberFact m;
       m.name = name;
       m.address = i.address.text();
@@ -425,7 +425,7 @@
       if (primaries_.count(p.group) == 0) s.primaries.push_back(p);
     writing_ = workers_.run(
         [files = files_, path = path_, taken = std::move(s)] {
-          return store::replaceWhole(*files, path, recovery::encode(taken));
+          return durability::replaceWhole(*files, path, recovery::encode(taken));
         },
         [this](const std::string& why) {
           writing_.reset();
@@ -440,20 +440,20 @@
   Workers& workers_;
   const RecoveryConfig settings_;
   const std::string name_;
-  const std::vector<knotstack::ClassSettings> classes_;
+  const std::vector<balancer::ClassSettings> classes_;
   const bool retryAfter_;
   const std::string path_;
   const PeerPort port_;
   Confidant* const next_;
   const Time began_;
   RecoveryView view_;
-  const std::shared_ptr<store::Files> files_ = std::make_shared<store::Files>();  // a worker may outlive this
+  const std::shared_ptr<durability::Files> files_ = std::make_shared<durability::Files>();  // a worker may outlive this
   const Snapshot own_;
   const recovery::Beliefs beliefs_;
   recovery::Inquiry inquiry_;
   recovery::Order order_;
   std::vector<std::string> proxies_;
-  std::vector<peers::Hint> naive_;
+  std::vector<cluster::Hint> naive_;
   std::map<std::string, std::int64_t> assumed_;  // starts of those that do not tell theirs
   std::map<std::string, Instance> members_;
   std::unordered_map<std::string, Figures> figures_;
--- a/src/recovery/coordinator.hpp
+++ b/src/recovery/coordinator.hpp
@@ -16,7 +16,7 @@
 #include "engine/engine.hpp"
 #include "engine/workers.hpp"
 
-namespace sablespur::store {
+namespace sablespur::durability {
 class Files;
 }
 namespace sablespur {
--- a/src/recovery/peer_state_exchange.hpp
+++ b/src/recovery/peer_state_exchange.hpp
@@ -29,7 +29,7 @@
   std::int64_t wallMs = 0;
   struct Primary {
     std::uint32_t group = 0;
-    std::uint64_t tag = 0;  // of the member's name (peers::tagOf)
+    std::uint64_t tag = 0;  // of the member's name (cluster::tagOf)
   };
   std::vector<Primary> primaries;  // those beyond what a datagram holds are left out
 };
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,3 +1,3 @@
 #include "simulator/protocol.hpp"
 
-int main() { return knotstack::wire::run(0, 1); }
+int main() { return sablespur::simulator::run(0, 1); }
--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -11,7 +11,10 @@
 #include <set>
 #include <unordered_map>
 
-namespace knotstack::wire {
+namespace sablespur::simulator {
+
+using namespace balancer;
+
 namespace {
 
 constexpr std::uint8_t kReportBack = 1, kEstablished = 2, kProvision = 3, kDefineList = 5, kHealth = 6,
@@ -483,16 +486,16 @@
         const ssize_t k = ::write(out, reply.data() + at, reply.size() - at);
         if (k < 0 && errno == EINTR) continue;
         if (k <= 0) {
-          std::fprintf(stderr, "knotstack_wirehost: the reply could not be written\n");
+          std::fprintf(stderr, "sablespur_simulator_adapter: the reply could not be written\n");
           return 1;
         }
         at += static_cast<std::size_t>(k);
       }
     }
   } catch (const Malformed& e) {
-    std::fprintf(stderr, "knotstack_wirehost: %s\n", e.what());
+    std::fprintf(stderr, "sablespur_simulator_adapter: %s\n", e.what());
     return 1;
   }
 }
 
-}  // namespace knotstack::wire
+}  // namespace sablespur::simulator
--- a/src/simulator/protocol.hpp
+++ b/src/simulator/protocol.hpp
@@ -10,7 +10,7 @@
 
 #include "balancer/balancer.hpp"
 
-namespace knotstack::wire {
+namespace sablespur::simulator {
 
 // A frame that cannot be read; `at` counts bytes from the start of the input.
 struct Malformed : std::runtime_error {
@@ -22,7 +22,7 @@
   using std::runtime_error::runtime_error;
 };
 
-Settings parseSettings(const std::string& facts);  // throws BadSetting with the key and the value
+balancer::Settings parseSettings(const std::string& facts);  // throws BadSetting with the key and the value
 
 // One process: any number of instances, each with a Balancer of its own.
 class Host {
@@ -36,10 +36,10 @@
  private:
   struct Instance;
   std::map<std::uint16_t, std::unique_ptr<Instance>> instances_;
-  std::map<std::uint32_t, std::vector<ListedMember>> lists_;
+  std::map<std::uint32_t, std::vector<balancer::ListedMember>> lists_;
 };
 
 // Reads batches until the input ends. 0: it ended between frames; 1: it was malformed (one line on stderr).
 int run(int in, int out);
 
-}  // namespace knotstack::wire
+}  // namespace sablespur::simulator
--- a/src/translation/answer.cpp
+++ b/src/translation/answer.cpp
@@ -7,7 +7,7 @@
 #include "translation/parameters.hpp"
 #include "translation/values.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 namespace {
 
 constexpr const char* kTooLong = "an answer that is too long in the form that was asked for";
@@ -149,4 +149,4 @@
 
 bool Conversion::completed(std::string_view tag) { return suspended_ || put(codec_.completed(tag)); }
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/answer.hpp
+++ b/src/translation/answer.hpp
@@ -11,7 +11,7 @@
 
 #include "translation/terms.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 
 // What an asker wants of values.
 struct Wanted {
@@ -58,4 +58,4 @@
   std::string out_, why_;
 };
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/parameters.cpp
+++ b/src/translation/parameters.cpp
@@ -8,7 +8,7 @@
 #include "translation/scanner.hpp"
 #include "translation/values.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 namespace {
 
 constexpr std::size_t kMostParameters = 65535, kLongestWord = 64;
@@ -194,4 +194,4 @@
   return good ? std::make_optional(std::move(out)) : std::nullopt;
 }
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/parameters.hpp
+++ b/src/translation/parameters.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 
 // Types by their ids in pg_type, those whose binary form is read here; of others only text is taken.
 constexpr std::uint32_t kBool = 16, kBytea = 17, kInt8 = 20, kInt2 = 21, kInt4 = 23, kText = 25, kOid = 26,
@@ -33,4 +33,4 @@
 std::optional<std::string> substitute(std::string_view statement, bool backslashes,
                                       const std::vector<Parameter>&, std::size_t most, std::string& why);
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/scanner.cpp
+++ b/src/translation/scanner.cpp
@@ -1,6 +1,6 @@
 #include "translation/scanner.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 namespace {
 
 bool digit(char c) { return c >= '0' && c <= '9'; }
@@ -115,4 +115,4 @@
   return take(text_.size(), Token::Plain);
 }
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/scanner.hpp
+++ b/src/translation/scanner.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <string_view>
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 
 enum class Token {
   Plain,          // anything else, in one piece
@@ -41,4 +41,4 @@
   bool whole_ = true;
 };
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/settings.cpp
+++ b/src/translation/settings.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 namespace {
 
 bool blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
@@ -107,4 +107,4 @@
   return std::nullopt;
 }
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/settings.hpp
+++ b/src/translation/settings.hpp
@@ -8,7 +8,7 @@
 
 #include "translation/terms.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 
 struct Side {
   bool backslashes = false;        // they escape in '...': standard_conforming_strings is off
@@ -25,4 +25,4 @@
 // "-c name=value --name=value" of a startup's options, taken over in order.
 std::optional<std::string> applyOptions(Side&, std::string_view options);
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/terms.hpp
+++ b/src/translation/terms.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 
 // How bytea stands in text (see values.hpp).
 enum class ByteaForm { Hex, Escape };
@@ -69,4 +69,4 @@
   virtual std::string ready() const = 0;
 };
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/values.cpp
+++ b/src/translation/values.cpp
@@ -5,7 +5,7 @@
 
 #include "translation/scanner.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 namespace {
 
 // By byte: what it is worth as a hexadecimal digit, or -1.
@@ -163,4 +163,4 @@
   return out;
 }
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/src/translation/values.hpp
+++ b/src/translation/values.hpp
@@ -8,7 +8,7 @@
 
 #include "translation/terms.hpp"
 
-namespace sablespur::translate {
+namespace sablespur::translation {
 
 // bytea as text: hex since 9.0 ("\x4142"), escape before ("AB\000", backslash doubled); PostgreSQL's
 // documentation, "Binary Data Types". Servers say which by bytea_output; a value tells its own form by how it
@@ -27,4 +27,4 @@
 // for who wrote it.
 std::string rewriteLiterals(std::string_view statement, bool fromBackslashes, bool toBackslashes);
 
-}  // namespace sablespur::translate
+}  // namespace sablespur::translation
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -2,7 +2,7 @@
 
 #include "harness.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 // ---- settings --------------------------------------------------------------------------------------------
@@ -1153,4 +1153,4 @@
 }
 
 }  // namespace
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -118,7 +118,7 @@
 class World {
  public:
   explicit World(Time wallError, std::vector<Instance> known = {},
-                 knotstack::Need readNeed = knotstack::Need::Bounded)
+                 balancer::Need readNeed = balancer::Need::Bounded)
       : wallError_(wallError) {
     config_.settings.classes[kRead].need = readNeed;
     if (!known.empty()) config_.known.instances = std::move(known);
@@ -145,7 +145,7 @@
   }
   // `after`: Unix time of the session's last write; 0: none.
   RequestId ask(CountingRequester& asker, int cls, Time after = Time(0)) {
-    knotstack::Request q;
+    balancer::Request q;
     if (after > Time(0)) q.tokenMs = static_cast<float>((engine_->unixNow() - after).count()) / 1e3f;
     q.cls = cls;
     q.group = 3;
@@ -319,7 +319,7 @@
   for (const bool decidedBefore : {false, true}) {
     SCOPED_TRACE(decidedBefore ? "it waits in the module"
                                : "its age was counted, the module has not seen it");
-    World world(hours(1), {}, knotstack::Need::Session);
+    World world(hours(1), {}, balancer::Need::Session);
     world.run(milliseconds(500));
     world.replicaApplies(false);
     world.run(milliseconds(200));
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -12,7 +12,7 @@
 
 #include "harness.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 struct Plan {
@@ -390,4 +390,4 @@
 }
 
 }  // namespace
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -79,7 +79,7 @@
   EXPECT_EQ(c.known.instances[0].group, 3u);
   EXPECT_EQ(c.known.instances[1].address.text(), "[::1]:6002");
   const auto& write = c.settings.classes[1];
-  EXPECT_EQ(write.need, knotstack::Need::Write);
+  EXPECT_EQ(write.need, balancer::Need::Write);
   EXPECT_EQ(write.memory, microseconds(2000000));
   EXPECT_EQ(write.lateWorth, 0.5);
 
@@ -265,7 +265,7 @@
   const Config c = parseSettings(kGood, "f.ini");
   Membership known;
   std::vector<Instance> all = c.known.instances;
-  all[1].state = knotstack::Lifecycle::Draining;
+  all[1].state = balancer::Lifecycle::Draining;
   all[1].startedMs = 1767225600123;
   all[1].kind = "a\"\xff";
   all.push_back(all[0]);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -20,27 +20,27 @@
 namespace sablespur {
 namespace {
 
-using control::Bans;
-using control::Reader;
-using control::Verb;
+using admin::Bans;
+using admin::Reader;
+using admin::Verb;
 
 TEST(ControlLine, KnowsItsCallsAndNoOthers) {
   std::string why;
-  const auto status = control::parse("STATUS", why);
+  const auto status = admin::parse("STATUS", why);
   ASSERT_TRUE(status);
   EXPECT_EQ(status->verb, Verb::Status);
-  const auto suspend = control::parse("  suspend \t s-5be2a07c ", why);
+  const auto suspend = admin::parse("  suspend \t s-5be2a07c ", why);
   ASSERT_TRUE(suspend);
   EXPECT_EQ(suspend->verb, Verb::Suspend);
   EXPECT_EQ(suspend->id, "s-5be2a07c");
-  ASSERT_TRUE(control::parse("RESTORE s-1", why));
+  ASSERT_TRUE(admin::parse("RESTORE s-1", why));
   for (const std::string bad :
        {"", " ", "STATUS now", "SUSPEND", "RESTORE", "SUSPEND a b", "REMOVE s-1", "SUSPEND \x01"}) {
     why.clear();
-    EXPECT_FALSE(control::parse(bad, why)) << bad;
+    EXPECT_FALSE(admin::parse(bad, why)) << bad;
     EXPECT_FALSE(why.empty()) << bad;
   }
-  EXPECT_FALSE(control::parse("SUSPEND " + std::string(control::kLongestId + 1, 'x'), why));
+  EXPECT_FALSE(admin::parse("SUSPEND " + std::string(admin::kLongestId + 1, 'x'), why));
 }
 TEST(ControlLine, IsReadInPiecesOfAnySizeAndBounded) {
   const std::string call = "SUSPEND s-1\r\nSTATUS\n";
@@ -57,11 +57,11 @@
   Reader::State s = Reader::State::More;
   for (int k = 0; k < 1000 && s == Reader::State::More; ++k) s = endless.feed(std::string(10, 'x'));
   EXPECT_EQ(s, Reader::State::TooLong);
-  EXPECT_LE(endless.line().size(), 2 * control::kLongestLine);
+  EXPECT_LE(endless.line().size(), 2 * admin::kLongestLine);
 }
 TEST(ControlLine, AnAnswerIsOneLineWhateverItQuotes) {
-  EXPECT_EQ(control::success("s-1 suspended"), "SUCCESS s-1 suspended\n");
-  EXPECT_EQ(control::failure("a\nb"), "FAILURE a?b\n");
+  EXPECT_EQ(admin::success("s-1 suspended"), "SUCCESS s-1 suspended\n");
+  EXPECT_EQ(admin::failure("a\nb"), "FAILURE a?b\n");
 }
 
 struct BansTest : testing::Test {
@@ -74,12 +74,12 @@
   std::string folder, path;
 };
 TEST_F(BansTest, AFileThatWasCutAnywhereOrIsAnotherIsNone) {
-  const std::string good = control::writeBans({"s-1", "s-2"});
-  ASSERT_TRUE(control::readBans(good));
-  EXPECT_EQ(*control::readBans(good), (std::set<std::string>{"s-1", "s-2"}));
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(control::readBans(good.substr(0, n))) << n;
-  EXPECT_FALSE(control::readBans(good + "more\n"));
-  EXPECT_TRUE(control::readBans(control::writeBans({})));
+  const std::string good = admin::writeBans({"s-1", "s-2"});
+  ASSERT_TRUE(admin::readBans(good));
+  EXPECT_EQ(*admin::readBans(good), (std::set<std::string>{"s-1", "s-2"}));
+  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(admin::readBans(good.substr(0, n))) << n;
+  EXPECT_FALSE(admin::readBans(good + "more\n"));
+  EXPECT_TRUE(admin::readBans(admin::writeBans({})));
   std::ofstream(path) << good.substr(0, good.size() / 2);
   EXPECT_TRUE(Bans(path).all().empty());
 }
@@ -152,7 +152,7 @@
             1)
       << "nothing half written is left";
   // The process beside writes: what is owed here stands beside what it says.
-  std::ofstream(path) << control::writeBans({"s-1", "s-3"});
+  std::ofstream(path) << admin::writeBans({"s-1", "s-3"});
   EXPECT_TRUE(b.poll());
   EXPECT_EQ(b.all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
   BanDisk::failing = false;
@@ -182,7 +182,7 @@
   ASSERT_EQ(start.classes[0], "read");
   Config read = start;
   read.settings.attemptsCap = 1;
-  read.settings.classes[0].effect = knotstack::Effect::Unsafe;  // stricter
+  read.settings.classes[0].effect = balancer::Effect::Unsafe;  // stricter
   read.classes.push_back("fresh");
   read.settings.classes.push_back(read.settings.classes[1]);
   adopt(running, read);
@@ -195,7 +195,7 @@
   };
   ASSERT_LT(place("read"), running.classes.size());
   EXPECT_GE(place("read"), n);
-  EXPECT_EQ(running.settings.classes[place("read")].effect, knotstack::Effect::Unsafe);
+  EXPECT_EQ(running.settings.classes[place("read")].effect, balancer::Effect::Unsafe);
   EXPECT_EQ(place(start.classes[1]), 1u) << "what is as it was stays";
   EXPECT_LT(place("fresh"), running.classes.size());
   adopt(running, start);
@@ -325,7 +325,7 @@
 }
 TEST_F(ControlProgram, ABanOutlivesTheProcessAndABrokenFileStartsItAllTheSame) {
   const std::string file = folder + "/sablespur-bans-n0";
-  std::ofstream(file) << control::writeBans({"s-2"});
+  std::ofstream(file) << admin::writeBans({"s-2"});
   {
     test::Scenario t(s);
     t.run(kServedByFirst);
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -24,7 +24,7 @@
 #include "harness.hpp"
 #include "scenario.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 constexpr int kEndpoints[] = {120, 800, 3200};
@@ -77,7 +77,7 @@
     settings_ = settings();
     settings_.coldFor = seconds(60);
     settings_.balancers = 300;
-    balancer_ = std::make_unique<knotstack::Balancer>(settings_, 1, static_cast<Sink&>(*this));
+    balancer_ = std::make_unique<balancer::Balancer>(settings_, 1, static_cast<Sink&>(*this));
     for (int k = 0; k < endpoints; ++k) {
       const bool warmingUp = halfWarmingUp && k % 2 == 1;
       list_.push_back(entry(k, Lifecycle::Ready, warmingUp ? now_ - seconds(1) : Time(0)));
@@ -165,7 +165,7 @@
   Settings settings_;
   Time now_ = seconds(1100);
   std::vector<ListedMember> list_;
-  std::unique_ptr<knotstack::Balancer> balancer_;
+  std::unique_ptr<balancer::Balancer> balancer_;
   std::priority_queue<Event> events_;
   std::map<RequestId, int> attempts_;
   std::uint64_t turn_ = 0;
@@ -222,15 +222,15 @@
 }
 
 }  // namespace
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
 
 namespace sablespur {
 namespace {
 
-using knotstack::test::allocatedBytes;
-using knotstack::test::expectFlat;
-using knotstack::test::kEndpoints;
-using knotstack::test::leastMicroseconds;
+using balancer::test::allocatedBytes;
+using balancer::test::expectFlat;
+using balancer::test::kEndpoints;
+using balancer::test::leastMicroseconds;
 
 std::string wholeList(int endpoints) {
   std::string text = "{\"generation\": 7, \"reset\": true, \"instances\": [";
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -12,7 +12,7 @@
 #include "decision_log.hpp"
 #include "harness.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 constexpr const char* kDigestFile = SABLESPUR_SOURCE "/tests/data/decision-digests.txt";
@@ -123,4 +123,4 @@
 }
 
 }  // namespace
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/decision_log.cpp
+++ b/tests/decision_log.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 constexpr std::size_t kDigestDigits = 16;
@@ -244,4 +244,4 @@
   balancer_.countFrom(zero);
 }
 
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/decision_log.hpp
+++ b/tests/decision_log.hpp
@@ -18,7 +18,7 @@
 
 #include "balancer/balancer.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 
 // The lines of the test that runs now; one for the process, since GoogleTest runs one test at a time.
 class DecisionLog {
@@ -73,7 +73,7 @@
 
   int number_;
   std::shared_ptr<RecordingSink> sink_;  // the Balancer refers to it, wherever this object is moved
-  knotstack::Balancer balancer_;
+  sablespur::balancer::Balancer balancer_;
 };
 
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -134,13 +134,13 @@
   EXPECT_EQ(i.zone, "ruwi");
   EXPECT_EQ(i.kind, "big");
   EXPECT_EQ(i.weight, 2.5);
-  EXPECT_EQ(i.state, knotstack::Lifecycle::Draining);
+  EXPECT_EQ(i.state, balancer::Lifecycle::Draining);
   EXPECT_EQ(i.startedMs, 1767225600123);
   Instance plain;
   EXPECT_FALSE(readTxt({""}, groups, 7, plain));
   EXPECT_EQ(plain.group, 7u);
   EXPECT_EQ(plain.weight, 1);
-  EXPECT_EQ(plain.state, knotstack::Lifecycle::Ready);
+  EXPECT_EQ(plain.state, balancer::Lifecycle::Ready);
   EXPECT_EQ(plain.startedMs, 0);
   EXPECT_TRUE(readTxt({}, groups, std::nullopt, i));
   for (const char* bad : {"group=lost", "group=70000", "group=", "weight=0", "weight=-1", "weight=nan",
@@ -414,7 +414,7 @@
     ++lists;
     if (list.reset) members.clear();
     for (const Instance& i : list.instances)
-      if (i.state == knotstack::Lifecycle::Gone)
+      if (i.state == balancer::Lifecycle::Gone)
         members.erase(i.name);
       else
         members[i.name] = i;
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -273,21 +273,21 @@
                 client6 = *Address::parse("[2001:db8::7]:51000"),
                 server6 = *Address::parse("[2001:db8::1]:5432");
   for (const std::string& whole :
-       {proxyproto::version1(client, server), proxyproto::version2(client, server),
-        proxyproto::version1(client6, server6), proxyproto::version2(client6, server6)}) {
+       {proxy_protocol::version1(client, server), proxy_protocol::version2(client, server),
+        proxy_protocol::version1(client6, server6), proxy_protocol::version2(client6, server6)}) {
     for (std::size_t n = 0; n < whole.size(); ++n) {
-      const auto h = proxyproto::parse(std::string_view(whole).substr(0, n));
+      const auto h = proxy_protocol::parse(std::string_view(whole).substr(0, n));
       EXPECT_FALSE(h.bad) << n;
       EXPECT_EQ(h.length, 0u) << n;
     }
-    const auto h = proxyproto::parse(whole + "more");
+    const auto h = proxy_protocol::parse(whole + "more");
     EXPECT_EQ(h.length, whole.size());
     ASSERT_TRUE(h.client);
     EXPECT_EQ(*h.client, h.client->v6() ? client6 : client);
   }
 }
 TEST(ProxyProtocol, WhatIsNoHeaderIsBad) {
-  const std::string v2 = proxyproto::version2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
+  const std::string v2 = proxy_protocol::version2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
   std::string version3 = v2, command = v2, shorter = v2, longer = v2;
   version3[12] = '\x31';
   command[12] = '\x22';
@@ -300,13 +300,13 @@
         std::string("PROXY TCP6 1.2.3.4 5.6.7.8 1 2\r\n"), std::string("PROXY TCP4 1.2.3.4 5.6.7.8  1 2\r\n"),
         std::string("PROXY UDP4 1.2.3.4 5.6.7.8 1 2\r\n"), "PROXY " + std::string(200, 'x'), version3,
         command, shorter, longer})
-    EXPECT_TRUE(proxyproto::parse(bad).bad) << bad;
+    EXPECT_TRUE(proxy_protocol::parse(bad).bad) << bad;
   std::string local = v2, unix_ = v2;
   local[12] = '\x20';
   unix_[13] = '\x31';
   for (const std::string& none :
        {local, unix_, std::string("PROXY UNKNOWN\r\n"), std::string("PROXY UNKNOWN ::1 x\r\n")}) {
-    const auto h = proxyproto::parse(none);
+    const auto h = proxy_protocol::parse(none);
     EXPECT_FALSE(h.bad);
     EXPECT_EQ(h.length, none.size());
     EXPECT_FALSE(h.client);
@@ -355,9 +355,9 @@
   setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   const Address to = *Address::parse("127.0.0.1:" + std::to_string(t.port()));
   ASSERT_EQ(connect(fd, to.data(), to.size()), 0);
-  std::string all = pg::startup("api", "ledger");
+  std::string all = postgres::startup("api", "ledger");
   for (int k = 1; k <= 100; ++k)
-    all += pg::query("SELECT 1 /* id=" + std::to_string(k) + ",c=read,d=7000,cluster=3 */");
+    all += postgres::query("SELECT 1 /* id=" + std::to_string(k) + ",c=read,d=7000,cluster=3 */");
   ASSERT_EQ(send(fd, all.data(), all.size(), MSG_NOSIGNAL), static_cast<ssize_t>(all.size()));
   // It reads nothing; the proxy serves what fits into the sockets' buffers, and then it ends.
   int looks = 0;
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -44,7 +44,7 @@
     engine.turn();
   }
   RequestId ask(int cls = 0) {
-    knotstack::Request q;
+    balancer::Request q;
     q.cls = cls;
     q.group = 3;
     q.deadline = engine.now() + std::chrono::seconds(5);
@@ -66,7 +66,7 @@
   EXPECT_TRUE(members.ready[1] && members.ready[2]);
 }
 TEST_F(EngineTest, WhatIsGatheredWaitsForTheTurn) {
-  knotstack::Request q;
+  balancer::Request q;
   q.group = 3;
   q.deadline = engine.now() + std::chrono::seconds(5);
   engine.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
@@ -106,7 +106,7 @@
   engine.turn();
   EXPECT_EQ(members.started.back(), std::make_pair(0, true));
   InstanceList change{6, false, {config.known.instances[1]}};
-  change.instances[0].state = knotstack::Lifecycle::Draining;
+  change.instances[0].state = balancer::Lifecycle::Draining;
   engine.listed(change);
   engine.connected(id, 0);
   engine.turn();
@@ -155,7 +155,7 @@
       static_cast<double>((fresh.now() - std::chrono::seconds(6)).count()) / 1e6;  // bound: 5 s
   fresh.probed(2, true, {old, 0.0, 0.0});
   fresh.turn();
-  knotstack::Request q;
+  balancer::Request q;
   q.group = 3;
   q.deadline = fresh.now() + std::chrono::seconds(5);
   fresh.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -3,7 +3,7 @@
 
 #include "balancer/balancer.hpp"
 
-using namespace knotstack;
+using namespace sablespur::balancer;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -9,7 +9,7 @@
 
 #include "harness.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 constexpr int kRouters = 100;
@@ -386,4 +386,4 @@
 }
 
 }  // namespace
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/gossip_fleet_test.cpp
+++ b/tests/gossip_fleet_test.cpp
@@ -12,7 +12,7 @@
 
 #include "cluster/scheduler.hpp"
 
-namespace sablespur::peers {
+namespace sablespur::cluster {
 namespace {
 
 constexpr std::int64_t kStartMs = 1767225600000;
@@ -257,4 +257,4 @@
 }
 
 }  // namespace
-}  // namespace sablespur::peers
+}  // namespace sablespur::cluster
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -10,7 +10,7 @@
 #include "balancer/balancer.hpp"
 #include "decision_log.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -172,4 +172,4 @@
   void teachPrimary(MemberId m) { report(m, 0, true); }
 };
 
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -20,10 +20,10 @@
 namespace {
 
 namespace fs = std::filesystem;
-using store::FileOp;
+using durability::FileOp;
 
 // A disk whose syncs can be held up, and that can be told to fail.
-class Disk final : public store::FileHook {
+class Disk final : public durability::FileHook {
  public:
   Fate before(FileOp op, const std::string&, std::string_view bytes, std::uint64_t,
               const std::string&) override {
@@ -124,7 +124,7 @@
     keeper.reset();
     engine = std::make_unique<Engine>(base.get(), config);
     engine->start(members, lists);
-    keeper = openKeeper(base.get(), *engine, *engine, config, pg::reader(), &disk);
+    keeper = openKeeper(base.get(), *engine, *engine, config, postgres::reader(), &disk);
     engine->turn();
     for (const MemberId m : {1, 2}) report(m);
     engine->turn();
@@ -153,7 +153,7 @@
     return true;
   }
   RequestId ask(Asker& a, const std::string& key, int cls = 1, std::uint64_t session = 0) {
-    knotstack::Request q;
+    balancer::Request q;
     q.cls = cls;
     q.group = 3;
     q.session = session;
@@ -168,7 +168,7 @@
     e.positionMs = engine->now().count() / 1000;
     e.answer.messages = newBuffer();
     append(e.answer.messages.get(), text);
-    e.answer.reader = &pg::reader();
+    e.answer.reader = &postgres::reader();
     engine->ended(s.id, s.attempt, s.member, std::move(e));
   }
 };
@@ -273,13 +273,13 @@
   disk.hold(false);
   ASSERT_TRUE(until([&] { return keeper->view().state == "up" && keeper->view().waiting == 0; }));
   keeper.reset();
-  store::Files files;
-  store::LedgerSettings s;
+  durability::Files files;
+  durability::LedgerSettings s;
   s.directory = config.store->directory;
-  store::MachineTime later = store::machineTime();
+  durability::MachineTime later = durability::machineTime();
   later.us += 60000000;
-  store::Ledger ledger(files, s, [&] { return later; });
-  EXPECT_EQ(ledger.apply({store::AskKey{{"x", "k1", "write", 3, kWindow}}})[0].verdict, store::Verdict::Run);
+  durability::Ledger ledger(files, s, [&] { return later; });
+  EXPECT_EQ(ledger.apply({durability::AskKey{{"x", "k1", "write", 3, kWindow}}})[0].verdict, durability::Verdict::Run);
 }
 TEST_F(KeeperTest, AnIntentOfBeforeTheCrashGoesAgainWithinItsWindow) {
   Asker a, b;
@@ -346,7 +346,7 @@
 }
 // After a crash a session's read still sees what the session wrote; another session's may see less.
 TEST_F(KeeperTest, SessionsGoOnWhereTheyWereBeforeTheCrash) {
-  config.settings.classes[0].need = knotstack::Need::Session;
+  config.settings.classes[0].need = balancer::Need::Session;
   config.settings.tokensCarried = false;
   config.sessions = true;
   replicaBehind = std::chrono::seconds(2);
@@ -369,7 +369,7 @@
   EXPECT_EQ(members.sent[1].member, 2u);
 }
 TEST_F(KeeperTest, WhileTheStoreIsDownASessionsReadSeesNothingOlderThanNow) {
-  config.settings.classes[0].need = knotstack::Need::Session;
+  config.settings.classes[0].need = balancer::Need::Session;
   config.settings.tokensCarried = false;
   config.sessions = true;
   replicaBehind = std::chrono::seconds(2);
@@ -416,7 +416,7 @@
   EXPECT_TRUE(members.sent.empty());
 }
 TEST_F(KeeperTest, WhatASessionSawWhileTheDiskFailedHoldsAfterTheNextStart) {
-  config.settings.classes[0].need = knotstack::Need::Session;
+  config.settings.classes[0].need = balancer::Need::Session;
   config.settings.tokensCarried = false;
   config.sessions = true;
   replicaBehind = std::chrono::seconds(2);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -10,7 +10,7 @@
 namespace sablespur {
 namespace {
 
-using knotstack::Lifecycle;
+using balancer::Lifecycle;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using Time = Membership::Time;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -15,7 +15,7 @@
   const std::string text =
       "SELECT blob FROM rows WHERE handle = 'a/*b*/' "
       "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
-  const pg::Comment c = pg::parseComment(text);
+  const postgres::Comment c = postgres::parseComment(text);
   ASSERT_EQ(c.fault, nullptr);
   EXPECT_EQ(c.id, "9b1f");
   EXPECT_EQ(c.cls, "basket");
@@ -23,7 +23,7 @@
   EXPECT_EQ(text.substr(c.waitAt, c.waitLength), "480");
   EXPECT_EQ(c.cluster, 2u);
   EXPECT_EQ(c.after, 1767225600123);
-  EXPECT_EQ(pg::parseKey(text), "a/*b*/");
+  EXPECT_EQ(postgres::parseKey(text), "a/*b*/");
 }
 TEST(Pg, CommentsThatLackOrSpoilAValueAreFaults) {
   for (const char* text :
@@ -31,50 +31,50 @@
         "/* id=1,cluster=x */", "/* id=1,cluster=-1 */", "/* id=1,cluster=65536 */",
         "/* id=1,cluster=1,d=1e3 */", "/* id=1,cluster=1,d= */", "/* id=1,cluster=1,d=99999999999 */",
         "/* id=1,cluster=1,after=soon */", "*/ id=1,cluster=2 /*", "/*/"})
-    EXPECT_NE(pg::parseComment(text).fault, nullptr) << text;
-  EXPECT_EQ(pg::parseComment("/* id=1,cluster=1 */").waitLength, 0u);
+    EXPECT_NE(postgres::parseComment(text).fault, nullptr) << text;
+  EXPECT_EQ(postgres::parseComment("/* id=1,cluster=1 */").waitLength, 0u);
 }
 TEST(Pg, HeadsOutOfRangeAreNone) {
   const auto head = [](std::uint32_t n) {
-    const char bytes[pg::kHead] = {'Q', static_cast<char>(n >> 24), static_cast<char>(n >> 16),
+    const char bytes[postgres::kHead] = {'Q', static_cast<char>(n >> 24), static_cast<char>(n >> 16),
                                    static_cast<char>(n >> 8), static_cast<char>(n)};
-    return pg::parseHead(bytes);
+    return postgres::parseHead(bytes);
   };
   EXPECT_FALSE(head(3));
   EXPECT_FALSE(head(0xffffffff));
-  EXPECT_FALSE(head(pg::kLongestMessage + 1));
+  EXPECT_FALSE(head(postgres::kLongestMessage + 1));
   ASSERT_TRUE(head(4));
   EXPECT_EQ(head(4)->body, 0u);
   EXPECT_TRUE(head(2 * 65536 + 512));  // the longest value in hex
 }
 TEST(Pg, ErrorsAndRowsAreReadAsWritten) {
-  const std::string e = pg::error("ERROR", "53300", "full", "25");
-  const pg::ErrorFields f = pg::parseError(std::string_view(e).substr(5));
+  const std::string e = postgres::error("ERROR", "53300", "full", "25");
+  const postgres::ErrorFields f = postgres::parseError(std::string_view(e).substr(5));
   EXPECT_EQ(f.severity, "ERROR");
   EXPECT_EQ(f.code, "53300");
   EXPECT_EQ(f.text, "full");
   EXPECT_NE(e.find(std::string("D25\0", 4)), std::string::npos);
-  EXPECT_EQ(pg::parseError("Sno end").code, "");
+  EXPECT_EQ(postgres::parseError("Sno end").code, "");
   using namespace std::literals;
-  EXPECT_EQ(pg::parseColumn("\0\1\0\0\0\2ab"sv), "ab");
-  EXPECT_EQ(pg::parseColumn("\0\1\0\0\0\0"sv), "");
-  EXPECT_FALSE(pg::parseColumn("\0\1\xff\xff\xff\xff"sv));
-  EXPECT_FALSE(pg::parseColumn("\0\1\0\0\0\3ab"sv));
-  EXPECT_FALSE(pg::parseColumn("\0\2\0\0\0\2ab"sv));
-  EXPECT_EQ(pg::parseParameter("role\0replica\0"sv).second, "replica");
-  EXPECT_EQ(pg::parseParameter("role\0replica"sv).first, "");
-  EXPECT_EQ(pg::parseParameter("role\0replica\0more"sv).first, "");
-  EXPECT_TRUE(pg::isRowDescription("\0\1blob\0"s + std::string(18, '\0')));
-  EXPECT_FALSE(pg::isRowDescription("\0\1blob\0"s + std::string(17, '\0')));
-  EXPECT_FALSE(pg::isRowDescription("\0\2blob\0"s + std::string(18, '\0')));
-  EXPECT_TRUE(pg::isTag("INSERT 0 1\0"sv, true));
-  EXPECT_TRUE(pg::isTag("SHOW\0"sv, false));
-  EXPECT_FALSE(pg::isTag("SELECT 0\0"sv, true));
-  EXPECT_FALSE(pg::isTag("SELECT 1"sv, true));
-  EXPECT_FALSE(pg::isTag("SELECT\0 1\0"sv, true));
-  EXPECT_TRUE(pg::isRowHead({0, 1, 0, 1, 0, 0}, 6 + 65536));
-  EXPECT_FALSE(pg::isRowHead({0, 1, 0, 1, 0, 1}, 6 + 65537));
-  EXPECT_FALSE(pg::isRowHead({0, 1, 0, 0, 0, 5}, 6 + 4));
+  EXPECT_EQ(postgres::parseColumn("\0\1\0\0\0\2ab"sv), "ab");
+  EXPECT_EQ(postgres::parseColumn("\0\1\0\0\0\0"sv), "");
+  EXPECT_FALSE(postgres::parseColumn("\0\1\xff\xff\xff\xff"sv));
+  EXPECT_FALSE(postgres::parseColumn("\0\1\0\0\0\3ab"sv));
+  EXPECT_FALSE(postgres::parseColumn("\0\2\0\0\0\2ab"sv));
+  EXPECT_EQ(postgres::parseParameter("role\0replica\0"sv).second, "replica");
+  EXPECT_EQ(postgres::parseParameter("role\0replica"sv).first, "");
+  EXPECT_EQ(postgres::parseParameter("role\0replica\0more"sv).first, "");
+  EXPECT_TRUE(postgres::isRowDescription("\0\1blob\0"s + std::string(18, '\0')));
+  EXPECT_FALSE(postgres::isRowDescription("\0\1blob\0"s + std::string(17, '\0')));
+  EXPECT_FALSE(postgres::isRowDescription("\0\2blob\0"s + std::string(18, '\0')));
+  EXPECT_TRUE(postgres::isTag("INSERT 0 1\0"sv, true));
+  EXPECT_TRUE(postgres::isTag("SHOW\0"sv, false));
+  EXPECT_FALSE(postgres::isTag("SELECT 0\0"sv, true));
+  EXPECT_FALSE(postgres::isTag("SELECT 1"sv, true));
+  EXPECT_FALSE(postgres::isTag("SELECT\0 1\0"sv, true));
+  EXPECT_TRUE(postgres::isRowHead({0, 1, 0, 1, 0, 0}, 6 + 65536));
+  EXPECT_FALSE(postgres::isRowHead({0, 1, 0, 1, 0, 1}, 6 + 65537));
+  EXPECT_FALSE(postgres::isRowHead({0, 1, 0, 0, 0, 5}, 6 + 4));
 }
 
 TEST(Http, ChunksMayBeSplitAnywhere) {
@@ -129,10 +129,10 @@
   EXPECT_FALSE(list.reset);
   ASSERT_EQ(list.instances.size(), 2u);
   EXPECT_EQ(list.instances[0].group, 3u);
-  EXPECT_EQ(list.instances[0].state, knotstack::Lifecycle::Draining);
+  EXPECT_EQ(list.instances[0].state, balancer::Lifecycle::Draining);
   EXPECT_EQ(list.instances[0].startedMs, 7);
   EXPECT_EQ(list.instances[0].address.port(), 5432);
-  EXPECT_EQ(list.instances[1].state, knotstack::Lifecycle::Gone);
+  EXPECT_EQ(list.instances[1].state, balancer::Lifecycle::Gone);
   const auto fault = [&](const std::string& from, const std::string& to) {
     std::string bad = text;
     bad.replace(bad.find(from), from.size(), to);
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -13,16 +13,16 @@
 namespace sablespur {
 namespace {
 
-using peers::GossipScheduler;
-using peers::Hint;
-using peers::HintRole;
+using cluster::GossipScheduler;
+using cluster::Hint;
+using cluster::HintRole;
 
 constexpr std::int64_t kNow = 1767225600123;
 
 TEST(PeersDatagram, CarriesPositionRoleClassAndLatency) {
-  const std::vector<Hint> told{{peers::tagOf("s-5be2a07c"), kNow - 40, HintRole::Primary, 1, 36000},
-                               {peers::tagOf("s-1"), kNow - 60000, HintRole::Replica, -1, 0}};
-  const auto got = peers::decode(peers::encode(told), kNow + 25);
+  const std::vector<Hint> told{{cluster::tagOf("s-5be2a07c"), kNow - 40, HintRole::Primary, 1, 36000},
+                               {cluster::tagOf("s-1"), kNow - 60000, HintRole::Replica, -1, 0}};
+  const auto got = cluster::decode(cluster::encode(told), kNow + 25);
   ASSERT_EQ(got.size(), 2u);
   for (std::size_t k = 0; k < 2; ++k) {
     EXPECT_EQ(got[k].tag, told[k].tag);
@@ -36,31 +36,31 @@
 TEST(PeersDatagram, PositionsNeverLookNewerThanTheyAreAcrossTheWrap) {
   for (std::int64_t now = kNow; now < kNow + (std::int64_t{1} << 22) + 5000; now += 4999)
     for (const std::int64_t age : {std::int64_t{0}, std::int64_t{199}, std::int64_t{3600000}}) {
-      const auto got = peers::decode(peers::encode({{1, now - age, HintRole::Replica, 0, 1}}), now);
+      const auto got = cluster::decode(cluster::encode({{1, now - age, HintRole::Replica, 0, 1}}), now);
       ASSERT_EQ(got.size(), 1u);
       EXPECT_EQ(got[0].positionMs, now - age);
     }
 }
 
 TEST(PeersDatagram, TurnsAwayWhatIsNone) {
-  const std::string good = peers::encode({{7, kNow, HintRole::Replica, 0, 1000}});
-  EXPECT_EQ(peers::decode(good, kNow).size(), 1u);
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_TRUE(peers::decode(good.substr(0, n), kNow).empty());
-  EXPECT_TRUE(peers::decode(good + "x", kNow).empty());
+  const std::string good = cluster::encode({{7, kNow, HintRole::Replica, 0, 1000}});
+  EXPECT_EQ(cluster::decode(good, kNow).size(), 1u);
+  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_TRUE(cluster::decode(good.substr(0, n), kNow).empty());
+  EXPECT_TRUE(cluster::decode(good + "x", kNow).empty());
   std::string other = good;
   other[0] = 9;
-  EXPECT_TRUE(peers::decode(other, kNow).empty());
+  EXPECT_TRUE(cluster::decode(other, kNow).empty());
   other = good;
   other[6] = static_cast<char>(other[6] | 0xc0);  // a role that there is not
-  EXPECT_TRUE(peers::decode(other, kNow).empty());
-  EXPECT_TRUE(peers::decode(std::string(300, '\x01'), kNow).empty());
+  EXPECT_TRUE(cluster::decode(other, kNow).empty());
+  EXPECT_TRUE(cluster::decode(std::string(300, '\x01'), kNow).empty());
 }
 
 TEST(PeersDatagram, HoldsAtMostWhatThePlatformTakes) {
   const std::vector<Hint> many(100, Hint{1, kNow, HintRole::Replica, 0, 1});
-  EXPECT_LE(peers::encode(many).size(), peers::kLongestDatagram);
-  EXPECT_EQ(peers::decode(peers::encode(many), kNow).size(), peers::kHintsPerDatagram);
-  EXPECT_EQ(peers::decode(peers::encode(many, 90), kNow).size(), 10u);
+  EXPECT_LE(cluster::encode(many).size(), cluster::kLongestDatagram);
+  EXPECT_EQ(cluster::decode(cluster::encode(many), kNow).size(), cluster::kHintsPerDatagram);
+  EXPECT_EQ(cluster::decode(cluster::encode(many, 90), kNow).size(), 10u);
 }
 
 // What the next datagram holds at `nowMs`; empty: none is due.
@@ -118,7 +118,7 @@
   g.learned({1, kNow, HintRole::Replica, 0, 1}, kNow);  // from here on its intervals run
   std::int64_t now = kNow + 30000;
   for (std::uint64_t tag = 1; tag <= 40; ++tag) g.learned({tag, now, HintRole::Replica, 0, 1}, now);
-  ASSERT_EQ(sentAt(g, now).size(), peers::kHintsPerDatagram);
+  ASSERT_EQ(sentAt(g, now).size(), cluster::kHintsPerDatagram);
   now += 100;
   for (std::uint64_t tag = 1; tag <= 40; ++tag) g.learned({tag, now, HintRole::Replica, 0, 1}, now);
   EXPECT_TRUE(sentAt(g, now).empty()) << "the next datagram of ordinary news is seconds away";
@@ -160,7 +160,7 @@
       g.learned({static_cast<std::uint64_t>(k % 60), kNow + 100 * k, HintRole::Replica, 0, 1},
                 kNow + 100 * k);
       while (g.take(kNow + 100 * k, datagram))
-        delivered += static_cast<double>(n * (1 + datagram.size() * peers::kHintBytes));
+        delivered += static_cast<double>(n * (1 + datagram.size() * cluster::kHintBytes));
     }
     EXPECT_LE(delivered, 20000 * 512 + 64 * 1024 + static_cast<double>(n) * 256) << n;
     EXPECT_GT(delivered, 0) << n;
@@ -172,7 +172,7 @@
     for (const bool broadcast : {true, false}) {
       GossipScheduler g({n, 200, broadcast, n});
       const std::size_t receivers = g.drawReceivers().size();
-      EXPECT_EQ(receivers, broadcast ? n : std::min(n, peers::kFanout));
+      EXPECT_EQ(receivers, broadcast ? n : std::min(n, cluster::kFanout));
       constexpr int kSpanMs = 600 * 1000;
       double sent = 0;
       std::vector<Hint> datagram;
@@ -182,8 +182,8 @@
       }
       // Each of n others sends so much, and receivers/n of it reach one proxy.
       const double received = sent * static_cast<double>(receivers) / (kSpanMs / 1000.0);
-      EXPECT_LE(received, 1.15 * peers::kReceivedPerSecond) << n << " peers, broadcast " << broadcast;
-      EXPECT_GT(received, 0.5 * peers::kReceivedPerSecond) << n << " peers, broadcast " << broadcast;
+      EXPECT_LE(received, 1.15 * cluster::kReceivedPerSecond) << n << " peers, broadcast " << broadcast;
+      EXPECT_GT(received, 0.5 * cluster::kReceivedPerSecond) << n << " peers, broadcast " << broadcast;
     }
 }
 
@@ -222,7 +222,7 @@
   const Config ca = config(a, {a, b}), cb = config(b, {a, b}), cs = config(s, {a, b});
   Engine ea(base.get(), ca), eb(base.get(), cb), es(base.get(), cs);
   PeerLink la(base.get(), ea, ca), lb(base.get(), eb, cb), stranger(base.get(), es, cs);
-  const Hint h{peers::tagOf("s-1"), ea.now().count() / 1000, HintRole::Replica, 0, 1000};
+  const Hint h{cluster::tagOf("s-1"), ea.now().count() / 1000, HintRole::Replica, 0, 1000};
   stranger.learned(h);
   stranger.flush();
   for (int k = 0; k < 20; ++k) event_base_loop(base.get(), EVLOOP_NONBLOCK);
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -5,7 +5,7 @@
 
 #include "harness.hpp"
 
-namespace knotstack::test {
+namespace sablespur::balancer::test {
 namespace {
 
 class Nasty : public testing::TestWithParam<int> {};
@@ -232,4 +232,4 @@
 INSTANTIATE_TEST_SUITE_P(Sequences, Nasty, testing::Range(0, 32));
 
 }  // namespace
-}  // namespace knotstack::test
+}  // namespace sablespur::balancer::test
