--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -68,10 +68,10 @@
   std::string column("\0\1blob\0", 7);
   column.append(18, '\0');
   const std::string cell = std::string("\0\1", 2) + number(static_cast<std::uint32_t>(text.size())) + text;
-  return pg::message('T', column) + pg::message('D', cell);
+  return postgres::message('T', column) + postgres::message('D', cell);
 }
 std::string parameter(const std::string& name, const std::string& text) {
-  return pg::message('S', name + '\0' + text + '\0');
+  return postgres::message('S', name + '\0' + text + '\0');
 }
 
 }  // namespace
@@ -263,7 +263,7 @@
         [&] {
           if (c.fd < 0) {
             dial(c);
-            put(c.fd, pg::startup("api", "ledger"));
+            put(c.fd, postgres::startup("api", "ledger"));
           }
           if (c.ended) client(c, "close", "", "");
           char type = 0;
@@ -286,7 +286,7 @@
   }
   if (!c.started) {
     c.started = true;
-    put(c.fd, pg::startup("api", "ledger"));
+    put(c.fd, postgres::startup("api", "ledger"));
     if (what != "refused") expectMessage(c, 'Z', "");
     if (what == "in") return;
   }
@@ -345,7 +345,7 @@
         << at_ << ": no word on when to come back";
     until([&] { return c.ended; }, "the end of the connection");
   } else if (verb == "send" && what == "query") {
-    put(c.fd, pg::query(rest));
+    put(c.fd, postgres::query(rest));
   } else if (verb == "send" && what == "bytes") {  // in hexadecimal
     std::istringstream hex(rest);
     for (unsigned v; hex >> std::hex >> v;) put(c.fd, std::string(1, static_cast<char>(v)));
@@ -435,7 +435,7 @@
     if (first == "wrong") secret.back() = static_cast<char>(secret.back() ^ 1);
     if (first == "long") secret += std::string(4, '\0');
     if (first == "short") secret.resize(4);
-    put(c.fd, pg::cancel({d.speaker->process(), secret}));
+    put(c.fd, postgres::cancel({d.speaker->process(), secret}));
     until(
         [&] {
           char byte;
@@ -598,9 +598,9 @@
     shutdown(c->fd, SHUT_RDWR);
   } else if (what == "row") {
     put(c->fd,
-        row(value(rest)) + pg::message('C', std::string("SELECT 1\0", 9)) + role + pg::readyForQuery());
+        row(value(rest)) + postgres::message('C', std::string("SELECT 1\0", 9)) + role + postgres::readyForQuery());
   } else if (what == "cells") {
-    std::vector<translate::Column> columns;
+    std::vector<translation::Column> columns;
     std::vector<std::string> texts;
     std::istringstream words(rest);
     for (std::string word; words >> word;) {
@@ -608,42 +608,42 @@
       columns.push_back({"c", static_cast<std::uint32_t>(std::stoul(word.substr(0, eq))), -1, -1, false});
       texts.push_back(word.substr(eq + 1));
     }
-    std::vector<translate::Value> values;
+    std::vector<translation::Value> values;
     for (const std::string& t : texts)
-      values.push_back(t == "NULL" ? translate::Value() : translate::Value(t));
-    const pg::Codec codec(2);
+      values.push_back(t == "NULL" ? translation::Value() : translation::Value(t));
+    const postgres::Codec codec(2);
     put(c->fd, codec.columns(columns) + codec.row(values, false) + codec.completed("SELECT 1") + role +
-                   pg::readyForQuery());
+                   postgres::readyForQuery());
   } else if (what == "done") {
-    put(c->fd, pg::Codec(2).completed(rest) + role + pg::readyForQuery());
+    put(c->fd, postgres::Codec(2).completed(rest) + role + postgres::readyForQuery());
   } else if (what == "problem") {  // as a server of today puts it
-    translate::Problem p;
+    translation::Problem p;
     std::istringstream(rest) >> p.code >> p.text;
     p.table = "rows";
     p.hint = "look there";
-    put(c->fd, pg::Codec(2).problem(p) + role + pg::readyForQuery());
+    put(c->fd, postgres::Codec(2).problem(p) + role + postgres::readyForQuery());
   } else if (what == "part") {
     const std::string whole = row(value(rest));
     put(c->fd, whole.substr(0, whole.size() - 2));
   } else if (what == "spoilt") {
-    const std::string good = row("other"), done = pg::message('C', std::string("SELECT 1\0", 9)),
-                      end = done + role + pg::readyForQuery();
+    const std::string good = row("other"), done = postgres::message('C', std::string("SELECT 1\0", 9)),
+                      end = done + role + postgres::readyForQuery();
     const std::string description = good.substr(0, good.size() - 16), cell = good.substr(good.size() - 16);
     const std::map<std::string, std::string> kinds{
         {"noise", "\x80\x01 no message"},
         {"huge", description + "D" + number(0xc0000000u) + "\1"},
-        {"column", description + pg::message('D', std::string("\0\1\0\0\1\0other", 11)) + end},
-        {"columns", description + pg::message('D', std::string("\0\2\0\0\0\5other", 11)) + end},
+        {"column", description + postgres::message('D', std::string("\0\1\0\0\1\0other", 11)) + end},
+        {"columns", description + postgres::message('D', std::string("\0\2\0\0\0\5other", 11)) + end},
         {"endless", description + "D" + number(15) + std::string("\0\1\0\0\0\5ot", 8)},
         {"rows", good + cell + end},
-        {"order", description + done + cell + role + pg::readyForQuery()},
+        {"order", description + done + cell + role + postgres::readyForQuery()},
         {"none", description + end},
-        {"count", good + pg::message('C', std::string("SELECT 2\0", 9)) + role + pg::readyForQuery()},
+        {"count", good + postgres::message('C', std::string("SELECT 2\0", 9)) + role + postgres::readyForQuery()},
         {"twice", good + end + good + end},
         {"behind", good + end + description + "D"}};
     put(c->fd, kinds.at(rest));
   } else if (what == "error") {
-    put(c->fd, pg::error("ERROR", rest.c_str(), "scripted") + role + pg::readyForQuery());
+    put(c->fd, postgres::error("ERROR", rest.c_str(), "scripted") + role + postgres::readyForQuery());
   } else {
     FAIL() << "no such step: " << at_;
   }
@@ -850,19 +850,19 @@
   if (s.silent) return;
   if (!c.method.empty() && login(s, c)) let(s, c, "");
   if (!c.greeted && c.method.empty() && c.in.size() >= 8 &&
-      pg::readInt32(c.in.data() + 4) == pg::kCancelRequest) {
-    if (const auto key = pg::parseCancel(c.in)) s.cancels.push_back(key->process);
+      postgres::readInt32(c.in.data() + 4) == postgres::kCancelRequest) {
+    if (const auto key = postgres::parseCancel(c.in)) s.cancels.push_back(key->process);
     c.in.clear();
     c.held = s.holdsCancels;
     if (!c.held) shutdown(c.fd, SHUT_RDWR);
     return;
   }
-  if (!c.greeted && c.method.empty() && c.in.size() >= 4 && c.in.size() >= pg::readInt32(c.in.data())) {
-    const auto hello = pg::parseStartup(std::string_view(c.in).substr(0, pg::readInt32(c.in.data())));
-    c.in.erase(0, pg::readInt32(c.in.data()));
+  if (!c.greeted && c.method.empty() && c.in.size() >= 4 && c.in.size() >= postgres::readInt32(c.in.data())) {
+    const auto hello = postgres::parseStartup(std::string_view(c.in).substr(0, postgres::readInt32(c.in.data())));
+    c.in.erase(0, postgres::readInt32(c.in.data()));
     if (hello) s.minor = hello->minor;
     if (hello && hello->minor > 0 && s.speaks == "fatal") {
-      put(c.fd, pg::error("FATAL", "0A000", "unsupported frontend protocol 3.2: server supports 1.0 to 3.0"));
+      put(c.fd, postgres::error("FATAL", "0A000", "unsupported frontend protocol 3.2: server supports 1.0 to 3.0"));
       shutdown(c.fd, SHUT_WR);
       return;
     }
@@ -872,22 +872,22 @@
     for (std::string line; std::getline(lines, line);)
       says += parameter(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
     const int minor = hello && s.speaks == "3.2" ? hello->minor : 0;
-    if (hello && hello->minor > minor) says += pg::negotiate(minor, {});
+    if (hello && hello->minor > minor) says += postgres::negotiate(minor, {});
     c.number = ++numbers_;
     if (s.asks.empty() || s.asks == "trust") return let(s, c, says);
     c.greeted = false;
     c.method = s.asks;
-    if (c.method == "cleartext") put(c.fd, pg::authentication(pg::kAuthCleartext));
-    if (c.method == "md5") put(c.fd, pg::authentication(pg::kAuthMd5, "salt"));
-    if (c.method == "kerberos") put(c.fd, pg::authentication(7));
+    if (c.method == "cleartext") put(c.fd, postgres::authentication(postgres::kAuthCleartext));
+    if (c.method == "md5") put(c.fd, postgres::authentication(postgres::kAuthMd5, "salt"));
+    if (c.method == "kerberos") put(c.fd, postgres::authentication(7));
     if ((c.method != "cleartext" && c.method != "md5" && c.method != "kerberos")) {
       c.scram = std::make_unique<auth::ScramServer>(auth::makeVerifier("inner", "0123456789abcdef", 4096),
                                                     "servernonce");
-      put(c.fd, pg::authentication(pg::kAuthSasl, std::string("SCRAM-SHA-256-PLUS\0SCRAM-SHA-256\0\0", 34)));
+      put(c.fd, postgres::authentication(postgres::kAuthSasl, std::string("SCRAM-SHA-256-PLUS\0SCRAM-SHA-256\0\0", 34)));
     }
     return;
   }
-  const std::string show = pg::query("SHOW load");
+  const std::string show = postgres::query("SHOW load");
   if (!c.greeted || c.in.compare(0, show.size(), show) != 0) return;
   c.in.erase(0, show.size());
   if (s.dropProbes > 0) {
@@ -896,13 +896,13 @@
     return;
   }
   if (!s.report.empty()) {
-    put(c.fd, row(s.report) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
+    put(c.fd, row(s.report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
     return;
   }
   std::ostringstream report;
   const long long ms = unixMs();
   report << "x0=" << ms / 1000 << "." << ms % 1000 / 100 << ",x1=" << (s.primary ? 1 : 0) << ",inflight=0";
-  put(c.fd, row(report.str()) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
+  put(c.fd, row(report.str()) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
 }
 
 // A server's side of a login, and its ways of cheating. True: it is let in.
@@ -912,7 +912,7 @@
   if (!message(c, type, body)) return false;
   EXPECT_EQ(type, 'p');
   const auto out = [&] {
-    put(c.fd, pg::error("FATAL", "28P01", "password authentication failed"));
+    put(c.fd, postgres::error("FATAL", "28P01", "password authentication failed"));
     shutdown(c.fd, SHUT_RDWR);
     c.method.clear();
     return false;
@@ -925,17 +925,17 @@
   if (c.method == "md5")
     return body == auth::md5Answer(auth::md5Stored("api", "inner"), "salt") + '\0' ? in() : out();
   std::string why;
-  if (const auto initial = pg::parseSaslInitial(body)) {
+  if (const auto initial = postgres::parseSaslInitial(body)) {
     std::string first = c.scram->first(*initial, why).value_or("");
     if (c.method == "nonce") first[2] = first[2] == 'x' ? 'y' : 'x';
     if (c.method == "iterations") first = first.substr(0, first.rfind('=') + 1) + "2000000000";
-    put(c.fd, pg::authentication(pg::kAuthSaslContinue, first));
+    put(c.fd, postgres::authentication(postgres::kAuthSaslContinue, first));
     return false;
   }
   auto last = c.scram->final(body, why);
   if (!last) return out();
   if (c.method == "signature") (*last)[3] = (*last)[3] == 'A' ? 'B' : 'A';
-  if (c.method != "skip") put(c.fd, pg::authentication(pg::kAuthSaslFinal, *last));
+  if (c.method != "skip") put(c.fd, postgres::authentication(postgres::kAuthSaslFinal, *last));
   return in();
 }
 void Scenario::let(Server& s, Connection& c, const std::string& before) {
@@ -945,8 +945,8 @@
     says += parameter(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
   c.greeted = true;
   const std::string greeting =
-      pg::welcome({c.number, "abcd"}, false);  // its own word after what it takes for granted
-  put(c.fd, greeting.substr(0, greeting.size() - 6) + says + pg::readyForQuery());
+      postgres::welcome({c.number, "abcd"}, false);  // its own word after what it takes for granted
+  put(c.fd, greeting.substr(0, greeting.size() - 6) + says + postgres::readyForQuery());
 }
 
 // By itself: "fail" for a statement that says so, nothing for one that is to hang.
@@ -956,17 +956,17 @@
   while (c.greeted && message(c, type, statement)) {
     if (type != 'Q' || statement.find("hang") != std::string::npos) continue;
     const std::string role = parameter("role", s.primary ? "primary" : "replica") +
-                             parameter("applied_ms", std::to_string(unixMs())) + pg::readyForQuery();
+                             parameter("applied_ms", std::to_string(unixMs())) + postgres::readyForQuery();
     if (statement.find("fail") != std::string::npos)
-      put(c.fd, pg::error("ERROR", "42703", "column does not exist") + role);
+      put(c.fd, postgres::error("ERROR", "42703", "column does not exist") + role);
     else
-      put(c.fd, row(s.serves) + pg::message('C', std::string("SELECT 1\0", 9)) + role);
+      put(c.fd, row(s.serves) + postgres::message('C', std::string("SELECT 1\0", 9)) + role);
   }
 }
 
 bool Scenario::message(Connection& c, char& type, std::string& body) {
   if (c.in.size() < 5) return false;
-  const std::size_t n = pg::readInt32(c.in.data() + 1);
+  const std::size_t n = postgres::readInt32(c.in.data() + 1);
   if (c.in.size() < n + 1) return false;
   type = c.in[0];
   body = c.in.substr(5, n - 4);
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -114,13 +114,13 @@
   }
   std::unique_ptr<Peer> welcomed(int receiveBuffer = 0) {
     auto p = std::make_unique<Peer>(clients->port(), receiveBuffer);
-    p->put(pg::startup("api", "ledger"));
+    p->put(postgres::startup("api", "ledger"));
     std::string got;
     EXPECT_TRUE(until([&] { return (got += p->take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
     return p;
   }
   static std::string query(const std::string& id, int waitMs = 7000) {
-    return pg::query("SELECT 1 /* id=" + id + ",c=read,d=" + std::to_string(waitMs) + ",cluster=3 */");
+    return postgres::query("SELECT 1 /* id=" + id + ",c=read,d=" + std::to_string(waitMs) + ",cluster=3 */");
   }
   // Called in the very pass in which the last call comes, and before it: what `act` does happens between the
   // system's last look at the sockets and the closing of what rests.
@@ -140,7 +140,7 @@
     Ending e;
     e.result = Result::Ok;
     e.answer.messages = newBuffer();
-    e.answer.reader = &pg::reader();
+    e.answer.reader = &postgres::reader();
     append(e.answer.messages.get(), value);
     const RequestId id = *members.out.begin();
     members.out.erase(id);
@@ -155,7 +155,7 @@
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }))
       << "it had come before the connection was ended";
   EXPECT_EQ(c->state(), Peer::State::Open);
-  answer(pg::message('C', std::string("SELECT 1\0", 9)));
+  answer(postgres::message('C', std::string("SELECT 1\0", 9)));
   std::string got;
   ASSERT_TRUE(until([&] { return (got += c->take()).size() >= 20; }));
   EXPECT_EQ(got[0], 'C');
@@ -180,7 +180,7 @@
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   atTheLastCall([] {});
   const std::string value(1 << 20, 'v');
-  answer(pg::message('C', value));
+  answer(postgres::message('C', value));
   c->put(query("2"));  // while it does not read
   for (int k = 0; k < 20; ++k) pass();
   std::size_t got = 0;
@@ -259,11 +259,11 @@
   c->put(query("1") + query("2", 3000) + query("3", 900));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   std::this_thread::sleep_for(1s);
-  answer(pg::message('C', std::string("SELECT 1\0", 9)));
+  answer(postgres::message('C', std::string("SELECT 1\0", 9)));
   ASSERT_TRUE(until([&] { return members.sent == 2; }));
   EXPECT_LE(members.until, written + 3500ms) << "3 s from its last byte, and not from when it was taken up";
   EXPECT_GE(members.until, written + 2990ms);
-  answer(pg::message('C', std::string("SELECT 1\0", 9)));
+  answer(postgres::message('C', std::string("SELECT 1\0", 9)));
   std::string got;
   ASSERT_TRUE(until([&] { return (got += c->take()).find("53300") != std::string::npos; }))
       << "its time was up while it waited: that is told at once";
@@ -316,7 +316,7 @@
   const int before = members.sent;
   {
     const Peer gone(clients->port());
-    gone.put(pg::startup("api", "ledger") + query("1") + query("2"));
+    gone.put(postgres::startup("api", "ledger") + query("1") + query("2"));
   }  // closes
   for (int k = 0; k < 20; ++k) pass();
   EXPECT_EQ(members.sent, before) << "nothing is begun for a client that has gone";
@@ -330,19 +330,19 @@
   c->put(query("1") + query("2"));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   c.reset();
-  answer(pg::message('C', std::string("SELECT 1\0", 9)));  // before the loop has seen the end
+  answer(postgres::message('C', std::string("SELECT 1\0", 9)));  // before the loop has seen the end
   for (int k = 0; k < 5; ++k) pass();
   EXPECT_EQ(members.sent, 1);
 }
 // ---- crossings of pipelining, batches and cancels
 // -----------------------------------------------------------
-const std::string kDone = pg::message('C', std::string("SELECT 1\0", 9));
+const std::string kDone = postgres::message('C', std::string("SELECT 1\0", 9));
 
 // It is accepted with the rest of the backlog in the very instant of the last call.
 TEST_F(SessionTest, ANewcomerAtTheLastCallHasItsTimeToSpeak) {
   std::unique_ptr<Peer> c;
   atTheLastCall([&] { c = std::make_unique<Peer>(clients->port()); });
-  c->put(pg::startup("api", "ledger") + query("1"));
+  c->put(postgres::startup("api", "ledger") + query("1"));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; })) << "it was not cut off before it could speak";
   answer(kDone);
   std::string got;
@@ -362,9 +362,9 @@
   std::string got, wanted;
   for (int k = 1; k <= 3; ++k) {
     ASSERT_TRUE(until([&] { return members.sent == k; })) << k;
-    const std::string one = pg::message('C', "SELECT " + std::to_string(k) + std::string(1, '\0'));
+    const std::string one = postgres::message('C', "SELECT " + std::to_string(k) + std::string(1, '\0'));
     answer(one);
-    wanted += one + pg::message('Z', "I");
+    wanted += one + postgres::message('Z', "I");
   }
   EXPECT_TRUE(until([&] { return (got += c->take()).size() >= wanted.size(); }));
   EXPECT_EQ(got, wanted);
@@ -374,25 +374,25 @@
   config.extended = true;
   const auto c = welcomed();
   const std::string none("\0\0", 2);
-  c->put(pg::message('P', std::string(1, '\0') + "SELECT 1 /* id=1,c=read,d=7000,cluster=3 */" +
+  c->put(postgres::message('P', std::string(1, '\0') + "SELECT 1 /* id=1,c=read,d=7000,cluster=3 */" +
                               std::string(1, '\0') + none) +
-         pg::message('B', none + none + none + none) +
-         pg::message('E', std::string(1, '\0') + std::string(4, '\0')));
+         postgres::message('B', none + none + none + none) +
+         postgres::message('E', std::string(1, '\0') + std::string(4, '\0')));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   atTheLastCall([] {});
   answer(kDone);
   for (int k = 0; k < 20; ++k) pass();
   EXPECT_EQ(c->state(), Peer::State::Open) << "its Sync is still to come";
   c->take();
-  c->put(pg::message('S', ""));
+  c->put(postgres::message('S', ""));
   std::string got;
   EXPECT_TRUE(until([&] { return (got += c->take()).size() >= 6; }));
-  EXPECT_EQ(got, pg::message('Z', "I"));
+  EXPECT_EQ(got, postgres::message('Z', "I"));
   EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
 }
 TEST_F(SessionTest, ARefusedOneInTheMiddleTakesNoAnswerOfTheOthers) {
   const auto c = welcomed();
-  c->put(query("1") + pg::query("SELECT 1 /* id=2,c=nobody,d=7000,cluster=3 */") + query("3"));
+  c->put(query("1") + postgres::query("SELECT 1 /* id=2,c=nobody,d=7000,cluster=3 */") + query("3"));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   answer(kDone);
   ASSERT_TRUE(until([&] { return members.out.size() == 1; })) << "what stands behind it comes next";
@@ -401,7 +401,7 @@
   ASSERT_TRUE(until([&] {
     got += c->take();
     types.clear();
-    for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + pg::readInt32(got.data() + at + 1))
+    for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
       types += got[at];
     return types.size() >= 6;
   }));
@@ -421,26 +421,26 @@
 // The key of a client that has been welcomed, from its BackendKeyData.
 struct Keyed {
   std::unique_ptr<Peer> peer;
-  pg::Key key;
+  postgres::Key key;
 };
 TEST_F(SessionTest, ACancelAndAnAnswerThatCrossLeaveOneFinalAnswer) {
   for (const bool answerFirst : {false, true}) {
     Keyed c{std::make_unique<Peer>(clients->port()), {}};
-    c.peer->put(pg::startup("api", "ledger"));
+    c.peer->put(postgres::startup("api", "ledger"));
     std::string got;
     ASSERT_TRUE(until([&] { return (got += c.peer->take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
-    for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + pg::readInt32(got.data() + at + 1))
+    for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
       if (got[at] == 'K')
-        c.key = *pg::parseKeyData(got.substr(at + 5, pg::readInt32(got.data() + at + 1) - 4));
+        c.key = *postgres::parseKeyData(got.substr(at + 5, postgres::readInt32(got.data() + at + 1) - 4));
     c.peer->put(query(answerFirst ? "1" : "2"));
     ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
     if (answerFirst) answer(kDone);
     Ending e;  // else it stands in the same turn, behind the cancel
     e.result = Result::Ok;
-    e.answer = {newBuffer(), &pg::reader(), false};
+    e.answer = {newBuffer(), &postgres::reader(), false};
     append(e.answer.messages.get(), kDone);
     const Peer caller(clients->port());
-    caller.put(pg::cancel(c.key));
+    caller.put(postgres::cancel(c.key));
     if (!answerFirst) {
       const RequestId id = *members.out.begin();
       for (int k = 0; k < 5; ++k) event_base_loop(base.get(), EVLOOP_NONBLOCK | EVLOOP_ONCE);
@@ -504,7 +504,7 @@
 TEST_F(StoppedMidway, HalfAStartupIsToldItsErrorBeforeTheEnd) {
   for (const std::size_t length : {1u, 4u, 9u}) {
     const Peer c(clients->port());
-    c.put(pg::startup("api", "ledger").substr(0, length));
+    c.put(postgres::startup("api", "ledger").substr(0, length));
     EXPECT_NE(last(c).find("C08P01"), std::string::npos) << length;
   }
 }
@@ -554,8 +554,8 @@
     }
     ~SmallSendBuffers() { systemCalls() = before; }
   } small;
-  const std::string value = pg::message('C', std::string(8000, 'v'));
-  const std::string unknown = pg::message('z', "");
+  const std::string value = postgres::message('C', std::string(8000, 'v'));
+  const std::string unknown = postgres::message('z', "");
   int id = 0;
   // Answers `most` requests of a client that does not read, or until none is taken any more; sends `behind`
   // behind the last.
@@ -687,7 +687,7 @@
   config.extended = true;
   const auto c = welcomed();
   const std::string none("\0\0", 2);
-  c->put(pg::message('P', std::string(1, '\0') + "SELECT 1" + std::string(1, '\0') + none));
+  c->put(postgres::message('P', std::string(1, '\0') + "SELECT 1" + std::string(1, '\0') + none));
   for (int k = 0; k < 5; ++k) pass();
   clients->drain([this] { done = true; });
   EXPECT_TRUE(until([&] {
@@ -722,7 +722,7 @@
   void idle(PlaceId) override {}
   void served(PlaceId) override {}
   void shortage() override {}
-  RequestId request(Requester& r, knotstack::Request q, Message m, PlaceId) override {
+  RequestId request(Requester& r, balancer::Request q, Message m, PlaceId) override {
     return next.request(r, q, std::move(m));
   }
   void gone(RequestId id) override { next.left(id); }
@@ -738,7 +738,7 @@
 };
 TEST_F(GateTest, ARequestThatCrossesTheLossOfItsPlaceIsServedAndThenTheEndComes) {
   const auto c = welcomed();
-  c->put(pg::query(""));  // one that has asked nothing yet has its time to speak
+  c->put(postgres::query(""));  // one that has asked nothing yet has its time to speak
   ASSERT_TRUE(until([&] { return !c->take().empty(); }));
   c->put(query("1"));  // stands in the system, and is not read
   gate.guests.at(0)->giveUpPlace();
@@ -750,25 +750,25 @@
 }
 TEST_F(GateTest, ACancelThatIsTurnedAwayForWantOfRoomIsCarriedOut) {
   const Peer c(clients->port());
-  c.put(pg::startup("api", "ledger"));
+  c.put(postgres::startup("api", "ledger"));
   std::string got;
   ASSERT_TRUE(until([&] { return (got += c.take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
-  std::optional<pg::Key> key;
-  for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + pg::readInt32(got.data() + at + 1))
-    if (got[at] == 'K') key = pg::parseKeyData(got.substr(at + 5, pg::readInt32(got.data() + at + 1) - 4));
+  std::optional<postgres::Key> key;
+  for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
+    if (got[at] == 'K') key = postgres::parseKeyData(got.substr(at + 5, postgres::readInt32(got.data() + at + 1) - 4));
   ASSERT_TRUE(key);
   c.put(query("1"));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   gate.full = true;
   const Peer caller(clients->port());
-  caller.put(pg::cancel(*key));  // it has come before the connection is accepted
+  caller.put(postgres::cancel(*key));  // it has come before the connection is accepted
   EXPECT_TRUE(until([&] { return (got += c.take()).find("57014") != std::string::npos; }, 2s));
   pass();
   EXPECT_TRUE(members.out.empty());
 }
 TEST_F(GateTest, OneThatRestsIsEndedAtOnceWhenItsPlaceIsAskedBack) {
   const auto c = welcomed();
-  c->put(pg::query(""));
+  c->put(postgres::query(""));
   ASSERT_TRUE(until([&] { return !c->take().empty(); }));
   gate.guests.at(0)->giveUpPlace();
   pass();
@@ -779,11 +779,11 @@
   std::vector<std::unique_ptr<Peer>> all;
   for (std::size_t k = 0; k < config.askingClients; ++k) {
     all.push_back(welcomed());
-    all.back()->put(pg::query(""));
+    all.back()->put(postgres::query(""));
     ASSERT_TRUE(until([&] { return !all.back()->take().empty(); }));
   }
   const auto late = welcomed();
-  late->put(pg::query(""));
+  late->put(postgres::query(""));
   // The one that has rested longest asks before that is read; whichever is taken first, it is not cut off.
   all[0]->put(query("1"));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
--- a/tests/store_model_test.cpp
+++ b/tests/store_model_test.cpp
@@ -18,7 +18,7 @@
 namespace sablespur::test {
 namespace {
 
-using namespace store;
+using namespace durability;
 
 constexpr int kWindow = 2, kLastTick = 4, kAttempts = 2, kCrashes = 1;
 
--- a/tests/store_run.cpp
+++ b/tests/store_run.cpp
@@ -6,7 +6,7 @@
 
 namespace sablespur::test {
 
-using namespace store;
+using namespace durability;
 namespace fs = std::filesystem;
 
 FileHook::Fate Recorder::before(FileOp op, const std::string& path, std::string_view bytes, std::uint64_t at,
@@ -104,7 +104,7 @@
 
 void Life::compact() {
   close();
-  store::compact(files_, dir_);
+  durability::compact(files_, dir_);
   open();
 }
 
--- a/tests/store_run.hpp
+++ b/tests/store_run.hpp
@@ -12,7 +12,7 @@
 
 namespace sablespur::test {
 
-using store::Time;
+using durability::Time;
 
 constexpr Time kWindow = std::chrono::seconds(2);
 
@@ -33,7 +33,7 @@
 struct TestTime {
   std::string boot = "boot-1";
   std::int64_t us = 1000000, wallMs = 1767225600000;
-  store::MachineTime operator()() const { return {boot, us, wallMs}; }
+  durability::MachineTime operator()() const { return {boot, us, wallMs}; }
   void pass(Time t) {
     us += t.count();
     wallMs += t.count() / 1000;
@@ -41,7 +41,7 @@
 };
 
 struct Recorded {
-  store::FileOp op;
+  durability::FileOp op;
   std::string path, bytes, to;  // names within the directory
   std::uint64_t at = 0;
   bool failed = false;      // it was made to fail
@@ -49,10 +49,10 @@
 };
 
 // Sees every operation; one of them, by number, may be made to fail.
-class Recorder final : public store::FileHook {
+class Recorder final : public durability::FileHook {
  public:
   explicit Recorder(std::string dir) : dir_(std::move(dir)) {}
-  Fate before(store::FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
+  Fate before(durability::FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
               const std::string& to) override;
   // Fails number `n` (counted from 0), and all that follow while `lasting`; `carried` of its bytes are
   // written.
@@ -77,7 +77,7 @@
 // Steps of the life; each may throw StoreError, after which the facts are as they were.
 class Life {
  public:
-  Life(store::Files&, std::string dir, TestTime&);
+  Life(durability::Files&, std::string dir, TestTime&);
   void open();
   void close() { ledger_.reset(); }
   bool isOpen() const { return ledger_ != nullptr; }
@@ -85,13 +85,13 @@
   void write(int number, int how);
   void compact();
   const Facts& facts() const { return facts_; }
-  store::Ledger& ledger() { return *ledger_; }
+  durability::Ledger& ledger() { return *ledger_; }
 
  private:
-  store::Files& files_;
+  durability::Files& files_;
   const std::string dir_;
   TestTime& time_;
-  std::unique_ptr<store::Ledger> ledger_;
+  std::unique_ptr<durability::Ledger> ledger_;
   Facts facts_;
 };
 
@@ -104,7 +104,7 @@
 void liveThroughFailures(Life&, TestTime&, const std::function<void()>& after);
 
 // What is not as it was promised; empty: all of it is. `time` is that of the look.
-std::string broken(const Facts&, store::Ledger&, const TestTime&);
+std::string broken(const Facts&, durability::Ledger&, const TestTime&);
 
 class Folder {  // of its own, in memory where the machine has that; gone at the end
  public:
--- a/tests/store_sweep.cpp
+++ b/tests/store_sweep.cpp
@@ -15,7 +15,7 @@
 namespace sablespur::test {
 namespace {
 
-using namespace store;
+using namespace durability;
 namespace fs = std::filesystem;
 
 constexpr std::size_t kSector = 512;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -22,7 +22,7 @@
 namespace sablespur::test {
 namespace {
 
-using namespace store;
+using namespace durability;
 namespace fs = std::filesystem;
 
 std::string slurp(const std::string& path) {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -34,7 +34,7 @@
 struct StoredStore : testing::Test {
   const Folder folder;
   const std::string directory = folder.path + "/store";  // a copy, since opening a store writes to it
-  store::Files files;
+  durability::Files files;
   StoredStore() { fs::copy(kStored + "store", directory); }
 };
 
@@ -45,12 +45,12 @@
   for (std::string line; std::getline(lines, line);) expected.push_back(nlohmann::json::parse(line));
   ASSERT_EQ(expected.size(), 13u);
   std::vector<nlohmann::json> records;
-  store::dump(files, directory, [&](const nlohmann::json& record) { records.push_back(record); });
+  durability::dump(files, directory, [&](const nlohmann::json& record) { records.push_back(record); });
   EXPECT_EQ(nlohmann::json(records).dump(1), nlohmann::json(expected).dump(1));
 }
 
 TEST_F(StoredStore, ChecksAsWhole) {
-  const store::Census census = store::check(files, directory);
+  const durability::Census census = durability::check(files, directory);
   EXPECT_EQ(census.keys, 6u);
   EXPECT_EQ(census.sessions, 3u);
   EXPECT_EQ(census.epochs, 2u);
@@ -63,31 +63,31 @@
 TEST_F(StoredStore, ServesItsAnswersVerdictsAndPositions) {
   TestTime time;
   time.pass(std::chrono::seconds(60));
-  store::LedgerSettings settings;
+  durability::LedgerSettings settings;
   settings.directory = directory;
-  store::Ledger ledger(files, settings, [&] { return time(); });
+  durability::Ledger ledger(files, settings, [&] { return time(); });
   EXPECT_EQ(ledger.recovered().epoch, 3u);
   EXPECT_EQ(ledger.recovered().keys, 6u);
   EXPECT_EQ(ledger.recovered().sessions, 3u);
   EXPECT_EQ(ledger.recovered().unresolved, 1u);
   EXPECT_FALSE(ledger.recovered().gap);
   const auto ask = [&](const char* key, const char* cls = "order", std::uint32_t group = 3) {
-    return ledger.apply({store::AskKey{{"later", key, cls, group, kWindow}}})[0];
+    return ledger.apply({durability::AskKey{{"later", key, cls, group, kWindow}}})[0];
   };
-  const store::Said served = ask("served");
-  EXPECT_EQ(served.verdict, store::Verdict::Recorded);
+  const durability::Said served = ask("served");
+  EXPECT_EQ(served.verdict, durability::Verdict::Recorded);
   EXPECT_EQ(served.answer, "the row");
   EXPECT_EQ(served.positionMs, 1767225600010);
-  const store::Said owed = ask("owed");
-  EXPECT_EQ(owed.verdict, store::Verdict::Recorded);
+  const durability::Said owed = ask("owed");
+  EXPECT_EQ(owed.verdict, durability::Verdict::Recorded);
   EXPECT_EQ(owed.answer, std::string("\0\xff row", 6));
   EXPECT_EQ(owed.positionMs, 1767225610010);
-  EXPECT_EQ(ask("failed").verdict, store::Verdict::Unknown);
-  EXPECT_EQ(ask("open").verdict, store::Verdict::Unknown);
-  EXPECT_EQ(ask("refused", "pay", 4).verdict, store::Verdict::Run);
-  EXPECT_EQ(ask("left").verdict, store::Verdict::Run);
+  EXPECT_EQ(ask("failed").verdict, durability::Verdict::Unknown);
+  EXPECT_EQ(ask("open").verdict, durability::Verdict::Unknown);
+  EXPECT_EQ(ask("refused", "pay", 4).verdict, durability::Verdict::Run);
+  EXPECT_EQ(ask("left").verdict, durability::Verdict::Run);
   const auto position = [&](std::uint64_t session) {
-    return ledger.apply({store::AskSession{session}})[0].positionMs;
+    return ledger.apply({durability::AskSession{session}})[0].positionMs;
   };
   EXPECT_EQ(position(5), 1767225600010);
   EXPECT_EQ(position(9), 1767225600007);
@@ -155,9 +155,9 @@
 TEST(StoredSuspendedEndpoints, AreReadAndWriteBackToTheSameBytes) {
   const std::set<std::string> expected{"s-2", "s-3"};
   const std::string bytes = readFile(kStored + "suspended-endpoints");
-  EXPECT_EQ(control::readBans(bytes), expected);
-  EXPECT_EQ(control::writeBans(expected), bytes);
-  EXPECT_EQ(control::Bans(kStored + "suspended-endpoints").all(), expected);
+  EXPECT_EQ(admin::readBans(bytes), expected);
+  EXPECT_EQ(admin::writeBans(expected), bytes);
+  EXPECT_EQ(admin::Bans(kStored + "suspended-endpoints").all(), expected);
 }
 
 }  // namespace
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -171,32 +171,32 @@
   static std::string row(const std::string& text) {
     std::string cell("\0\1\0\0\0", 5);
     cell += static_cast<char>(text.size());
-    return pg::message('T', std::string("\0\1blob\0", 7) + std::string(18, '\0')) +
-           pg::message('D', cell + text);
+    return postgres::message('T', std::string("\0\1blob\0", 7) + std::string(18, '\0')) +
+           postgres::message('D', cell + text);
   }
   void serve(Client& c) {
     evbuffer* const in = bufferevent_get_input(c.stream.get());
     evbuffer* const out = bufferevent_get_output(c.stream.get());
     for (;;) {
-      char head[pg::kHead];
+      char head[postgres::kHead];
       if (evbuffer_copyout(in, head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) break;
-      const std::size_t whole = c.greeted ? 1 + pg::readInt32(head + 1) : pg::readInt32(head);
+      const std::size_t whole = c.greeted ? 1 + postgres::readInt32(head + 1) : postgres::readInt32(head);
       if (evbuffer_get_length(in) < whole || (!c.greeted && !greets)) break;
       std::string message(whole, '\0');
       evbuffer_remove(in, message.data(), whole);
       if (!c.greeted) {
         c.greeted = true;
-        append(out, pg::greeting());
-      } else if (message == pg::query("SHOW load")) {
-        append(out, row("x0=1.0,x1=1,inflight=0") + pg::message('C', std::string("SHOW\0", 5)) +
-                        pg::readyForQuery());
+        append(out, postgres::greeting());
+      } else if (message == postgres::query("SHOW load")) {
+        append(out, row("x0=1.0,x1=1,inflight=0") + postgres::message('C', std::string("SHOW\0", 5)) +
+                        postgres::readyForQuery());
       } else {
-        statements.push_back(message.substr(pg::kHead, message.size() - pg::kHead - 1));
+        statements.push_back(message.substr(postgres::kHead, message.size() - postgres::kHead - 1));
         ++c.owed;
       }
     }
     for (; answers && c.owed > 0; --c.owed)
-      append(out, row("value") + pg::message('C', std::string("SELECT 1\0", 9)) + pg::readyForQuery());
+      append(out, row("value") + postgres::message('C', std::string("SELECT 1\0", 9)) + postgres::readyForQuery());
   }
 
   event_base* const base_;
@@ -292,7 +292,7 @@
   }
   void ask() { ask(kRead, engine->now() + 9s); }
   void ask(int cls, Time deadline) {
-    knotstack::Request q;
+    balancer::Request q;
     q.cls = cls;
     q.group = 3;
     q.deadline = deadline;
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using namespace std::literals;
-namespace tr = translate;
+namespace tr = translation;
 
 // ---- statements ---------------------------------------------------------------------------------------
 std::string tokens(std::string_view statement, bool backslashes = false) {
@@ -206,33 +206,33 @@
 
 // ---- the extended sub-protocol ------------------------------------------------------------------------
 TEST(Extended, MessagesReadBackAndLyingCountsAreNone) {
-  const std::string p = pg::parseMessage("s1", "SELECT $1", {23, 0});
-  const auto parse = pg::parseParse(std::string_view(p).substr(pg::kHead));
+  const std::string p = postgres::parseMessage("s1", "SELECT $1", {23, 0});
+  const auto parse = postgres::parseParse(std::string_view(p).substr(postgres::kHead));
   ASSERT_TRUE(parse);
   EXPECT_EQ(parse->statement, "SELECT $1");
   EXPECT_EQ(parse->types, (std::vector<std::uint32_t>{23, 0}));
-  pg::Bind b;
+  postgres::Bind b;
   b.statement = "s1";
   b.formats = {0, 1, 1};
   b.values = {"text"sv, "\0\1"sv, std::nullopt};
   b.results = {1};
-  const std::string m = pg::bindMessage(b);
-  const std::string_view body = std::string_view(m).substr(pg::kHead);
-  const auto back = pg::parseBind(body);
+  const std::string m = postgres::bindMessage(b);
+  const std::string_view body = std::string_view(m).substr(postgres::kHead);
+  const auto back = postgres::parseBind(body);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->values[0], "text");
   EXPECT_EQ(back->values[1], "\0\1"sv);
   EXPECT_FALSE(back->values[2]);
   EXPECT_TRUE(back->binary(1) && !back->binary(0));
-  for (std::size_t n = 0; n < body.size(); ++n) EXPECT_FALSE(pg::parseBind(body.substr(0, n))) << n;
+  for (std::size_t n = 0; n < body.size(); ++n) EXPECT_FALSE(postgres::parseBind(body.substr(0, n))) << n;
   b.formats = {0, 1};  // neither none, one nor all
-  const std::string unfit = pg::bindMessage(b);
-  EXPECT_FALSE(pg::parseBind(std::string_view(unfit).substr(pg::kHead)));
-  EXPECT_FALSE(pg::parseBind("\0\0\xff\xff\0\0"sv));
-  const std::string d = pg::describeMessage({true, "p"}), e = pg::executeMessage({"p", 5});
-  EXPECT_TRUE(pg::parseTarget(std::string_view(d).substr(pg::kHead))->portal);
-  EXPECT_EQ(pg::parseExecute(std::string_view(e).substr(pg::kHead))->most, 5);
-  EXPECT_FALSE(pg::parseTarget("Xp\0"sv));
+  const std::string unfit = postgres::bindMessage(b);
+  EXPECT_FALSE(postgres::parseBind(std::string_view(unfit).substr(postgres::kHead)));
+  EXPECT_FALSE(postgres::parseBind("\0\0\xff\xff\0\0"sv));
+  const std::string d = postgres::describeMessage({true, "p"}), e = postgres::executeMessage({"p", 5});
+  EXPECT_TRUE(postgres::parseTarget(std::string_view(d).substr(postgres::kHead))->portal);
+  EXPECT_EQ(postgres::parseExecute(std::string_view(e).substr(postgres::kHead))->most, 5);
+  EXPECT_FALSE(postgres::parseTarget("Xp\0"sv));
 }
 
 // ---- answers between forms ----------------------------------------------------------------------------
@@ -240,7 +240,7 @@
 // An answer as a data server of version 3 tells it.
 std::string serverAnswer(const std::vector<std::uint32_t>& types, const std::vector<Row>& rows,
                          const std::string& tag) {
-  const pg::Codec server(2);
+  const postgres::Codec server(2);
   std::vector<tr::Column> columns;
   static const std::string names[] = {"a", "b", "c", "d"};
   for (std::size_t k = 0; k < types.size(); ++k) columns.push_back({names[k], types[k], -1, -1, false});
@@ -255,7 +255,7 @@
 TEST(Answers, GoToVersion2WithItsBitmapAndItsTag) {
   const pg2::Codec two;
   tr::Conversion c(two, {tr::ByteaForm::Escape, {}}, true, 1 << 20);
-  ASSERT_TRUE(pg::readAnswer(
+  ASSERT_TRUE(postgres::readAnswer(
       serverAnswer({tr::kInt4, tr::kBytea}, {{"7", "\\x41ff"}, {std::nullopt, "A\\000"}}, "SELECT 2"), c));
   const std::string out = c.take();
   pg2::Reader reader;
@@ -274,13 +274,13 @@
   EXPECT_EQ(rows, (std::vector<Row>{{"7", "A\\377"}, {std::nullopt, "A\\000"}}));
 }
 TEST(Answers, ComeInBinaryWhereThatIsWanted) {
-  const pg::Codec three(0);
+  const postgres::Codec three(0);
   tr::Conversion c(three, {std::nullopt, {1, 0}}, false, 1 << 20);
-  ASSERT_TRUE(pg::readAnswer(
+  ASSERT_TRUE(postgres::readAnswer(
       serverAnswer({tr::kInt4, tr::kText}, {{"-5", "-5"}, {std::nullopt, ""}}, "SELECT 2"), c));
-  EXPECT_EQ(c.take(), pg::message('D', "\0\2\0\0\0\4\xff\xff\xff\xfb\0\0\0\2-5"sv) +
-                          pg::message('D', "\0\2\xff\xff\xff\xff\0\0\0\0"sv) +
-                          pg::message('C', "SELECT 2\0"sv));
+  EXPECT_EQ(c.take(), postgres::message('D', "\0\2\0\0\0\4\xff\xff\xff\xfb\0\0\0\2-5"sv) +
+                          postgres::message('D', "\0\2\xff\xff\xff\xff\0\0\0\0"sv) +
+                          postgres::message('C', "SELECT 2\0"sv));
   EXPECT_EQ(tr::toBinary(tr::kBool, "t"), "\1");
   EXPECT_EQ(tr::toBinary(tr::kFloat8, "1.5"), "\x3f\xf8\0\0\0\0\0\0"sv);
   EXPECT_EQ(tr::toBinary(tr::kUuid, "12345678-9abc-def0-1234-56789abcdef0"),
@@ -302,10 +302,10 @@
 }
 // A value that breaks off in its middle, or grows beyond the bound, leaves nothing that could go out.
 TEST(Answers, AFailureLeavesNoHalfAnswer) {
-  const pg::Codec three(0);
+  const postgres::Codec three(0);
   const auto why = [&](const std::string& answer, tr::Wanted wanted, std::size_t most) {
     tr::Conversion c(three, std::move(wanted), true, most);
-    EXPECT_FALSE(pg::readAnswer(answer, c));
+    EXPECT_FALSE(postgres::readAnswer(answer, c));
     EXPECT_EQ(c.take(), "");
     return c.why();
   };
@@ -324,75 +324,75 @@
   EXPECT_TRUE(early.columns({{"a", tr::kText, -1, -1, false}}));
   EXPECT_FALSE(early.row({std::string_view(big)}));
   tr::Conversion enough(three, {tr::ByteaForm::Escape, {}}, true, 129 << 10);
-  EXPECT_TRUE(pg::readAnswer(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), enough));
+  EXPECT_TRUE(postgres::readAnswer(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), enough));
 }
 TEST(Answers, StopAtARowLimitAndSaySo) {
-  const pg::Codec three(0);
+  const postgres::Codec three(0);
   tr::Conversion c(three, {}, false, 1 << 20, 2);
-  ASSERT_TRUE(pg::readAnswer(serverAnswer({tr::kText}, {{"1"}, {"2"}, {"3"}}, "SELECT 3"), c));
+  ASSERT_TRUE(postgres::readAnswer(serverAnswer({tr::kText}, {{"1"}, {"2"}, {"3"}}, "SELECT 3"), c));
   EXPECT_TRUE(c.suspended());
-  EXPECT_EQ(c.take(), pg::message('D', "\0\1\0\0\0\0011"sv) + pg::message('D', "\0\1\0\0\0\0012"sv));
+  EXPECT_EQ(c.take(), postgres::message('D', "\0\1\0\0\0\0011"sv) + postgres::message('D', "\0\1\0\0\0\0012"sv));
 }
 TEST(Answers, MalformedOnesAreNone) {
-  const pg::Codec three(0);
+  const postgres::Codec three(0);
   const std::string good = serverAnswer({tr::kText}, {{"1"}}, "SELECT 1");
   for (std::size_t n = 0; n < good.size(); ++n) {
     tr::Conversion c(three, {}, true, 1 << 20);
-    EXPECT_FALSE(pg::readAnswer(std::string_view(good).substr(0, n), c)) << n;
+    EXPECT_FALSE(postgres::readAnswer(std::string_view(good).substr(0, n), c)) << n;
   }
   tr::Conversion again(three, {}, true, 1 << 20);
-  EXPECT_FALSE(pg::readAnswer(good + good, again));
+  EXPECT_FALSE(postgres::readAnswer(good + good, again));
 }
 TEST(Problems, SayWhatEachVersionCanRead) {
   tr::Problem p;
   p.code = "53300";
   p.text = "no room";
   p.comeBackMs = 250;
-  EXPECT_EQ(pg::Codec(0).problem(p), pg::message('E', "SERROR\0VERROR\0C53300\0Mno room\0D250\0\0"sv));
+  EXPECT_EQ(postgres::Codec(0).problem(p), postgres::message('E', "SERROR\0VERROR\0C53300\0Mno room\0D250\0\0"sv));
   EXPECT_EQ(pg2::Codec().problem(p), "EERROR:  no room\nRETRY:  250 ms\n\0"sv);
   // A newer server's fields: 3.0 gets those of its time, 3.2 gets all, what nobody knows is passed over.
-  const auto q = pg::readProblem("SFEHLER\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0Zodd\0\0"sv);
+  const auto q = postgres::readProblem("SFEHLER\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0Zodd\0\0"sv);
   EXPECT_EQ(q.severity, "ERROR");
-  EXPECT_EQ(pg::Codec(0).problem(q), pg::message('E', "SERROR\0VERROR\0C23505\0Mtwice\0Dof it\0\0"sv));
-  EXPECT_EQ(pg::Codec(2).problem(q),
-            pg::message('E', "SERROR\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0\0"sv));
+  EXPECT_EQ(postgres::Codec(0).problem(q), postgres::message('E', "SERROR\0VERROR\0C23505\0Mtwice\0Dof it\0\0"sv));
+  EXPECT_EQ(postgres::Codec(2).problem(q),
+            postgres::message('E', "SERROR\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0\0"sv));
   EXPECT_EQ(pg2::Codec().problem(q), "EERROR:  twice\nDETAIL:  of it\n\0"sv);
-  EXPECT_EQ(pg::readProblem("SERROR\0C2350\0Mtwice\0\0"sv).code, "");
-  EXPECT_EQ(pg::readProblem("SERROR\0C23505\0Mtwice"sv).code, "");
+  EXPECT_EQ(postgres::readProblem("SERROR\0C2350\0Mtwice\0\0"sv).code, "");
+  EXPECT_EQ(postgres::readProblem("SERROR\0C23505\0Mtwice"sv).code, "");
 }
 
 // ---- prepared statements and portals ------------------------------------------------------------------
-std::string_view bodyOf(const std::string& message) { return std::string_view(message).substr(pg::kHead); }
+std::string_view bodyOf(const std::string& message) { return std::string_view(message).substr(postgres::kHead); }
 Prepared::Said bindTo(Prepared& p, std::string_view statement, std::string_view portal,
                       std::vector<std::optional<std::string_view>> values) {
-  pg::Bind b;
+  postgres::Bind b;
   b.statement = statement;
   b.portal = portal;
   b.values = std::move(values);
-  return p.bind(bodyOf(pg::bindMessage(b)), false, 1 << 16);
+  return p.bind(bodyOf(postgres::bindMessage(b)), false, 1 << 16);
 }
 // The messages outlive the calls.
 Prepared::Said parseIn(Prepared& p, std::string_view name, std::string_view text,
                        const std::vector<std::uint32_t>& types = {}) {
-  const std::string m = pg::parseMessage(name, text, types);
+  const std::string m = postgres::parseMessage(name, text, types);
   return p.parse(bodyOf(m), false);
 }
 Prepared::Said executeIn(Prepared& p, std::string_view portal, int most,
                          std::optional<Prepared::Asked>& asked) {
-  const std::string m = pg::executeMessage({portal, most});
+  const std::string m = postgres::executeMessage({portal, most});
   return p.execute(bodyOf(m), asked);
 }
 Prepared::Said describeIn(Prepared& p, bool portal, std::string_view name) {
-  const std::string m = pg::describeMessage({portal, name});
+  const std::string m = postgres::describeMessage({portal, name});
   return p.describe(bodyOf(m));
 }
 TEST(PreparedStatements, RunAsOftenAsTheyAreBound) {
   Prepared p;
-  EXPECT_EQ(parseIn(p, "s", "SELECT $1", {tr::kInt4}).answer, pg::parseComplete());
+  EXPECT_EQ(parseIn(p, "s", "SELECT $1", {tr::kInt4}).answer, postgres::parseComplete());
   EXPECT_STREQ(parseIn(p, "s", "SELECT 2").code, "42P05");
   std::optional<Prepared::Asked> asked;
   for (const std::string value : {"5", "6"}) {
-    EXPECT_EQ(bindTo(p, "s", "", {value}).answer, pg::bindComplete());
+    EXPECT_EQ(bindTo(p, "s", "", {value}).answer, postgres::bindComplete());
     EXPECT_EQ(describeIn(p, true, "").answer, "");  // told with the rows
     EXPECT_FALSE(executeIn(p, "", 0, asked).code);
     ASSERT_TRUE(asked);
@@ -403,10 +403,10 @@
   }
   // Once it has run, what it answers is known.
   EXPECT_EQ(describeIn(p, false, "s").answer,
-            pg::parameterDescription({tr::kInt4}) + pg::message('T', std::string("\0\0", 2)));
+            postgres::parameterDescription({tr::kInt4}) + postgres::message('T', std::string("\0\0", 2)));
   EXPECT_STREQ(executeIn(p, "", 0, asked).code, "34000");  // Sync ended the portal
-  const std::string close = pg::closeMessage({false, "s"});
-  EXPECT_EQ(p.close(bodyOf(close)).answer, pg::closeComplete());
+  const std::string close = postgres::closeMessage({false, "s"});
+  EXPECT_EQ(p.close(bodyOf(close)).answer, postgres::closeComplete());
   EXPECT_STREQ(bindTo(p, "s", "", {"5"}).code, "26000");
   EXPECT_EQ(p.bytes(), 0u);
 }
@@ -461,35 +461,35 @@
 
 // ---- startups and keys --------------------------------------------------------------------------------
 TEST(Startups, OfVersion3ReadBack) {
-  pg::Startup s;
+  postgres::Startup s;
   s.minor = 2;
   s.user = "desk";
   s.settings = {{"options", "-c a=b"}};
   s.extensions = {"_pq_.odd"};
-  const std::string packet = pg::startup(s);
-  const auto back = pg::parseStartup(packet);
+  const std::string packet = postgres::startup(s);
+  const auto back = postgres::parseStartup(packet);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->minor, 2);
   EXPECT_EQ(back->settings, s.settings);
   EXPECT_EQ(back->extensions, s.extensions);
-  for (std::size_t n = 0; n < packet.size(); ++n) EXPECT_FALSE(pg::parseStartup(packet.substr(0, n))) << n;
-  EXPECT_EQ(pg::agreedMinor(0), 0);
-  EXPECT_EQ(pg::agreedMinor(1), 0);
-  EXPECT_EQ(pg::agreedMinor(9), 2);
-  const std::string negotiation = pg::negotiate(0, {"_pq_.odd"});
-  EXPECT_EQ(pg::parseNegotiate(bodyOf(negotiation)), 0);
-  EXPECT_EQ(pg::parseNegotiate("\0\0\0\2\0\0\0\0"sv), 2);
-  EXPECT_FALSE(pg::parseNegotiate("\0\0\0\2\0\0\0\1"sv));
+  for (std::size_t n = 0; n < packet.size(); ++n) EXPECT_FALSE(postgres::parseStartup(packet.substr(0, n))) << n;
+  EXPECT_EQ(postgres::agreedMinor(0), 0);
+  EXPECT_EQ(postgres::agreedMinor(1), 0);
+  EXPECT_EQ(postgres::agreedMinor(9), 2);
+  const std::string negotiation = postgres::negotiate(0, {"_pq_.odd"});
+  EXPECT_EQ(postgres::parseNegotiate(bodyOf(negotiation)), 0);
+  EXPECT_EQ(postgres::parseNegotiate("\0\0\0\2\0\0\0\0"sv), 2);
+  EXPECT_FALSE(postgres::parseNegotiate("\0\0\0\2\0\0\0\1"sv));
 }
 TEST(Keys, HaveTheLengthOfTheirVersion) {
   for (const std::size_t n : {4u, 32u, 256u}) {
-    const pg::Key k{7, std::string(n, 'k')};
-    EXPECT_EQ(pg::parseCancel(pg::cancel(k))->secret, k.secret);
-    const std::string data = pg::keyData(k);
-    EXPECT_EQ(pg::parseKeyData(bodyOf(data))->secret, k.secret);
+    const postgres::Key k{7, std::string(n, 'k')};
+    EXPECT_EQ(postgres::parseCancel(postgres::cancel(k))->secret, k.secret);
+    const std::string data = postgres::keyData(k);
+    EXPECT_EQ(postgres::parseKeyData(bodyOf(data))->secret, k.secret);
   }
-  EXPECT_FALSE(pg::parseCancel(pg::cancel({7, "abc"})));
-  EXPECT_FALSE(pg::parseCancel(pg::cancel({7, std::string(257, 'k')})));
+  EXPECT_FALSE(postgres::parseCancel(postgres::cancel({7, "abc"})));
+  EXPECT_FALSE(postgres::parseCancel(postgres::cancel({7, std::string(257, 'k')})));
   EXPECT_TRUE(sameSecret("abcd", "abcd"));
   EXPECT_FALSE(sameSecret("abcd", "abcc"));
   EXPECT_FALSE(sameSecret("abcd", "abc"));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -6,7 +6,7 @@
 
 #include "simulator/protocol.hpp"
 
-namespace knotstack::wire {
+namespace sablespur::simulator {
 namespace {
 
 using Bytes = std::vector<std::uint8_t>;
@@ -204,4 +204,4 @@
 }
 
 }  // namespace
-}  // namespace knotstack::wire
+}  // namespace sablespur::simulator
