--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -36,8 +36,8 @@
 }
 BENCHMARK(find)->Arg(10)->Arg(1000)->Arg(100000)->Name("network_of_an_address/entries");
 
-DoorSettings settings() {
-  DoorSettings s;
+ConnectionAdmissionSettings settings() {
+  ConnectionAdmissionSettings s;
   s.most = 20000;
   s.groups.resize(3);
   for (std::size_t k = 0; k < 3; ++k) s.groups[k].name = std::string(1, static_cast<char>('a' + k));
@@ -49,7 +49,7 @@
 // One comes and one goes while so many are held.
 void comeAndGo(benchmark::State& state) {
   const auto held = static_cast<ConnectionId>(state.range(1));
-  Door door(settings(), networks(static_cast<std::size_t>(state.range(0))));
+  ConnectionAdmission door(settings(), networks(static_cast<std::size_t>(state.range(0))));
   pcg64 random(1);
   ConnectionId id = 0;
   while (door.held() < held) {
@@ -74,9 +74,9 @@
 
 // The door is full: an idle one is found to make way, or the newcomer is refused.
 void full(benchmark::State& state) {
-  DoorSettings s = settings();
+  ConnectionAdmissionSettings s = settings();
   s.most = 10000;
-  Door door(s, networks(1000));
+  ConnectionAdmission door(s, networks(1000));
   pcg64 random(1);
   ConnectionId id = 0;
   while (door.held() < s.most - 100) {
@@ -86,7 +86,7 @@
   Time now = 10s;
   for (auto _ : state) {
     now += 10us;
-    const Welcome w = door.arrived(now, ++id, address(static_cast<std::uint32_t>(random())));
+    const ConnectionDecision w = door.arrived(now, ++id, address(static_cast<std::uint32_t>(random())));
     if (w.admitted) door.idle(now, id);
     benchmark::DoNotOptimize(w);
   }
@@ -94,7 +94,7 @@
 BENCHMARK(full)->Arg(1)->Arg(0)->Name("full_with_10000_held/idle_ones");
 
 void served(benchmark::State& state) {
-  Known known{KnownSettings{}};
+  RecentClients known{RecentClientsSettings{}};
   pcg64 random(1);
   Time now = 1s;
   for (auto _ : state) known.served(now += 10us, address(static_cast<std::uint32_t>(random())));
@@ -103,12 +103,12 @@
 
 // A request that goes on at once and ends, with so many out.
 void request(benchmark::State& state) {
-  RequestSettings s;
+  RequestLimiterSettings s;
   s.limit.kind = LimitKind::Gradient;
   s.limit.first = s.limit.least = 2000;
   s.limit.most = 4000;
   s.groups.resize(3);
-  Lanes lanes(s);
+  RequestQueues lanes(s);
   RequestKey key = 0, oldest = 0;
   Time now = 1s;
   for (; key < static_cast<RequestKey>(state.range(0));) lanes.ask(now, ++key, key % 20, key % 3, now + 1s);
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -57,8 +57,8 @@
   waitpid(pid, nullptr, 0);
 }
 
-LedgerSettings settings(const std::string& dir) {
-  LedgerSettings s;
+IdempotencyStoreSettings settings(const std::string& dir) {
+  IdempotencyStoreSettings s;
   s.directory = dir;
   s.mostKeys = 10000000;
   return s;
@@ -82,7 +82,7 @@
   for (const std::size_t size : {1u, 4u, 16u, 64u, 256u, 1024u}) {
     fs::remove_all(dir);
     Files files;
-    Ledger ledger(files, settings(dir));
+    IdempotencyStore ledger(files, settings(dir));
     std::vector<double> took;
     std::uint64_t n = 0;
     const auto start = Clock::now();
@@ -113,9 +113,9 @@
     fs::remove_all(dir);
     struct State {
       event_base* base = nullptr;
-      Writer* writer = nullptr;
+      GroupCommitWriter* writer = nullptr;
       std::vector<double> intents, outcomes, late;
-      std::vector<Writer::Ticket> tickets;
+      std::vector<GroupCommitWriter::Ticket> tickets;
       Clock::time_point start, due;
       std::uint64_t asked = 0, done = 0;
       double rate = 0;
@@ -124,7 +124,7 @@
     s.rate = rate;
     const std::clock_t cpu = std::clock();
     {
-      Writer writer(s.base, settings(dir), {});
+      GroupCommitWriter writer(s.base, settings(dir), {});
       s.writer = &writer;
       s.start = Clock::now();
       constexpr double kSeconds = 8;
@@ -143,11 +143,11 @@
             while (static_cast<double>(st.asked) < passed * st.rate) {
               const std::uint64_t n = st.asked++;
               const auto t = Clock::now();
-              st.tickets.push_back(st.writer->ask(ask(n), [&st, n, t](bool, const Said&) {
+              st.tickets.push_back(st.writer->ask(ask(n), [&st, n, t](bool, const OperationResult&) {
                 ++st.done;
                 st.intents.push_back(since(t) * 1e6);
                 const auto again = Clock::now();
-                st.tickets.push_back(st.writer->ask(finish(n), [&st, again](bool, const Said&) {
+                st.tickets.push_back(st.writer->ask(finish(n), [&st, again](bool, const OperationResult&) {
                   ++st.done;
                   st.outcomes.push_back(since(again) * 1e6);
                 }));
@@ -160,7 +160,7 @@
       event_add(tick, &ms);
       event_base_dispatch(s.base);
       event_free(tick);
-      const Writer::Figures f = writer.figures();
+      const GroupCommitWriter::Figures f = writer.figures();
       const double share = static_cast<double>(std::clock() - cpu) / CLOCKS_PER_SEC / since(s.start);
       const double ip50 = quantile(s.intents, 0.5), ip99 = quantile(s.intents, 0.99),
                    op50 = quantile(s.outcomes, 0.5), op99 = quantile(s.outcomes, 0.99),
@@ -177,7 +177,7 @@
   }
 }
 
-void fill(Ledger& ledger, std::uint64_t keys) {
+void fill(IdempotencyStore& ledger, std::uint64_t keys) {
   for (std::uint64_t n = 0; n < keys;) {
     std::vector<Operation> group;
     for (int k = 0; k < 1000 && n < keys; ++k, ++n) {
@@ -196,14 +196,14 @@
     fs::remove_all(dir);
     apart([&] {
       Files files;
-      Ledger ledger(files, settings(dir));
+      IdempotencyStore ledger(files, settings(dir));
       fill(ledger, keys);
     });
     apart([&] {
       const double before = residentMb();
       const auto t = Clock::now();
       Files files;
-      Ledger ledger(files, settings(dir));
+      IdempotencyStore ledger(files, settings(dir));
       const double ms = since(t) * 1e3;
       std::printf("| %llu | %.1f | %.1f | %llu | %.1f |\n", static_cast<unsigned long long>(keys),
                   static_cast<double>(ledger.bytesOnDisk()) / 1e6, ms,
@@ -220,9 +220,9 @@
   std::printf("| minute | keys | files, MB | resident, MB |\n| --- | --- | --- | --- |\n");
   MachineTime time = machineTime();
   Files files;
-  LedgerSettings s = settings(dir);
+  IdempotencyStoreSettings s = settings(dir);
   const double before = residentMb();
-  Ledger ledger(files, s, [&] { return time; });
+  IdempotencyStore ledger(files, s, [&] { return time; });
   std::uint64_t n = 0;
   for (int second = 0; second <= 3600; ++second) {
     std::vector<Operation> group;
--- a/fuzz/extended.cpp
+++ b/fuzz/extended.cpp
@@ -21,9 +21,11 @@
     if (!again || again->user != s->user || again->settings != s->settings) std::abort();
   }
   if (const auto k = postgres::parseCancel(text); k && postgres::cancel(*k) != text) std::abort();
-  if (const auto k = postgres::parseKeyData(text); k && std::string_view(postgres::keyData(*k)).substr(postgres::kHead) != text)
+  if (const auto k = postgres::parseKeyData(text);
+      k && std::string_view(postgres::keyData(*k)).substr(postgres::kHead) != text)
+    std::abort();
+  if (const auto minor = postgres::parseNegotiate(text); minor && (*minor < 0 || *minor > 0xffff))
     std::abort();
-  if (const auto minor = postgres::parseNegotiate(text); minor && (*minor < 0 || *minor > 0xffff)) std::abort();
   postgres::parsePassword(text);
   postgres::parseSaslInitial(text);
   postgres::offersScram(text);
@@ -36,8 +38,8 @@
   }
   const postgres::Codec three(0);
   const pg2::Codec two;
-  for (const translation::ClientCodec* codec :
-       {static_cast<const translation::ClientCodec*>(&three), static_cast<const translation::ClientCodec*>(&two)})
+  for (const translation::ClientCodec* codec : {static_cast<const translation::ClientCodec*>(&three),
+                                                static_cast<const translation::ClientCodec*>(&two)})
     for (const std::int16_t format : {0, 1}) {
       translation::Conversion c(*codec, {translation::ByteaForm::Escape, {format}}, true, 4096, 3);
       const bool good = postgres::readAnswer(text, c);
@@ -45,7 +47,8 @@
       if (c.take().size() > 4096) std::abort();
     }
   const auto p = postgres::readProblem(text);
-  if (!p.code.empty() && postgres::readProblem(std::string_view(three.problem(p)).substr(postgres::kHead)).code != p.code)
+  if (!p.code.empty() &&
+      postgres::readProblem(std::string_view(three.problem(p)).substr(postgres::kHead)).code != p.code)
     std::abort();
   return 0;
 }
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -19,7 +19,7 @@
   for (std::size_t from = 0, end; from < body.size(); from = end + 1) {
     end = std::min(body.find('\n', from), body.size());
     try {
-      parseInstances(std::string_view(body).substr(from, end - from));
+      parseEndpointList(std::string_view(body).substr(from, end - from));
     } catch (const BadInput&) {
     }
   }
--- a/fuzz/peers.cpp
+++ b/fuzz/peers.cpp
@@ -12,16 +12,16 @@
   const std::string_view datagram(reinterpret_cast<const char*>(data), size);
   const auto hints = cluster::decode(datagram, kNow);
   cluster::GossipScheduler gossip({100, 200, true, 1});
-  for (const cluster::Hint& h : hints) {
+  for (const cluster::GossipUpdate& h : hints) {
     if (h.positionMs > kNow + 1000 || h.latencyUs < 0 || h.tag >> 40 != 0) std::abort();
     gossip.received(h, kNow);
     gossip.learned(h, kNow + 1);
   }
-  if (hints.size() > cluster::kHintsPerDatagram) std::abort();
+  if (hints.size() > cluster::kGossipUpdatesPerDatagram) std::abort();
   if (hints.size() != cluster::hintsIn(datagram)) std::abort();
-  std::vector<cluster::Hint> due;
+  std::vector<cluster::GossipUpdate> due;
   for (int k = 0; k < 1000 && gossip.take(kNow + k, due); ++k)
-    if (due.empty() || due.size() > cluster::kHintsPerDatagram) std::abort();
+    if (due.empty() || due.size() > cluster::kGossipUpdatesPerDatagram) std::abort();
   const auto again = cluster::decode(cluster::encode(hints), kNow);
   if (again.size() != hints.size()) std::abort();
   for (std::size_t k = 0; k < hints.size(); ++k)
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -42,8 +42,9 @@
     const int group = std::uniform_int_distribution<int>(1, std::max(owner.s_.groups, 1))(owner.c_.random);
     at = owner.c_.now();
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(cls->giveUp).count();
-    put(bev.get(), postgres::query("SELECT blob FROM rows WHERE handle = 'crowd' /* id=" + id + ",c=" + cls->name +
-                             ",d=" + std::to_string(ms) + ",cluster=" + std::to_string(group) + " */"));
+    put(bev.get(),
+        postgres::query("SELECT blob FROM rows WHERE handle = 'crowd' /* id=" + id + ",c=" + cls->name +
+                        ",d=" + std::to_string(ms) + ",cluster=" + std::to_string(group) + " */"));
     asked = true;
     ++owner.asking_;
     owner.audit_.request(at, id);
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -24,8 +24,8 @@
   std::string column("\0\1blob\0", 7);
   column.append(18, '\0');
   return postgres::message('T', column) +
-         postgres::message('D',
-                     std::string("\0\1", 2) + number32(static_cast<std::uint32_t>(value.size())) + value);
+         postgres::message(
+             'D', std::string("\0\1", 2) + number32(static_cast<std::uint32_t>(value.size())) + value);
 }
 std::string parameter(const std::string& name, const std::string& value) {
   return postgres::message('S', name + '\0' + value + '\0');
@@ -204,7 +204,8 @@
       std::snprintf(report, sizeof report, "x0=%.3f,x1=%d,inflight=%zu",
                     static_cast<double>(s_.c_.unixMs(s_.position(now))) / 1e3,
                     s_.fleet_.primary(s_.group_) == &s_ ? 1 : 0, s_.machine_->held(now));
-      return put(bev_.get(), row(report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
+      return put(bev_.get(),
+                 row(report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
     }
     const postgres::Comment comment = postgres::parseComment(text);
     const ClassModel* const cls = comment.fault ? nullptr : s_.fleet_.find(std::string(comment.cls));
@@ -252,7 +253,8 @@
   // What a desk has written has to arrive as it meant it. False: it is answered already.
   bool check(const std::string& text) {
     if (text.rfind("SELECT missing", 0) == 0) {
-      put(bev_.get(), speaker_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
+      put(bev_.get(),
+          speaker_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
       return false;
     }
     const std::size_t note = text.find("note = ");
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -32,11 +32,12 @@
 std::string ServerSpeaker::greeting() const {
   std::string m = postgres::authentication(postgres::kAuthOk);
   m += postgres::parameterStatus("server_version", generation_.backslashes ? "8.4.22"
-                                             : generation_.minor > 0 ? "18.1"
-                                                                     : "12.4");
+                                                   : generation_.minor > 0 ? "18.1"
+                                                                           : "12.4");
   m += postgres::parameterStatus("client_encoding", "UTF8");
   m += postgres::parameterStatus("standard_conforming_strings", generation_.backslashes ? "off" : "on");
-  if (generation_.chatty) m += postgres::parameterStatus("search_path", "\"$user\", public");  // reported since 18
+  if (generation_.chatty)
+    m += postgres::parameterStatus("search_path", "\"$user\", public");  // reported since 18
   m += postgres::keyData({number_, std::string(generation_.minor > 0 ? 32 : 4, 'k')});
   return m + postgres::readyForQuery();
 }
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -51,8 +51,8 @@
     b.values.push_back(p.value ? std::optional<std::string_view>(*p.value) : std::nullopt);
   }
   if (binaryResults) b.results = {1};
-  return postgres::parseMessage("", statement, types) + postgres::bindMessage(b) + postgres::describeMessage({true, ""}) +
-         postgres::executeMessage({"", 0}) + postgres::syncMessage();
+  return postgres::parseMessage("", statement, types) + postgres::bindMessage(b) +
+         postgres::describeMessage({true, ""}) + postgres::executeMessage({"", 0}) + postgres::syncMessage();
 }
 std::string Speaker::cancel() const { return cancelWith(process_, secret_); }
 std::string Speaker::cancelWith(std::uint32_t process, std::string_view secret) const {
@@ -158,7 +158,8 @@
     reply_.seen += type;
     switch (type) {
       case 'R':
-        if (body.size() < 4 || !login(postgres::readInt32(body.data()), std::string_view(body).substr(4), send))
+        if (body.size() < 4 ||
+            !login(postgres::readInt32(body.data()), std::string_view(body).substr(4), send))
           return broken("a login that cannot be met");
         break;
       case 'K': {
--- a/src/admin/command_parser.cpp
+++ b/src/admin/command_parser.cpp
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-std::optional<Call> parse(std::string_view line, std::string& why) {
+std::optional<Command> parse(std::string_view line, std::string& why) {
   std::string verb(word(line));
   std::transform(verb.begin(), verb.end(), verb.begin(), [](unsigned char c) { return std::toupper(c); });
-  Call call;
+  Command call;
   if (verb == "SUSPEND")
     call.verb = Verb::Suspend;
   else if (verb == "RESTORE")
@@ -49,7 +49,7 @@
 std::string success(std::string_view text) { return answer("SUCCESS", text); }
 std::string failure(std::string_view text) { return answer("FAILURE", text); }
 
-Reader::State Reader::feed(std::string_view bytes) {
+CommandReader::State CommandReader::feed(std::string_view bytes) {
   if (state_ != State::More) return state_;
   const std::size_t end = bytes.find('\n');
   line_.append(bytes.substr(0, std::min({end, bytes.size(), kLongestLine + 2})));
--- a/src/admin/command_parser.hpp
+++ b/src/admin/command_parser.hpp
@@ -11,20 +11,20 @@
 constexpr std::size_t kLongestId = 128;
 
 enum class Verb { Status, Suspend, Restore };
-struct Call {
+struct Command {
   Verb verb = Verb::Status;
   std::string id;  // of a data server; empty with Status
 };
 // Words are separated by blanks; verbs are taken in any case. Nothing where the line is no call: `why` says
 // so.
-std::optional<Call> parse(std::string_view line, std::string& why);
+std::optional<Command> parse(std::string_view line, std::string& why);
 
 // One line, with its end; what `text` holds cannot break it.
 std::string success(std::string_view text);
 std::string failure(std::string_view text);
 
 // Gathers what comes of a call, in pieces of any size. One line is taken, whatever stands behind it.
-class Reader {
+class CommandReader {
  public:
   enum class State { More, Line, TooLong };
   State feed(std::string_view bytes);
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Listener::Listener(event_base* base, const Address& at, Commands& commands)
+Listener::Listener(event_base* base, const Address& at, CommandHandler& commands)
     : base_(base), commands_(commands) {
   const int on = 1;
   fd_ = systemCalls().socket(at.v6() ? AF_INET6 : AF_INET);
@@ -97,8 +97,8 @@
     const int n = evbuffer_remove(in, bytes, sizeof bytes);
     if (n <= 0 || c.answered) continue;  // one call a connection
     const auto state = c.reader.feed({bytes, static_cast<std::size_t>(n)});
-    if (state == Reader::State::More) continue;
-    if (state == Reader::State::TooLong) {
+    if (state == CommandReader::State::More) continue;
+    if (state == CommandReader::State::TooLong) {
       answer(c, failure("a line of more than " + std::to_string(kLongestLine) + " bytes"));
       continue;
     }
--- a/src/admin/listener.hpp
+++ b/src/admin/listener.hpp
@@ -13,16 +13,16 @@
 namespace sablespur::admin {
 
 // Carries out a call; answers at once. `text` goes into the answer.
-class Commands {
+class CommandHandler {
  public:
-  virtual ~Commands() = default;
-  virtual bool carryOut(const Call&, std::string& text) = 0;
+  virtual ~CommandHandler() = default;
+  virtual bool carryOut(const Command&, std::string& text) = 0;
 };
 
 class Listener {
  public:
   // Throws std::runtime_error, naming the key, where it cannot listen.
-  Listener(event_base*, const Address&, Commands&);
+  Listener(event_base*, const Address&, CommandHandler&);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -30,7 +30,7 @@
  private:
   struct Caller {
     BufferEvent connection;
-    Reader reader;
+    CommandReader reader;
     std::uint64_t turn = 0;  // callers in the order of their coming
     bool answered = false;
   };
@@ -39,7 +39,7 @@
   void answer(Caller&, const std::string& line);
 
   event_base* const base_;
-  Commands& commands_;
+  CommandHandler& commands_;
   int fd_ = -1;
   std::uint64_t turns_ = 0;
   Event readable_, again_;
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -59,13 +59,13 @@
 
 }  // namespace
 
-std::string writeBans(const std::set<std::string>& all) {
+std::string formatSuspendedEndpoints(const std::set<std::string>& all) {
   std::string text(kHead);
   for (const std::string& id : all) text += id + "\n";
   return text + "end " + std::to_string(all.size()) + "\n";
 }
 
-std::optional<std::set<std::string>> readBans(std::string_view text) {
+std::optional<std::set<std::string>> parseSuspendedEndpoints(std::string_view text) {
   if (text.substr(0, kHead.size()) != kHead) return std::nullopt;
   text.remove_prefix(kHead.size());
   std::set<std::string> all;
@@ -78,9 +78,9 @@
   return std::nullopt;  // it was cut
 }
 
-Bans::Bans(std::string path) : path_(std::move(path)) { load(); }
+SuspendedEndpoints::SuspendedEndpoints(std::string path) : path_(std::move(path)) { load(); }
 
-bool Bans::load() {
+bool SuspendedEndpoints::load() {
   const auto now = mark(path_);
   if (path_.empty() || now == seen_) return false;
   if (!now) {
@@ -90,14 +90,14 @@
   std::string text;
   if (!readFile(path_, text)) {  // looked at again: the file may be good
     if (!std::exchange(unreadable_, true))
-      logEvent(LogLevel::Error, "bans_unreadable", {{"file", path_}, {"why", std::strerror(errno)}});
+      logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}, {"why", std::strerror(errno)}});
     return false;
   }
   seen_ = now;
   unreadable_ = false;
-  auto read = readBans(text);
+  auto read = parseSuspendedEndpoints(text);
   if (!read) {
-    logEvent(LogLevel::Error, "bans_unreadable", {{"file", path_}});
+    logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}});
     return false;
   }
   for (const auto& [id, banned] : unwritten_) {
@@ -111,7 +111,7 @@
   return other;
 }
 
-bool Bans::poll() {
+bool SuspendedEndpoints::poll() {
   const bool other = load();
   if (!unwritten_.empty() && --pollsToSkip_ <= 0 && !save()) {
     skippedNext_ = std::min(2 * skippedNext_, kMostPollsSkipped);
@@ -120,7 +120,7 @@
   return other;
 }
 
-bool Bans::set(const std::string& id, bool banned) {
+bool SuspendedEndpoints::set(const std::string& id, bool banned) {
   load();  // what another process has said in the meantime stands
   const bool full = banned && all_.size() >= kMostBans && all_.count(id) == 0;
   if (full) return false;
@@ -131,14 +131,15 @@
 }
 
 // Writes all(), those included that could not be written before.
-bool Bans::save() {
-  if (!replaceFile(writeBans(all_))) {
+bool SuspendedEndpoints::save() {
+  if (!replaceFile(formatSuspendedEndpoints(all_))) {
     if (!std::exchange(failing_, true))
-      logEvent(LogLevel::Error, "bans_unwritten", {{"file", path_}, {"why", std::strerror(errno)}});
+      logEvent(LogLevel::Error, "suspensions_write_failed", {{"file", path_}, {"why", std::strerror(errno)}});
     seen_ = mark(path_);
     return false;
   }
-  if (std::exchange(failing_, false)) logEvent(LogLevel::Info, "bans_written", {{"file", path_}});
+  if (std::exchange(failing_, false))
+    logEvent(LogLevel::Info, "suspensions_write_recovered", {{"file", path_}});
   unwritten_.clear();
   pollsToSkip_ = 0;
   skippedNext_ = 1;
@@ -148,7 +149,7 @@
 
 // Durable under its name once this has returned true; else the earlier file stands whole, and errno tells
 // why.
-bool Bans::replaceFile(const std::string& text) const {
+bool SuspendedEndpoints::replaceFile(const std::string& text) const {
   const std::string fresh = path_ + "." + std::to_string(getpid());
   const int file = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0) return false;
--- a/src/admin/suspended_endpoints.hpp
+++ b/src/admin/suspended_endpoints.hpp
@@ -15,13 +15,13 @@
 constexpr std::size_t kMostBans = 10000;
 
 // Pure: the file's form, its end included; nothing where it is another or was cut.
-std::string writeBans(const std::set<std::string>&);
-std::optional<std::set<std::string>> readBans(std::string_view);
+std::string formatSuspendedEndpoints(const std::set<std::string>&);
+std::optional<std::set<std::string>> parseSuspendedEndpoints(std::string_view);
 
-class Bans {
+class SuspendedEndpoints {
  public:
   // An empty path: nothing is kept. A file that cannot be used is logged and counts as none.
-  explicit Bans(std::string path);
+  explicit SuspendedEndpoints(std::string path);
   const std::set<std::string>& all() const { return all_; }
   // True once the file and its name are durable. False: the file could not be written (logged); the ban holds
   // in this process all the same, and poll() goes on trying. Blocks for as long as the disk takes.
--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -12,9 +12,10 @@
 
 }  // namespace
 
-Limit::Limit(const LimitSettings& s) : s_(s), limit_(std::clamp(s.first, s.least, s.most)) {}
+ConcurrencyLimit::ConcurrencyLimit(const ConcurrencyLimitSettings& s)
+    : s_(s), limit_(std::clamp(s.first, s.least, s.most)) {}
 
-void Limit::ended(Time now, Time latency, std::size_t out, bool dropped) {
+void ConcurrencyLimit::ended(Time now, Time latency, std::size_t out, bool dropped) {
   if (s_.kind == LimitKind::Fixed) return;
   if (!open_) {
     open_ = true;
@@ -32,7 +33,7 @@
   if (now - opened_ >= s_.window && samples_ + dropped_ >= s_.samplesLeast) close(now);
 }
 
-void Limit::close(Time now) {
+void ConcurrencyLimit::close(Time now) {
   const double mean = samples_ > 0 ? sum_ / static_cast<double>(samples_) : 0;
   // Guards against growing where nothing pushes: a limit that was not reached has not been tried.
   const bool overrun =
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -15,7 +15,7 @@
   Gradient  // follows the ratio of the least latency of late to that of the last window
 };
 
-struct LimitSettings {
+struct ConcurrencyLimitSettings {
   LimitKind kind = LimitKind::Gradient;
   double first = 20, least = 4, most = 1000;
   Time window = std::chrono::milliseconds(200);
@@ -27,9 +27,9 @@
   double tolerance = 1.5;  // Gradient: so much slower than the least is still no queue
 };
 
-class Limit {
+class ConcurrencyLimit {
  public:
-  explicit Limit(const LimitSettings&);
+  explicit ConcurrencyLimit(const ConcurrencyLimitSettings&);
   // A request has ended. `out`: how many were out with it, itself included. `dropped`: its time ran out, or
   // it was refused behind this limit. What failed early says nothing of the load and is not told here.
   void ended(Time now, Time latency, std::size_t out, bool dropped);
@@ -43,7 +43,7 @@
 
  private:
   void close(Time now);
-  const LimitSettings s_;
+  const ConcurrencyLimitSettings s_;
   double limit_, usual_ = 0, deviation_ = 0;
   // The least mean of a window, in the epoch before and in this one. Guards against taking a queue that lasts
   // for what is usual: half the limit, tried now and then, shows what it is without.
--- a/src/admission/connection_admission.cpp
+++ b/src/admission/connection_admission.cpp
@@ -20,14 +20,16 @@
 
 }  // namespace
 
-const char* whyName(Why w) {
+const char* rejectionReasonName(RejectionReason w) {
   static const char* const names[] = {"none", "full", "group_full", "address_full", "prefix_full", "rate"};
   return names[static_cast<int>(w)];
 }
 
-Door::Door(DoorSettings s, std::shared_ptr<const Networks> n) { reload(std::move(s), std::move(n)); }
+ConnectionAdmission::ConnectionAdmission(ConnectionAdmissionSettings s, std::shared_ptr<const Networks> n) {
+  reload(std::move(s), std::move(n));
+}
 
-void Door::reload(DoorSettings s, std::shared_ptr<const Networks> n) {
+void ConnectionAdmission::reload(ConnectionAdmissionSettings s, std::shared_ptr<const Networks> n) {
   if (s.groups.empty() || s.most == 0) throw std::invalid_argument("a door without a group or without room");
   std::vector<Group> groups(s.groups.size());
   for (std::size_t k = 0; k < groups.size(); ++k) {
@@ -75,23 +77,23 @@
   }
 }
 
-std::size_t Door::groupOf(ConnectionId id) const {
+std::size_t ConnectionAdmission::groupOf(ConnectionId id) const {
   const auto it = connections_.find(id);
   return it == connections_.end() ? groups_.size() : it->second.group;
 }
 
-void Door::count(Group& g) {
+void ConnectionAdmission::count(Group& g) {
   g.count.idle = g.idle.size();
   g.count.reserveLeft = g.limits.reserve - std::min(g.limits.reserve, g.count.held);
 }
-void Door::enter(ConnectionId, Connection& c) {
+void ConnectionAdmission::enter(ConnectionId, Connection& c) {
   Group& g = groups_[c.group];
   ++g.count.held;
   ++g.byAddress[c.address];
   ++g.byPrefix[prefix(c.address)];
   count(g);
 }
-void Door::leave(Connection& c) {
+void ConnectionAdmission::leave(Connection& c) {
   Group& g = groups_[c.group];
   --g.count.held;
   down(g.byAddress, c.address);
@@ -100,7 +102,7 @@
   count(g);
 }
 
-bool Door::rate(Group& g, Time now) {
+bool ConnectionAdmission::rate(Group& g, Time now) {
   if (g.limits.perSecond <= 0) return true;
   g.tokens = std::min(g.limits.burst, g.tokens + g.limits.perSecond * seconds(now - g.filled));
   g.filled = now;
@@ -111,7 +113,7 @@
 
 // Each is asked to come back in a slot of its own: at the group's rate, or as many within a second as it may
 // hold.
-Welcome Door::refuse(Group& g, Time now, Why why) {
+ConnectionDecision ConnectionAdmission::refuse(Group& g, Time now, RejectionReason why) {
   ++g.count.refused[why];
   g.count.refusing = true;
   const double perSecond =
@@ -121,14 +123,14 @@
   const Time first = now + settings_.comeBackLeast, last = now + settings_.comeBackMost;
   // Beyond the longest wait the slots begin anew: what is asked of clients is bounded.
   if (g.nextSlot < first || g.nextSlot > last) g.nextSlot = first;
-  Welcome w;
+  ConnectionDecision w;
   w.why = why;
   w.comeBack = g.nextSlot - now;
   g.nextSlot += std::max(time(1 / perSecond), Time(1));
   return w;
 }
 
-std::size_t Door::keptForOthers(std::size_t group) const {
+std::size_t ConnectionAdmission::keptForOthers(std::size_t group) const {
   std::size_t kept = 0;
   for (std::size_t k = 0; k < groups_.size(); ++k)
     if (k != group) kept += groups_[k].count.reserveLeft;
@@ -137,7 +139,7 @@
 
 // Of the group that holds most by its weight, beyond its reserve and beyond what the newcomer's would hold
 // then: the one that has been idle longest. The newcomer's own group may swap one for another.
-ConnectionId Door::victim(Time now, std::size_t group) const {
+ConnectionId ConnectionAdmission::victim(Time now, std::size_t group) const {
   const auto share = [&](std::size_t k, std::size_t held) {
     return static_cast<double>(held) / std::max(groups_[k].limits.weight, 1e-9);
   };
@@ -158,29 +160,30 @@
   return best ? best->idle.front() : 0;
 }
 
-Welcome Door::arrived(Time now, ConnectionId id, const IpAddress& from, std::optional<std::size_t> group) {
+ConnectionDecision ConnectionAdmission::arrived(Time now, ConnectionId id, const IpAddress& from,
+                                                std::optional<std::size_t> group) {
   const std::size_t k = group ? std::min(*group, groups_.size() - 1) : groupOf(from);
   Group& g = groups_[k];
   const GroupLimits& l = g.limits;
   // The narrowest bound first: an abuser is told of its own, and takes nothing from its neighbours' rate.
   if (l.mostByAddress > 0 && at(g.byAddress, from) >= l.mostByAddress)
-    return refuse(g, now, Why::AddressFull);
+    return refuse(g, now, RejectionReason::AddressFull);
   if (l.mostByPrefix > 0 && at(g.byPrefix, prefix(from)) >= l.mostByPrefix)
-    return refuse(g, now, Why::PrefixFull);
-  Welcome w;
+    return refuse(g, now, RejectionReason::PrefixFull);
+  ConnectionDecision w;
   const bool groupFull = l.most > 0 && g.count.held >= l.most;
   if (groupFull) {
     const bool spare = !g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.idleLeast;
-    if (!spare) return refuse(g, now, Why::GroupFull);
+    if (!spare) return refuse(g, now, RejectionReason::GroupFull);
     w.close = g.idle.front();
   } else if (connections_.size() + keptForOthers(k) >= most() && g.count.reserveLeft == 0) {
     w.close = victim(now, k);
-    if (w.close == 0) return refuse(g, now, Why::Full);
+    if (w.close == 0) return refuse(g, now, RejectionReason::Full);
   } else if (connections_.size() >= most()) {
     w.close = victim(now, k);  // its reserve is owed, but others were let in by earlier settings
-    if (w.close == 0) return refuse(g, now, Why::Full);
+    if (w.close == 0) return refuse(g, now, RejectionReason::Full);
   }
-  if (!rate(g, now)) return refuse(g, now, Why::Rate);
+  if (!rate(g, now)) return refuse(g, now, RejectionReason::Rate);
   if (w.close != 0) {
     Connection& c = connections_[w.close];
     ++groups_[c.group].count.asked;
@@ -198,14 +201,14 @@
   return w;
 }
 
-void Door::left(ConnectionId id) {
+void ConnectionAdmission::left(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
   leave(it->second);
   connections_.erase(it);
 }
 
-void Door::busy(ConnectionId id) {
+void ConnectionAdmission::busy(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || !it->second.idle) return;
   Group& g = groups_[it->second.group];
@@ -214,7 +217,7 @@
   count(g);
 }
 
-void Door::idle(Time now, ConnectionId id) {
+void ConnectionAdmission::idle(Time now, ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || it->second.idle) return;
   Group& g = groups_[it->second.group];
@@ -224,7 +227,7 @@
   count(g);
 }
 
-void Door::belongs(ConnectionId id, std::size_t group) {
+void ConnectionAdmission::belongs(ConnectionId id, std::size_t group) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || it->second.group == group || group >= groups_.size()) return;
   Connection& c = it->second;
@@ -241,14 +244,14 @@
   count(g);
 }
 
-void Door::askBack(Group& g, std::vector<ConnectionId>& all) {
+void ConnectionAdmission::askBack(Group& g, std::vector<ConnectionId>& all) {
   const ConnectionId id = g.idle.front();
   ++g.count.asked;
   left(id);
   all.push_back(id);
 }
 
-Door::Group* Door::widest(Time now) {
+ConnectionAdmission::Group* ConnectionAdmission::widest(Time now) {
   Group* best = nullptr;
   const auto share = [](const Group& g) {
     return static_cast<double>(g.count.held) / std::max(g.limits.weight, 1e-9);
@@ -260,7 +263,7 @@
   return best;
 }
 
-std::vector<ConnectionId> Door::surplus(Time now, std::size_t most) {
+std::vector<ConnectionId> ConnectionAdmission::surplus(Time now, std::size_t most) {
   std::vector<ConnectionId> all;
   for (Group& g : groups_)
     while (all.size() < most && g.limits.most > 0 && g.count.held > g.limits.most && !g.idle.empty() &&
@@ -274,7 +277,7 @@
   return all;
 }
 
-std::vector<ConnectionId> Door::spare(Time now, std::size_t most) {
+std::vector<ConnectionId> ConnectionAdmission::spare(Time now, std::size_t most) {
   std::vector<ConnectionId> all;
   while (all.size() < most) {
     Group* const g = widest(now);
--- a/src/admission/connection_admission.hpp
+++ b/src/admission/connection_admission.hpp
@@ -36,7 +36,7 @@
   double weight = 1;
 };
 
-struct DoorSettings {
+struct ConnectionAdmissionSettings {
   std::size_t most = 1;             // connections of all groups together
   std::vector<GroupLimits> groups;  // the last one is everyone else
   int prefix4 = 24, prefix6 = 64;
@@ -44,22 +44,23 @@
   Time idleLeast = std::chrono::milliseconds(500);  // a connection that was used later is not asked back
 };
 
-enum class Why { None, Full, GroupFull, AddressFull, PrefixFull, Rate };
-const char* whyName(Why);
+enum class RejectionReason { None, Full, GroupFull, AddressFull, PrefixFull, Rate };
+const char* rejectionReasonName(RejectionReason);
 
-struct Welcome {
+struct ConnectionDecision {
   bool admitted = false;
-  ConnectionId close = 0;  // an idle one that has to go first; 0: none
-  Why why = Why::None;     // not admitted
+  ConnectionId close = 0;                       // an idle one that has to go first; 0: none
+  RejectionReason why = RejectionReason::None;  // not admitted
   Time comeBack{};  // not admitted: after so long. Spread, so that those refused do not return together
 };
 
-class Door {
+class ConnectionAdmission {
  public:
-  Door(DoorSettings, std::shared_ptr<const Networks>);
+  ConnectionAdmission(ConnectionAdmissionSettings, std::shared_ptr<const Networks>);
 
   // Ids of those refused are not kept. `group`: who it is known to be, whatever its network.
-  Welcome arrived(Time now, ConnectionId, const IpAddress&, std::optional<std::size_t> group = std::nullopt);
+  ConnectionDecision arrived(Time now, ConnectionId, const IpAddress&,
+                             std::optional<std::size_t> group = std::nullopt);
   void left(ConnectionId);
   void busy(ConnectionId);            // it has asked
   void idle(Time now, ConnectionId);  // it is answered
@@ -68,7 +69,7 @@
 
   // New settings while it runs. Groups keep what they hold by their names; who moves, moves. Nobody is closed
   // for a cap that has become lower: see surplus.
-  void reload(DoorSettings, std::shared_ptr<const Networks>);
+  void reload(ConnectionAdmissionSettings, std::shared_ptr<const Networks>);
   // Idle connections beyond the caps, longest idle first, `most` at once.
   std::vector<ConnectionId> surplus(Time now, std::size_t most);
   // Up to so many idle ones that are asked back although no cap says so: descriptors ran out. Of the widest
@@ -78,7 +79,7 @@
   struct Count {
     std::size_t held = 0, idle = 0, reserveLeft = 0;
     std::uint64_t admitted = 0, asked = 0;  // asked: of its own that were asked back for others
-    std::map<Why, std::uint64_t> refused;
+    std::map<RejectionReason, std::uint64_t> refused;
     bool refusing = false;  // since the last one that was admitted
   };
   const Count& count(std::size_t group) const { return groups_[group].count; }
@@ -113,14 +114,14 @@
   void count(Group&);
   Group* widest(Time now);  // by weight, of those with an idle one to give beyond their reserve
   void askBack(Group&, std::vector<ConnectionId>&);
-  Welcome refuse(Group&, Time now, Why);
+  ConnectionDecision refuse(Group&, Time now, RejectionReason);
   bool rate(Group&, Time now);
   std::size_t keptForOthers(std::size_t group) const;
   ConnectionId victim(Time now, std::size_t group) const;
   std::size_t& slot(std::unordered_map<IpAddress, std::size_t>&, const IpAddress&);
   IpAddress prefix(const IpAddress& a) const { return prefixOf(a, settings_.prefix4, settings_.prefix6); }
 
-  DoorSettings settings_;
+  ConnectionAdmissionSettings settings_;
   std::size_t ceiling_ = ~std::size_t{0};
   std::shared_ptr<const Networks> networks_;
   std::vector<Group> groups_;
--- a/src/admission/connection_limit.hpp
+++ b/src/admission/connection_limit.hpp
@@ -11,7 +11,7 @@
 
 using Time = std::chrono::microseconds;
 
-class Ceiling {
+class ConnectionLimit {
  public:
   // `held` connections, and there was no descriptor for one more. Once in `kAtOnce` it counts: one want is
   // met by many at the same time.
--- a/src/admission/recent_clients.cpp
+++ b/src/admission/recent_clients.cpp
@@ -4,14 +4,14 @@
 
 namespace sablespur::admission {
 
-void Known::forget(List& from, List::iterator it) {
+void RecentClients::forget(List& from, List::iterator it) {
   const auto count = byPrefix_.find(prefix(it->address));
   if (--count->second == 0) byPrefix_.erase(count);
   records_.erase(it->address);
   from.erase(it);
 }
 
-void Known::makeRoom(const IpAddress& network) {
+void RecentClients::makeRoom(const IpAddress& network) {
   const auto count = byPrefix_.find(network);
   if (count != byPrefix_.end() && count->second >= s_.mostByPrefix) {
     const auto ofIt = [&](const Record& r) { return prefix(r.address) == network; };
@@ -26,7 +26,7 @@
     forget(known_, known_.begin());
 }
 
-void Known::served(Time now, const IpAddress& a) {
+void RecentClients::served(Time now, const IpAddress& a) {
   const auto found = records_.find(a);
   if (found == records_.end()) {
     makeRoom(prefix(a));
@@ -51,7 +51,7 @@
   to.splice(to.end(), at, it);
 }
 
-bool Known::is(Time now, const IpAddress& a) const {
+bool RecentClients::is(Time now, const IpAddress& a) const {
   const auto it = records_.find(a);
   return it != records_.end() && it->second->known && now - it->second->last <= s_.keep;
 }
--- a/src/admission/recent_clients.hpp
+++ b/src/admission/recent_clients.hpp
@@ -16,7 +16,7 @@
 
 using Time = std::chrono::microseconds;
 
-struct KnownSettings {
+struct RecentClientsSettings {
   std::size_t most = 4096, mostByPrefix = 32;
   int prefix4 = 24, prefix6 = 64;
   std::size_t times = 3;                // served so often
@@ -24,9 +24,9 @@
   Time keep = std::chrono::hours(24);   // after the last time
 };
 
-class Known {
+class RecentClients {
  public:
-  explicit Known(KnownSettings s) : s_(s) {}
+  explicit RecentClients(RecentClientsSettings s) : s_(s) {}
   void served(Time now, const IpAddress&);
   bool is(Time now, const IpAddress&) const;
   std::size_t size() const { return records_.size(); }
@@ -43,7 +43,7 @@
   void makeRoom(const IpAddress& prefix);
   IpAddress prefix(const IpAddress& a) const { return prefixOf(a, s_.prefix4, s_.prefix6); }
 
-  const KnownSettings s_;
+  const RecentClientsSettings s_;
   List fresh_, known_;
   std::unordered_map<IpAddress, List::iterator> records_;
   std::unordered_map<IpAddress, std::size_t> byPrefix_;
--- a/src/admission/rejection_period.hpp
+++ b/src/admission/rejection_period.hpp
@@ -8,9 +8,9 @@
 
 using Time = std::chrono::microseconds;
 
-class Spell {
+class RejectionPeriod {
  public:
-  explicit Spell(Time calm = std::chrono::seconds(1)) : calm_(calm) {}
+  explicit RejectionPeriod(Time calm = std::chrono::seconds(1)) : calm_(calm) {}
   enum class Turn { None, Began, Ended };
   // `total`: refusals so far. A spell has ended once none has come for as long as `calm`.
   Turn at(Time now, std::uint64_t total) {
--- a/src/admission/request_limiter.cpp
+++ b/src/admission/request_limiter.cpp
@@ -5,18 +5,18 @@
 
 namespace sablespur::admission {
 
-Requests::Requests(RequestSettings s) : s_(std::move(s)), limit_(s_.limit) {
+RequestLimiter::RequestLimiter(RequestLimiterSettings s) : s_(std::move(s)), limit_(s_.limit) {
   if (s_.groups.empty()) throw std::invalid_argument("requests without a group");
   for (const ShareSettings& g : s_.groups) groups_.push_back({g, 0, {}, {}});
 }
 
 // What a group has of the whole by its weight; the smallest is served next.
-double Requests::share(const Group& g, std::size_t extra) const {
+double RequestLimiter::share(const Group& g, std::size_t extra) const {
   return static_cast<double>(g.out + extra) / std::max(g.settings.weight, 1e-9);
 }
 
 // Spread: as many as wait and are out need so long; those refused come back one after another, not together.
-Time Requests::comeBack() {
+Time RequestLimiter::comeBack() {
   const Time each = std::max(limit_.usual(), Time(1000));
   const auto ahead = static_cast<double>(waiting_ + refused_++) /
                      static_cast<double>(std::max<std::size_t>(limit_.value(), 1));
@@ -26,24 +26,24 @@
   refused_ = 0;
   return s_.comeBackMost;
 }
-Answered Requests::refuse(RequestKey key, Turned why) {
+Answered RequestLimiter::refuse(RequestKey key, RequestRejection why) {
   const auto it = open_.find(key);
   ++groups_[it->second.group].count.refused[static_cast<std::size_t>(why)];
   open_.erase(it);
-  return {key, Turn::Refuse, comeBack()};
+  return {key, RequestDecision::Reject, comeBack()};
 }
 
-const char* turnedName(Turned t) {
+const char* turnedName(RequestRejection t) {
   static const char* const names[] = {"share", "late", "queue"};
   return names[static_cast<std::size_t>(t)];
 }
-Requests::Count Requests::count(std::size_t group) const {
+RequestLimiter::Count RequestLimiter::count(std::size_t group) const {
   Count c = groups_[group].count;
   c.out = groups_[group].out;
   c.waiting = groups_[group].waiting.size();
   return c;
 }
-void Requests::reload(RequestSettings s) {
+void RequestLimiter::reload(RequestLimiterSettings s) {
   if (s.groups.empty()) throw std::invalid_argument("requests without a group");
   // Groups that are no more go on in the last one: what they have out still ends here.
   while (groups_.size() > s.groups.size()) {
@@ -61,7 +61,7 @@
   s_ = std::move(s);
 }
 
-void Requests::go(RequestKey key, std::size_t group) {
+void RequestLimiter::go(RequestKey key, std::size_t group) {
   open_[key] = {group, true};
   ++groups_[group].out;
   ++groups_[group].count.went;
@@ -69,7 +69,7 @@
   last_ = group;
 }
 
-void Requests::drop(Time now, std::vector<Answered>& all) {
+void RequestLimiter::drop(Time now, std::vector<Answered>& all) {
   for (Group& g : groups_)
     for (auto it = g.waiting.begin(); it != g.waiting.end();) {
       if (it->deadline - now > limit_.most()) {
@@ -79,11 +79,11 @@
       --waiting_;
       const RequestKey key = it->key;
       it = g.waiting.erase(it);
-      all.push_back(refuse(key, Turned::Late));
+      all.push_back(refuse(key, RequestRejection::Late));
     }
 }
 
-void Requests::take(std::vector<Answered>& all) {
+void RequestLimiter::take(std::vector<Answered>& all) {
   while (waiting_ > 0 && out_ < limit_.value()) {
     Group* next = nullptr;
     for (std::size_t k = 1; k <= groups_.size(); ++k) {
@@ -94,27 +94,27 @@
     next->waiting.pop_front();
     --waiting_;
     go(key, static_cast<std::size_t>(next - groups_.data()));
-    all.push_back({key, Turn::Go, Time(0)});
+    all.push_back({key, RequestDecision::Admit, Time(0)});
   }
   if (waiting_ == 0) refused_ = 0;
 }
 
-Requests::Asked Requests::ask(Time now, RequestKey key, std::size_t group, Time deadline) {
+RequestLimiter::Asked RequestLimiter::ask(Time now, RequestKey key, std::size_t group, Time deadline) {
   Asked a;
   group = std::min(group, groups_.size() - 1);
   Group& g = groups_[group];
-  const auto turnedAway = [&](Turned why) {
+  const auto turnedAway = [&](RequestRejection why) {
     a.comeBack = turnAway(group, why);
     return a;
   };
   if (g.settings.mostOpen > 0 && g.out + g.waiting.size() >= g.settings.mostOpen)
-    return turnedAway(Turned::Share);
+    return turnedAway(RequestRejection::Share);
   if (waiting_ == 0 && out_ < limit_.value()) {
     go(key, group);
-    a.turn = Turn::Go;
+    a.turn = RequestDecision::Admit;
     return a;
   }
-  if (deadline - now <= limit_.most()) return turnedAway(Turned::Late);  // it could not be on time
+  if (deadline - now <= limit_.most()) return turnedAway(RequestRejection::Late);  // it could not be on time
   if (waiting_ >= s_.mostWaiting) drop(now, a.others);
   if (waiting_ >= s_.mostWaiting) {
     // Whoever has most waiting by weight gives way, with its newest: it has waited least.
@@ -124,30 +124,30 @@
     };
     for (Group& x : groups_)
       if (!x.waiting.empty() && width(x, 0) > width(*widest, widest == &g ? 1 : 0)) widest = &x;
-    if (widest == &g) return turnedAway(Turned::Queue);
+    if (widest == &g) return turnedAway(RequestRejection::Queue);
     const RequestKey gives = widest->waiting.back().key;
     widest->waiting.pop_back();
     --waiting_;
-    a.others.push_back(refuse(gives, Turned::Queue));
+    a.others.push_back(refuse(gives, RequestRejection::Queue));
   }
   g.waiting.push_back({key, deadline});
   open_[key] = {group, false};
   ++waiting_;
   ++g.count.waited;
-  a.turn = Turn::Wait;
+  a.turn = RequestDecision::Queue;
   // A slot may be free: what stood before it has just been dropped.
   std::vector<Answered> went;
   take(went);
   for (const Answered& w : went) {
     if (w.key == key)
-      a.turn = Turn::Go;
+      a.turn = RequestDecision::Admit;
     else
       a.others.push_back(w);
   }
   return a;
 }
 
-std::vector<Answered> Requests::ended(Time now, RequestKey key, Time latency, bool dropped) {
+std::vector<Answered> RequestLimiter::ended(Time now, RequestKey key, Time latency, bool dropped) {
   std::vector<Answered> all;
   const auto it = open_.find(key);
   if (it == open_.end() || !it->second.out) return all;
@@ -160,7 +160,7 @@
   return all;
 }
 
-std::vector<Answered> Requests::left(Time now, RequestKey key) {
+std::vector<Answered> RequestLimiter::left(Time now, RequestKey key) {
   std::vector<Answered> all;
   const auto it = open_.find(key);
   if (it == open_.end()) return all;
@@ -180,7 +180,7 @@
   return all;
 }
 
-std::vector<Answered> Requests::overdue(Time now) {
+std::vector<Answered> RequestLimiter::overdue(Time now) {
   std::vector<Answered> all;
   drop(now, all);
   return all;
--- a/src/admission/request_limiter.hpp
+++ b/src/admission/request_limiter.hpp
@@ -21,37 +21,41 @@
   std::size_t mostOpen = 0;  // requests, waiting ones included; 0: no bound of its own
 };
 
-struct RequestSettings {
-  LimitSettings limit;
+struct RequestLimiterSettings {
+  ConcurrencyLimitSettings limit;
   std::size_t mostWaiting = 64;
   std::vector<ShareSettings> groups;
   Time comeBackLeast = std::chrono::milliseconds(50), comeBackMost = std::chrono::seconds(2);
 };
 
-enum class Turn { Go, Wait, Refuse };
-enum class Turned { Share, Late, Queue };  // why: its group's cap, no time left for it, no room to wait
+enum class RequestDecision { Admit, Queue, Reject };
+enum class RequestRejection {
+  Share,
+  Late,
+  Queue
+};  // why: its group's cap, no time left for it, no room to wait
 constexpr std::size_t kTurned = 3;
-const char* turnedName(Turned);
+const char* turnedName(RequestRejection);
 
 struct Answered {
   RequestKey key = 0;
-  Turn turn = Turn::Refuse;  // Go or Refuse
-  Time comeBack{};           // of Refuse
+  RequestDecision turn = RequestDecision::Reject;  // Go or Refuse
+  Time comeBack{};                                 // of Refuse
 };
 
-class Requests {
+class RequestLimiter {
  public:
-  explicit Requests(RequestSettings);
+  explicit RequestLimiter(RequestLimiterSettings);
 
   // What becomes of a request. Others that have to give way to it are in `others`.
   struct Asked {
-    Turn turn = Turn::Refuse;
+    RequestDecision turn = RequestDecision::Reject;
     Time comeBack{};
     std::vector<Answered> others;
   };
   Asked ask(Time now, RequestKey, std::size_t group, Time deadline);
   // One that is turned away for a reason of the caller's: counted, and when to come back.
-  Time turnAway(std::size_t group, Turned why) {
+  Time turnAway(std::size_t group, RequestRejection why) {
     ++groups_[group].count.refused[static_cast<std::size_t>(why)];
     return comeBack();
   }
@@ -75,7 +79,7 @@
   std::size_t groups() const { return groups_.size(); }
   // New shares and bounds while it runs; what is out or waits stays with its group by number, and what the
   // limit has learned stays.
-  void reload(RequestSettings);
+  void reload(RequestLimiterSettings);
 
  private:
   struct Waiting {
@@ -95,12 +99,12 @@
   void go(RequestKey, std::size_t group);
   void take(std::vector<Answered>&);            // as many as there is room for
   void drop(Time now, std::vector<Answered>&);  // what can no longer be on time
-  Answered refuse(RequestKey, Turned);
+  Answered refuse(RequestKey, RequestRejection);
   Time comeBack();
   double share(const Group& g, std::size_t extra) const;
 
-  RequestSettings s_;
-  Limit limit_;
+  RequestLimiterSettings s_;
+  ConcurrencyLimit limit_;
   std::vector<Group> groups_;
   std::unordered_map<RequestKey, Open> open_;
   std::size_t out_ = 0, waiting_ = 0;
--- a/src/admission/request_queues.cpp
+++ b/src/admission/request_queues.cpp
@@ -7,7 +7,7 @@
 
 constexpr Time kQuiet = std::chrono::seconds(60);
 
-void add(Requests::Count& to, const Requests::Count& c) {
+void add(RequestLimiter::Count& to, const RequestLimiter::Count& c) {
   to.out += c.out;
   to.waiting += c.waiting;
   to.went += c.went;
@@ -17,48 +17,49 @@
 
 }  // namespace
 
-RequestSettings Lanes::within(RequestSettings s) {
+RequestLimiterSettings RequestQueues::within(RequestLimiterSettings s) {
   for (ShareSettings& g : s.groups) g.mostOpen = 0;
   return s;
 }
 
-Lanes::Lanes(RequestSettings s, std::size_t mostLanes)
+RequestQueues::RequestQueues(RequestLimiterSettings s, std::size_t mostLanes)
     : s_(std::move(s)), most_(mostLanes), open_(s_.groups.size()), before_(s_.groups.size()) {}
 
-Lanes::Lane& Lanes::lane(Time now, LaneKey key) {
+RequestQueues::Lane& RequestQueues::lane(Time now, QueueKey key) {
   auto it = lanes_.find(key);
   if (it == lanes_.end() && lanes_.size() >= most_) {
     key = kRest;
     it = lanes_.find(key);
   }
   if (it == lanes_.end())
-    it = lanes_.emplace(key, std::make_unique<Lane>(Lane{key, Requests(within(s_)), now})).first;
+    it = lanes_.emplace(key, std::make_unique<Lane>(Lane{key, RequestLimiter(within(s_)), now})).first;
   it->second->used = now;
   return *it->second;
 }
 
-void Lanes::close(RequestKey key) {
+void RequestQueues::close(RequestKey key) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return;
   --open_[it->second.group];
   requests_.erase(it);
 }
-void Lanes::settle(const std::vector<Answered>& all) {
+void RequestQueues::settle(const std::vector<Answered>& all) {
   for (const Answered& a : all)
-    if (a.turn == Turn::Refuse) close(a.key);
+    if (a.turn == RequestDecision::Reject) close(a.key);
 }
 
-Requests::Asked Lanes::ask(Time now, RequestKey key, LaneKey at, std::size_t group, Time deadline) {
+RequestLimiter::Asked RequestQueues::ask(Time now, RequestKey key, QueueKey at, std::size_t group,
+                                         Time deadline) {
   group = std::min(group, open_.size() - 1);
   Lane& l = lane(now, at);
   const std::size_t most = s_.groups[group].mostOpen;
   if (most > 0 && open_[group] >= most) {
-    Requests::Asked a;
-    a.comeBack = l.requests.turnAway(group, Turned::Share);
+    RequestLimiter::Asked a;
+    a.comeBack = l.requests.turnAway(group, RequestRejection::Share);
     return a;
   }
-  const Requests::Asked a = l.requests.ask(now, key, group, deadline);
-  if (a.turn != Turn::Refuse) {
+  const RequestLimiter::Asked a = l.requests.ask(now, key, group, deadline);
+  if (a.turn != RequestDecision::Reject) {
     requests_.emplace(key, Open{&l, group});
     ++open_[group];
   }
@@ -66,7 +67,7 @@
   return a;
 }
 
-std::vector<Answered> Lanes::ended(Time now, RequestKey key, Time latency, bool dropped) {
+std::vector<Answered> RequestQueues::ended(Time now, RequestKey key, Time latency, bool dropped) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return {};
   Lane& l = *it->second.lane;
@@ -76,7 +77,7 @@
   settle(all);
   return all;
 }
-std::vector<Answered> Lanes::left(Time now, RequestKey key) {
+std::vector<Answered> RequestQueues::left(Time now, RequestKey key) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return {};
   Lane& l = *it->second.lane;
@@ -86,7 +87,7 @@
   return all;
 }
 
-std::vector<Answered> Lanes::overdue(Time now) {
+std::vector<Answered> RequestQueues::overdue(Time now) {
   std::vector<Answered> all;
   for (auto it = lanes_.begin(); it != lanes_.end();) {
     Lane& l = *it->second;
@@ -103,11 +104,11 @@
   return all;
 }
 
-void Lanes::reload(RequestSettings s) {
+void RequestQueues::reload(RequestLimiterSettings s) {
   s.limit = s_.limit;
   s_ = std::move(s);
   const std::size_t last = s_.groups.size() - 1;
-  std::vector<Requests::Count> before(s_.groups.size());
+  std::vector<RequestLimiter::Count> before(s_.groups.size());
   for (std::size_t k = 0; k < before_.size(); ++k) add(before[std::min(k, last)], before_[k]);
   before_ = std::move(before);
   open_.assign(s_.groups.size(), 0);
@@ -115,12 +116,12 @@
   for (auto& [key, l] : lanes_) l->requests.reload(within(s_));
 }
 
-Requests::Count Lanes::count(std::size_t group) const {
-  Requests::Count c = before_[group];
+RequestLimiter::Count RequestQueues::count(std::size_t group) const {
+  RequestLimiter::Count c = before_[group];
   for (const auto& [key, l] : lanes_) add(c, l->requests.count(group));
   return c;
 }
-std::vector<Lanes::View> Lanes::view() const {
+std::vector<RequestQueues::View> RequestQueues::view() const {
   std::vector<View> all;
   for (const auto& [key, l] : lanes_)
     all.push_back({key, l->requests.limit(), l->requests.out(), l->requests.waiting(), l->requests.usual()});
--- a/src/admission/request_queues.hpp
+++ b/src/admission/request_queues.hpp
@@ -16,52 +16,52 @@
 
 namespace sablespur::admission {
 
-using LaneKey = std::uint64_t;
+using QueueKey = std::uint64_t;
 
-class Lanes {
+class RequestQueues {
  public:
   // Guards the memory: clients name the groups. Beyond `mostLanes` the rest share one.
-  explicit Lanes(RequestSettings, std::size_t mostLanes = 256);
+  explicit RequestQueues(RequestLimiterSettings, std::size_t mostLanes = 256);
 
   // As Requests; the caps of groups count over all lanes.
-  Requests::Asked ask(Time now, RequestKey, LaneKey, std::size_t group, Time deadline);
+  RequestLimiter::Asked ask(Time now, RequestKey, QueueKey, std::size_t group, Time deadline);
   std::vector<Answered> ended(Time now, RequestKey, Time latency, bool dropped);
   std::vector<Answered> left(Time now, RequestKey);
   std::vector<Answered> overdue(Time now);  // and forgets lanes that have been quiet
-  void reload(RequestSettings);
+  void reload(RequestLimiterSettings);
 
-  Requests::Count count(std::size_t group) const;  // over all lanes, those forgotten included
+  RequestLimiter::Count count(std::size_t group) const;  // over all lanes, those forgotten included
   std::size_t groups() const { return open_.size(); }
   struct View {
-    LaneKey lane;
+    QueueKey lane;
     std::size_t limit, out, waiting;
     Time usual;
   };
   std::vector<View> view() const;
   std::size_t size() const { return lanes_.size(); }
-  static constexpr LaneKey kRest = ~LaneKey{0};
+  static constexpr QueueKey kRest = ~QueueKey{0};
 
  private:
   struct Lane {
-    LaneKey key;
-    Requests requests;
+    QueueKey key;
+    RequestLimiter requests;
     Time used{};
   };
-  Lane& lane(Time now, LaneKey);
+  Lane& lane(Time now, QueueKey);
   void settle(const std::vector<Answered>&);  // those that have had their last word
   void close(RequestKey);
-  static RequestSettings within(RequestSettings);  // a lane's: caps by group are ours
+  static RequestLimiterSettings within(RequestLimiterSettings);  // a lane's: caps by group are ours
 
-  RequestSettings s_;
+  RequestLimiterSettings s_;
   const std::size_t most_;
-  std::unordered_map<LaneKey, std::unique_ptr<Lane>> lanes_;
+  std::unordered_map<QueueKey, std::unique_ptr<Lane>> lanes_;
   struct Open {
     Lane* lane;
     std::size_t group;
   };
   std::unordered_map<RequestKey, Open> requests_;
-  std::vector<std::size_t> open_;        // by group, waiting ones included
-  std::vector<Requests::Count> before_;  // of lanes that are forgotten
+  std::vector<std::size_t> open_;              // by group, waiting ones included
+  std::vector<RequestLimiter::Count> before_;  // of lanes that are forgotten
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/settings.hpp
+++ b/src/admission/settings.hpp
@@ -15,13 +15,13 @@
 namespace sablespur::admission {
 
 struct Settings {
-  DoorSettings door;
+  ConnectionAdmissionSettings door;
   std::shared_ptr<const Networks> networks;  // of groups
   Networks fronts;                           // whose connections begin with a PROXY header; the group is 0
   std::map<std::string, std::size_t> users;  // groups by the name that a client has proved
   std::optional<std::size_t> servedBefore;   // the group of addresses in no network that are known
-  KnownSettings known;
-  std::optional<RequestSettings> requests;  // none: no limit on requests
+  RecentClientsSettings known;
+  std::optional<RequestLimiterSettings> requests;  // none: no limit on requests
   // Connections that the door has not let in: being told so, proving a name, or waiting for their PROXY
   // header.
   std::size_t antechamber = 0;
--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -15,7 +15,7 @@
 // after which a ban counts as known.
 constexpr Time kLook = std::chrono::milliseconds(200);
 
-class Desk final : public Staff, admin::Commands {
+class Desk final : public AdminHandler, admin::CommandHandler {
  public:
   Desk(event_base* base, const Config& c, Engine& engine, const Clients& clients)
       : engine_(engine),
@@ -25,13 +25,13 @@
             base, -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<Desk*>(self)->look(); }, this)),
         listener_(base, c.control, *this) {
-    for (const std::string& id : bans_.all()) engine_.ban(id);
-    if (!bans_.all().empty()) logEvent(LogLevel::Info, "bans_kept", {{"count", bans_.all().size()}});
+    for (const std::string& id : bans_.all()) engine_.restoreSuspension(id);
+    if (!bans_.all().empty()) logEvent(LogLevel::Info, "suspensions_loaded", {{"count", bans_.all().size()}});
     if (!c.bans.empty()) startTimer(look_.get(), kLook);
   }
 
  private:
-  bool carryOut(const admin::Call& call, std::string& text) override {
+  bool carryOut(const admin::Command& call, std::string& text) override {
     switch (call.verb) {
       case admin::Verb::Status:
         text = clients_.draining() ? "draining"
@@ -59,20 +59,21 @@
     for (const std::string& id : was)
       if (bans_.all().count(id) == 0) engine_.suspend(id, false);
     for (const std::string& id : bans_.all())
-      if (was.count(id) == 0 && !engine_.suspend(id, true)) engine_.ban(id);
-    logEvent(LogLevel::Info, "bans_changed", {{"count", bans_.all().size()}});
+      if (was.count(id) == 0 && !engine_.suspend(id, true)) engine_.restoreSuspension(id);
+    logEvent(LogLevel::Info, "suspensions_changed", {{"count", bans_.all().size()}});
   }
 
   Engine& engine_;
   const Clients& clients_;
-  admin::Bans bans_;
+  admin::SuspendedEndpoints bans_;
   Event look_;
   admin::Listener listener_;
 };
 
 }  // namespace
 
-std::unique_ptr<Staff> openStaff(event_base* base, const Config& c, Engine& engine, const Clients& clients) {
+std::unique_ptr<AdminHandler> createAdminHandler(event_base* base, const Config& c, Engine& engine,
+                                                 const Clients& clients) {
   return c.control.none() ? nullptr : std::make_unique<Desk>(base, c, engine, clients);
 }
 
--- a/src/app/admin_handler.hpp
+++ b/src/app/admin_handler.hpp
@@ -11,12 +11,12 @@
 
 class Clients;
 
-class Staff {
+class AdminHandler {
  public:
-  virtual ~Staff() = default;
+  virtual ~AdminHandler() = default;
 };
 // Null where the settings give no address for it. Bans of an earlier process are told to the engine before
 // this returns; so it is made before Engine::start. Throws std::runtime_error where it cannot listen.
-std::unique_ptr<Staff> openStaff(event_base*, const Config&, Engine&, const Clients&);
+std::unique_ptr<AdminHandler> createAdminHandler(event_base*, const Config&, Engine&, const Clients&);
 
 }  // namespace sablespur
--- a/src/app/list_source.cpp
+++ b/src/app/list_source.cpp
@@ -12,20 +12,21 @@
 // What cannot change while the program serves.
 bool sameSource(const Config& was, Source is) {
   if (was.source == is) return true;
-  logEvent(LogLevel::Warning, "settings_need_restart", {{"key", "[discovery] source"}});
+  logEvent(LogLevel::Warning, "config_restart_needed", {{"key", "[discovery] source"}});
   return false;
 }
 
 class RegistrySource final : public ListSource {
  public:
-  RegistrySource(event_base* base, MemberFeed& feed, const Config& c) : watch_(base, feed, c.discovery) {}
+  RegistrySource(event_base* base, EndpointUpdater& feed, const Config& c)
+      : watch_(base, feed, c.discovery) {}
   void watch(std::uint64_t after) override { watch_.watch(after); }
   void move(const Config& c) override {
     if (sameSource(c, Source::Registry)) watch_.move(c.discovery);
   }
 
  private:
-  Discovery watch_;
+  RegistryWatch watch_;
 };
 
 class FixedSource final : public ListSource {
@@ -37,7 +38,7 @@
 #ifdef SABLESPUR_DNSSD
 class DnsSdSource final : public ListSource {
  public:
-  DnsSdSource(event_base* base, const Clock& clock, MemberFeed& feed, const Config& c)
+  DnsSdSource(event_base* base, const Clock& clock, EndpointUpdater& feed, const Config& c)
       : feed_(feed), dnssd_(base, clock, feed, c) {}
   void watch(std::uint64_t) override {}  // it tells by itself
   void move(const Config& c) override {
@@ -48,15 +49,15 @@
   std::map<std::string, std::string> faults() const override { return dnssd_.faults(); }
 
  private:
-  MemberFeed& feed_;
+  EndpointUpdater& feed_;
   DnsSd dnssd_;
 };
 #endif
 
 }  // namespace
 
-MembershipPolicy sourcePolicy(const Config& c) {
-  MembershipPolicy p;
+EndpointTablePolicy sourcePolicy(const Config& c) {
+  EndpointTablePolicy p;
   if (c.source != Source::DnsSd) {
     p.dampens = false;
     return p;
@@ -70,7 +71,7 @@
   return p;
 }
 
-std::unique_ptr<ListSource> openSource(event_base* base, const Clock& clock, MemberFeed& feed,
+std::unique_ptr<ListSource> openSource(event_base* base, const Clock& clock, EndpointUpdater& feed,
                                        const Config& c) {
   switch (c.source) {
     case Source::Fixed:
--- a/src/app/list_source.hpp
+++ b/src/app/list_source.hpp
@@ -8,15 +8,15 @@
 
 namespace sablespur {
 
-class ListSource : public Lists {
+class ListSource : public DiscoverySource {
  public:
   virtual void move(const Config&) = 0;  // new settings of discovery, while it runs
   // Instances that are left out, by name, and why.
   virtual std::map<std::string, std::string> faults() const { return {}; }
 };
 
-MembershipPolicy sourcePolicy(const Config&);
+EndpointTablePolicy sourcePolicy(const Config&);
 // Throws BadInput where this build lacks the source.
-std::unique_ptr<ListSource> openSource(event_base*, const Clock&, MemberFeed&, const Config&);
+std::unique_ptr<ListSource> openSource(event_base*, const Clock&, EndpointUpdater&, const Config&);
 
 }  // namespace sablespur
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -36,15 +36,15 @@
 }
 
 // Takes the first list that comes.
-struct Taker final : ListTaker {
+struct Taker final : EndpointListConsumer {
   event_base* base = nullptr;
   bool told = false;
   std::string why = "no word within the wait";
-  void listed(InstanceList) override {
+  void endpointsListed(EndpointList) override {
     told = true;
     event_base_loopbreak(base);
   }
-  void listFailed(const std::string& reason) override {
+  void discoveryFailed(const std::string& reason) override {
     why = reason;
     event_base_loopbreak(base);
   }
@@ -58,8 +58,8 @@
                                        "WEIGHT", "STATE",   "STARTED", "LEFT OUT"};
   std::vector<std::vector<std::string>> rows{heads};
   std::size_t used = 0;
-  for (const Membership::Row& r : view.members.rows) {
-    const Instance& i = r.instance;
+  for (const EndpointTable::Row& r : view.members.rows) {
+    const DiscoveredEndpoint& i = r.instance;
     used += r.leftOut.empty();
     rows.push_back({i.name, i.address.text(), groupName(config, i.group), i.zone, i.kind,
                     fmt::format("{:g}", i.weight), stateName(i.state), started(i.startedMs), r.leftOut});
@@ -72,8 +72,8 @@
 std::string membersJson(const Config& config, const MembersView& view) {
   using Json = nlohmann::ordered_json;
   Json all = Json::array(), out = Json::array();
-  for (const Membership::Row& r : view.members.rows) {
-    const Instance& i = r.instance;
+  for (const EndpointTable::Row& r : view.members.rows) {
+    const DiscoveredEndpoint& i = r.instance;
     Json one{{"name", i.name},
              {"address", i.address.text()},
              {"group", i.group},
@@ -103,7 +103,7 @@
   const Clock clock;
   Taker taker;
   taker.base = base.get();
-  MemberFeed feed(base.get(), clock, taker, sourcePolicy(config));
+  EndpointUpdater feed(base.get(), clock, taker, sourcePolicy(config));
   const std::unique_ptr<ListSource> source = openSource(base.get(), clock, feed, config);
   if (config.source == Source::Fixed) {
     feed.found(config.known.instances, true);
@@ -115,7 +115,7 @@
     event_base_dispatch(base.get());
   }
   if (!taker.told) {  // what the settings know, and that it is not discovery's word
-    Membership known;
+    EndpointTable known;
     known.found(clock.now(), config.known.instances);
     known.take(clock.now());
     MembersView view{known.view(clock.now()), {}, clock.now()};
--- a/src/app/members.hpp
+++ b/src/app/members.hpp
@@ -20,7 +20,7 @@
 
 // The same as text.
 struct MembersView {
-  Membership::View members;
+  EndpointTable::View members;
   std::map<std::string, std::string> faults;  // instances that are no members, and why
   Time now{};
 };
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -25,40 +25,42 @@
 namespace sablespur {
 namespace {
 
-std::unique_ptr<Keeper> openStore(event_base* base, Engine& engine, Entrance& next, const Config& c) {
+std::unique_ptr<IdempotencyHandler> openStore(event_base* base, Engine& engine, RequestHandler& next,
+                                              const Config& c) {
 #ifdef SABLESPUR_STORE
   // Guards against a limit on the size of files that ends the process: it is one more failing disk.
   std::signal(SIGXFSZ, SIG_IGN);
-  return openKeeper(base, engine, next, c, postgres::reader());
+  return createIdempotencyHandler(base, engine, next, c, postgres::reader());
 #else
   (void)base, (void)engine, (void)next,
       (void)c;  // the settings' reader turns a store down where there is none
   return nullptr;
 #endif
 }
-std::unique_ptr<Recoverer> openRecovery(event_base* base, Engine& engine, Workers& workers,
-                                        Upstream& upstream, Config& c, PeerLink* link) {
+std::unique_ptr<RecoveryCoordinator> openRecovery(event_base* base, Engine& engine, WorkerPool& workers,
+                                                  BackendPool& upstream, Config& c, PeerLink* link) {
 #ifdef SABLESPUR_STORE
-  PeerPort port;
+  PeerTransport port;
   if (link) {
     port.peers = link->others();
     port.send = [link](std::size_t to, const std::string& datagram) { link->send(to, datagram); };
   }
-  auto recoverer = openRecoverer(base, engine, workers, c, port, link);
+  auto recoverer = createRecoveryCoordinator(base, engine, workers, c, port, link);
   if (!recoverer) return nullptr;
   if (link)
     link->onHead([to = recoverer.get()](std::size_t from, std::string_view d) { to->heard(from, d); });
   upstream.dialTurns(
-      [&engine, of = recoverer.get()](MemberId id) { return of->dialTurn(engine.nameOf(id)); });
+      [&engine, of = recoverer.get()](EndpointId id) { return of->dialTurn(engine.endpointName(id)); });
   return recoverer;
 #else
   (void)base, (void)engine, (void)workers, (void)upstream, (void)c, (void)link;
   return nullptr;
 #endif
 }
-std::unique_ptr<Gate> openAdmission(event_base* base, Engine& engine, Entrance& next, const Config& c) {
+std::unique_ptr<AdmissionController> openAdmission(event_base* base, Engine& engine, RequestHandler& next,
+                                                   const Config& c) {
 #ifdef SABLESPUR_ADMISSION
-  return openGate(base, engine, next, c);
+  return createAdmissionController(base, engine, next, c);
 #else
   (void)base, (void)engine, (void)next,
       (void)c;  // the settings' reader turns a door down where there is none
@@ -90,28 +92,28 @@
   Config config = bounded(given);  // all parts read it; only a reload, between two turns, changes it
   const EventBase base(event_base_new());
   Engine engine(base.get(), config);
-  Workers workers(base.get(), kWorkers);
-  Account account(config);
-  Spare spare;
-  Upstream upstream(base.get(), engine, workers, account, config);
+  WorkerPool workers(base.get(), kWorkers);
+  ResourceBudget account(config);
+  ReservedDescriptor spare;
+  BackendPool upstream(base.get(), engine, workers, account, config);
   std::unique_ptr<PeerLink> peers;
   if (!config.peerListen.none()) peers = std::make_unique<PeerLink>(base.get(), engine, config);
   // Null where nothing is kept; what it stands between then meets without it.
-  const std::unique_ptr<Recoverer> recoverer =
+  const std::unique_ptr<RecoveryCoordinator> recoverer =
       openRecovery(base.get(), engine, workers, upstream, config, peers.get());
-  engine.confidant(recoverer ? static_cast<Confidant*>(recoverer.get()) : peers.get());
-  ListTaker& taker = recoverer ? static_cast<ListTaker&>(*recoverer) : engine;
-  Entrance& engineDoor = recoverer ? static_cast<Entrance&>(*recoverer) : engine;
-  MemberFeed feed(base.get(), engine.clock(), taker, sourcePolicy(config));
+  engine.setReplicationObserver(recoverer ? static_cast<ReplicationObserver*>(recoverer.get()) : peers.get());
+  EndpointListConsumer& taker = recoverer ? static_cast<EndpointListConsumer&>(*recoverer) : engine;
+  RequestHandler& engineDoor = recoverer ? static_cast<RequestHandler&>(*recoverer) : engine;
+  EndpointUpdater feed(base.get(), engine.clock(), taker, sourcePolicy(config));
   const std::unique_ptr<ListSource> source = openSource(base.get(), engine.clock(), feed, config);
-  const std::unique_ptr<Keeper> keeper = openStore(base.get(), engine, engineDoor, config);
-  Entrance& entrance = keeper ? static_cast<Entrance&>(*keeper) : engineDoor;
-  const std::unique_ptr<Gate> gate = openAdmission(base.get(), engine, entrance, config);
+  const std::unique_ptr<IdempotencyHandler> keeper = openStore(base.get(), engine, engineDoor, config);
+  RequestHandler& entrance = keeper ? static_cast<RequestHandler&>(*keeper) : engineDoor;
+  const std::unique_ptr<AdmissionController> gate = openAdmission(base.get(), engine, entrance, config);
   Clients clients(base.get(), engine, entrance, workers, account, spare, gate.get(), config);
   upstream.onShortage([&clients] { clients.shortage(); });
   const std::unique_ptr<StatusServer> status =
       openStatus(base.get(), config, engine, account, gate.get(), keeper.get(), recoverer.get());
-  const std::unique_ptr<Staff> staff = openStaff(base.get(), config, engine, clients);
+  const std::unique_ptr<AdminHandler> staff = createAdminHandler(base.get(), config, engine, clients);
   bool running = true;
 
   struct Stop {
@@ -134,8 +136,8 @@
   struct Reload {
     ListSource& source;
     Clients& clients;
-    Gate* gate;
-    Spare& spare;
+    AdmissionController* gate;
+    ReservedDescriptor& spare;
     const std::function<Config()>& reread;
     Engine& engine;
     Config& config;
@@ -152,14 +154,14 @@
       // The door and the store have taken the classes of the start into their own books.
       if (!r.config.admission && !r.config.store) {
         adopt(r.config, c);
-        r.engine.settle(r.config.settings);
+        r.engine.updateSettings(r.config.settings);
       }
       r.source.move(c);
       r.clients.users(c.users);
       if (r.gate) r.gate->reload(c);
-      logEvent(LogLevel::Info, "settings_read_again");
+      logEvent(LogLevel::Info, "config_reloaded");
     } catch (const std::exception& e) {
-      logEvent(LogLevel::Error, "settings_unchanged", {{"why", e.what()}});
+      logEvent(LogLevel::Error, "config_rejected", {{"why", e.what()}});
     }
   };
   const Event hangup(evsignal_new(base.get(), SIGHUP, onReload, &reload));
@@ -168,8 +170,8 @@
   engine.start(upstream, *source);
   logEvent(LogLevel::Info, "listening", {{"name", config.name}, {"port", clients.port()}});
   while (running) {
-    event_base_loop(base.get(), EVLOOP_ONCE | (engine.pending() ? EVLOOP_NONBLOCK : 0));
-    engine.turn();
+    event_base_loop(base.get(), EVLOOP_ONCE | (engine.hasPendingEvents() ? EVLOOP_NONBLOCK : 0));
+    engine.runTurn();
   }
   return 0;
 }
--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -38,8 +38,8 @@
 
 class Server final : public StatusServer {
  public:
-  Server(event_base* base, const Config& c, const Engine& e, const Account& a, const Gate* g, const Keeper* k,
-         const Recoverer* r)
+  Server(event_base* base, const Config& c, const Engine& e, const ResourceBudget& a,
+         const AdmissionController* g, const IdempotencyHandler* k, const RecoveryCoordinator* r)
       : base_(base),
         config_(c),
         engine_(e),
@@ -96,7 +96,7 @@
     const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
       // Guards against spinning where there is no descriptor: the socket stays readable.
-      if (shortageOf(errno) != Shortage::None) {
+      if (resourceExhaustionOf(errno) != ResourceExhaustion::None) {
         event_del(readable_.get());
         startTimer(again_.get(), kPause);
       }
@@ -121,10 +121,10 @@
   event_base* const base_;
   const Config& config_;
   const Engine& engine_;
-  const Account& account_;
-  const Gate* const gate_;
-  const Keeper* const keeper_;
-  const Recoverer* const recoverer_;
+  const ResourceBudget& account_;
+  const AdmissionController* const gate_;
+  const IdempotencyHandler* const keeper_;
+  const RecoveryCoordinator* const recoverer_;
   const Time started_;
   int fd_ = -1;
   Event readable_, again_;
@@ -151,7 +151,9 @@
   return text;
 }
 
-Json part(const Account::Part& p) { return {{"held", p.held}, {"most", p.most}, {"peak", p.peak}}; }
+Json part(const ResourceBudget::DescriptorShare& p) {
+  return {{"held", p.held}, {"most", p.most}, {"peak", p.peak}};
+}
 std::string reasons(const Json& counts) {
   std::string text;
   for (const auto& [why, n] : counts.items())
@@ -163,19 +165,19 @@
 
 }  // namespace
 
-std::string statusJson(const Config& c, const Account& a, const Gate* gate, const Keeper* keeper,
-                       const Recoverer* recoverer, Time up) {
+std::string statusJson(const Config& c, const ResourceBudget& a, const AdmissionController* gate,
+                       const IdempotencyHandler* keeper, const RecoveryCoordinator* recoverer, Time up) {
   Json page{{"name", c.name},
             {"up_s", up.count() / 1000000},
             {"descriptors",
-             {{"clients", part(a.part(Holder::Clients))},
-              {"servers", part(a.part(Holder::Servers))},
-              {"short_of_descriptors", a.shortages(Shortage::Descriptors)},
-              {"short_of_memory", a.shortages(Shortage::Memory)}}},
+             {{"clients", part(a.share(DescriptorHolder::Clients))},
+              {"servers", part(a.share(DescriptorHolder::Servers))},
+              {"short_of_descriptors", a.exhaustionCount(ResourceExhaustion::Descriptors)},
+              {"short_of_memory", a.exhaustionCount(ResourceExhaustion::Memory)}}},
             {"statement_bytes", {{"held", a.bytes()}, {"most", a.bytesMost()}, {"peak", a.bytesPeak()}}}};
   page["store"] = nullptr;
   if (keeper) {
-    const KeeperView k = keeper->view();
+    const IdempotencyView k = keeper->view();
     page["store"] = {{"directory", k.directory},
                      {"state", k.state},
                      {"why", k.why},
@@ -218,9 +220,9 @@
     page["door"] = nullptr;
     return page.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
   }
-  const GateView v = gate->view();
+  const AdmissionView v = gate->view();
   Json groups = Json::array();
-  for (const GateView::Group& g : v.groups)
+  for (const AdmissionView::Group& g : v.groups)
     groups.push_back({{"name", g.name},
                       {"held", g.held},
                       {"idle", g.idle},
@@ -245,7 +247,7 @@
                   {"groups", std::move(groups)}};
   if (!v.limits) return page.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
   Json lanes = Json::array();
-  for (const GateView::Lane& l : v.lanes)
+  for (const AdmissionView::Lane& l : v.lanes)
     lanes.push_back({{"group", l.group < 0 ? Json("rest") : Json(l.group)},
                      {"primary", l.primary},
                      {"limit", l.limit},
@@ -328,8 +330,9 @@
   }
 }
 
-std::unique_ptr<StatusServer> openStatus(event_base* base, const Config& c, const Engine& e, const Account& a,
-                                         const Gate* g, const Keeper* k, const Recoverer* r) {
+std::unique_ptr<StatusServer> openStatus(event_base* base, const Config& c, const Engine& e,
+                                         const ResourceBudget& a, const AdmissionController* g,
+                                         const IdempotencyHandler* k, const RecoveryCoordinator* r) {
   if (c.statusSocket.empty()) return nullptr;
   return std::make_unique<Server>(base, c, e, a, g, k, r);
 }
--- a/src/app/status.hpp
+++ b/src/app/status.hpp
@@ -19,11 +19,13 @@
   virtual ~StatusServer() = default;  // takes its socket's path away
 };
 // Null where there is no such key. Throws std::runtime_error where it cannot listen.
-std::unique_ptr<StatusServer> openStatus(event_base*, const Config&, const Engine&, const Account&,
-                                         const Gate*, const Keeper*, const Recoverer*);
+std::unique_ptr<StatusServer> openStatus(event_base*, const Config&, const Engine&, const ResourceBudget&,
+                                         const AdmissionController*, const IdempotencyHandler*,
+                                         const RecoveryCoordinator*);
 
 // The document, and what a person reads of it.
-std::string statusJson(const Config&, const Account&, const Gate*, const Keeper*, const Recoverer*, Time up);
+std::string statusJson(const Config&, const ResourceBudget&, const AdmissionController*,
+                       const IdempotencyHandler*, const RecoveryCoordinator*, Time up);
 std::string statusTable(const std::string& json);  // throws std::runtime_error where it is no status
 
 struct StatusOptions {
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -70,28 +70,28 @@
 }  // namespace
 
 // One attempt or one probe.
-struct Upstream::Job {
+struct BackendPool::Job {
   RequestId id = 0;  // 0: a probe
   int attempt = 0;
-  MemberId member = 0;
+  EndpointId member = 0;
   Time until{};
   std::shared_ptr<const Message> message;
-  Connection* on = nullptr;       // null: it waits for a connection
-  bool written = false;           // a byte of it may have gone out
-  std::optional<Result> givenUp;  // a CancelRequest is out for it; how it ends unless it is answered
-  int broken = 0;                 // probes: connections that ended under it
-  Upstream* owner = nullptr;
+  Connection* on = nullptr;              // null: it waits for a connection
+  bool written = false;                  // a byte of it may have gone out
+  std::optional<AttemptResult> givenUp;  // a CancelRequest is out for it; how it ends unless it is answered
+  int broken = 0;                        // probes: connections that ended under it
+  BackendPool* owner = nullptr;
   Event timer;
   bool probe() const { return id == 0; }
 };
 
 // A connection belongs to its Upstream, which frees it; a job on it is only pointed at.
-class Upstream::Connection {
+class BackendPool::Connection {
  public:
   // `fd`: a socket with a connect under way; -1: the endpoint has turned it away already.
-  Connection(Upstream& owner, MemberId to, const Address& address, int minor, evutil_socket_t fd)
+  Connection(BackendPool& owner, EndpointId to, const Address& address, int minor, evutil_socket_t fd)
       : owner_(owner),
-        descriptor_(owner.account_, Holder::Servers),
+        descriptor_(owner.account_, DescriptorHolder::Servers),
         address_(address),
         member(to),
         minor_(minor),
@@ -152,7 +152,7 @@
     j.on = this;
     event_del(timer.get());
     answer_ = newBuffer();
-    result_ = Result::Reset;
+    result_ = AttemptResult::Reset;
     stage_ = Stage::Start;
     badStatement_ = cancelled_ = flushing_ = false;
     role_ = Role::Unknown;
@@ -166,11 +166,11 @@
   // A CancelRequest for what runs here. False: the server has told no key.
   bool callOff() {
     if (!key_ || call_) return false;
-    callDescriptor_ = Account::Place(owner_.account_, Holder::Servers);
-    call_ = std::make_unique<CancelCall>(owner_.base_, address_, postgres::cancel(*key_), owner_.config_.giveUpWait,
-                                         [this](bool taken) {
+    callDescriptor_ = ResourceBudget::DescriptorPermit(owner_.account_, DescriptorHolder::Servers);
+    call_ = std::make_unique<CancelCall>(owner_.base_, address_, postgres::cancel(*key_),
+                                         owner_.config_.giveUpWait, [this](bool taken) {
                                            const auto ended = std::move(call_);
-                                           callDescriptor_ = Account::Place();
+                                           callDescriptor_ = ResourceBudget::DescriptorPermit();
                                            owner_.giveUpEnded(*this, taken);
                                          });
     return true;
@@ -200,7 +200,7 @@
   }
   void
   late() {  // dialing, idle for long enough, amid a query that the server does not take, or amid an answer
-    if (job && flushing_) return owner_.lost(*this, Result::Reset);
+    if (job && flushing_) return owner_.lost(*this, AttemptResult::Reset);
     if (job) return owner_.spoilt(*this, "an answer that does not end");
     owner_.lost(*this, failure_);
   }
@@ -327,11 +327,11 @@
         // Syntax, data, protocol: the statement is at fault.
         cancelled_ = e.code == "57014";
         badStatement_ = e.code.substr(0, 2) == "42" || e.code.substr(0, 2) == "22" || e.code == "08P01";
-        result_ = e.code == "53300"                        ? Result::Full
-                  : dialing                                ? Result::ConnectFailed
-                  : e.code == "25006" || e.code == "72000" ? Result::Miss
-                                                           : Result::Error;
-        if (result_ == Result::Error && e.code != "XX000" && !(job && job->givenUp))
+        result_ = e.code == "53300"                        ? AttemptResult::Rejected
+                  : dialing                                ? AttemptResult::ConnectFailed
+                  : e.code == "25006" || e.code == "72000" ? AttemptResult::TooStale
+                                                           : AttemptResult::Error;
+        if (result_ == AttemptResult::Error && e.code != "XX000" && !(job && job->givenUp))
           logEvent(LogLevel::Warning, "server_error", {{"code", e.code}, {"text", e.text}});
         failure_ = result_;
         // A server from before versions were negotiated: it is spoken to in 3.0 from now on.
@@ -388,7 +388,7 @@
       case 'Z':
         if (body.size() != 1 || std::string_view("ITE").find(body[0]) == std::string_view::npos)
           return malformed("a malformed end");
-        failure_ = Result::Reset;
+        failure_ = AttemptResult::Reset;
         if (!dialing) conclude();
         return true;
       default:
@@ -400,7 +400,7 @@
   bool authenticate(std::uint32_t code, std::string_view data) {
     const auto out = [&](const std::string& why) {
       logEvent(LogLevel::Warning, "server_login_failed", {{"why", why}});
-      owner_.lost(*this, Result::ConnectFailed);
+      owner_.lost(*this, AttemptResult::ConnectFailed);
       return false;
     };
     if (code == postgres::kAuthOk) {
@@ -433,24 +433,24 @@
     j.on = nullptr;
     event_del(timer.get());
     if (j.probe()) return owner_.finishProbe(j, report_.has_value(), report_.value_or(""));
-    Ending e;
-    e.result = stage_ == Stage::Failed ? result_ : Result::Ok;
+    AttemptEnd e;
+    e.result = stage_ == Stage::Failed ? result_ : AttemptResult::Ok;
     if (j.givenUp && cancelled_) e.result = *j.givenUp;  // the answer that crossed the cancel counts as it is
-    e.badStatement = badStatement_;
+    e.invalidStatement = badStatement_;
     e.role = role_;
     e.positionMs = positionMs_;
-    if (e.result == Result::Ok || evbuffer_get_length(answer_.get()) > 0)
-      e.answer = {std::move(answer_), &postgres::reader(), e.result != Result::Ok};
+    if (e.result == AttemptResult::Ok || evbuffer_get_length(answer_.get()) > 0)
+      e.answer = {std::move(answer_), &postgres::reader(), e.result != AttemptResult::Ok};
     owner_.finish(j, std::move(e));
   }
 
-  Upstream& owner_;
-  const Account::Place descriptor_;
+  BackendPool& owner_;
+  const ResourceBudget::DescriptorPermit descriptor_;
   const Address address_;
   BufferEvent bev_;
   bool connected_ = false;
-  Result failure_ = Result::ConnectFailed;  // what its end means now
-  Result result_ = Result::Reset;           // of the job, once told by an ErrorResponse
+  AttemptResult failure_ = AttemptResult::ConnectFailed;  // what its end means now
+  AttemptResult result_ = AttemptResult::Reset;           // of the job, once told by an ErrorResponse
   Buffer answer_;
   enum class Stage { Start, Described, Row, Complete, Failed } stage_ = Stage::Start;  // of the answer
   bool badStatement_ = false, cancelled_ = false;
@@ -462,13 +462,13 @@
   bool backslashes_ = false;  // by its own word
 
  public:
-  const MemberId member;
+  const EndpointId member;
 
  private:
   int minor_;                           // of version 3, as asked for, then as agreed
   std::unique_ptr<ServerLogin> login_;  // until it lets us in
   std::optional<postgres::Key> key_;
-  Account::Place callDescriptor_;
+  ResourceBudget::DescriptorPermit callDescriptor_;
   std::unique_ptr<CancelCall> call_;
 
  public:
@@ -477,7 +477,8 @@
   Event timer;  // of the dial, then of idleness
 };
 
-Upstream::Upstream(event_base* base, Engine& engine, Workers& workers, Account& account, const Config& config)
+BackendPool::BackendPool(event_base* base, Engine& engine, WorkerPool& workers, ResourceBudget& account,
+                         const Config& config)
     : base_(base),
       engine_(engine),
       workers_(workers),
@@ -485,15 +486,15 @@
       account_(account),
       upkeep_(event_new(
           base, -1, EV_PERSIST,
-          [](evutil_socket_t, short, void* self) { static_cast<Upstream*>(self)->keepWarm(); }, this)),
+          [](evutil_socket_t, short, void* self) { static_cast<BackendPool*>(self)->keepWarm(); }, this)),
       again_(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void* self) { static_cast<Upstream*>(self)->dialWaiting(); }, this)) {
+          [](evutil_socket_t, short, void* self) { static_cast<BackendPool*>(self)->dialWaiting(); }, this)) {
   startTimer(upkeep_.get(), kUpkeep);
 }
-Upstream::~Upstream() = default;
+BackendPool::~BackendPool() = default;
 
-void Upstream::listed(MemberId id, const Address& address, bool ready, Time warmAt) {
+void BackendPool::endpointListed(EndpointId id, const Address& address, bool ready, Time warmAt) {
   Endpoint& e = endpoints_[id];
   // Another process since: connections to the one before may stand there silent, if its machine vanished.
   const bool restarted = warmAt > e.warmAt;
@@ -515,27 +516,28 @@
 }
 
 // Another number for each member and each start of a proxy (splitmix64).
-std::uint64_t Upstream::pickAt(MemberId id) const {
+std::uint64_t BackendPool::pickAt(EndpointId id) const {
   std::uint64_t x = config_.seed + 0x9e3779b97f4a7c15ull * (id + 1);
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ x >> 27) * 0x94d049bb133111ebull;
   return x ^ x >> 31;
 }
 
-Time Upstream::turnOf(MemberId id) const {
+Time BackendPool::turnOf(EndpointId id) const {
   if (dialTurn_) return dialTurn_(id);
-  if (config_.settings.balancers <= kFewProxies) return Time(0);
-  return config_.settings.balancers * kStagger * (pickAt(id) % 1000) / 1000;
+  if (config_.settings.proxyCount <= kFewProxies) return Time(0);
+  return config_.settings.proxyCount * kStagger * (pickAt(id) % 1000) / 1000;
 }
 
-void Upstream::keepWarm() {
+void BackendPool::keepWarm() {
   const Time now = engine_.now();
-  const bool large = config_.settings.balancers > kFewProxies;
+  const bool large = config_.settings.proxyCount > kFewProxies;
   for (auto& [id, e] : endpoints_) {
     if (!e.ready || now < e.dialAgain) continue;
     const std::size_t ahead = !large ? kWarm : now < e.warmAt && !dialTurn_ ? 0 : 1;
     while (e.idle.size() + static_cast<std::size_t>(e.dialing) < ahead + e.waiting.size() &&
-           account_.part(Holder::Servers).held < account_.part(Holder::Servers).most / 2)
+           account_.share(DescriptorHolder::Servers).held <
+               account_.share(DescriptorHolder::Servers).most / 2)
       if (!dial(id, e)) {
         if (short_) return;
         e.dialAgain = now + kDialAgain;
@@ -546,7 +548,7 @@
 
 // Once for all connections that get the same challenge, and to its end even if those that asked are gone: a
 // server may ask for more than there is time for at one dial.
-bool Upstream::salt(const std::string& challenge, std::function<std::string()> work) {
+bool BackendPool::salt(const std::string& challenge, std::function<std::string()> work) {
   if (salting_.count(challenge) > 0) return true;
   auto ticket = workers_.run(std::move(work), [this, challenge](const std::string& result) {
     salting_.erase(challenge);
@@ -559,8 +561,8 @@
   return true;
 }
 
-bool Upstream::makeRoom() {
-  if (account_.room(Holder::Servers)) return true;
+bool BackendPool::makeRoom() {
+  if (account_.hasRoom(DescriptorHolder::Servers)) return true;
   for (auto& [id, e] : endpoints_)
     if (!e.idle.empty()) {
       drop(*e.idle.front());
@@ -569,32 +571,35 @@
   return false;
 }
 
-bool Upstream::dial(MemberId id, Endpoint& e) {
+bool BackendPool::dial(EndpointId id, Endpoint& e) {
   const StartedConnect started = startConnect(e.address);
   if (started.fault != SocketFault::None && started.fault != SocketFault::Peer) {
     shortOf(e, started.error);
     return false;
   }
-  if (short_) logEvent(LogLevel::Info, "dial_well_again");
+  if (short_) logEvent(LogLevel::Info, "connect_recovered");
   short_ = false;
   auto c =
       std::make_unique<Connection>(*this, id, e.address, std::min(e.minor, config_.serverMinor), started.fd);
   ++e.dialing;
-  if (tracing()) logEvent(LogLevel::Trace, "dial", {{"to", e.address.text()}, {"waiting", e.waiting.size()}});
+  if (tracing())
+    logEvent(LogLevel::Trace, "connect_started", {{"to", e.address.text()}, {"waiting", e.waiting.size()}});
   connections_.emplace(c.get(), std::move(c));
   return true;
 }
 
 // Guards against holding the proxy's own want against the data server: nothing is reported, what waits goes
 // on waiting, and room is made. An idle connection to another server serves nobody now.
-void Upstream::shortOf(Endpoint& e, int error) {
-  const Shortage what = shortageOf(error);
-  account_.ranShort(what);
+void BackendPool::shortOf(Endpoint& e, int error) {
+  const ResourceExhaustion what = resourceExhaustionOf(error);
+  account_.recordExhaustion(what);
   if (!short_ && !e.starved)
-    logEvent(LogLevel::Warning, "dial_failed", {{"why", std::strerror(error)}, {"of", shortageName(what)}});
+    logEvent(LogLevel::Warning, "connect_failed",
+             {{"why", std::strerror(error)}, {"of", resourceExhaustionName(what)}});
   e.starved = true;
-  short_ = what == Shortage::Descriptors || what == Shortage::Memory;  // ports and routes are a destination's
-  if (what == Shortage::Descriptors) {
+  short_ = what == ResourceExhaustion::Descriptors ||
+           what == ResourceExhaustion::Memory;  // ports and routes are a destination's
+  if (what == ResourceExhaustion::Descriptors) {
     const auto idlest = std::max_element(
         endpoints_.begin(), endpoints_.end(),
         [](const auto& a, const auto& b) { return a.second.idle.size() < b.second.idle.size(); });
@@ -606,7 +611,7 @@
   if (!event_pending(again_.get(), EV_TIMEOUT, nullptr)) startTimer(again_.get(), kShortPause);
 }
 
-void Upstream::dialWaiting() {
+void BackendPool::dialWaiting() {
   for (auto& [id, e] : endpoints_)
     while (static_cast<std::size_t>(e.dialing) < e.waiting.size())
       if (!dial(id, e)) {
@@ -616,8 +621,8 @@
 }
 
 // ---- jobs ------------------------------------------------------------------------------------------------
-void Upstream::send(RequestId id, int attempt, MemberId member, Time until,
-                    std::shared_ptr<const Message> message) {
+void BackendPool::send(RequestId id, int attempt, EndpointId member, Time until,
+                       std::shared_ptr<const Message> message) {
   auto j = std::make_unique<Job>();
   j->id = id;
   j->attempt = attempt;
@@ -627,7 +632,7 @@
   run(*attempts_.emplace(AttemptKey(id, attempt), std::move(j)).first->second);
 }
 
-void Upstream::probe(MemberId member) {
+void BackendPool::startHealthCheck(EndpointId member) {
   Endpoint& e = endpoints_[member];
   e.probe = std::make_unique<Job>();
   e.probe->member = member;
@@ -635,7 +640,7 @@
   run(*e.probe);
 }
 
-void Upstream::forget(MemberId id) {
+void BackendPool::removeEndpoint(EndpointId id) {
   std::vector<Connection*> all;
   for (const auto& [c, owned] : connections_)
     if (c->member == id) all.push_back(c);
@@ -643,7 +648,7 @@
   endpoints_.erase(id);
 }
 
-void Upstream::run(Job& j) {
+void BackendPool::run(Job& j) {
   j.owner = this;
   j.timer.reset(event_new(
       base_, -1, 0,
@@ -664,16 +669,17 @@
     return write(j);
   }
   if (!makeRoom()) {  // by the limits on clients there is room for all that they can ask at once
-    logEvent(LogLevel::Warning, "server_connections_full", {{"most", account_.part(Holder::Servers).most}});
-    Ending none;
-    none.result = Result::Moot;
+    logEvent(LogLevel::Warning, "server_connections_full",
+             {{"most", account_.share(DescriptorHolder::Servers).most}});
+    AttemptEnd none;
+    none.result = AttemptResult::NotSent;
     return j.probe() ? finishProbe(j, false) : finish(j, std::move(none));
   }
   e.waiting.push_back(&j);
   if (static_cast<std::size_t>(e.dialing) < e.waiting.size()) dial(j.member, e);
 }
 
-bool Upstream::stands(Connection& c) {
+bool BackendPool::stands(Connection& c) {
   Endpoint& e = endpoints_[c.member];
   if (c.dialing) e.dialing -= 1;
   c.dialing = false;
@@ -690,7 +696,7 @@
     if (j.probe())
       write(j);
     else
-      engine_.connected(j.id, j.attempt);
+      engine_.connectionReady(j.id, j.attempt);
     return true;
   }
   if (!e.ready || c.address() != e.address) {
@@ -703,7 +709,7 @@
   return true;
 }
 
-void Upstream::start(RequestId id, int attempt, bool fit) {
+void BackendPool::continueAttempt(RequestId id, int attempt, bool fit) {
   const auto it = attempts_.find({id, attempt});
   if (it == attempts_.end() || !it->second->on || it->second->written) return;
   Job& j = *it->second;
@@ -712,7 +718,7 @@
 
 // The clock is read last, and the bytes go to the kernel within the same call: the time that they tell is
 // right but for how long this process is held up in between.
-void Upstream::write(Job& j) {
+void BackendPool::write(Job& j) {
   if (j.probe()) {
     j.written = true;
     return append(j.on->output(), postgres::query("SHOW load"));
@@ -737,7 +743,7 @@
 }
 
 // For a server that reads string literals otherwise than who wrote them.
-void Upstream::rewrite(Job& j) {
+void BackendPool::rewrite(Job& j) {
   std::string statement;
   const auto copy = [&](evbuffer* part) {
     const std::size_t at = statement.size(), n = evbuffer_get_length(part);
@@ -752,7 +758,8 @@
   if (!statement.empty()) statement += std::to_string(left);
   copy(j.message->after.get());
   statement.pop_back();  // its NUL
-  const std::string there = translation::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
+  const std::string there =
+      translation::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
   if (there.size() + 1 > postgres::kLongestMessage) return tooLong(*j.on);
   const Buffer query = newBuffer();
   append(query.get(), postgres::query(there));
@@ -760,43 +767,43 @@
 }
 
 // Rounded down, so that no server is told of time that the client does not have.
-std::int64_t Upstream::wholeMillisecondsLeft(const Job& j, Time now) {
+std::int64_t BackendPool::wholeMillisecondsLeft(const Job& j, Time now) {
   return std::chrono::floor<std::chrono::milliseconds>(j.until - now).count();
 }
 
 // The attempt never goes out; its connection is free for others.
-void Upstream::withdraw(Job& j) {
+void BackendPool::withdraw(Job& j) {
   Connection& c = *j.on;
   c.job = nullptr;
   j.on = nullptr;
-  Ending none;
-  none.result = Result::Moot;
+  AttemptEnd none;
+  none.result = AttemptResult::NotSent;
   finish(j, std::move(none));
   stands(c);
 }
 
 // By no fault of the server: the statement, or what it asks for, has no room here.
-void Upstream::tooLong(Connection& c) {
+void BackendPool::tooLong(Connection& c) {
   Job& j = *c.job;
   c.job = nullptr;
   j.on = nullptr;
   drop(c);
-  Ending e;
-  e.result = Result::Error;
-  e.badStatement = true;
+  AttemptEnd e;
+  e.result = AttemptResult::Error;
+  e.invalidStatement = true;
   e.answer = {newBuffer(), &postgres::reader(), true};
   append(e.answer.messages.get(),
          postgres::error("ERROR", "54000", "a statement or an answer that is too long to be passed on"));
   finish(j, std::move(e));
 }
 
-void Upstream::cancel(RequestId id, int attempt) {
+void BackendPool::cancel(RequestId id, int attempt) {
   const auto it = attempts_.find({id, attempt});
   if (it == attempts_.end()) return;  // its end is on the way already
   Job& j = *it->second;
-  if (j.givenUp || giveUp(j, Result::Cancelled)) return;
-  Ending e;
-  e.result = j.written ? Result::Cancelled : Result::Moot;
+  if (j.givenUp || giveUp(j, AttemptResult::Cancelled)) return;
+  AttemptEnd e;
+  e.result = j.written ? AttemptResult::Cancelled : AttemptResult::NotSent;
   if (Connection* const c = j.on) {
     j.on = nullptr;
     c->job = nullptr;
@@ -809,7 +816,7 @@
 }
 
 // The attempt is over once the server has answered, or not in time: no second one goes out before.
-bool Upstream::giveUp(Job& j, Result how) {
+bool BackendPool::giveUp(Job& j, AttemptResult how) {
   if (!config_.cancelServers || j.probe() || !j.written || !j.on || !j.on->flushed() || !makeRoom() ||
       !j.on->callOff())
     return false;
@@ -818,7 +825,7 @@
   return true;
 }
 
-void Upstream::giveUpEnded(Connection& c, bool taken) {
+void BackendPool::giveUpEnded(Connection& c, bool taken) {
   if (c.job) {
     if (!taken) timedOut(*c.job);  // it cannot be told, so its connection ends
     return;
@@ -827,12 +834,12 @@
   stands(c);
 }
 
-void Upstream::timedOut(Job& j) {
-  if (!j.givenUp && giveUp(j, Result::Timeout)) return;
-  Ending e;
+void BackendPool::timedOut(Job& j) {
+  if (!j.givenUp && giveUp(j, AttemptResult::Timeout)) return;
+  AttemptEnd e;
   e.result = j.givenUp   ? *j.givenUp
-             : j.written ? Result::Timeout
-                         : Result::Moot;  // what never left did not run
+             : j.written ? AttemptResult::Timeout
+                         : AttemptResult::NotSent;  // what never left did not run
   if (Connection* const c = j.on) {
     j.on = nullptr;
     c->job = nullptr;
@@ -850,33 +857,33 @@
   finishProbe(j, false);
 }
 
-void Upstream::finish(Job& j, Ending e) {
+void BackendPool::finish(Job& j, AttemptEnd e) {
   auto& waiting = endpoints_[j.member].waiting;
   waiting.erase(std::remove(waiting.begin(), waiting.end(), &j), waiting.end());
-  engine_.ended(j.id, j.attempt, j.member, std::move(e));
+  engine_.attemptEnded(j.id, j.attempt, j.member, std::move(e));
   attempts_.erase({j.id, j.attempt});
 }
 
-void Upstream::finishProbe(Job& j, bool ok, std::string_view report) {
+void BackendPool::finishProbe(Job& j, bool ok, std::string_view report) {
   Endpoint& e = endpoints_[j.member];
   e.waiting.erase(std::remove(e.waiting.begin(), e.waiting.end(), &j), e.waiting.end());
-  engine_.probed(j.member, ok, ok ? believed(report) : std::vector<double>());
+  engine_.healthCheckEnded(j.member, ok, ok ? believed(report) : std::vector<double>());
   e.probe.reset();
 }
 
 // The figures of a report, or none where one of them cannot be: a spoilt report is no fact. A data server
 // that has nothing to report yet answers all the same, with an empty row: it is no silence.
-std::vector<double> Upstream::believed(std::string_view report) const {
+std::vector<double> BackendPool::believed(std::string_view report) const {
   const double now = static_cast<double>(engine_.now().count()) / 1e6;
   std::vector<double> figures(config_.reportNames.size());
   for (std::size_t k = 0; k < figures.size(); ++k) {
     double& v = figures[k];
     if (!figure(report, config_.reportNames[k], v) || !std::isfinite(v)) return {};
-    switch (config_.settings.figures[k]) {
-      case balancer::Figure::Position:
+    switch (config_.settings.reportFields[k]) {
+      case balancer::ReportField::Position:
         if (v < 0 || v > now + 1) return {};
         break;
-      case balancer::Figure::Primary:
+      case balancer::ReportField::Primary:
         if (v != 0 && v != 1) return {};
         break;
       default:
@@ -887,12 +894,12 @@
 }
 
 // ---- the end of connections ------------------------------------------------------------------------------
-void Upstream::lost(Connection& c, Result how) {
+void BackendPool::lost(Connection& c, AttemptResult how) {
   Endpoint& e = endpoints_[c.member];
   Job* const j = c.job;
   const bool dialing = c.dialing, badStatement = c.badStatement();
   // Written to the last byte it may have run; before that it never has.
-  if (j && how == Result::Reset && (!j->written || !c.flushed())) how = Result::ConnectFailed;
+  if (j && how == AttemptResult::Reset && (!j->written || !c.flushed())) how = AttemptResult::ConnectFailed;
   if (j && j->givenUp) how = *j->givenUp;
   if (j) {
     j->on = nullptr;
@@ -906,9 +913,9 @@
   }
   if (j && j->probe()) return finishProbe(*j, false);
   if (j) {
-    Ending ending;
+    AttemptEnd ending;
     ending.result = how;
-    ending.badStatement = badStatement;
+    ending.invalidStatement = badStatement;
     return finish(*j, std::move(ending));
   }
   if (dialing) dialFailed(e, how);
@@ -916,7 +923,7 @@
 
 // A connection that ended for want of something here. Guards against holding that against the endpoint: what
 // has not gone out whole never ran and waits for another connection; what has may have run.
-void Upstream::ranOut(Connection& c, int error) {
+void BackendPool::ranOut(Connection& c, int error) {
   Endpoint& e = endpoints_[c.member];
   Job* const j = c.job;
   const bool wanted = j || c.dialing, sent = j && j->written && c.flushed();
@@ -932,15 +939,15 @@
     e.waiting.push_back(j);
     return;
   }
-  Ending ending;
-  ending.result = j->givenUp ? *j->givenUp : Result::Cancelled;
+  AttemptEnd ending;
+  ending.result = j->givenUp ? *j->givenUp : AttemptResult::Cancelled;
   finish(*j, std::move(ending));
 }
 
 // What cannot be an answer, or stands where none is due. An attempt that was written may have run; a probe
 // was answered, however badly: its member lives.
-void Upstream::spoilt(Connection& c, const char* what) {
-  logEvent(LogLevel::Warning, "server_spoilt", {{"what", what}});
+void BackendPool::spoilt(Connection& c, const char* what) {
+  logEvent(LogLevel::Warning, "server_protocol_error", {{"what", what}});
   Endpoint& e = endpoints_[c.member];
   Job* const j = c.job;
   const bool dialing = c.dialing, ran = j && j->written && c.flushed();
@@ -950,43 +957,43 @@
   }
   drop(c);
   if (!j) {
-    if (dialing) dialFailed(e, Result::ConnectFailed);
+    if (dialing) dialFailed(e, AttemptResult::ConnectFailed);
     return;
   }
   if (j->probe()) return finishProbe(*j, true);
-  Ending ending;
-  ending.result = j->givenUp ? *j->givenUp : ran ? Result::Error : Result::Moot;
+  AttemptEnd ending;
+  ending.result = j->givenUp ? *j->givenUp : ran ? AttemptResult::Error : AttemptResult::NotSent;
   finish(*j, std::move(ending));
 }
 
-void Upstream::dialOlder(Connection& c) {
-  const MemberId id = c.member;
+void BackendPool::dialOlder(Connection& c) {
+  const EndpointId id = c.member;
   Endpoint& e = endpoints_[id];
   e.minor = 0;
   drop(c);
   dial(id, e);
 }
 
-void Upstream::dialFailed(Endpoint& e, Result how) {
+void BackendPool::dialFailed(Endpoint& e, AttemptResult how) {
   e.starved = false;
   e.dialAgain = engine_.now() + kDialAgain;
   if (tracing())
-    logEvent(LogLevel::Trace, "dial_failed",
+    logEvent(LogLevel::Trace, "connect_failed",
              {{"to", e.address.text()}, {"how", static_cast<int>(how)}, {"waiting", e.waiting.size()}});
   if (e.waiting.size() <= static_cast<std::size_t>(e.dialing)) return;
   Job& j = *e.waiting.front();
   if (j.probe()) return finishProbe(j, false);
-  Ending ending;
+  AttemptEnd ending;
   ending.result = how;
   finish(j, std::move(ending));
 }
 
-void Upstream::dropIdle(Endpoint& e) {
+void BackendPool::dropIdle(Endpoint& e) {
   const std::vector<Connection*> idle = e.idle;
   for (Connection* c : idle) drop(*c);
 }
 
-void Upstream::drop(Connection& c) {
+void BackendPool::drop(Connection& c) {
   Endpoint& e = endpoints_[c.member];
   if (c.dialing) e.dialing -= 1;
   e.idle.erase(std::remove(e.idle.begin(), e.idle.end(), &c), e.idle.end());
--- a/src/backend/postgres/cancel_request.cpp
+++ b/src/backend/postgres/cancel_request.cpp
@@ -4,8 +4,8 @@
 
 namespace sablespur {
 
-CancelCall::CancelCall(event_base* base, const Address& to, const std::string& request,
-                       balancer::Time within, std::function<void(bool)> done)
+CancelCall::CancelCall(event_base* base, const Address& to, const std::string& request, balancer::Time within,
+                       std::function<void(bool)> done)
     : bev_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
       timer_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<CancelCall*>(self)->end(false); },
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -62,8 +62,9 @@
   return Time(static_cast<std::int64_t>(static_cast<double>(t.count()) * by));
 }
 
-bool mayHaveRun(Result r) {
-  return r != Result::Full && r != Result::ConnectFailed && r != Result::Moot && r != Result::Miss;
+bool mayHaveRun(AttemptResult r) {
+  return r != AttemptResult::Rejected && r != AttemptResult::ConnectFailed && r != AttemptResult::NotSent &&
+         r != AttemptResult::TooStale;
 }
 
 }  // namespace
@@ -71,9 +72,9 @@
 // ---- what is known of members ----------------------------------------------------------------------------
 struct Balancer::Core {
   Settings s;
-  Sink& sink;
+  ActionSink& sink;
   Time now{};
-  std::map<MemberId, Member> members;
+  std::map<EndpointId, Member> members;
   std::map<GroupId, Group> groups;
   std::unordered_map<RequestId, Open> open;
   std::unordered_map<std::uint64_t, Time> commits;  // last write of each session, where not carried
@@ -84,15 +85,15 @@
   Time fadedAt{}, ratesAt = never, began = never;
   int outNow = 0;  // attempts that are out
   // Kept so that housekeeping costs what is under way, not what is listed.
-  std::set<MemberId> busyMembers;   // with attempts out
-  std::set<MemberId> goneMembers;   // with a goneAt
-  std::set<GroupId> waitingGroups;  // every group with waiting requests; some may have none left
-  std::uint64_t listsTaken = 1;     // a group was scouted if it was since the last list
-  Decayed asked;                    // requests that came here
-  double taken = 10, wrote = 0;     // the share of them that write, as if ten others had come before
-  double typical = 0;               // mean latency of all classes, microseconds; 0: not seen yet
-  double perWeight = 0;             // as of ratesAt: work of a warm member for its weight
-  struct Totals {                   // over all usable members; from a pass over them only after a change
+  std::set<EndpointId> busyMembers;  // with attempts out
+  std::set<EndpointId> goneMembers;  // with a goneAt
+  std::set<GroupId> waitingGroups;   // every group with waiting requests; some may have none left
+  std::uint64_t listsTaken = 1;      // a group was scouted if it was since the last list
+  Decayed asked;                     // requests that came here
+  double taken = 10, wrote = 0;      // the share of them that write, as if ten others had come before
+  double typical = 0;                // mean latency of all classes, microseconds; 0: not seen yet
+  double perWeight = 0;              // as of ratesAt: work of a warm member for its weight
+  struct Totals {                    // over all usable members; from a pass over them only after a change
     bool stale = true;
     Time validUntil = never;  // when the next member stops warming up; never: none is
     double warmWeight = 0, warmingWeight = 0;
@@ -104,14 +105,14 @@
   Time askBackoff = kAskFirst;
   std::uint64_t askTurn = 0;
 
-  Core(const Settings& settings, std::uint64_t own, Sink& out) : s(settings), sink(out), seed(own) {
+  Core(const Settings& settings, std::uint64_t own, ActionSink& out) : s(settings), sink(out), seed(own) {
     usual = base = std::vector<double>(s.classes.size());
-    hearsLoad = std::count(s.figures.begin(), s.figures.end(), Figure::Inflight) > 0;
+    hearsLoad = std::count(s.reportFields.begin(), s.reportFields.end(), ReportField::Inflight) > 0;
     if (s.classes.empty()) throw std::invalid_argument("no classes");
     for (const ClassSettings& c : s.classes)
-      if (c.aim <= Time(0) || c.deadline < c.aim)
+      if (c.latencyObjective <= Time(0) || c.deadline < c.latencyObjective)
         throw std::invalid_argument("a class's aim is 0 or past its deadline");
-    if (s.attemptsCap < 1 || s.balancers < 1 || s.startCapacity <= 0 || s.startCapacity > 1)
+    if (s.maxAttempts < 1 || s.proxyCount < 1 || s.warmUpStartCapacity <= 0 || s.warmUpStartCapacity > 1)
       throw std::invalid_argument("attemptsCap or balancers below 1, or startCapacity not in (0, 1]");
   }
 
@@ -126,8 +127,8 @@
   }
 
   double jitter() const { return 0.5 + chance(kTokenAsk, static_cast<std::uint64_t>(now.count())); }
-  const ClassSettings& classOf(const Open& r) const { return s.classes[at(r.q.cls)]; }
-  Member* find(MemberId id) {
+  const ClassSettings& classOf(const Open& r) const { return s.classes[at(r.q.classIndex)]; }
+  Member* find(EndpointId id) {
     const auto it = members.find(id);
     return it == members.end() ? nullptr : &it->second;
   }
@@ -137,7 +138,7 @@
   bool usable(const Member& m) const {
     if (m.suspended) return false;
     if (m.listed.state == Lifecycle::Ready) return true;
-    return s.droppedStayOpen && m.listed.state == Lifecycle::Gone && !m.seenDraining;
+    return s.removedEndpointsStayUsable && m.listed.state == Lifecycle::Gone && !m.seenDraining;
   }
   bool healthy(const Member& m) const {
     if (m.probing && now - m.probedAt > kDumb) return false;
@@ -180,15 +181,15 @@
   void sawReport(Member& m, const std::vector<float>& report) {
     Time at = never;
     Role role = Role::Unknown;
-    for (std::size_t k = 0; k < report.size() && k < s.figures.size(); ++k) {
+    for (std::size_t k = 0; k < report.size() && k < s.reportFields.size(); ++k) {
       const float v = report[k];
-      if (s.figures[k] == Figure::Position && v > 0 && v < 1e9f) {
+      if (s.reportFields[k] == ReportField::Position && v > 0 && v < 1e9f) {
         // An f32 may have been rounded up: the next one below it is proven.
         const double low = static_cast<double>(std::nextafterf(v, 0.0f));
-        at = s.zero + Time(static_cast<std::int64_t>(std::floor(low * 1e6)));
-      } else if (s.figures[k] == Figure::Primary) {
+        at = s.positionEpoch + Time(static_cast<std::int64_t>(std::floor(low * 1e6)));
+      } else if (s.reportFields[k] == ReportField::Primary) {
         role = v >= 0.5f ? Role::Primary : Role::Replica;
-      } else if (s.figures[k] == Figure::Inflight && v >= 0 && v < 1e6f) {
+      } else if (s.reportFields[k] == ReportField::Inflight && v >= 0 && v < 1e6f) {
         m.told = static_cast<int>(v), m.toldAt = now;
       }
     }
@@ -201,7 +202,7 @@
   // has been answered. Only far beyond the usual latency: members may serve out of turn.
   Time patience(int cls) const {
     const ClassSettings& c = s.classes[at(cls)];
-    return usually(cls) > Time(0) ? scaled(usually(cls), kPatience) : c.aim;
+    return usually(cls) > Time(0) ? scaled(usually(cls), kPatience) : c.latencyObjective;
   }
   bool overtaken(const Member& m, const Sent& o) const {
     return now - o.at > patience(o.cls) && m.answeredSent > o.at + (now - o.at) / 2;
@@ -229,26 +230,27 @@
   // ---- the need of a read --------------------------------------------------------------------------------
   // The instant that a member's data must reach if it is sent now; never: any data will do.
   Time needOf(const Open& r) const {
-    return classOf(r).need == Need::Bounded ? now - classOf(r).bound : r.commit;
+    return classOf(r).requirement == Requirement::BoundedStaleness ? now - classOf(r).maxStaleness : r.commit;
   }
   void learnNeed(Open& r) {
     const ClassSettings& c = classOf(r);
-    if (c.need == Need::Fresh) r.commit = now;
-    if (c.need != Need::Session) return;
-    if (!s.tokensCarried) {
+    if (c.requirement == Requirement::Strong) r.commit = now;
+    if (c.requirement != Requirement::Session) return;
+    if (!s.sessionTokensCarried) {
       const auto it = commits.find(r.q.session);
       r.commit = it != commits.end() ? it->second : groups[r.q.group].forgotten;
     }
-    if (!(r.q.tokenMs > 0)) return;
+    if (!(r.q.sessionTokenAgeMs > 0)) return;
     // The age may have been rounded up: take the next f32 below it, so that the need is rounded up.
-    const double age = static_cast<double>(std::nextafterf(r.q.tokenMs, 0.0f)) * 1e3;
+    const double age = static_cast<double>(std::nextafterf(r.q.sessionTokenAgeMs, 0.0f)) * 1e3;
     r.commit = std::max(
         r.commit, now - Time(static_cast<std::int64_t>(std::min(age, static_cast<double>(now.count())))));
   }
   // The share of recent samples that were new enough, 1 where the position proves it, below 0: leave it out.
   double stalenessFactor(const Member& m, const Group& g, Time need) const {
     if (need == never || m.listed.id == g.primary || m.position >= need) return 1;
-    if (s.checks == Checks::Silent) return -1;  // it would answer from old data: only a proof will do
+    if (s.laggingReplicaPolicy == LaggingReplicaPolicy::Serve)
+      return -1;  // it would answer from old data: only a proof will do
     const Time age = now - need;
     double in = 0, all = 0;
     for (const auto& [at, lag] : m.lags) {
@@ -293,7 +295,7 @@
   std::vector<Member*> candidates(const Open& r, bool lastResort = false) {
     Group& g = groups[r.q.group];
     std::vector<Member*> some;
-    for (const MemberId id : g.members) {
+    for (const EndpointId id : g.members) {
       Member& m = members.at(id);
       if (usable(m) && (healthy(m) || (lastResort && m.erring)) && mayTake(r, m) && withinColdBudget(m, r))
         some.push_back(&m);
@@ -312,24 +314,24 @@
   // position; where reports tell their load, or for a write that must not be lost, a word within the aim.
   bool known(const Open& r, const Member& m) const {
     const Time need = needOf(r);
-    if (s.checks == Checks::Silent && need != never && m.listed.id != groups.at(r.q.group).primary &&
-        m.position < need)
+    if (s.laggingReplicaPolicy == LaggingReplicaPolicy::Serve && need != never &&
+        m.listed.id != groups.at(r.q.group).primary && m.position < need)
       return false;
-    if (!hearsLoad && classOf(r).need != Need::Write) return true;
+    if (!hearsLoad && classOf(r).requirement != Requirement::Write) return true;
     const Time word = std::max(m.wordAt, m.heardAt);
-    return word != never && now - word < classOf(r).aim;
+    return word != never && now - word < classOf(r).latencyObjective;
   }
   // Guards against choosing blindly where a router hears of a member once in many seconds. It asks those that
   // are next in turn and waits briefly for their word; what does not answer is taken for dead by healthy().
   // Where they pass on what they hear, one that none hears of is asked by all in turn, lest they crowd.
   bool inquire(Open& r, const std::vector<Member*>& next) {
-    if (!s.probing || s.reports == Reports::Silent || r.asked) return false;
-    if (classOf(r).need == Need::Fresh) return false;  // no replica's word can be new enough
-    const MemberId spared = classOf(r).need != Need::Write ? groups[r.q.group].primary : 0;
+    if (!s.healthChecksAllowed || s.loadReportMode == LoadReportMode::None || r.asked) return false;
+    if (classOf(r).requirement == Requirement::Strong) return false;  // no replica's word can be new enough
+    const EndpointId spared = classOf(r).requirement != Requirement::Write ? groups[r.q.group].primary : 0;
     const auto heard = [&](Member* m) { return m->listed.id != spared && known(r, *m); };
     if (hinted && std::any_of(next.begin(), next.end(), heard)) {
       const auto dark = std::find_if_not(next.begin(), next.end(), heard);
-      const Time spell = scaled(s.balancers * kKindle, 0.5 + chance(r.q.id));
+      const Time spell = scaled(s.proxyCount * kKindle, 0.5 + chance(r.q.id));
       if (dark != next.end() && !(*dark)->probing && now - (*dark)->probedAt >= spell) probe(**dark);
       return false;
     }
@@ -346,7 +348,7 @@
     }
     if (!pending || (have && !hearsLoad)) return false;
     r.asked = true;
-    wait(r, std::max(s.step, classOf(r).aim / kHold));
+    wait(r, std::max(s.timerResolution, classOf(r).latencyObjective / kHold));
     return true;
   }
   // Whether the candidates' answers come in time is worked out one after another, only as far as it is
@@ -355,13 +357,13 @@
     Group& g = groups[r.q.group];
     const ClassSettings& c = classOf(r);
     const Time need = needOf(r);
-    Time budget = r.arrived + c.aim - now;
+    Time budget = r.arrived + c.latencyObjective - now;
     if (budget <= Time(0)) budget = std::max(r.q.deadline - now, Time(1));
     const auto choiceOf = [&](Member& m, double fresh) {
       Choice choice{&m, 0, 0};
-      choice.miss = missChance(m, m.immediate, r.q.cls, budget, &choice.expected) * fresh;
+      choice.miss = missChance(m, m.immediate, r.q.classIndex, budget, &choice.expected) * fresh;
       if (fresh < 1)
-        choice.miss += (m.held.empty() ? 0.0 : missChance(m, m.held, r.q.cls, budget)) * (1 - fresh);
+        choice.miss += (m.held.empty() ? 0.0 : missChance(m, m.held, r.q.classIndex, budget)) * (1 - fresh);
       return choice;
     };
     std::vector<Choice> set;
@@ -400,19 +402,21 @@
   // Whether one more attempt may go out at all: what may have run is not run twice.
   bool remembered(const Open& r) const {
     const ClassSettings& c = classOf(r);
-    return !r.ran || c.effect == Effect::Safe || (c.effect == Effect::Keyed && now < r.ranAt + c.memory);
+    return !r.ran || c.idempotency == Idempotency::Idempotent ||
+           (c.idempotency == Idempotency::WithKey && now < r.ranAt + c.deduplicationWindow);
   }
   // Whether one more attempt of this request may go to this member, by its effect and what was tried.
   bool mayTake(const Open& r, const Member& m) {
     if (std::find(r.tried.begin(), r.tried.end(), m.listed.id) != r.tried.end()) return false;
     const ClassSettings& c = classOf(r);
     if (!remembered(r)) return false;
-    if (!r.ran || c.effect == Effect::Safe) return true;
+    if (!r.ran || c.idempotency == Idempotency::Idempotent) return true;
     const Member* const first = find(r.ranWhere);
     // Where an earlier request of the key ran is not told, but that it was in this group.
-    if (!first) return r.ranWhere == 0 && c.scope != KeyScope::Zone;
-    return c.scope == KeyScope::All || (c.scope == KeyScope::Zone ? first->listed.zone == m.listed.zone
-                                                                  : first->listed.group == m.listed.group);
+    if (!first) return r.ranWhere == 0 && c.idempotencyScope != IdempotencyScope::Zone;
+    return c.idempotencyScope == IdempotencyScope::All ||
+           (c.idempotencyScope == IdempotencyScope::Zone ? first->listed.zone == m.listed.zone
+                                                         : first->listed.group == m.listed.group);
   }
 
   void advanceRead(Open& r) {
@@ -454,7 +458,7 @@
     // No primary known: one write tries the members by id, the others wait for an answer as primary. Where
     // probes can tell, one round is enough; else the next round follows after a pause.
     if (g.scoutedIn != listsTaken && (g.scout == 0 || g.scout == r.q.id)) {
-      for (const MemberId id : g.members) {
+      for (const EndpointId id : g.members) {
         Member& x = members.at(id);
         if (!usable(x) || !healthy(x) || !mayTake(r, x) || !withinColdBudget(x, r)) continue;
         g.scout = r.q.id;
@@ -475,9 +479,9 @@
     r.attempts.push_back({m.listed.id, now});
     r.tried.push_back(m.listed.id);
     ++r.outstanding;
-    if (Allowance& a = m.allowance[classOf(r).need == Need::Write]; cold(m))
+    if (Allowance& a = m.allowance[classOf(r).requirement == Requirement::Write]; cold(m))
       a.saved -= a.price, a.drawnFor = 0;
-    m.out.push_back({r.q.id, static_cast<int>(r.attempts.size()) - 1, r.q.cls, loadOf(m), now, held});
+    m.out.push_back({r.q.id, static_cast<int>(r.attempts.size()) - 1, r.q.classIndex, loadOf(m), now, held});
     m.lastUsed = now;
     busyMembers.insert(m.listed.id);
     r.asked = false, ++outNow;
@@ -488,9 +492,10 @@
   void advance(Open& r) {
     if (r.outstanding > 0) return;
     const ClassSettings& c = classOf(r);
-    const bool spent = static_cast<int>(r.attempts.size()) >= s.attemptsCap;
-    if (spent || now >= giveUpAt(r) || (r.ran && c.effect == Effect::Unsafe)) return finish(r);
-    if (c.need == Need::Write)
+    const bool spent = static_cast<int>(r.attempts.size()) >= s.maxAttempts;
+    if (spent || now >= giveUpAt(r) || (r.ran && c.idempotency == Idempotency::NonIdempotent))
+      return finish(r);
+    if (c.requirement == Requirement::Write)
       advanceWrite(r);
     else
       advanceRead(r);
@@ -500,7 +505,7 @@
     r.waiting = true;
     Time in = std::max(std::min(giveUpAt(r), r.q.deadline) - now, Time(1));
     if (most != never) in = std::min(in, most);
-    sink.timer(in, kTokenWake | r.q.id << 8);
+    sink.scheduleTimer(in, kTokenWake | r.q.id << 8);
     tickSoon();
     groups[r.q.group].waiting.push_back(r.q.id);
     waitingGroups.insert(r.q.group);
@@ -528,8 +533,8 @@
     }
   }
 
-  void outcome(const Outcome& o) {
-    Member* const m = find(o.member);
+  void outcome(const AttemptOutcome& o) {
+    Member* const m = find(o.endpoint);
     if (!m) return;
     const auto sent = std::find_if(m->out.begin(), m->out.end(), [&](const Sent& x) {
       return x.request == o.request && x.attempt == o.attempt;
@@ -537,7 +542,7 @@
     if (sent == m->out.end()) return;
     const Sent was = *sent;
     m->out.erase(sent);
-    if (m->out.empty()) busyMembers.erase(o.member);
+    if (m->out.empty()) busyMembers.erase(o.endpoint);
     --outNow;
     const GroupId group = m->listed.group;
     learn(*m, was, o);
@@ -546,18 +551,21 @@
       Open& r = it->second;
       Attempt& a = r.attempts[at(o.attempt)];
       a.open = false, --r.outstanding;
-      r.reached = r.reached || (o.result != Result::ConnectFailed && o.result != Result::Moot);
+      r.reached =
+          r.reached || (o.result != AttemptResult::ConnectFailed && o.result != AttemptResult::NotSent);
       if (mayHaveRun(o.result) && (!r.ran || a.at < r.ranAt)) {
         r.ran = true, r.ranAt = a.at, r.ranWhere = a.member;
       }
-      if (o.closed || o.result == Result::Ok) {
+      if (o.clientAnswered || o.result == AttemptResult::Ok) {
         close(r);
       } else {
         // What cost the member nothing is free; what was really tried again must be earned.
-        const bool ended =
-            o.result == Result::Error || o.result == Result::Reset || o.result == Result::ConnectFailed;
-        const bool quick = ended && static_cast<double>((now - a.at).count()) < base[at(r.q.cls)] * kAtOnce;
-        const bool free = o.result == Result::Miss || o.result == Result::Moot || a.cancelled || quick;
+        const bool ended = o.result == AttemptResult::Error || o.result == AttemptResult::Reset ||
+                           o.result == AttemptResult::ConnectFailed;
+        const bool quick =
+            ended && static_cast<double>((now - a.at).count()) < base[at(r.q.classIndex)] * kAtOnce;
+        const bool free =
+            o.result == AttemptResult::TooStale || o.result == AttemptResult::NotSent || a.cancelled || quick;
         if (r.outstanding == 0 && !free && now < r.q.deadline) {
           if (retries >= 1)
             retries -= 1;
@@ -571,24 +579,27 @@
   }
 
   // What an outcome says of its member, whether or not the request is still open.
-  void learn(Member& m, const Sent& was, const Outcome& o) {
+  void learn(Member& m, const Sent& was, const AttemptOutcome& o) {
     Group& g = groups[m.listed.group];
     const ClassSettings& c = s.classes[at(was.cls)];
     const Time latency = now - was.at;
-    const Role role = o.note % 4 == 1 ? Role::Primary : o.note % 4 == 2 ? Role::Replica : Role::Unknown;
-    const Time stamp = o.note / 4 ? s.zero + milliseconds(o.note / 4) : never;
-    const bool write = c.need == Need::Write;
-    const bool answered = o.result == Result::Ok || o.result == Result::Miss || o.result == Result::Full ||
-                          o.result == Result::Error;
+    const Role role = o.replicationStatus % 4 == 1   ? Role::Primary
+                      : o.replicationStatus % 4 == 2 ? Role::Replica
+                                                     : Role::Unknown;
+    const Time stamp =
+        o.replicationStatus / 4 ? s.positionEpoch + milliseconds(o.replicationStatus / 4) : never;
+    const bool write = c.requirement == Requirement::Write;
+    const bool answered = o.result == AttemptResult::Ok || o.result == AttemptResult::TooStale ||
+                          o.result == AttemptResult::Rejected || o.result == AttemptResult::Error;
     if (answered && role != Role::Unknown) sawRole(m, role, now);
     if (stamp != never && stamp <= now + milliseconds(1))
       sawPosition(m, std::min(now, write ? stamp - milliseconds(1) : stamp));  // a commit was rounded up
     sawReport(m, o.report);
-    if (answered && o.result != Result::Error) {
+    if (answered && o.result != AttemptResult::Error) {
       m.lastAnswer = m.lastUsed = m.wordAt = now;
-      m.answeredSent = std::max(m.answeredSent, o.result == Result::Ok ? was.at : never);
+      m.answeredSent = std::max(m.answeredSent, o.result == AttemptResult::Ok ? was.at : never);
     }
-    if (o.result == Result::Ok) {
+    if (o.result == AttemptResult::Ok) {
       count(m.served, costOf(was.cls));
       if (usable(m) && !cold(m)) count(totals.warmServed, costOf(was.cls));
       double& u = usual[at(was.cls)];
@@ -600,23 +611,25 @@
       addSample(m, was, us);
       m.failures = 0, m.backoff = Time(0);
       m.asideUntil = never, m.erring = false;
-    } else if (o.result != Result::Moot && o.result != Result::Cancelled &&
-               !(write && o.result == Result::Miss)) {
+    } else if (o.result != AttemptResult::NotSent && o.result != AttemptResult::Cancelled &&
+               !(write && o.result == AttemptResult::TooStale)) {
       // A fast failure must not look fast. A full queue is a wait past the deadline, a time-out one past the
       // aim, both at that load: no symptom. Whether a member is silent noticeSilence() finds.
-      const bool byLoad = o.result == Result::Full || (o.result == Result::Timeout && !overtaken(m, was));
-      const Time least = o.result == Result::Full ? c.deadline : std::max(latency, c.aim * 5 / 4);
+      const bool byLoad =
+          o.result == AttemptResult::Rejected || (o.result == AttemptResult::Timeout && !overtaken(m, was));
+      const Time least =
+          o.result == AttemptResult::Rejected ? c.deadline : std::max(latency, c.latencyObjective * 5 / 4);
       addSample(m, was, byLoad ? static_cast<double>(least.count()) : kLate);
-      if (o.result == Result::Miss || o.result == Result::Timeout) g.troubleAt = now;
+      if (o.result == AttemptResult::TooStale || o.result == AttemptResult::Timeout) g.troubleAt = now;
       // A failed connection, with nothing heard since, is a process that is gone; a reset alone is not.
-      const bool down = o.result == Result::ConnectFailed && m.lastAnswer < was.at;
-      const bool broken = o.result == Result::ConnectFailed || o.result == Result::Reset;
-      if (o.result != Result::Miss && !byLoad && (++m.failures >= kStreak || down)) {
-        if (broken && s.probing && s.reports != Reports::Silent) {
+      const bool down = o.result == AttemptResult::ConnectFailed && m.lastAnswer < was.at;
+      const bool broken = o.result == AttemptResult::ConnectFailed || o.result == AttemptResult::Reset;
+      if (o.result != AttemptResult::TooStale && !byLoad && (++m.failures >= kStreak || down)) {
+        if (broken && s.healthChecksAllowed && s.loadReportMode != LoadReportMode::None) {
           if (!m.probing && (m.erring || now >= m.asideUntil)) probe(m);
           return;
         }
-        if (now >= m.asideUntil) setAside(m, o.result == Result::Error);
+        if (now >= m.asideUntil) setAside(m, o.result == AttemptResult::Error);
         if (down) sawRole(m, Role::Unknown, now);  // its process is gone: whoever is primary must say so anew
       }
     }
@@ -626,7 +639,7 @@
   // lost on the way. A member that has answered nothing since an attempt was sent, for several usual
   // latencies, is probed: if that stays unanswered too it is set aside, else that attempt alone is lost.
   void noticeSilence(Member& m) {
-    const bool canProbe = s.probing && s.reports != Reports::Silent;
+    const bool canProbe = s.healthChecksAllowed && s.loadReportMode != LoadReportMode::None;
     for (const Sent& o : std::vector<Sent>(m.out)) {
       const Time due = o.at + patience(o.cls);
       if (m.lastAnswer >= o.at || now < due) continue;
@@ -638,8 +651,9 @@
       if (it == open.end()) continue;
       Open& r = it->second;
       Attempt& a = r.attempts[at(o.attempt)];
-      if (classOf(r).effect != Effect::Safe || a.cancelled || !s.cancel || retries < 1) continue;
-      if (static_cast<int>(r.attempts.size()) >= s.attemptsCap || readSet(r).empty()) continue;
+      if (classOf(r).idempotency != Idempotency::Idempotent || a.cancelled || !s.cancelAllowed || retries < 1)
+        continue;
+      if (static_cast<int>(r.attempts.size()) >= s.maxAttempts || readSet(r).empty()) continue;
       retries -= 1, a.cancelled = true;
       sink.cancel(o.request, o.attempt);  // its outcome brings the next attempt
     }
@@ -648,7 +662,8 @@
   // ---- refusals ------------------------------------------------------------------------------------------
   // Guards against members spent on what has lost its worth: a class that earns nothing late ends at its aim.
   Time endOf(const Open& r) const {
-    return classOf(r).lateWorth > 0 ? r.q.deadline : std::min(r.q.deadline, r.arrived + classOf(r).aim);
+    return classOf(r).lateWeight > 0 ? r.q.deadline
+                                     : std::min(r.q.deadline, r.arrived + classOf(r).latencyObjective);
   }
   // From when on a request can no longer be answered usefully by a new attempt.
   Time giveUpAt(const Open& r) const {
@@ -656,26 +671,28 @@
     // Guards against holding back what finds no member: where none has had it by nearly half of its time, the
     // client is told to come back while that is still of use to it.
     if (!r.reached && r.outstanding == 0)
-      end = std::min(end, r.arrived + scaled(r.q.deadline - r.arrived, kUnheard) + usually(r.q.cls));
-    return std::max(end - usually(r.q.cls), r.arrived + Time(r.attempts.empty() && end > r.arrived));
+      end = std::min(end, r.arrived + scaled(r.q.deadline - r.arrived, kUnheard) + usually(r.q.classIndex));
+    return std::max(end - usually(r.q.classIndex), r.arrived + Time(r.attempts.empty() && end > r.arrived));
   }
   // Guards against queues that make everything late. A request goes out only where it is likely to earn its
   // worth. An idle member takes any: the way back stays open.
   bool useful(const Open& r, const Member& m) {
     if (loadOf(m) == 0) return true;
     const Time left = std::max(endOf(r) - now, Time(1));
-    return 1 - missChance(m, m.immediate, r.q.cls, left, nullptr, true) >= kUseful;
+    return 1 - missChance(m, m.immediate, r.q.classIndex, left, nullptr, true) >= kUseful;
   }
   void finish(Open& r) {
     const ClassSettings& c = classOf(r);
     const bool untouched = !r.ran && r.outstanding == 0;
     const bool harmless =
-        untouched || c.effect == Effect::Safe || (c.effect == Effect::Keyed && c.scope == KeyScope::All);
+        untouched || c.idempotency == Idempotency::Idempotent ||
+        (c.idempotency == Idempotency::WithKey && c.idempotencyScope == IdempotencyScope::All);
     const RequestId id = r.q.id;
     // Soon, while its aim goes on; what comes back after that is only load.
-    const Time again = now < r.arrived + c.aim ? scaled(usually(r.q.cls), kComeBack) : s.maxRetryAfter;
+    const Time again =
+        now < r.arrived + c.latencyObjective ? scaled(usually(r.q.classIndex), kComeBack) : s.maxRetryAfter;
     if (harmless)
-      sink.refuse(id, s.retryAfter ? std::min(s.maxRetryAfter, again) : Time(0));
+      sink.reject(id, s.retryAfterAllowed ? std::min(s.maxRetryAfter, again) : Time(0));
     else
       sink.fail(id);
     close(r);
@@ -684,25 +701,25 @@
     const RequestId id = r.q.id;
     Group& g = groups[r.q.group];
     if (g.scout == id) g.scout = 0;
-    for (std::size_t k = 0; s.cancel && k < r.attempts.size(); ++k)
+    for (std::size_t k = 0; s.cancelAllowed && k < r.attempts.size(); ++k)
       if (r.attempts[k].open && !r.attempts[k].cancelled) sink.cancel(id, static_cast<int>(k));
     open.erase(id);
   }
 
   // ---- list, drains, cold starts -------------------------------------------------------------------------
-  void list(ListKind kind, const std::vector<ListedMember>& entries) {
-    asking = kind == ListKind::Failed && s.discovery == Discovery::Subscribe;
+  void list(ListKind kind, const std::vector<ListedEndpoint>& entries) {
+    asking = kind == ListKind::Failed && s.discoveryMode == DiscoveryMode::Subscribe;
     if (asking) {
-      sink.timer(scaled(askBackoff, jitter()), kTokenAsk | ++askTurn << 8);
+      sink.scheduleTimer(scaled(askBackoff, jitter()), kTokenAsk | ++askTurn << 8);
       askBackoff = std::min(2 * askBackoff, kAskMost);
     }
     if (kind == ListKind::Failed) return;
     askBackoff = kAskFirst;
     totals.stale = true;
     if (kind != ListKind::Delta) {
-      std::vector<MemberId> listed;
+      std::vector<EndpointId> listed;
       listed.reserve(entries.size());
-      for (const ListedMember& e : entries) listed.push_back(e.id);
+      for (const ListedEndpoint& e : entries) listed.push_back(e.id);
       std::sort(listed.begin(), listed.end());
       auto next = listed.cbegin();  // both go up by id
       for (auto& [id, m] : members) {
@@ -712,15 +729,15 @@
       }
     }
     auto place = members.begin();  // most lists name members by id going up: then no search is needed
-    for (const ListedMember& e : entries) {
+    for (const ListedEndpoint& e : entries) {
       if (place == members.end() || place->first != e.id) place = members.try_emplace(e.id).first;
       Member& m = (place++)->second;
       m.salt = dice(e.id);
       if (m.listed.id == 0 || m.listed.group != e.group) {
-        std::vector<MemberId>& ids = groups[e.group].members;
+        std::vector<EndpointId>& ids = groups[e.group].members;
         ids.insert(std::lower_bound(ids.begin(), ids.end(), e.id), e.id);
         if (m.listed.id != 0) {
-          std::vector<MemberId>& was = groups[m.listed.group].members;
+          std::vector<EndpointId>& was = groups[m.listed.group].members;
           was.erase(std::remove(was.begin(), was.end(), e.id), was.end());
         }
       }
@@ -742,7 +759,7 @@
       m.seenDraining = e.state == Lifecycle::Draining || (m.seenDraining && e.state != Lifecycle::Ready);
       if (!usable(m)) {
         if (groups[e.group].primary == e.id) sawRole(m, Role::Unknown, std::max(m.roleAt, now));
-      } else if (e.primary && s.roleListed != RoleListed::Silent && m.roleAt == never &&
+      } else if (e.primary && s.listedRolePolicy != ListedRolePolicy::NotListed && m.roleAt == never &&
                  groups[e.group].primary == 0) {
         groups[e.group].primary = e.id;  // the weakest evidence: anything heard from a member replaces it
         m.role = Role::Primary, m.roleAt = Time(0);
@@ -751,19 +768,19 @@
     ++listsTaken;
     serveAllWaiting();
   }
-  void markGone(MemberId id, Member& m) {
+  void markGone(EndpointId id, Member& m) {
     if (m.goneAt == never) m.goneAt = now;
     goneMembers.insert(id);
   }
   // Guards against growth where members are replaced. What is out there still ends in an event about it.
-  std::vector<MemberId> forget() {
-    std::vector<MemberId> gone;
-    for (const MemberId id : goneMembers) {
+  std::vector<EndpointId> forget() {
+    std::vector<EndpointId> gone;
+    for (const EndpointId id : goneMembers) {
       const Member& m = members.at(id);
       if (!usable(m) && now >= m.goneAt + kForget && m.out.empty() && !m.probing) gone.push_back(id);
     }
     totals.stale = totals.stale || !gone.empty();
-    for (const MemberId id : gone) {
+    for (const EndpointId id : gone) {
       Group& g = groups[members.at(id).listed.group];
       g.members.erase(std::remove(g.members.begin(), g.members.end(), id), g.members.end());
       if (g.primary == id) g.primary = 0;
@@ -780,7 +797,8 @@
   void ask() {
     asking = true;
     sink.subscribe();
-    if (s.mustAskIn > Time(0)) sink.timer(scaled(s.mustAskIn / 3, jitter()), kTokenAsk | ++askTurn << 8);
+    if (s.discoveryPollDeadline > Time(0))
+      sink.scheduleTimer(scaled(s.discoveryPollDeadline / 3, jitter()), kTokenAsk | ++askTurn << 8);
   }
 
   // Guards against pushing over a member that has just started, by all routers with no word among them: it
@@ -788,13 +806,13 @@
   // warm ones do, than it has done, or than their mean. Each plans by what it had of them, so the sum is the
   // fleet's; it adds up with time, and a part of a request is drawn for (docs/design/cold-start.md).
   bool cold(const Member& m) const {
-    return m.listed.started != Time(0) && now < m.listed.started + s.coldFor && s.coldFor > Time(0);
+    return m.listed.started != Time(0) && now < m.listed.started + s.warmUpPeriod && s.warmUpPeriod > Time(0);
   }
   double lately(const Decayed& d) const { return d.n * std::exp(-ratio(now - d.at, kRecent)); }
   void count(Decayed& d, double work) { d.n = lately(d) + work, d.at = now; }
   double each(const Decayed& d, Time since) const {  // in a window, counted since then
     const double seen = 1 - std::exp(-ratio(std::max(now - since, kTick), kRecent));
-    return lately(d) * ratio(std::max(s.fallFor, kTick), kRecent) / seen;
+    return lately(d) * ratio(std::max(s.overloadWindow, kTick), kRecent) / seen;
   }
   double costOf(int k) const { return usual[at(k)] > 0 ? std::clamp(usual[at(k)] / typical, 0.5, 2.0) : 1; }
   void sumUp() {
@@ -810,7 +828,7 @@
     for (const auto& [id, m] : members) {
       if (!usable(m)) continue;
       if (cold(m)) {
-        const Time warmAt = m.listed.started + s.coldFor;
+        const Time warmAt = m.listed.started + s.warmUpPeriod;
         totals.validUntil = totals.validUntil == never ? warmAt : std::min(totals.validUntil, warmAt);
         totals.warmingWeight += m.listed.weight;
       } else {
@@ -822,22 +840,23 @@
   }
   bool withinColdBudget(Member& m, const Open& r) {
     if (!cold(m)) return true;
-    const bool write =
-        classOf(r).need == Need::Write;  // which has one way: reads have what is left of a primary
+    const bool write = classOf(r).requirement ==
+                       Requirement::Write;  // which has one way: reads have what is left of a primary
     Allowance& a = m.allowance[write];
     if (a.drawnFor == r.q.id && (a.drawn || a.drawnAt == now)) return a.drawn;
     sumUp();  // a group is seldom asked at one of many routers: its part of all tells more than its own
     const double all = each(asked, began) / totals.groupsInUse, writes = all * wrote;
-    const double ramp = s.startCapacity + (1 - s.startCapacity) * ratio(now - m.listed.started, s.coldFor);
+    const double ramp =
+        s.warmUpStartCapacity + (1 - s.warmUpStartCapacity) * ratio(now - m.listed.started, s.warmUpPeriod);
     const double able = (2 * ramp * m.listed.weight * perWeight + each(m.served, m.listed.started)) / 2.7;
-    const double least = kLeast / std::max(s.balancers, kFewestProxies);
-    double part = std::max(kPlan * s.fallMultiple * able, least);  // for a window
+    const double least = kLeast / std::max(s.proxyCount, kFewestProxies);
+    double part = std::max(kPlan * s.overloadFactor * able, least);  // for a window
     if (!write && groups.at(m.listed.group).primary == m.listed.id) part = std::max(part - writes, 0.0);
     const double due = std::max(write ? writes : all - writes, 1e-9);
     const double most = std::max({kSaved * part, least, std::min(1.0, part / due)});
-    const double more = part * ratio(now - a.at, std::max(s.fallFor, kTick));
+    const double more = part * ratio(now - a.at, std::max(s.overloadWindow, kTick));
     a.saved = a.at == never ? std::min(1.0, std::max(most, 2 * least)) : std::min(most, a.saved + more);
-    const double cost = costOf(r.q.cls), odds = std::min(1.0, a.saved / cost);
+    const double cost = costOf(r.q.classIndex), odds = std::min(1.0, a.saved / cost);
     a.at = a.drawnAt = now, a.drawnFor = r.q.id, a.price = odds * cost;
     a.drawn = chance(r.q.id, m.listed.id + static_cast<std::uint64_t>(now.count()) * 31) < odds;
     if (!a.drawn) a.saved -= a.price;
@@ -847,19 +866,20 @@
   // ---- probes --------------------------------------------------------------------------------------------
   void probe(Member& m) {
     m.probing = true, m.probedAt = now;
-    sink.probe(m.listed.id);
+    sink.startHealthCheck(m.listed.id);
   }
   Time tightestBound() const {
     Time t = never;
     for (const ClassSettings& c : s.classes)
-      if (c.need == Need::Bounded && (t == never || c.bound < t)) t = c.bound;
+      if (c.requirement == Requirement::BoundedStaleness && (t == never || c.maxStaleness < t))
+        t = c.maxStaleness;
     return t == never ? seconds(1) : t;
   }
   // Without a primary every member is asked who it is, while a write waits.
   void seekPrimary(Group& g) {
-    if (!s.probing || s.reports == Reports::Silent) return;
+    if (!s.healthChecksAllowed || s.loadReportMode == LoadReportMode::None) return;
     if (now > g.primaryWanted + kTick || (primaryOf(g) && healthy(*primaryOf(g)))) return;
-    for (const MemberId id : g.members) {
+    for (const EndpointId id : g.members) {
       Member& m = members.at(id);
       if (usable(m) && !m.probing && (m.probedAt == never || now - m.probedAt >= kScout)) probe(m);
     }
@@ -868,57 +888,59 @@
   void tickSoon() {
     if (ticking) return;
     ticking = true;
-    sink.timer(std::max(s.step, kTick), kTokenTick);
+    sink.scheduleTimer(std::max(s.timerResolution, kTick), kTokenTick);
   }
   void tick() {
     ticking = false;
-    for (const MemberId id : busyMembers) noticeSilence(members.at(id));  // which sends nothing itself
+    for (const EndpointId id : busyMembers) noticeSilence(members.at(id));  // which sends nothing itself
     serveAllWaiting(true);
     if (outNow > 0 || !waitingGroups.empty()) tickSoon();
   }
 };
 
 // ---- events ----------------------------------------------------------------------------------------------
-Balancer::Balancer(const Settings& settings, std::uint64_t seed, Sink& sink)
+Balancer::Balancer(const Settings& settings, std::uint64_t seed, ActionSink& sink)
     : core_(std::make_unique<Core>(settings, seed, sink)) {}
 Balancer::~Balancer() = default;
 Balancer::Balancer(Balancer&&) noexcept = default;
 
-void Balancer::list(Time now, ListKind kind, const std::vector<ListedMember>& entries) {
+void Balancer::endpointsListed(Time now, ListKind kind, const std::vector<ListedEndpoint>& entries) {
   Core& c = *core_;
   c.now = now;
   c.list(kind, entries);
   if (c.begun) return;
   c.begun = true, c.began = now;
-  if (c.s.discovery == Discovery::Subscribe) c.ask();
+  if (c.s.discoveryMode == DiscoveryMode::Subscribe) c.ask();
 }
 
 void Balancer::request(Time now, const Request& q) {
   Core& c = *core_;
   c.now = now;
   if (c.open.count(q.id)) return;
-  if (q.cls < 0 || at(q.cls) >= c.s.classes.size()) return c.sink.refuse(q.id, Time(0));
+  if (q.classIndex < 0 || at(q.classIndex) >= c.s.classes.size()) return c.sink.reject(q.id, Time(0));
   const double keep = std::exp(-ratio(now - c.fadedAt, kPurse));
   c.fadedAt = now;
   c.retries = std::max(std::min(c.retries, 1.0), c.retries * keep) + kRetryShare;
-  const double work = c.costOf(q.cls), write = c.s.classes[at(q.cls)].need == Need::Write;
+  const double work = c.costOf(q.classIndex),
+               write = c.s.classes[at(q.classIndex)].requirement == Requirement::Write;
   c.count(c.asked, work);
   c.wrote += (write - c.wrote) / ++c.taken;
   Open& r = c.open[q.id];
   r.q = q, r.arrived = now;
-  r.ran = q.ranAt > Time(0), r.ranAt = q.ranAt;
+  r.ran = q.mayHaveRunSince > Time(0), r.ranAt = q.mayHaveRunSince;
   c.learnNeed(r);
   c.advance(r);
 }
 
-void Balancer::outcome(Time now, const Outcome& o) {
+void Balancer::attemptEnded(Time now, const AttemptOutcome& o) {
   Core& c = *core_;
   c.now = now;
   const auto it = c.open.find(o.request);
-  if (!c.s.tokensCarried && o.result == Result::Ok && it != c.open.end()) {
+  if (!c.s.sessionTokensCarried && o.result == AttemptResult::Ok && it != c.open.end()) {
     const Open& r = it->second;
-    if (c.classOf(r).need == Need::Write && r.q.session != 0) {
-      const Time commit = o.note / 4 ? c.s.zero + milliseconds(o.note / 4) : now;
+    if (c.classOf(r).requirement == Requirement::Write && r.q.session != 0) {
+      const Time commit =
+          o.replicationStatus / 4 ? c.s.positionEpoch + milliseconds(o.replicationStatus / 4) : now;
       Time& last = c.commits[r.q.session];
       last = std::max(last, commit);
       if (c.commits.size() > kSessions) {  // forgetting must not make a read stale: one commit stands for all
@@ -931,17 +953,17 @@
   c.outcome(o);
 }
 
-void Balancer::clientLeft(Time now, RequestId id) {
+void Balancer::clientDisconnected(Time now, RequestId id) {
   Core& c = *core_;
   c.now = now;
   const auto it = c.open.find(id);
   if (it != c.open.end()) c.close(it->second);
 }
 
-void Balancer::probed(Time now, const Probe& p) {
+void Balancer::healthCheckEnded(Time now, const HealthCheckResult& p) {
   Core& c = *core_;
   c.now = now;
-  Member* const m = c.find(p.member);
+  Member* const m = c.find(p.endpoint);
   if (!m) return;
   m->probing = false;
   if (p.ok) {
@@ -956,17 +978,17 @@
   }
   Group& g = c.groups[m->listed.group];
   // A choice by load needs the word of all that were asked.
-  const auto asked = [&](MemberId id) {
+  const auto asked = [&](EndpointId id) {
     return c.members.at(id).probing && now - c.members.at(id).probedAt <= kDumb;
   };
   if (!c.hearsLoad || std::none_of(g.members.begin(), g.members.end(), asked)) c.serveWaiting(g);
 }
 
-void Balancer::heard(Time now, MemberId id, std::uint32_t note, int cls, Time latency) {
+void Balancer::gossipReceived(Time now, EndpointId id, std::uint32_t note, int cls, Time latency) {
   Core& c = *core_;
   c.now = now;
   Member* const m = c.find(id);
-  const Time when = c.s.zero + milliseconds(note / 4);
+  const Time when = c.s.positionEpoch + milliseconds(note / 4);
   if (!m || when > now || now - when > kRecent) return;
   c.hinted = true;
   m->heardAt = std::max(m->heardAt, when);
@@ -977,7 +999,7 @@
   if (!c.groups[m->listed.group].waiting.empty()) c.serveWaiting(c.groups[m->listed.group]);
 }
 
-void Balancer::timer(Time now, std::uint64_t token) {
+void Balancer::timerFired(Time now, std::uint64_t token) {
   Core& c = *core_;
   c.now = now;
   if (token == kTokenTick) c.tick();
@@ -993,7 +1015,7 @@
   if ((token & 255) == kTokenAsk && token >> 8 == c.askTurn && c.asking) c.ask();
 }
 
-bool Balancer::fit(Time now, RequestId id, MemberId to) {
+bool Balancer::maySendNow(Time now, RequestId id, EndpointId to) {
   Core& c = *core_;
   c.now = now;
   const auto it = c.open.find(id);
@@ -1003,12 +1025,12 @@
   return c.stalenessFactor(*m, c.groups[m->listed.group], c.needOf(it->second)) >= 0;
 }
 
-std::vector<MemberId> Balancer::forget(Time now) {
+std::vector<EndpointId> Balancer::removeExpiredEndpoints(Time now) {
   core_->now = now;
   return core_->forget();
 }
 
-void Balancer::suspend(Time now, MemberId id, bool on) {
+void Balancer::suspend(Time now, EndpointId id, bool on) {
   Core& c = *core_;
   c.now = now;
   Member* const m = c.find(id);
@@ -1026,18 +1048,18 @@
 }
 
 // Classes keep their indices, new ones come behind them: a request under way keeps the class it came with.
-void Balancer::settle(Time now, const Settings& settings) {
+void Balancer::updateSettings(Time now, const Settings& settings) {
   Core& c = *core_;
   c.now = now;
-  const Time zero = c.s.zero;
+  const Time zero = c.s.positionEpoch;
   c.s = settings;
   c.totals.stale = true;
-  c.s.zero = zero;
+  c.s.positionEpoch = zero;
   c.usual.resize(std::max(c.usual.size(), settings.classes.size()));
   c.base.resize(c.usual.size());
 }
 
-void Balancer::countFrom(Time zero) { core_->s.zero = zero; }
+void Balancer::setPositionEpoch(Time zero) { core_->s.positionEpoch = zero; }
 
 // What was seen by this router's own clock (a role, a fresh read's arrival) stays where it is.
 void Balancer::instantsMoved(Time now, Time by) {
@@ -1053,7 +1075,7 @@
   for (auto& [session, commit] : c.commits) move(commit);
   for (auto& [id, g] : c.groups) move(g.forgotten);
   for (auto& [id, r] : c.open)
-    if (c.classOf(r).need == Need::Session) move(r.commit);
+    if (c.classOf(r).requirement == Requirement::Session) move(r.commit);
 }
 
 }  // namespace sablespur::balancer
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -44,7 +44,7 @@
 };
 
 struct Member {
-  ListedMember listed;
+  ListedEndpoint listed;
   bool seenDraining = false;
   bool suspended = false;  // by staff, whatever the list says
   Time suspendedAt = never;
@@ -73,8 +73,8 @@
 };
 
 struct Group {
-  std::vector<MemberId> members;  // ascending: the order in which writes look for a primary
-  MemberId primary = 0;           // 0: none known
+  std::vector<EndpointId> members;  // ascending: the order in which writes look for a primary
+  EndpointId primary = 0;           // 0: none known
   Time troubleAt = never;
   Time primaryWanted = never;
   RequestId scout = 0;          // the one write that looks for the primary
@@ -84,7 +84,7 @@
 };
 
 struct Attempt {
-  MemberId member;
+  EndpointId member;
   Time at;
   bool open = true;
   bool cancelled = false;
@@ -94,12 +94,12 @@
   Time arrived{};
   Time commit = never;  // session and fresh reads: data must reach this
   std::vector<Attempt> attempts;
-  std::vector<MemberId> tried;
+  std::vector<EndpointId> tried;
   int outstanding = 0;
   bool reached = false;  // some member has had it, whatever came of it
   bool ran = false;      // some attempt may have run
   Time ranAt{};          // when the earliest such was sent, and where
-  MemberId ranWhere = 0;
+  EndpointId ranWhere = 0;
   bool waiting = false;
   bool asked = false;  // probes were sent for its next attempt
 };
--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -32,20 +32,20 @@
 }
 
 std::uint64_t positionWordOf(std::string_view datagram, std::size_t index) {
-  return get(datagram, 1 + index * kHintBytes + 5, 3);
+  return get(datagram, 1 + index * kGossipUpdateBytes + 5, 3);
 }
 
 }  // namespace
 
-std::uint64_t tagOf(std::string_view name) {
+std::uint64_t endpointTag(std::string_view name) {
   std::uint64_t h = 0xcbf29ce484222325ull;
   for (const char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
   return (h ^ h >> 40) & 0xffffffffffull;
 }
 
-std::string encode(const std::vector<Hint>& hints, std::size_t from) {
+std::string encode(const std::vector<GossipUpdate>& hints, std::size_t from) {
   std::string bytes(1, kVersion);
-  const std::size_t end = std::min(hints.size(), from + kHintsPerDatagram);
+  const std::size_t end = std::min(hints.size(), from + kGossipUpdatesPerDatagram);
   for (std::size_t k = from; k < end; ++k) {
     put(bytes, hints[k].tag, 5);
     const auto position = static_cast<std::uint64_t>(hints[k].positionMs % kWrap);
@@ -57,24 +57,25 @@
   return bytes;
 }
 
-bool holdsHints(std::string_view d) { return !d.empty() && d[0] == kVersion; }
+bool isGossip(std::string_view d) { return !d.empty() && d[0] == kVersion; }
 
 std::size_t hintsIn(std::string_view d) {
-  if (d.size() <= 1 || d.size() > kLongestDatagram || d[0] != kVersion || (d.size() - 1) % kHintBytes != 0)
+  if (d.size() <= 1 || d.size() > kLongestDatagram || d[0] != kVersion ||
+      (d.size() - 1) % kGossipUpdateBytes != 0)
     return 0;
-  const std::size_t count = (d.size() - 1) / kHintBytes;
+  const std::size_t count = (d.size() - 1) / kGossipUpdateBytes;
   for (std::size_t k = 0; k < count; ++k)
-    if (positionWordOf(d, k) >> kPositionBits > static_cast<std::uint64_t>(HintRole::Replica)) return 0;
+    if (positionWordOf(d, k) >> kPositionBits > static_cast<std::uint64_t>(GossipRole::Replica)) return 0;
   return count;
 }
 
-Hint hintAt(std::string_view d, std::size_t index, std::int64_t nowMs) {
-  const std::size_t at = 1 + index * kHintBytes;
+GossipUpdate hintAt(std::string_view d, std::size_t index, std::int64_t nowMs) {
+  const std::size_t at = 1 + index * kGossipUpdateBytes;
   const std::uint64_t word = positionWordOf(d, index);
   const auto low = static_cast<std::int64_t>(word) % kWrap;
   std::int64_t back = (nowMs + kAhead - low) % kWrap;  // how far before the latest instant that is believed
   if (back < 0) back += kWrap;
-  Hint h{get(d, at, 5), nowMs + kAhead - back, static_cast<HintRole>(word >> kPositionBits)};
+  GossipUpdate h{get(d, at, 5), nowMs + kAhead - back, static_cast<GossipRole>(word >> kPositionBits)};
   const auto cls = static_cast<int>(get(d, at + 8, 1));
   if (cls != kNoClass) {
     h.cls = cls;
@@ -83,8 +84,8 @@
   return h;
 }
 
-std::vector<Hint> decode(std::string_view d, std::int64_t nowMs) {
-  std::vector<Hint> hints;
+std::vector<GossipUpdate> decode(std::string_view d, std::int64_t nowMs) {
+  std::vector<GossipUpdate> hints;
   const std::size_t count = hintsIn(d);
   for (std::size_t k = 0; k < count; ++k) hints.push_back(hintAt(d, k, nowMs));
   return hints;
--- a/src/cluster/gossip.hpp
+++ b/src/cluster/gossip.hpp
@@ -15,30 +15,31 @@
 
 constexpr std::size_t kLongestDatagram = 256;  // bytes; the platform takes no more
 
-enum class HintRole : std::uint8_t { Unknown, Primary, Replica };
-struct Hint {
+enum class GossipRole : std::uint8_t { Unknown, Primary, Replica };
+struct GossipUpdate {
   std::uint64_t tag = 0;        // of the member's name, see tagOf
   std::int64_t positionMs = 0;  // Unix time
-  HintRole role = HintRole::Unknown;
+  GossipRole role = GossipRole::Unknown;
   int cls = -1;                // of the request that was answered; -1: not told
   std::int64_t latencyUs = 0;  // until its answer; told to within 5%
 };
 
 // The same 40 bits for the same name at every proxy (FNV-1a, folded): of 1,000 members two share a tag once
 // in two million fleets; a receiver believes no tag that two of its own members share.
-std::uint64_t tagOf(std::string_view name);
+std::uint64_t endpointTag(std::string_view name);
 
 // One byte of version, then 10 bytes a hint: the tag; two bits of role and 22 of the position, which stand
 // for the latest such instant that the receiver believes (within 70 minutes); the class; the latency on a
 // scale of octaves. Takes at most what one datagram holds.
-constexpr std::size_t kHintBytes = 10, kHintsPerDatagram = (kLongestDatagram - 1) / kHintBytes;
-std::string encode(const std::vector<Hint>&, std::size_t from = 0);
-bool holdsHints(std::string_view datagram);  // by its version alone
+constexpr std::size_t kGossipUpdateBytes = 10,
+                      kGossipUpdatesPerDatagram = (kLongestDatagram - 1) / kGossipUpdateBytes;
+std::string encode(const std::vector<GossipUpdate>&, std::size_t from = 0);
+bool isGossip(std::string_view datagram);  // by its version alone
 // How many hints the datagram holds; 0 where the bytes are no such datagram.
 std::size_t hintsIn(std::string_view datagram);
 // One of them, by its index below hintsIn. No position lies after nowMs + 1000: no member is there.
-Hint hintAt(std::string_view datagram, std::size_t index, std::int64_t nowMs);
+GossipUpdate hintAt(std::string_view datagram, std::size_t index, std::int64_t nowMs);
 // All of them; empty where the bytes are no such datagram.
-std::vector<Hint> decode(std::string_view datagram, std::int64_t nowMs);
+std::vector<GossipUpdate> decode(std::string_view datagram, std::int64_t nowMs);
 
 }  // namespace sablespur::cluster
--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMostKnown = 4096;       // members
 constexpr std::int64_t kForgetMs = 60 * 1000;  // after so long without a word
 constexpr std::int64_t kForgetEveryMs = 1000;  // a look at all members is not taken more often
-constexpr std::size_t kMostPending = 4 * kHintsPerDatagram;
+constexpr std::size_t kMostPending = 4 * kGossipUpdatesPerDatagram;
 // A small fleet answers faster than its interval now and then; what it left unused for so long it may use.
 constexpr double kBurstMs = 250;
 constexpr double kUrgentBurst = 3;                       // datagrams beyond the first
@@ -50,23 +50,23 @@
       ordinary_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
       urgent_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
               kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
-      byteBudget_(std::max(kLeastByteBudget / 8, costOf(kHintsPerDatagram))),
+      byteBudget_(std::max(kLeastByteBudget / 8, costOf(kGossipUpdatesPerDatagram))),
       order_(policy.peers) {
   std::iota(order_.begin(), order_.end(), std::size_t{0});
 }
 
-void GossipScheduler::learned(const Hint& hint, std::int64_t nowMs) {
+void GossipScheduler::learned(const GossipUpdate& hint, std::int64_t nowMs) {
   if (policy_.peers == 0) return;
   if (!started_) {
     started_ = true;  // proxies that start together don't send together
     ordinary_.startAt(static_cast<double>(nowMs) + firstPhase() * ordinary_.intervalMs());
   }
   byteBudget_ =
-      std::min(byteBudget_ + kBytesPerAnswer, std::max(kLeastByteBudget, costOf(kHintsPerDatagram)));
+      std::min(byteBudget_ + kBytesPerAnswer, std::max(kLeastByteBudget, costOf(kGossipUpdatesPerDatagram)));
   if (const std::optional<News> news = newsIn(hint, nowMs)) enqueue(hint, *news, nowMs);
 }
 
-void GossipScheduler::received(const Hint& hint, std::int64_t nowMs) {
+void GossipScheduler::received(const GossipUpdate& hint, std::int64_t nowMs) {
   if (!sampled()) {
     const auto own = find(hint.tag);
     if (own != pending_.end() && own->news == News::RoleChange && own->hint.role == hint.role)
@@ -80,19 +80,21 @@
   enqueue(hint, News::RoleChange, nowMs);
 }
 
-bool GossipScheduler::changesRole(const Hint& hint) const {
-  if (hint.role == HintRole::Unknown) return false;
+bool GossipScheduler::changesRole(const GossipUpdate& hint) const {
+  if (hint.role == GossipRole::Unknown) return false;
   const auto told = told_.find(hint.tag);
-  if (told == told_.end() || told->second.role == HintRole::Unknown) return hint.role == HintRole::Primary;
+  if (told == told_.end() || told->second.role == GossipRole::Unknown)
+    return hint.role == GossipRole::Primary;
   return told->second.role != hint.role && hint.positionMs >= told->second.positionMs;
 }
 
-std::optional<GossipScheduler::News> GossipScheduler::newsIn(const Hint& hint, std::int64_t nowMs) const {
+std::optional<GossipScheduler::News> GossipScheduler::newsIn(const GossipUpdate& hint,
+                                                             std::int64_t nowMs) const {
   if (changesRole(hint)) return News::RoleChange;
   const auto told = told_.find(hint.tag);
   if (told == told_.end()) return News::Position;
   const bool tooOld = nowMs - hint.positionMs >= policy_.boundMs;
-  if (tooOld && hint.role == HintRole::Replica && !told->second.lagging &&
+  if (tooOld && hint.role == GossipRole::Replica && !told->second.lagging &&
       hint.positionMs >= told->second.positionMs)
     return News::Lag;
   // Data too old for any read prove nothing that is of use.
@@ -100,14 +102,14 @@
   return News::Position;
 }
 
-void GossipScheduler::enqueue(const Hint& hint, News news, std::int64_t nowMs) {
+void GossipScheduler::enqueue(const GossipUpdate& hint, News news, std::int64_t nowMs) {
   auto entry = find(hint.tag);
   if (entry == pending_.end()) {
     makeRoom(nowMs);
     entry = pending_.insert(pending_.end(), Pending{hint, news});
   } else {
     if (hint.positionMs < entry->hint.positionMs) return;
-    const HintRole role = hint.role != HintRole::Unknown ? hint.role : entry->hint.role;
+    const GossipRole role = hint.role != GossipRole::Unknown ? hint.role : entry->hint.role;
     const bool sameChange = entry->news == News::RoleChange && entry->hint.role == role;
     entry->hint = hint;
     entry->hint.role = role;
@@ -176,7 +178,7 @@
          });
 }
 
-bool GossipScheduler::take(std::int64_t nowMs, std::vector<Hint>& datagram) {
+bool GossipScheduler::take(std::int64_t nowMs, std::vector<GossipUpdate>& datagram) {
   datagram.clear();
   if (pending_.empty()) return false;
   const bool ordinary = ordinary_.allows(nowMs);
@@ -184,7 +186,7 @@
   dropUseless(nowMs);
   if (pending_.empty()) return false;
   const bool urgent = urgentDue(nowMs);
-  if (!urgent && (!ordinary || byteBudget_ < costOf(std::min(pending_.size(), kHintsPerDatagram))))
+  if (!urgent && (!ordinary || byteBudget_ < costOf(std::min(pending_.size(), kGossipUpdatesPerDatagram))))
     return false;
   fill(nowMs, urgent, datagram);
   if (datagram.empty()) return false;
@@ -195,11 +197,11 @@
 }
 
 // First what nobody else may know, then the newest positions.
-void GossipScheduler::fill(std::int64_t nowMs, bool urgent, std::vector<Hint>& datagram) {
+void GossipScheduler::fill(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram) {
   std::sort(pending_.begin(), pending_.end(), [](const Pending& a, const Pending& b) {
     return a.news != b.news ? a.news > b.news : a.hint.positionMs > b.hint.positionMs;
   });
-  const std::size_t count = std::min(pending_.size(), kHintsPerDatagram);
+  const std::size_t count = std::min(pending_.size(), kGossipUpdatesPerDatagram);
   std::vector<Pending> kept;
   for (std::size_t k = 0; k < count; ++k) {
     Pending& p = pending_[k];
@@ -237,10 +239,10 @@
 }
 
 double GossipScheduler::costOf(std::size_t hints) const {
-  return static_cast<double>(receivers_ * (1 + hints * kHintBytes));
+  return static_cast<double>(receivers_ * (1 + hints * kGossipUpdateBytes));
 }
 
-void GossipScheduler::note(const Hint& hint, std::int64_t nowMs) {
+void GossipScheduler::note(const GossipUpdate& hint, std::int64_t nowMs) {
   auto it = told_.find(hint.tag);
   if (it == told_.end()) {
     if (told_.size() >= kMostKnown) forgetOld(nowMs);
@@ -252,7 +254,7 @@
   Told& told = it->second;
   told.positionMs = hint.positionMs;
   told.atMs = nowMs;
-  if (hint.role != HintRole::Unknown) told.role = hint.role;
+  if (hint.role != GossipRole::Unknown) told.role = hint.role;
   told.lagging = nowMs - hint.positionMs >= policy_.boundMs;
 }
 
--- a/src/cluster/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -52,11 +52,11 @@
   explicit GossipScheduler(const Policy&);
 
   // What an answer or a probe has told this proxy. Each call earns its part of the budget of bytes.
-  void learned(const Hint&, std::int64_t nowMs);
+  void learned(const GossipUpdate&, std::int64_t nowMs);
   // What a peer told.
-  void received(const Hint&, std::int64_t nowMs);
+  void received(const GossipUpdate&, std::int64_t nowMs);
   // Fills `datagram` with the hints of one that is due now, at most kHintsPerDatagram. False: none is due.
-  bool take(std::int64_t nowMs, std::vector<Hint>& datagram);
+  bool take(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
   // When a change of role is due next; other news waits for the next turn in which it may go.
   std::optional<std::int64_t> urgentAtMs() const;
   // Whom the next datagram goes to: all peers, or kFanout of them drawn at random. Valid until the next call.
@@ -69,27 +69,27 @@
   struct Told {  // of a member, by whomever
     std::int64_t positionMs = 0;
     std::int64_t atMs = 0;
-    HintRole role = HintRole::Unknown;
+    GossipRole role = GossipRole::Unknown;
     bool lagging = false;
   };
   struct Pending {
-    Hint hint;
+    GossipUpdate hint;
     News news = News::Position;
     std::int64_t dueMs = 0;  // RoleChange
     int sendsLeft = 0;       // RoleChange: datagrams that are still to carry it
   };
 
   bool sampled() const { return receivers_ < policy_.peers; }
-  bool changesRole(const Hint&) const;
-  std::optional<News> newsIn(const Hint&, std::int64_t nowMs) const;
-  void enqueue(const Hint&, News, std::int64_t nowMs);
+  bool changesRole(const GossipUpdate&) const;
+  std::optional<News> newsIn(const GossipUpdate&, std::int64_t nowMs) const;
+  void enqueue(const GossipUpdate&, News, std::int64_t nowMs);
   std::vector<Pending>::iterator find(std::uint64_t tag);
   void makeRoom(std::int64_t nowMs);
   void dropUseless(std::int64_t nowMs);
   bool worthSending(const Pending&, std::int64_t nowMs) const;
   bool urgentDue(std::int64_t nowMs) const;
-  void fill(std::int64_t nowMs, bool urgent, std::vector<Hint>& datagram);
-  void note(const Hint&, std::int64_t nowMs);
+  void fill(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram);
+  void note(const GossipUpdate&, std::int64_t nowMs);
   void forgetOld(std::int64_t nowMs);
   double costOf(std::size_t hints) const;
   double firstPhase();
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -12,8 +12,8 @@
 std::int64_t tightestBoundMs(const balancer::Settings& s) {
   std::int64_t tightest = 1000;
   for (const auto& c : s.classes)
-    if (c.need == balancer::Need::Bounded)
-      tightest = std::min(tightest, std::int64_t{c.bound.count() / 1000});
+    if (c.requirement == balancer::Requirement::BoundedStaleness)
+      tightest = std::min(tightest, std::int64_t{c.maxStaleness.count() / 1000});
   return tightest;
 }
 
@@ -25,14 +25,14 @@
 }
 
 // The same hint with its position counted by a clock that is ahead by `byMs`.
-cluster::Hint moved(cluster::Hint hint, std::int64_t byMs) {
+cluster::GossipUpdate moved(cluster::GossipUpdate hint, std::int64_t byMs) {
   hint.positionMs += byMs;
   return hint;
 }
 
 cluster::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
   // The proxies of a fleet may be given one seed; their addresses differ.
-  const std::uint64_t seed = config.seed ^ cluster::tagOf(config.peerListen.text());
+  const std::uint64_t seed = config.seed ^ cluster::endpointTag(config.peerListen.text());
   return {others, tightestBoundMs(config.settings), !config.peersAll.none(), seed};
 }
 
@@ -49,7 +49,7 @@
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->flush(); },
           this)) {
   if (!socket_.ready())
-    logEvent(LogLevel::Warning, "peers_unheard", {{"why", std::strerror(socket_.error())}});
+    logEvent(LogLevel::Warning, "gossip_listen_failed", {{"why", std::strerror(socket_.error())}});
 }
 
 void PeerLink::send(std::size_t peer, const std::string& datagram) {
@@ -57,7 +57,7 @@
   socket_.send(others_[peer], datagram);
 }
 
-void PeerLink::learned(const cluster::Hint& hint) {
+void PeerLink::statusObserved(const cluster::GossipUpdate& hint) {
   if (!config_.hints) return;
   followReference();
   scheduler_->learned(moved(hint, -offsetMs_), nowMs());
@@ -78,8 +78,8 @@
 }
 
 void PeerLink::transmit() {
-  if (tracing()) logEvent(LogLevel::Trace, "told", {{"hints", due_.size()}});
-  for (cluster::Hint& hint : due_) hint = moved(hint, offsetMs_);
+  if (tracing()) logEvent(LogLevel::Trace, "gossip_sent", {{"hints", due_.size()}});
+  for (cluster::GossipUpdate& hint : due_) hint = moved(hint, offsetMs_);
   const std::string datagram = cluster::encode(due_);
   if (!config_.peersAll.none()) {
     socket_.send(config_.peersAll, datagram);
@@ -96,7 +96,7 @@
 }
 
 void PeerLink::receive(std::size_t peer, std::string_view datagram) {
-  if (!cluster::holdsHints(datagram)) {
+  if (!cluster::isGossip(datagram)) {
     if (heads_) heads_(peer, datagram);
     return;
   }
@@ -105,9 +105,9 @@
   const std::int64_t now = nowMs();
   const std::size_t count = cluster::hintsIn(datagram);
   for (std::size_t k = 0; k < count; ++k) {
-    const cluster::Hint hint = cluster::hintAt(datagram, k, now + offsetMs_);
+    const cluster::GossipUpdate hint = cluster::hintAt(datagram, k, now + offsetMs_);
     scheduler_->received(moved(hint, -offsetMs_), now);
-    engine_.heard(hint);
+    engine_.gossipReceived(hint);
   }
 }
 
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -19,14 +19,14 @@
 // Carries out what the GossipScheduler decides on what the engine learns, and hands the engine what others
 // tell. Where its address cannot be had the log says so and the proxy does without: hints are never needed to
 // keep a rule.
-class PeerLink final : public Confidant {
+class PeerLink final : public ReplicationObserver {
  public:
   PeerLink(event_base*, Engine&, const Config&);
   ~PeerLink() override = default;
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  void learned(const cluster::Hint&) override;
+  void statusObserved(const cluster::GossipUpdate&) override;
   void flush() override;
 
   // Datagrams of another kind than hints, by whoever sent them: an index among the other proxies.
@@ -46,10 +46,11 @@
   const Config& config_;
   DatagramSocket socket_;
   std::vector<Address> others_;
-  std::optional<cluster::GossipScheduler> scheduler_;  // never empty; made anew when the reference clock moves
-  std::int64_t offsetMs_ = 0;                        // the reference clock's, which scheduler_ counts without
-  std::vector<cluster::Hint> due_;                     // the datagram that is being sent
-  Event urgent_;                                     // a change of role does not wait for the next turn
+  std::optional<cluster::GossipScheduler>
+      scheduler_;                           // never empty; made anew when the reference clock moves
+  std::int64_t offsetMs_ = 0;               // the reference clock's, which scheduler_ counts without
+  std::vector<cluster::GossipUpdate> due_;  // the datagram that is being sent
+  Event urgent_;                            // a change of role does not wait for the next turn
   Heads heads_;
 };
 
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -133,7 +133,7 @@
   if (a.requests == "off") return s;
   if (a.requests != "fixed" && a.limitMost < a.limitLeast)
     wrong(self, "limit_most", {"it is less than limit_least", "make it at least that"});
-  admission::RequestSettings r;
+  admission::RequestLimiterSettings r;
   r.limit.kind = kindOf(a.requests);
   r.limit.first = static_cast<double>(a.limit);
   const bool fixed = r.limit.kind == admission::LimitKind::Fixed;
--- a/src/config/adopt.cpp
+++ b/src/config/adopt.cpp
@@ -11,7 +11,8 @@
 
 bool same(const balancer::ClassSettings& a, const balancer::ClassSettings& b) {
   const auto all = [](const balancer::ClassSettings& c) {
-    return std::tie(c.need, c.effect, c.scope, c.memory, c.bound, c.aim, c.deadline, c.worth, c.lateWorth);
+    return std::tie(c.requirement, c.idempotency, c.idempotencyScope, c.deduplicationWindow, c.maxStaleness,
+                    c.latencyObjective, c.deadline, c.priorityWeight, c.lateWeight);
   };
   return all(a) == all(b);
 }
@@ -40,12 +41,12 @@
   const balancer::Settings was = running.settings;
   running.settings = read.settings;
   running.settings.classes = std::move(places);
-  running.settings.figures =
-      was.figures;  // what reports hold, and how the list comes, is settled at the start
-  running.settings.reports = was.reports;
-  running.settings.discovery = was.discovery;
-  running.settings.roleListed = was.roleListed;
-  running.settings.balancers = was.balancers;
+  running.settings.reportFields =
+      was.reportFields;  // what reports hold, and how the list comes, is settled at the start
+  running.settings.loadReportMode = was.loadReportMode;
+  running.settings.discoveryMode = was.discoveryMode;
+  running.settings.listedRolePolicy = was.listedRolePolicy;
+  running.settings.proxyCount = was.proxyCount;
   running.classes = std::move(names);
   running.sessions = running.sessions || read.sessions;
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -42,7 +42,7 @@
   double queriesPerSecond = 50;        // for single records, where an answer has no room for all
   int udpPayload = 0;                  // EDNS0
   std::optional<balancer::GroupId> defaultGroup;  // of instances that do not say
-  std::string defaultGroupName;                    // as the file has it
+  std::string defaultGroupName;                   // as the file has it
   Time keepFor{};                   // the last list stands so long when no name server answers; 0: for ever
   Time flapHalfLife{}, flapMost{};  // see MembershipPolicy
   double flapSuppress = 0, flapReuse = 0;
@@ -82,7 +82,7 @@
   std::size_t clientConnections = 0, serverConnections = 0;
   std::size_t askingClients = 0;    // of the clients, those that have asked something, idle ones included
   std::size_t largeStatements = 0;  // bytes that statements too long to be read ahead may take, all together
-  InstanceList known;
+  EndpointList known;
   balancer::Settings settings;
   std::vector<std::string> classes;  // names, in the order of settings.classes
   std::vector<std::string> zones;
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -21,8 +21,8 @@
 namespace sablespur {
 namespace {
 
-using balancer::Effect;
-using balancer::Need;
+using balancer::Idempotency;
+using balancer::Requirement;
 
 class Reader {
  public:
@@ -149,15 +149,15 @@
     if (faults_.size() > before) return;
     const auto at = [&](const char* key) { return s.title() + " " + key; };
     const auto& c = draft_.cls;
-    if (c.deadline < c.aim)
+    if (c.deadline < c.latencyObjective)
       fault(lineOf(s, "give_up"), at("give_up"), {"it is shorter than the aim", "make it at least the aim"});
-    if (c.need == Need::Bounded && c.bound == Time(0))
+    if (c.requirement == Requirement::BoundedStaleness && c.maxStaleness == Time(0))
       fault(lineOf(s, "max_age"), at("max_age"),
             {"data = bounded needs it", "say how old data may be, such as max_age = 200ms"});
-    if (c.effect == Effect::Keyed && c.memory == Time(0))
+    if (c.idempotency == Idempotency::WithKey && c.deduplicationWindow == Time(0))
       fault(lineOf(s, "repeats_dropped_for"), at("repeats_dropped_for"),
             {"repeats = keyed needs it", "say how long a key is known, such as 2s"});
-    if (c.need == Need::Write && c.effect == Effect::Safe)
+    if (c.requirement == Requirement::Write && c.idempotency == Idempotency::Idempotent)
       fault(lineOf(s, "repeats"), at("repeats"),
             {"a write that is safe to repeat would be sent twice", "write keyed or unsafe"});
   }
@@ -183,7 +183,7 @@
       fault(lineOf(s, "group"), s.title() + " group",
             {"'" + draft_.memberGroup + "' is neither a [group] nor a number up to 65535",
              "add [group " + draft_.memberGroup + "] with its number"});
-    for (const Instance& other : config_.known.instances)
+    for (const DiscoveredEndpoint& other : config_.known.instances)
       if (!draft_.member.address.none() && other.address == draft_.member.address)
         fault(lineOf(s, "address"), s.title() + " address",
               {"[member " + other.name + "] has this address", "give each member one of its own"});
@@ -239,17 +239,17 @@
             {"source = fixed needs a [member NAME]", "add one for each data server"});
     logins();
     if (!faults_.empty()) return;
-    config_.settings.cancel = true;
-    config_.settings.step = std::chrono::milliseconds(5);
-    config_.settings.discovery = config_.source == Source::Registry ? balancer::Discovery::Subscribe
-                                                                    : balancer::Discovery::Automatic;
-    if (config_.source != Source::Registry) config_.settings.mustAskIn = Time(0);
-    if (config_.settings.reports == balancer::Reports::Silent) {
-      config_.settings.figures.clear();
+    config_.settings.cancelAllowed = true;
+    config_.settings.timerResolution = std::chrono::milliseconds(5);
+    config_.settings.discoveryMode = config_.source == Source::Registry ? balancer::DiscoveryMode::Subscribe
+                                                                        : balancer::DiscoveryMode::Automatic;
+    if (config_.source != Source::Registry) config_.settings.discoveryPollDeadline = Time(0);
+    if (config_.settings.loadReportMode == balancer::LoadReportMode::None) {
+      config_.settings.reportFields.clear();
       config_.reportNames.clear();
     }
     for (const auto& c : config_.settings.classes)
-      config_.sessions = config_.sessions || c.need == Need::Session;
+      config_.sessions = config_.sessions || c.requirement == Requirement::Session;
     if (config_.seed == 0) {
       std::random_device random;
       config_.seed = std::uint64_t{random()} << 32 | random();
@@ -288,7 +288,8 @@
             {"it is below come_back_least", "raise it, or lower the other"});
     for (std::size_t k = 0; k < config_.classes.size(); ++k) {
       const balancer::ClassSettings& s = config_.settings.classes[k];
-      if (s.effect != balancer::Effect::Keyed || c.keep >= s.deadline + s.memory) continue;
+      if (s.idempotency != balancer::Idempotency::WithKey || c.keep >= s.deadline + s.deduplicationWindow)
+        continue;
       fault(keyLine("store", "keep"), "[store] keep",
             {"class " + config_.classes[k] + " may be asked for again after that",
              "at least its give_up and repeats_dropped_for together"});
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -105,7 +105,7 @@
       static_cast<std::uint64_t>(whole(limits, "memory_mb", "limits.", kLeastMemory >> 20, kMostMemory >> 20))
       << 20;
   deriveBounds(c, sockets, memory);
-  c.known = readInstances(jsonField<element>(root, "known", ""), "known.");
+  c.known = readEndpointList(jsonField<element>(root, "known", ""), "known.");
 
   const auto settings = jsonField<element>(root, "settings", "");
   std::string lines;
@@ -120,7 +120,7 @@
     c.classes.emplace_back(
         jsonField<std::string_view>(e, "name", "settings.classes[" + std::to_string(n++) + "]."));
   c.zones = names(settings, "settings.", "zones");
-  if (c.settings.reports != balancer::Reports::Silent)
+  if (c.settings.loadReportMode != balancer::LoadReportMode::None)
     c.reportNames = names(jsonField<element>(settings, "report", "settings."), "settings.report.", "names");
   const auto allowed = jsonField<element>(settings, "allowed", "settings.");
   const std::string path = "settings.allowed.";
@@ -138,11 +138,11 @@
   if (root["control"].get(text) == simdjson::SUCCESS) c.control = parseAddress(text, "control");
   for (std::size_t k = 0; k < c.settings.classes.size(); ++k) {
     const auto& cls = c.settings.classes[k];
-    c.sessions = c.sessions || cls.need == balancer::Need::Session;
-    if (cls.aim <= Time(0) || cls.deadline < cls.aim)
+    c.sessions = c.sessions || cls.requirement == balancer::Requirement::Session;
+    if (cls.latencyObjective <= Time(0) || cls.deadline < cls.latencyObjective)
       throw BadInput("key settings.classes[" + std::to_string(k) + "].promiseUs: 0 or past deadlineUs");
   }
-  if (c.settings.startCapacity <= 0 || c.settings.startCapacity > 1)
+  if (c.settings.warmUpStartCapacity <= 0 || c.settings.warmUpStartCapacity > 1)
     throw BadInput("key settings.obligations.startCapacity: not above 0 and at most 1");
   return c;
 }
