--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -7,13 +7,13 @@
 namespace sablespur {
 namespace {
 
-using balancer::Checks;
-using balancer::Effect;
-using balancer::Figure;
-using balancer::KeyScope;
-using balancer::Need;
-using balancer::Reports;
-using balancer::RoleListed;
+using balancer::Idempotency;
+using balancer::IdempotencyScope;
+using balancer::LaggingReplicaPolicy;
+using balancer::ListedRolePolicy;
+using balancer::LoadReportMode;
+using balancer::ReportField;
+using balancer::Requirement;
 
 constexpr double kMillisecond = 1e3, kSecond = 1e6, kHour = 3600e6;
 
@@ -93,7 +93,7 @@
            "Where clients connect. Port 0 lets the system choose; the log tells which."},
           {"proxy", "proxies", Kind::Count, "1", 1, 10000, "",
            [](Draft& d, const KeyValue& v) {
-             d.config.settings.balancers = static_cast<int>(as<std::int64_t>(v));
+             d.config.settings.proxyCount = static_cast<int>(as<std::int64_t>(v));
            },
            "How many proxies stand before the same data servers, this one included. Each takes its part of "
            "what "
@@ -119,7 +119,7 @@
            "`ulimit -n`."},
           {"limits", "attempts", Kind::Count, "8", 1, 255, "",
            [](Draft& d, const KeyValue& v) {
-             d.config.settings.attemptsCap = static_cast<int>(as<std::int64_t>(v));
+             d.config.settings.maxAttempts = static_cast<int>(as<std::int64_t>(v));
            },
            "The most attempts for one request, its first included."},
           {"limits", "dial_timeout", Kind::Duration, "250ms", kMillisecond, 60 * kSecond, "",
@@ -160,7 +160,7 @@
            "Where the HTTP registry listens; wanted with `source = registry`. SIGHUP takes a new value while "
            "serving."},
           {"discovery", "ask_within", Kind::Duration, "10s", kSecond, kHour, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.mustAskIn = time(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.discoveryPollDeadline = time(v); },
            "A proxy that has neither watched nor asked for so long counts as told of what was listed then."},
 
           {"dnssd", "domain", Kind::Domain, "", 0, 0, "",
@@ -221,57 +221,57 @@
 
           {"data_servers", "reports", Kind::Choice, "probes", 0, 0, "none answers probes",
            [](Draft& d, const KeyValue& v) {
-             d.config.settings.reports = word(v) == "none"      ? Reports::Silent
-                                         : word(v) == "answers" ? Reports::Piggyback
-                                                                : Reports::Pull;
+             d.config.settings.loadReportMode = word(v) == "none"      ? LoadReportMode::None
+                                         : word(v) == "answers" ? LoadReportMode::Piggyback
+                                                                : LoadReportMode::Pull;
            },
            "Where load reports travel: with answers (the parameter `load`), on being asked (`SHOW load`), or "
            "nowhere."},
           {"data_servers", "report_values", Kind::Words, "x0, x1, inflight", 0, 0, "",
            [](Draft& d, const KeyValue& v) {
              d.config.reportNames = as<std::vector<std::string>>(v);
-             d.config.settings.figures.clear();
+             d.config.settings.reportFields.clear();
              for (const std::string& name : d.config.reportNames)
-               d.config.settings.figures.push_back(name == "x0"         ? Figure::Position
-                                                   : name == "x1"       ? Figure::Primary
-                                                   : name == "inflight" ? Figure::Inflight
-                                                   : name == "queue"    ? Figure::Queue
-                                                                        : Figure::Other);
+               d.config.settings.reportFields.push_back(name == "x0"         ? ReportField::Position
+                                                   : name == "x1"       ? ReportField::Primary
+                                                   : name == "inflight" ? ReportField::Inflight
+                                                   : name == "queue"    ? ReportField::Queue
+                                                                        : ReportField::Other);
            },
            "The values of a report: x0 (position in the log, Unix seconds), x1 (1 from a primary), inflight, "
            "queue; "
            "others are read and not used."},
           {"data_servers", "probes", Kind::Flag, "yes", 0, 0, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.probing = as<bool>(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.healthChecksAllowed = as<bool>(v); },
            "Whether they may be probed. Each probe costs a data server a little work."},
           {"data_servers", "positions", Kind::Flag, "yes", 0, 0, "",
            [](Draft& d, const KeyValue& v) { d.config.settings.positionsInAnswers = as<bool>(v); },
            "Whether answers tell how far the log is applied (the parameter `applied_ms`)."},
           {"data_servers", "stale_reads", Kind::Choice, "served", 0, 0, "served refused held",
            [](Draft& d, const KeyValue& v) {
-             d.config.settings.checks = word(v) == "served"    ? Checks::Silent
-                                        : word(v) == "refused" ? Checks::Refuse
-                                                               : Checks::Wait;
+             d.config.settings.laggingReplicaPolicy = word(v) == "served"    ? LaggingReplicaPolicy::Serve
+                                        : word(v) == "refused" ? LaggingReplicaPolicy::Reject
+                                                               : LaggingReplicaPolicy::Wait;
            },
            "What a data server does with a read that it lags for: serves what it has (the proxy alone then "
            "keeps "
            "the "
            "bound), refuses it (72000), or holds it for a while to catch up."},
           {"data_servers", "held_for", Kind::Duration, "0", 0, 60 * kSecond, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.holdsFor = time(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.replicaWaitLimit = time(v); },
            "With `stale_reads = held`: how long."},
           {"data_servers", "role_listed", Kind::Choice, "never", 0, 0, "never start late",
            [](Draft& d, const KeyValue& v) {
-             d.config.settings.roleListed = word(v) == "never"   ? RoleListed::Silent
-                                            : word(v) == "start" ? RoleListed::Start
-                                                                 : RoleListed::Late;
+             d.config.settings.listedRolePolicy = word(v) == "never"   ? ListedRolePolicy::NotListed
+                                            : word(v) == "start" ? ListedRolePolicy::AtStart
+                                                                 : ListedRolePolicy::Delayed;
            },
            "Whether the list names the primary: never, as it was at its start, or some seconds late."},
           {"data_servers", "synchronous", Kind::Flag, "no", 0, 0, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.synchronous = as<bool>(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.synchronousReplication = as<bool>(v); },
            "Whether a write is answered only once a replica has it."},
           {"data_servers", "gone_still_serves", Kind::Flag, "no", 0, 0, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.droppedStayOpen = as<bool>(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.removedEndpointsStayUsable = as<bool>(v); },
            "Whether a server that is gone from the list may still be sent work, so that only draining binds. "
            "Leave it at "
            "no unless the list is known to lose servers that run."},
@@ -312,13 +312,13 @@
            "taken for a spoilt answer."},
 
           {"clients", "come_again", Kind::Flag, "yes", 0, 0, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.retryAfter = as<bool>(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.retryAfterAllowed = as<bool>(v); },
            "Whether refusals tell when to come back (field D, in ms)."},
           {"clients", "come_again_most", Kind::Duration, "1s", 0, kHour, "",
            [](Draft& d, const KeyValue& v) { d.config.settings.maxRetryAfter = time(v); },
            "The longest wait that clients keep to."},
           {"clients", "session_positions", Kind::Choice, "carried", 0, 0, "carried remembered",
-           [](Draft& d, const KeyValue& v) { d.config.settings.tokensCarried = word(v) == "carried"; },
+           [](Draft& d, const KeyValue& v) { d.config.settings.sessionTokensCarried = word(v) == "carried"; },
            "Whether session reads bring the position that they have to see (`after=`), or the proxy "
            "remembers "
            "what it "
@@ -561,66 +561,66 @@
            [](Draft& d, const KeyValue& v) { d.config.settings.drainGrace = time(v); },
            "Nothing new to a data server later than this after it was told that it drains or is gone."},
           {"rules", "cold_for", Kind::Duration, "18s", 0, kHour, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.coldFor = time(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.warmUpPeriod = time(v); },
            "After its start a data server is warm no later than this."},
           {"rules", "cold_capacity", Kind::Share, "21%", 0.0001, 1, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.startCapacity = as<double>(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.warmUpStartCapacity = as<double>(v); },
            "The share of its capacity that it starts with, at least."},
           {"rules", "fall_multiple", Kind::Number, "2.5", 1, 1000, "",
-           [](Draft& d, const KeyValue& v) { d.config.settings.fallMultiple = as<double>(v); },
+           [](Draft& d, const KeyValue& v) { d.config.settings.overloadFactor = as<double>(v); },
            "A cold data server that is sent more than this multiple of what it can do falls over,"},
           {"rules", "fall_for", Kind::Duration, "1500ms", kMillisecond, kHour,
-           "", [](Draft& d, const KeyValue& v) { d.config.settings.fallFor = time(v); },
+           "", [](Draft& d, const KeyValue& v) { d.config.settings.overloadWindow = time(v); },
            "when it is sent that for so long."},
 
           {"goal", "whole", Kind::Share, "55%", 0, 1,
-           "", [](Draft& d, const KeyValue& v) { d.config.settings.goalWhole = as<double>(v); },
+           "", [](Draft& d, const KeyValue& v) { d.config.settings.wholeServiceGoalWeight = as<double>(v); },
            "The weight of all that is served."},
           {"goal", "worst_class", Kind::Share, "30%", 0, 1,
-           "", [](Draft& d, const KeyValue& v) { d.config.settings.goalWorstClass = as<double>(v); },
+           "", [](Draft& d, const KeyValue& v) { d.config.settings.worstClassGoalWeight = as<double>(v); },
            "The weight of the class that is served worst."},
 
           {"class", "data", Kind::Choice, nullptr, 0, 0, "any bounded session fresh write",
            [](Draft& d, const KeyValue& v) {
-             d.cls.need = word(v) == "any"       ? Need::Any
-                          : word(v) == "bounded" ? Need::Bounded
-                          : word(v) == "session" ? Need::Session
-                          : word(v) == "fresh"   ? Need::Fresh
-                                                 : Need::Write;
+             d.cls.requirement = word(v) == "any"       ? Requirement::Any
+                          : word(v) == "bounded" ? Requirement::BoundedStaleness
+                          : word(v) == "session" ? Requirement::Session
+                          : word(v) == "fresh"   ? Requirement::Strong
+                                                 : Requirement::Write;
            },
            "What data a request needs: any; no older than max_age; all that its session wrote; all that was "
            "written "
            "before it came; or the primary, to write."},
           {"class", "max_age", Kind::Duration, "0", 0, 24 * kHour,
-           "", [](Draft& d, const KeyValue& v) { d.cls.bound = time(v); },
+           "", [](Draft& d, const KeyValue& v) { d.cls.maxStaleness = time(v); },
            "With `data = bounded`: the greatest age of the data when the request is sent."},
           {"class", "repeats", Kind::Choice, nullptr, 0, 0, "safe keyed unsafe",
            [](Draft& d, const KeyValue& v) {
-             d.cls.effect = word(v) == "safe"    ? Effect::Safe
-                            : word(v) == "keyed" ? Effect::Keyed
-                                                 : Effect::Unsafe;
+             d.cls.idempotency = word(v) == "safe"    ? Idempotency::Idempotent
+                            : word(v) == "keyed" ? Idempotency::WithKey
+                                                 : Idempotency::NonIdempotent;
            },
            "Whether a request may run twice: always, within what drops repeats of its key (`k=`), or never."},
           {"class", "repeats_dropped_by", Kind::Choice, "group", 0, 0, "all zone group",
            [](Draft& d, const KeyValue& v) {
-             d.cls.scope = word(v) == "all"    ? KeyScope::All
-                           : word(v) == "zone" ? KeyScope::Zone
-                                               : KeyScope::Group;
+             d.cls.idempotencyScope = word(v) == "all"    ? IdempotencyScope::All
+                           : word(v) == "zone" ? IdempotencyScope::Zone
+                                               : IdempotencyScope::Group;
            },
            "With `repeats = keyed`: which data servers know a key that one of them has seen."},
           {"class", "repeats_dropped_for", Kind::Duration, "0", 0, 24 * kHour, "",
-           [](Draft& d, const KeyValue& v) { d.cls.memory = time(v); },
+           [](Draft& d, const KeyValue& v) { d.cls.deduplicationWindow = time(v); },
            "With `repeats = keyed`: how long they know it, from the first send."},
           {"class", "aim", Kind::Duration, nullptr, kMillisecond, kHour, "",
-           [](Draft& d, const KeyValue& v) { d.cls.aim = time(v); },
+           [](Draft& d, const KeyValue& v) { d.cls.latencyObjective = time(v); },
            "An answer within this earns its full worth."},
           {"class", "give_up", Kind::Duration, nullptr, kMillisecond, kHour, "",
            [](Draft& d, const KeyValue& v) { d.cls.deadline = time(v); },
            "How long a client waits that does not say so itself (`d=`)."},
           {"class", "worth", Kind::Number, "1", 0, 1e6, "",
-           [](Draft& d, const KeyValue& v) { d.cls.worth = as<double>(v); }, "Against other classes."},
+           [](Draft& d, const KeyValue& v) { d.cls.priorityWeight = as<double>(v); }, "Against other classes."},
           {"class", "late_worth", Kind::Share, "0", 0, 1, "",
-           [](Draft& d, const KeyValue& v) { d.cls.lateWorth = as<double>(v); },
+           [](Draft& d, const KeyValue& v) { d.cls.lateWeight = as<double>(v); },
            "The share of the worth that an answer after the aim still earns."},
 
           {"group", "number", Kind::Count, nullptr, 0, 65535, "",
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -60,9 +60,9 @@
   std::uint64_t memory = 0;
   std::size_t descriptors = 0;
   balancer::ClassSettings cls;  // of the [class] at hand
-  Instance member;               // of the [member] at hand
-  std::string memberGroup;       // a name or a number
-  GroupName group;               // of the [group] at hand
+  DiscoveredEndpoint member;    // of the [member] at hand
+  std::string memberGroup;      // a name or a number
+  GroupName group;              // of the [group] at hand
   std::string usersFile, passwordFile;
   AdmissionDraft admission;
   StoreConfig store;
--- a/src/discovery/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -301,7 +301,7 @@
 }
 
 // What an instance is by its records: whole, at fault, or neither as yet.
-void Directory::describe(const Name& name, std::optional<Instance>& whole, std::string& fault) {
+void Directory::describe(const Name& name, std::optional<DiscoveredEndpoint>& whole, std::string& fault) {
   const Set &srv = sets_[{name, Type::Srv}], &txt = sets_[{name, Type::Txt}];
   // The lowest priority, then the greatest weight (RFC 2782): one target, the same at every proxy.
   const dns::Srv* best = nullptr;
@@ -337,7 +337,7 @@
   });
   if (!stays) chosen = Address::fromBytes(bytes.front(), best->port);
   if (txt.state == Set::State::Unknown) return;
-  Instance i;
+  DiscoveredEndpoint i;
   i.name = dns::firstLabel(name);
   i.address = chosen;
   std::vector<std::string> strings;
@@ -350,7 +350,7 @@
 }
 
 void Directory::resolve(const Name& name) {
-  std::optional<Instance> now;
+  std::optional<DiscoveredEndpoint> now;
   std::string fault;
   describe(name, now, fault);
   const auto was = whole_.find(name);
@@ -419,8 +419,8 @@
   return settled_;
 }
 
-std::vector<Instance> Directory::instances() const {
-  std::vector<Instance> all;
+std::vector<DiscoveredEndpoint> Directory::instances() const {
+  std::vector<DiscoveredEndpoint> all;
   for (const auto& [name, i] : whole_) all.push_back(i);
   return all;
 }
--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -52,7 +52,7 @@
 
   bool settled();                                     // everything has been asked for at least once
   std::uint64_t version() const { return version_; }  // another one where instances() or faults() may differ
-  std::vector<Instance> instances() const;            // those that are whole
+  std::vector<DiscoveredEndpoint> instances() const;  // those that are whole
   // Those that are not, by name, and why; for the log and for staff.
   const std::map<std::string, std::string>& faults() const { return faults_; }
   bool failing() const { return ptrFailures_ > 0; }
@@ -72,7 +72,7 @@
   void resolveAll();
   void resolve(const dns::Name& instance);
   void resolve(const dns::Question&);  // the instances that it is of
-  void describe(const dns::Name& instance, std::optional<Instance>&, std::string& fault);
+  void describe(const dns::Name& instance, std::optional<DiscoveredEndpoint>&, std::string& fault);
   void collect();
   bool spend(Time now);
   std::vector<dns::Name> names() const;
@@ -87,7 +87,7 @@
   const dns::Name domain_;
   pcg32 random_;
   std::map<dns::Question, Set> sets_;
-  std::map<dns::Name, Instance> whole_;
+  std::map<dns::Name, DiscoveredEndpoint> whole_;
   std::map<dns::Name, Address> chosen_;             // of each instance: kept while it is still listed
   std::map<dns::Name, std::set<dns::Name>> hosts_;  // instances by target
   std::map<dns::Name, dns::Name> targets_;          // and the other way
--- a/src/discovery/dnssd/records.cpp
+++ b/src/discovery/dnssd/records.cpp
@@ -22,7 +22,7 @@
 
 std::optional<std::string> readTxt(const std::vector<std::string>& strings,
                                    const std::vector<GroupName>& groups,
-                                   std::optional<balancer::GroupId> defaultGroup, Instance& i) {
+                                   std::optional<balancer::GroupId> defaultGroup, DiscoveredEndpoint& i) {
   std::map<std::string, std::string> values;
   for (const std::string& s : strings) {
     const std::size_t eq = s.find('=');
--- a/src/discovery/dnssd/records.hpp
+++ b/src/discovery/dnssd/records.hpp
@@ -23,6 +23,6 @@
 // Fills what the record says into the instance; the sentence that says what is wrong with it, if anything.
 std::optional<std::string> readTxt(const std::vector<std::string>& strings,
                                    const std::vector<GroupName>& groups,
-                                   std::optional<balancer::GroupId> defaultGroup, Instance&);
+                                   std::optional<balancer::GroupId> defaultGroup, DiscoveredEndpoint&);
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -4,7 +4,7 @@
 
 namespace sablespur {
 
-DnsSd::DnsSd(event_base* base, const Clock& clock, MemberFeed& feed, const Config& config)
+DnsSd::DnsSd(event_base* base, const Clock& clock, EndpointUpdater& feed, const Config& config)
     : base_(base),
       clock_(clock),
       feed_(feed),
@@ -44,7 +44,7 @@
     directory_->answered(now, q, r.message, r.tcp);
   else
     directory_->failed(now, q);
-  if (!r.ok && q.type == dns::Type::Ptr) feed_.listFailed(r.why);
+  if (!r.ok && q.type == dns::Type::Ptr) feed_.discoveryFailed(r.why);
   if (!r.ok && q.type != dns::Type::Ptr)
     logEvent(LogLevel::Warning, "record_failed",
              {{"name", q.name}, {"type", static_cast<int>(q.type)}, {"why", r.why}});
@@ -60,7 +60,7 @@
   for (const auto& [name, why] : directory_->faults()) {
     const auto it = logged_.find(name);
     if (it == logged_.end() || it->second != why)
-      logEvent(LogLevel::Warning, "instance_left_out", {{"name", dns::firstLabel(name)}, {"why", why}});
+      logEvent(LogLevel::Warning, "endpoint_ignored", {{"name", dns::firstLabel(name)}, {"why", why}});
   }
   logged_ = directory_->faults();
   const bool first = !told_;
--- a/src/discovery/dnssd/source.hpp
+++ b/src/discovery/dnssd/source.hpp
@@ -17,7 +17,7 @@
 class DnsSd {
  public:
   // Throws BadInput where the settings name no domain. Asks from the loop's next pass on.
-  DnsSd(event_base*, const Clock&, MemberFeed&, const Config&);
+  DnsSd(event_base*, const Clock&, EndpointUpdater&, const Config&);
   // New settings: the members stand until the new ones have told a whole list. The same ones change nothing.
   void move(const Config&);
 
@@ -34,7 +34,7 @@
 
   event_base* const base_;
   const Clock& clock_;
-  MemberFeed& feed_;
+  EndpointUpdater& feed_;
   DnsSdSettings settings_;
   std::unique_ptr<Directory> directory_;
   std::unique_ptr<Resolver> resolver_;
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -7,7 +7,7 @@
 using balancer::Lifecycle;
 using simdjson::dom::element;
 
-bool operator==(const Instance& a, const Instance& b) {
+bool operator==(const DiscoveredEndpoint& a, const DiscoveredEndpoint& b) {
   return a.name == b.name && a.address == b.address && a.zone == b.zone && a.kind == b.kind &&
          a.group == b.group && a.state == b.state && a.weight == b.weight && a.startedMs == b.startedMs;
 }
@@ -59,8 +59,8 @@
   return address ? *address : parseAddress(text, path + "hostPort");
 }
 
-Instance readInstance(const element& e, const std::string& path) {
-  Instance i;
+DiscoveredEndpoint readInstance(const element& e, const std::string& path) {
+  DiscoveredEndpoint i;
   i.name = std::string(jsonField<std::string_view>(e, "instanceId", path));
   const auto state = jsonField<std::string_view>(e, "lifecycle", path);
   if (state == "active")
@@ -91,8 +91,8 @@
 
 }  // namespace
 
-InstanceList readInstances(const element& object, const std::string& path) {
-  InstanceList list;
+EndpointList readEndpointList(const element& object, const std::string& path) {
+  EndpointList list;
   const auto generation = jsonField<std::int64_t>(object, "generation", path);
   if (generation < 0) throw BadInput("key " + path + "generation: negative");
   list.generation = static_cast<std::uint64_t>(generation);
@@ -109,12 +109,12 @@
   return list;
 }
 
-InstanceList parseInstances(std::string_view json) {
+EndpointList parseEndpointList(std::string_view json) {
   simdjson::dom::parser parser;
   element object;
   if (const auto error = parser.parse(simdjson::padded_string(json)).get(object))
     throw BadInput(std::string("list: ") + simdjson::error_message(error));
-  return readInstances(object, "");
+  return readEndpointList(object, "");
 }
 
 }  // namespace sablespur
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -12,7 +12,7 @@
 
 namespace sablespur {
 
-struct Instance {
+struct DiscoveredEndpoint {
   std::string name;
   Address address;  // none: not told, as it may be for one that has left
   std::string zone;
@@ -22,20 +22,20 @@
   double weight = 1;
   std::int64_t startedMs = 0;  // Unix time; 0: long ago
 };
-bool operator==(const Instance&, const Instance&);
-inline bool operator!=(const Instance& a, const Instance& b) { return !(a == b); }
-struct InstanceList {
+bool operator==(const DiscoveredEndpoint&, const DiscoveredEndpoint&);
+inline bool operator!=(const DiscoveredEndpoint& a, const DiscoveredEndpoint& b) { return !(a == b); }
+struct EndpointList {
   std::uint64_t generation = 0;
   bool reset = false;  // the whole list: what is absent is gone
-  std::vector<Instance> instances;
+  std::vector<DiscoveredEndpoint> instances;
 };
 
 // Whoever takes the list from its source: the whole list first, then changes, or the source's failure.
-class ListTaker {
+class EndpointListConsumer {
  public:
-  virtual ~ListTaker() = default;
-  virtual void listed(InstanceList) = 0;
-  virtual void listFailed(const std::string& why) = 0;
+  virtual ~EndpointListConsumer() = default;
+  virtual void endpointsListed(EndpointList) = 0;
+  virtual void discoveryFailed(const std::string& why) = 0;
   virtual std::uint64_t generation() const = 0;  // of the list as it is known
 };
 
@@ -61,6 +61,6 @@
 };
 
 Address parseAddress(std::string_view text, const std::string& key);  // Address::parse, or BadInput
-InstanceList parseInstances(std::string_view json);
+EndpointList parseEndpointList(std::string_view json);
 
 }  // namespace sablespur
--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -14,23 +14,23 @@
 // What is left of a name that has gone for good: its penalty has all but worn off.
 constexpr double kNoPenalty = 0.02;
 
-std::int64_t unixMs(Membership::Time t) { return t.count() / 1000; }
+std::int64_t unixMs(EndpointTable::Time t) { return t.count() / 1000; }
 
-Instance gone(Instance i) {
+DiscoveredEndpoint gone(DiscoveredEndpoint i) {
   i.state = Lifecycle::Gone;
   return i;
 }
 
 }  // namespace
 
-double Membership::penalty(const Entry& e, Time now) const {
+double EndpointTable::penalty(const Entry& e, Time now) const {
   if (e.penalty == 0) return 0;
   const double halves = static_cast<double>((now - e.penaltyAt).count()) /
                         static_cast<double>(std::max<std::int64_t>(policy_.halfLife.count(), 1));
   return e.penalty * std::exp2(-halves);
 }
 
-void Membership::appear(Entry& e, Time now, bool first) {
+void EndpointTable::appear(Entry& e, Time now, bool first) {
   e.present = true;
   e.since = now;
   e.startedMs = first && e.withdrawals == 0 ? 0 : unixMs(now);
@@ -42,7 +42,7 @@
   e.heldUntil = now + std::clamp(wait, Time(0), policy_.mostHeld);
 }
 
-void Membership::withdraw(Entry& e, Time now) {
+void EndpointTable::withdraw(Entry& e, Time now) {
   // No higher than what lets it back after mostHeld: guards against a flap of hours that shuts a server out
   // for hours.
   const double most =
@@ -56,7 +56,7 @@
   ++e.withdrawals;
 }
 
-void Membership::found(Time now, std::vector<Instance> all, bool first) {
+void EndpointTable::found(Time now, std::vector<DiscoveredEndpoint> all, bool first) {
   first = first || !listed_;
   whole_ = whole_ || !listed_;
   listed_ = dirty_ = true;
@@ -65,8 +65,8 @@
   failingSince_.reset();
 
   std::set<std::string> names;
-  for (const Instance& i : all) names.insert(i.name);
-  std::vector<Instance> leaving;
+  for (const DiscoveredEndpoint& i : all) names.insert(i.name);
+  std::vector<DiscoveredEndpoint> leaving;
   std::vector<std::int64_t> leavingStarts;
   for (auto& [name, e] : entries_)
     if (e.present && names.count(name) == 0) {
@@ -74,7 +74,7 @@
       leavingStarts.push_back(e.startedMs);
       withdraw(e, now);
     }
-  for (Instance& i : all) {
+  for (DiscoveredEndpoint& i : all) {
     Entry& e = entries_[i.name];
     if (!e.present) {
       appear(e, now, first);
@@ -90,14 +90,14 @@
   forget(now);
 }
 
-void Membership::changed(Time now, InstanceList list) {
+void EndpointTable::changed(Time now, EndpointList list) {
   registry_ = listed_ = true;
   expired_ = false;
   toldAt_ = now;
   failingSince_.reset();
   // Guards against a list that is older than what was told, as after a move or a return of discovery: what
   // has begun to leave does not come back by it, unless it has started anew.
-  for (Instance& i : list.instances) {
+  for (DiscoveredEndpoint& i : list.instances) {
     const auto known = list.generation < generation_ ? entries_.find(i.name) : entries_.end();
     if (known != entries_.end() && known->second.instance.state == Lifecycle::Draining &&
         i.state == Lifecycle::Ready && i.startedMs <= known->second.instance.startedMs)
@@ -107,10 +107,10 @@
   if (list.reset)
     for (auto it = entries_.begin(); it != entries_.end();) {
       const bool stays = std::any_of(list.instances.begin(), list.instances.end(),
-                                     [&](const Instance& i) { return i.name == it->first; });
+                                     [&](const DiscoveredEndpoint& i) { return i.name == it->first; });
       it = stays ? std::next(it) : entries_.erase(it);
     }
-  for (const Instance& i : list.instances) {
+  for (const DiscoveredEndpoint& i : list.instances) {
     if (i.state == Lifecycle::Gone) {
       entries_.erase(i.name);
       continue;
@@ -123,12 +123,12 @@
   raw_.push_back(std::move(list));
 }
 
-void Membership::failed(Time now, std::string why) {
+void EndpointTable::failed(Time now, std::string why) {
   if (!failingSince_) failingSince_ = now;
   why_ = std::move(why);
 }
 
-std::optional<Membership::Time> Membership::next() const {
+std::optional<EndpointTable::Time> EndpointTable::next() const {
   std::optional<Time> at;
   const auto sooner = [&](Time t) { at = at ? std::min(*at, t) : t; };
   for (const auto& [name, e] : entries_)
@@ -138,7 +138,7 @@
 }
 
 // Clamped once and then kept: told as a later now each time, the same start would be a new one each time.
-std::int64_t Membership::startedNoLaterThan(Entry& e, Time now) {
+std::int64_t EndpointTable::startedNoLaterThan(Entry& e, Time now) {
   const std::int64_t stamp = e.instance.startedMs;
   if (stamp == e.aheadStampMs) return e.aheadToldMs;
   if (stamp <= unixMs(now)) return stamp;
@@ -147,9 +147,9 @@
   return e.aheadToldMs;
 }
 
-std::optional<InstanceList> Membership::take(Time now) {
+std::optional<EndpointList> EndpointTable::take(Time now) {
   if (!raw_.empty()) {
-    InstanceList list = std::move(raw_.front());
+    EndpointList list = std::move(raw_.front());
     raw_.pop_front();
     return list;
   }
@@ -168,7 +168,7 @@
     return a.second->since < b.second->since;
   });
   std::vector<Address> taken;
-  InstanceList list;
+  EndpointList list;
   for (auto& [name, e] : order) {
     e->leftOut = nullptr;
     if (e->held && now >= e->heldUntil) e->held = false;
@@ -184,7 +184,7 @@
   }
   for (auto& [name, e] : order) {
     const bool wanted = e->present && !e->leftOut;
-    Instance next = e->instance;
+    DiscoveredEndpoint next = e->instance;
     next.startedMs = next.startedMs > 0 ? startedNoLaterThan(*e, now) : e->startedMs;
     // An id stands for one server: with another address or group it is another server, under a name of its
     // own.
@@ -210,7 +210,7 @@
 }
 
 // Guards against growth where instances come under names that are always new.
-void Membership::forget(Time now) {
+void EndpointTable::forget(Time now) {
   for (auto it = entries_.begin(); it != entries_.end();) {
     const Entry& e = it->second;
     const bool old = !e.present && !e.toldEngine && penalty(e, now) < kNoPenalty;
@@ -218,7 +218,7 @@
   }
 }
 
-Membership::View Membership::view(Time now) const {
+EndpointTable::View EndpointTable::view(Time now) const {
   View v{{}, toldAt_, failingSince_, failingSince_ ? why_ : std::string()};
   for (const auto& [name, e] : entries_) {
     if (!e.present && !e.toldEngine && penalty(e, now) < kNoPenalty) continue;
--- a/src/discovery/endpoint_table.hpp
+++ b/src/discovery/endpoint_table.hpp
@@ -28,7 +28,7 @@
 
 namespace sablespur {
 
-struct MembershipPolicy {
+struct EndpointTablePolicy {
   using Time = std::chrono::microseconds;
   double suppressAt = 1.5, reuseAt = 0.75;
   Time halfLife = std::chrono::seconds(15), mostHeld = std::chrono::seconds(60);
@@ -36,29 +36,29 @@
   bool dampens = true;
 };
 
-class Membership {
+class EndpointTable {
  public:
   using Time = std::chrono::microseconds;
-  explicit Membership(const MembershipPolicy& policy = {}) : policy_(policy) {}
+  explicit EndpointTable(const EndpointTablePolicy& policy = {}) : policy_(policy) {}
 
   // A source that tells everything each time. `first`: what was not there before has not just come, as after
   // a change of domain; the very first list is always so.
-  void found(Time now, std::vector<Instance> all, bool first = false);
+  void found(Time now, std::vector<DiscoveredEndpoint> all, bool first = false);
   // A source with generations. It counts returns and starts itself: no damping, no starts given here.
-  void changed(Time now, InstanceList);
+  void changed(Time now, EndpointList);
   void failed(Time now, std::string why);
 
   // What the engine has to be told now, one list a call until there is none. To be called after each of the
   // above and when next() is due.
-  std::optional<InstanceList> take(Time now);
+  std::optional<EndpointList> take(Time now);
   std::optional<Time> next() const;  // when something changes though nothing comes
 
   std::uint64_t generation() const { return generation_; }
-  void policy(const MembershipPolicy& p) { policy_ = p; }
+  void policy(const EndpointTablePolicy& p) { policy_ = p; }
 
   // For staff.
   struct Row {
-    Instance instance;
+    DiscoveredEndpoint instance;
     std::string leftOut;  // why the engine is not told of it; empty: it is
     double penalty = 0;
     unsigned withdrawals = 0;
@@ -73,10 +73,10 @@
 
  private:
   struct Entry {
-    Instance instance;  // as the source has it
+    DiscoveredEndpoint instance;  // as the source has it
     bool present = false;
     bool toldEngine = false;
-    Instance told;                                   // as the engine has it
+    DiscoveredEndpoint told;                         // as the engine has it
     Time since{};                                    // of the present presence, or of the absence
     std::int64_t startedMs = 0;                      // where the source tells none
     std::int64_t aheadStampMs = 0, aheadToldMs = 0;  // a start that lay ahead when it came, and what was told
@@ -93,13 +93,13 @@
   void forget(Time now);
   static std::int64_t startedNoLaterThan(Entry&, Time now);
 
-  MembershipPolicy policy_;
+  EndpointTablePolicy policy_;
   std::map<std::string, Entry> entries_;
   std::uint64_t generation_ = 0;
   bool listed_ = false;  // a first whole list has come
   bool whole_ = false;   // the next one told is whole
   bool registry_ = false;
-  std::deque<InstanceList> raw_;  // of the registry, waiting for take
+  std::deque<EndpointList> raw_;  // of the registry, waiting for take
   bool dirty_ = false;
   std::optional<Time> toldAt_, failingSince_;
   std::string why_;
--- a/src/discovery/json.hpp
+++ b/src/discovery/json.hpp
@@ -18,6 +18,6 @@
   return value;
 }
 
-InstanceList readInstances(const simdjson::dom::element& object, const std::string& path);
+EndpointList readEndpointList(const simdjson::dom::element& object, const std::string& path);
 
 }  // namespace sablespur
--- a/src/discovery/registry/watch.cpp
+++ b/src/discovery/registry/watch.cpp
@@ -14,33 +14,34 @@
 
 }  // namespace
 
-Discovery::Discovery(event_base* base, ListTaker& taker, const Address& address)
+RegistryWatch::RegistryWatch(event_base* base, EndpointListConsumer& taker, const Address& address)
     : base_(base),
       taker_(taker),
       address_(address),
       silence_(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void* self) { static_cast<Discovery*>(self)->fail("silent"); }, this)) {}
+          [](evutil_socket_t, short, void* self) { static_cast<RegistryWatch*>(self)->fail("silent"); },
+          this)) {}
 
-Discovery::~Discovery() { hangUp(); }
+RegistryWatch::~RegistryWatch() { hangUp(); }
 
 // Guards against a table that clients fill before the next call: the descriptor is kept from one to the
 // other.
-void Discovery::hangUp() {
+void RegistryWatch::hangUp() {
   if (!connection_) return;
   const evutil_socket_t fd = bufferevent_getfd(connection_.get());
   bufferevent_setfd(connection_.get(), -1);
   connection_.reset();
   if (fd >= 0) evutil_closesocket(fd);
   event_del(silence_.get());
-  reserve_.hold();
+  reserve_.reacquire();
 }
 
-void Discovery::watch(std::uint64_t after) {
+void RegistryWatch::watch(std::uint64_t after) {
   hangUp();
   response_ = http::Response();
   stream_ = ListStream();
-  reserve_.give();
+  reserve_.release();
   const int fd = systemCalls().socket(address_.v6() ? AF_INET6 : AF_INET);
   connection_.reset(bufferevent_socket_new(base_, fd, 0));
   const std::string target = "/registry/instances?watch=1&after=" + std::to_string(after);
@@ -51,22 +52,23 @@
       bufferevent_socket_connect(connection_.get(), address_.data(), static_cast<int>(address_.size())) != 0)
     return fail("no connection");
   bufferevent_setcb(
-      connection_.get(), [](bufferevent*, void* self) { static_cast<Discovery*>(self)->read(); }, nullptr,
+      connection_.get(), [](bufferevent*, void* self) { static_cast<RegistryWatch*>(self)->read(); }, nullptr,
       [](bufferevent*, short what, void* self) {
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) static_cast<Discovery*>(self)->fail("connection ended");
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
+          static_cast<RegistryWatch*>(self)->fail("connection ended");
       },
       this);
 }
 
 // Goes on from the list as it is known. A watch at the old address ends silently: what it has still to tell,
 // the new one tells.
-void Discovery::move(const Address& address) {
+void RegistryWatch::move(const Address& address) {
   if (address == address_) return;
   address_ = address;
   watch(taker_.generation());
 }
 
-void Discovery::read() {
+void RegistryWatch::read() {
   evbuffer* const in = bufferevent_get_input(connection_.get());
   evbuffer_iovec part;
   std::string body;
@@ -84,7 +86,7 @@
   std::vector<std::string> lists;
   const bool fine = stream_.feed(body, lists, alive);
   try {
-    for (const std::string& list : lists) taker_.listed(parseInstances(list));
+    for (const std::string& list : lists) taker_.endpointsListed(parseEndpointList(list));
   } catch (const BadInput& e) {
     return fail(e.what());
   }
@@ -93,11 +95,11 @@
   if (response_.done()) fail("watch ended");
 }
 
-void Discovery::fail(const char* why) {
+void RegistryWatch::fail(const char* why) {
   if (!connection_) return;  // an end is told once
-  logEvent(LogLevel::Warning, "watch_ended", {{"why", why}});
+  logEvent(LogLevel::Warning, "discovery_watch_closed", {{"why", why}});
   hangUp();
-  taker_.listFailed(why);
+  taker_.discoveryFailed(why);
 }
 
 }  // namespace sablespur
--- a/src/discovery/registry/watch.hpp
+++ b/src/discovery/registry/watch.hpp
@@ -9,10 +9,10 @@
 
 namespace sablespur {
 
-class Discovery final : public Lists {
+class RegistryWatch final : public DiscoverySource {
  public:
-  Discovery(event_base*, ListTaker&, const Address&);
-  ~Discovery() override;
+  RegistryWatch(event_base*, EndpointListConsumer&, const Address&);
+  ~RegistryWatch() override;
   void watch(std::uint64_t after) override;  // a watch that is on ends silently
   void move(const Address&);                 // goes on with the watch at another address
 
@@ -22,13 +22,13 @@
   void fail(const char* why);
 
   event_base* const base_;
-  ListTaker& taker_;
+  EndpointListConsumer& taker_;
   Address address_;
   BufferEvent connection_;
   Event silence_;
   http::Response response_;
   ListStream stream_;
-  Spare reserve_;  // held while there is no connection
+  ReservedDescriptor reserve_;  // held while there is no connection
 };
 
 }  // namespace sablespur
--- a/src/durability/group_commit_writer.cpp
+++ b/src/durability/group_commit_writer.cpp
@@ -34,18 +34,18 @@
 }  // namespace
 
 // Outlives the Writer where the disk hangs: its thread cannot be ended then.
-struct Writer::Shared {
+struct GroupCommitWriter::Shared {
   struct Piece {
     Operation operation;
     Done done;  // empty: a note
     std::weak_ptr<Wanted> wanted;
     Time since{};
   };
-  struct Result {
+  struct CommitResult {
     Done done;
     std::weak_ptr<Wanted> wanted;
     bool durable;
-    Said said;
+    OperationResult said;
   };
   struct Change {
     State state;
@@ -53,13 +53,13 @@
     Recovered recovered;
   };
 
-  explicit Shared(const LedgerSettings& s, FileHook* hook)
+  explicit Shared(const IdempotencyStoreSettings& s, FileHook* hook)
       : settings(s), files(hook), wake(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
     if (wake < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
   }
   ~Shared() { close(wake); }
 
-  const LedgerSettings settings;
+  const IdempotencyStoreSettings settings;
   Files files;
   const int wake;
   mutable std::mutex mutex;
@@ -68,11 +68,11 @@
   std::size_t asked = 0;     // of those that wait, somebody waits for
   Time began{};              // the commit under way
   std::vector<Piece> group;  // under way
-  std::vector<Result> results;
+  std::vector<CommitResult> results;
   std::vector<Change> changes;
   bool stop = false, over = false;
   Figures figures;
-  std::unique_ptr<Ledger> ledger;  // the thread's, once it runs
+  std::unique_ptr<IdempotencyStore> ledger;  // the thread's, once it runs
 
   // The loop's copies.
   State state = State::Down;
@@ -85,10 +85,11 @@
   }
 };
 
-Writer::Writer(event_base* base, const LedgerSettings& s, Changed changed, FileHook* hook)
+GroupCommitWriter::GroupCommitWriter(event_base* base, const IdempotencyStoreSettings& s, Changed changed,
+                                     FileHook* hook)
     : changed_(std::move(changed)), shared_(std::make_shared<Shared>(s, hook)) {
   try {
-    shared_->ledger = std::make_unique<Ledger>(shared_->files, s);
+    shared_->ledger = std::make_unique<IdempotencyStore>(shared_->files, s);
     shared_->state = State::Up;
     shared_->recovered = shared_->ledger->recovered();
   } catch (const StoreError& e) {
@@ -97,12 +98,12 @@
   }
   woken_.reset(event_new(
       base, shared_->wake, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Writer*>(self)->finished(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<GroupCommitWriter*>(self)->finished(); }, this));
   event_add(woken_.get(), nullptr);
   std::thread([shared = shared_] { serve(shared); }).detach();
 }
 
-Writer::~Writer() {
+GroupCommitWriter::~GroupCommitWriter() {
   std::unique_lock<std::mutex> lock(shared_->mutex);
   shared_->stop = true;
   shared_->more.notify_all();
@@ -110,7 +111,7 @@
   shared_->ended.wait_for(lock, kLastWait, [this] { return shared_->over; });
 }
 
-Writer::Ticket Writer::ask(Operation o, Done done) {
+GroupCommitWriter::Ticket GroupCommitWriter::ask(Operation o, Done done) {
   auto ticket = std::make_shared<Wanted>();
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
@@ -120,7 +121,7 @@
   shared_->more.notify_one();
   return ticket;
 }
-void Writer::note(Operation o) {
+void GroupCommitWriter::note(Operation o) {
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
     if (shared_->waiting.size() >= kMostNotes) {
@@ -134,7 +135,7 @@
   shared_->more.notify_one();
 }
 
-void Writer::serve(const std::shared_ptr<Shared>& shared) {
+void GroupCommitWriter::serve(const std::shared_ptr<Shared>& shared) {
   Shared& s = *shared;
   // What failed commits were to record; it is applied before anything else once the disk is back.
   Backlog backlog;
@@ -171,7 +172,7 @@
   // Opens the ledger and applies the backlog; without the lock.
   const auto reopen = [&] {
     s.ledger.reset();
-    s.ledger = std::make_unique<Ledger>(s.files, s.settings);
+    s.ledger = std::make_unique<IdempotencyStore>(s.files, s.settings);
     while (!backlog.empty()) {
       const std::vector<Operation> part = backlog.oldest(kLargestGroup);
       s.ledger->apply(part);
@@ -227,7 +228,7 @@
     std::vector<Operation> operations;
     operations.reserve(n);
     for (const Shared::Piece& p : s.group) operations.push_back(p.operation);
-    std::vector<Said> said;
+    std::vector<OperationResult> said;
     std::string why;
     bool damaged = false;
     const Time began = monotonic();
@@ -280,10 +281,10 @@
   s.ended.notify_all();
 }
 
-void Writer::finished() {
+void GroupCommitWriter::finished() {
   std::uint64_t count = 0;
   [[maybe_unused]] const ssize_t n = read(shared_->wake, &count, sizeof count);
-  std::vector<Shared::Result> results;
+  std::vector<Shared::CommitResult> results;
   std::vector<Shared::Change> changes;
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
@@ -297,22 +298,22 @@
     if (changed_) changed_(c.state, c.why);
   }
   // Each is looked at when its turn comes: one result may end what waits for the next.
-  for (Shared::Result& r : results)
+  for (Shared::CommitResult& r : results)
     if (!r.wanted.expired()) r.done(r.durable, std::move(r.said));
 }
 
-Writer::State Writer::state() const { return shared_->state; }
-const std::string& Writer::why() const { return shared_->why; }
-const Recovered& Writer::recovered() const { return shared_->recovered; }
-Time Writer::oldest() const {
+GroupCommitWriter::State GroupCommitWriter::state() const { return shared_->state; }
+const std::string& GroupCommitWriter::why() const { return shared_->why; }
+const Recovered& GroupCommitWriter::recovered() const { return shared_->recovered; }
+Time GroupCommitWriter::oldest() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
   return shared_->group.empty() ? Time(0) : monotonic() - shared_->began;
 }
-std::size_t Writer::waiting() const {
+std::size_t GroupCommitWriter::waiting() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
   return shared_->waiting.size() + shared_->group.size();
 }
-Writer::Figures Writer::figures() const {
+GroupCommitWriter::Figures GroupCommitWriter::figures() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
   return shared_->figures;
 }
--- a/src/durability/group_commit_writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -19,20 +19,20 @@
 
 namespace sablespur::durability {
 
-class Writer {
+class GroupCommitWriter {
  public:
   enum class State { Up, Down, Damaged };
   // Called in the loop when the state changes: why it is down, or nothing.
   using Changed = std::function<void(State, const std::string& why)>;
-  using Done = std::function<void(bool durable, Said)>;
+  using Done = std::function<void(bool durable, OperationResult)>;
   // Whoever holds this still wants the answer; once it is gone `Done` is not called. The operation stands.
   struct Wanted {};
   using Ticket = std::shared_ptr<Wanted>;
 
   // Opens the ledger before it returns. Throws StoreError but for Failed, which leaves it Down and trying.
-  Writer(event_base*, const LedgerSettings&, Changed, FileHook* = nullptr);
-  ~Writer();  // carries out what waits, within a second
-  Writer(const Writer&) = delete;
+  GroupCommitWriter(event_base*, const IdempotencyStoreSettings&, Changed, FileHook* = nullptr);
+  ~GroupCommitWriter();  // carries out what waits, within a second
+  GroupCommitWriter(const GroupCommitWriter&) = delete;
 
   [[nodiscard]] Ticket ask(Operation, Done);
   void note(Operation);  // nobody waits for it
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -15,34 +15,34 @@
 namespace sablespur {
 namespace {
 
-using balancer::Effect;
-using balancer::Need;
+using balancer::Idempotency;
+using balancer::Requirement;
 using durability::End;
+using durability::GroupCommitWriter;
+using durability::OperationResult;
 using durability::Outcome;
-using durability::Said;
 using durability::Verdict;
-using durability::Writer;
 
 constexpr Time kLook = std::chrono::milliseconds(10);  // at what waits for the disk
 constexpr Time kLeastWait = std::chrono::milliseconds(1);
 
-End endOf(const Ending& e) {
-  if (e.badStatement) return End::NeverRan;
+End endOf(const AttemptEnd& e) {
+  if (e.invalidStatement) return End::NeverRan;
   switch (e.result) {
-    case Result::Ok:
+    case AttemptResult::Ok:
       return End::Ran;
-    case Result::Full:
-    case Result::ConnectFailed:
-    case Result::Moot:
-    case Result::Miss:
+    case AttemptResult::Rejected:
+    case AttemptResult::ConnectFailed:
+    case AttemptResult::NotSent:
+    case AttemptResult::TooStale:
       return End::NeverRan;
     default:
       return End::MayHaveRun;
   }
 }
 
-durability::LedgerSettings ledgerSettings(const StoreConfig& c) {
-  durability::LedgerSettings s;
+durability::IdempotencyStoreSettings ledgerSettings(const StoreConfig& c) {
+  durability::IdempotencyStoreSettings s;
   s.directory = c.directory;
   s.keep = c.keep;
   s.keepSessions = c.keepSessions;
@@ -52,22 +52,22 @@
   return s;
 }
 
-class StoreKeeper final : public Keeper, Witness {
+class StoreKeeper final : public IdempotencyHandler, AttemptObserver {
  public:
-  StoreKeeper(event_base* base, Engine& engine, Entrance& next, const Config& c,
+  StoreKeeper(event_base* base, Engine& engine, RequestHandler& next, const Config& c,
               const translation::AnswerReader& reader, durability::FileHook* hook)
       : engine_(engine),
         next_(next),
         config_(*c.store),
         classes_(c.settings.classes),
         names_(c.classes),
-        tokensCarried_(c.settings.tokensCarried),
-        retryAfter_(c.settings.retryAfter),
+        tokensCarried_(c.settings.sessionTokensCarried),
+        retryAfter_(c.settings.retryAfterAllowed),
         reader_(reader),
         random_(static_cast<std::mt19937::result_type>(c.seed)),
         writer_(
             base, ledgerSettings(config_),
-            [this](Writer::State s, const std::string& why) { changed(s, why); }, hook),
+            [this](GroupCommitWriter::State s, const std::string& why) { changed(s, why); }, hook),
         started_(engine.now()),
         deliver_(event_new(
             base, -1, 0,
@@ -75,26 +75,27 @@
         look_(event_new(
             base, -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<StoreKeeper*>(self)->look(); }, this)) {
-    engine_.witness(this);
-    if (writer_.state() == Writer::State::Up) {
+    engine_.setAttemptObserver(this);
+    if (writer_.state() == GroupCommitWriter::State::Up) {
       opened();
     } else {
       changed(writer_.state(), writer_.why());
     }
   }
-  ~StoreKeeper() override { engine_.witness(nullptr); }
+  ~StoreKeeper() override { engine_.setAttemptObserver(nullptr); }
 
-  RequestId request(Requester& asker, balancer::Request q, Message m) override {
-    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.cls)];
-    const bool keyed = c.need == Need::Write && c.effect == Effect::Keyed && !m.key.empty();
-    const bool sessionRead = c.need == Need::Session && q.session != 0 && !tokensCarried_;
-    const bool sessionWrite = c.need == Need::Write && q.session != 0 && !tokensCarried_;
+  RequestId request(ResponseHandler& asker, balancer::Request q, Message m) override {
+    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.classIndex)];
+    const bool keyed =
+        c.requirement == Requirement::Write && c.idempotency == Idempotency::WithKey && !m.key.empty();
+    const bool sessionRead = c.requirement == Requirement::Session && q.session != 0 && !tokensCarried_;
+    const bool sessionWrite = c.requirement == Requirement::Write && q.session != 0 && !tokensCarried_;
     const RequestId id = ++lastId_;
     Entered& e =
         *entered_.emplace(id, std::make_unique<Entered>(*this, id, asker, q, std::move(m))).first->second;
     e.keyed = keyed;
     e.session = sessionRead || sessionWrite;
-    e.write = c.need == Need::Write;
+    e.write = c.requirement == Requirement::Write;
     e.arrived = engine_.now();
     if (keyed) {
       takePlace(e);
@@ -106,28 +107,29 @@
     return id;
   }
 
-  void left(RequestId id) override {
+  void clientDisconnected(RequestId id) override {
     const auto it = entered_.find(id);
     if (it == entered_.end()) return;
     Entered& e = *it->second;
     if (e.inEngine != 0) {
-      next_.left(e.inEngine);
+      next_.clientDisconnected(e.inEngine);
       byEngine_.erase(e.inEngine);
     }
     // The engine hears of it in its next turn, and may send once more before: once it has gone on, it may
     // have run.
-    if (e.keyed && e.intended) writer_.note(durability::NoteLeft{e.message.key, e.message.id, e.inEngine != 0});
+    if (e.keyed && e.intended)
+      writer_.note(durability::NoteLeft{e.message.key, e.message.id, e.inEngine != 0});
     if (e.keyed && e.waits == Waits::Intent) takeBack(e);
     drop(e);
   }
 
-  KeeperView view() const override {
-    KeeperView v = counts_;
-    const Writer::Figures f = writer_.figures();
+  IdempotencyView view() const override {
+    IdempotencyView v = counts_;
+    const GroupCommitWriter::Figures f = writer_.figures();
     v.directory = config_.directory;
-    v.state = writer_.state() == Writer::State::Up     ? (slow_ ? "slow" : "up")
-              : writer_.state() == Writer::State::Down ? "down"
-                                                       : "damaged";
+    v.state = writer_.state() == GroupCommitWriter::State::Up     ? (slow_ ? "slow" : "up")
+              : writer_.state() == GroupCommitWriter::State::Down ? "down"
+                                                                  : "damaged";
     v.why = writer_.why();
     v.epoch = writer_.recovered().epoch;
     v.keys = f.keys;
@@ -146,18 +148,18 @@
  private:
   enum class Waits { Nothing, Turn, Intent, Session, Outcome };
   // A request between who asked and the engine.
-  struct Entered final : Requester {
-    Entered(StoreKeeper& k, RequestId i, Requester& a, const balancer::Request& r, Message&& m)
+  struct Entered final : ResponseHandler {
+    Entered(StoreKeeper& k, RequestId i, ResponseHandler& a, const balancer::Request& r, Message&& m)
         : keeper(k), id(i), asker(a), q(r), message(std::move(m)) {}
     void served(Answer a) override { keeper.served(*this, std::move(a)); }
-    void refused(Time retryAfter) override { keeper.refused(*this, retryAfter); }
+    void rejected(Time retryAfter) override { keeper.refused(*this, retryAfter); }
     void failed() override { keeper.failed(*this); }
     // Of its attempts, those included that are still out.
     bool mayHaveRun() const { return ran || out > 0; }
 
     StoreKeeper& keeper;
     const RequestId id;
-    Requester& asker;
+    ResponseHandler& asker;
     balancer::Request q;
     Message message;  // its id and key, once it has gone on
     RequestId inEngine = 0;
@@ -167,11 +169,11 @@
     std::int64_t positionMs = 0;
     Time arrived{}, since{};  // since: it waits
     Waits waits = Waits::Nothing;
-    Writer::Ticket ticket;
+    GroupCommitWriter::Ticket ticket;
     Answer answer;  // while its outcome becomes durable
   };
 
-  bool takesWrites() const { return writer_.state() == Writer::State::Up && !slow_; }
+  bool takesWrites() const { return writer_.state() == GroupCommitWriter::State::Up && !slow_; }
   Time comeBack() {
     if (!retryAfter_) return Time(0);
     return Time(std::uniform_int_distribution<std::int64_t>(config_.comeBackLeast.count(),
@@ -219,17 +221,17 @@
       return later(e, comeBack());
     }
     wait(e, Waits::Intent);
-    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(e.q.cls)];
-    durability::Asked a;
+    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(e.q.classIndex)];
+    durability::KeyedRequest a;
     a.id = e.message.id;
     a.key = e.message.key;
-    a.cls = names_[static_cast<std::size_t>(e.q.cls)];
+    a.cls = names_[static_cast<std::size_t>(e.q.classIndex)];
     a.group = e.q.group;
-    a.window = c.memory;
+    a.window = c.deduplicationWindow;
     e.ticket = writer_.ask(durability::AskKey{std::move(a)},
-                           [this, &e](bool durable, Said s) { judged(e, durable, std::move(s)); });
+                           [this, &e](bool durable, OperationResult s) { judged(e, durable, std::move(s)); });
   }
-  void judged(Entered& e, bool durable, Said s) {
+  void judged(Entered& e, bool durable, OperationResult s) {
     e.ticket.reset();
     e.waits = Waits::Nothing;
     if (!durable || s.full) {
@@ -248,7 +250,7 @@
         // Since when it may be out: from then the data servers' memory of it counts. The ledger looked after
         // this was asked, so counted from there it is no later than it was; counted from now, a slow commit
         // would add to it.
-        e.q.ranAt = std::max(e.since - s.since, Time(1));
+        e.q.mayHaveRunSince = std::max(e.since - s.since, Time(1));
         return go(e);
       case Verdict::Recorded: {
         ++counts_.recorded;
@@ -257,7 +259,7 @@
         append(a.messages.get(), s.answer);
         a.reader = &reader_;
         writer_.note(durability::NoteTold{e.message.key, e.message.id});
-        Requester& asker = e.asker;
+        ResponseHandler& asker = e.asker;
         drop(e);
         return asker.served(std::move(a));
       }
@@ -273,20 +275,21 @@
       return go(e);
     }
     wait(e, Waits::Session);
-    e.ticket = writer_.ask(durability::AskSession{e.q.session}, [this, &e](bool durable, const Said& s) {
-      e.ticket.reset();
-      e.waits = Waits::Nothing;
-      if (!durable) {
-        unproved(e);
-      } else if (s.positionMs > 0) {
-        sawUpTo(e, std::chrono::milliseconds(s.positionMs));
-      }
-      go(e);
-    });
+    e.ticket =
+        writer_.ask(durability::AskSession{e.q.session}, [this, &e](bool durable, const OperationResult& s) {
+          e.ticket.reset();
+          e.waits = Waits::Nothing;
+          if (!durable) {
+            unproved(e);
+          } else if (s.positionMs > 0) {
+            sawUpTo(e, std::chrono::milliseconds(s.positionMs));
+          }
+          go(e);
+        });
   }
   void sawUpTo(Entered& e, Time position) {
     e.message.clockOffset = engine_.clockOffset();
-    e.q.tokenMs = std::max(
+    e.q.sessionTokenAgeMs = std::max(
         0.001f, static_cast<float>(static_cast<double>((engine_.unixNow() - position).count()) / 1e3));
   }
   // What the session has seen is not known: nothing older than now will do.
@@ -300,21 +303,21 @@
   }
 
   // ---- attempts ----------------------------------------------------------------------------------------
-  void sent(RequestId id, int attempt, const std::string& member) override {
+  void attemptSent(RequestId id, int attempt, const std::string& member) override {
     const auto it = byEngine_.find(id);
     if (it == byEngine_.end()) return;
     Entered& e = *it->second;
     ++e.out;
     if (e.keyed) writer_.note(durability::NoteSent{e.message.key, e.message.id, member, attempt});
   }
-  void ended(RequestId id, int attempt, const Ending& ending) override {
+  void attemptEnded(RequestId id, int attempt, const AttemptEnd& ending) override {
     const auto it = byEngine_.find(id);
     if (it == byEngine_.end()) return;
     Entered& e = *it->second;
     const End end = endOf(ending);
     e.out -= e.out > 0;
     e.ran = e.ran || end != End::NeverRan;
-    if (ending.result == Result::Ok) e.positionMs = ending.positionMs;
+    if (ending.result == AttemptResult::Ok) e.positionMs = ending.positionMs;
     if (e.keyed) writer_.note(durability::NoteEnded{e.message.key, e.message.id, attempt, end});
   }
 
@@ -326,13 +329,13 @@
     const bool problem = a.problem;
     if (problem || (!e.keyed && !(e.session && e.write && e.positionMs > 0))) {
       if (e.keyed) finish(e, problem && !e.ran ? Outcome::Refused : Outcome::Failed);
-      Requester& asker = e.asker;
+      ResponseHandler& asker = e.asker;
       drop(e);
       return asker.served(std::move(a));
     }
     e.answer = std::move(a);
     wait(e, Waits::Outcome);
-    const auto done = [this, &e](bool durable, const Said&) { recorded(e, durable); };
+    const auto done = [this, &e](bool durable, const OperationResult&) { recorded(e, durable); };
     if (!e.keyed) {
       e.ticket = writer_.ask(durability::NoteSeen{e.q.session, e.positionMs}, done);
       return;
@@ -358,7 +361,7 @@
       return fail(e);
     }
     if (e.keyed) writer_.note(durability::NoteTold{e.message.key, e.message.id});
-    Requester& asker = e.asker;
+    ResponseHandler& asker = e.asker;
     Answer a = std::move(e.answer);
     drop(e);
     asker.served(std::move(a));
@@ -378,12 +381,12 @@
     writer_.note(durability::NoteTold{e.message.key, e.message.id});
   }
   void refuse(Entered& e, Time wait) {
-    Requester& asker = e.asker;
+    ResponseHandler& asker = e.asker;
     drop(e);
-    asker.refused(wait);
+    asker.rejected(wait);
   }
   void fail(Entered& e) {
-    Requester& asker = e.asker;
+    ResponseHandler& asker = e.asker;
     drop(e);
     asker.failed();
   }
@@ -412,7 +415,7 @@
       if (slow)
         logEvent(LogLevel::Warning, "store_slow", {{"waited_ms", writer_.oldest().count() / 1000}});
       else
-        logEvent(LogLevel::Info, "store_in_time_again");
+        logEvent(LogLevel::Info, "store_recovered");
     }
     std::vector<RequestId> over;
     bool any = slow_;
@@ -443,15 +446,15 @@
     }
     if (!any) event_del(look_.get());
   }
-  void changed(Writer::State s, const std::string& why) {
+  void changed(GroupCommitWriter::State s, const std::string& why) {
     switch (s) {
-      case Writer::State::Up:
+      case GroupCommitWriter::State::Up:
         opened();
         return;
-      case Writer::State::Down:
+      case GroupCommitWriter::State::Down:
         logEvent(LogLevel::Error, "store_down", {{"why", why}});
         return;
-      case Writer::State::Damaged:
+      case GroupCommitWriter::State::Damaged:
         logEvent(LogLevel::Error, "store_damaged", {{"why", why}});
     }
   }
@@ -466,12 +469,12 @@
               {"gap", r.gap}});
     if (r.database.tornBytes > 0)
       logEvent(
-          LogLevel::Warning, "store_end_torn",
+          LogLevel::Warning, "store_tail_truncated",
           {{"file", r.database.tornFile}, {"offset", r.database.tornAt}, {"bytes", r.database.tornBytes}});
   }
 
   Engine& engine_;
-  Entrance& next_;
+  RequestHandler& next_;
   const StoreConfig config_;
   const std::vector<balancer::ClassSettings> classes_;
   const std::vector<std::string> names_;
@@ -483,10 +486,10 @@
   std::unordered_map<std::string, std::deque<RequestId>>
       lines_;                                         // by key: under way, and those that wait for it
   std::vector<std::pair<RequestId, Time>> refusals_;  // to be told
-  KeeperView counts_;
+  IdempotencyView counts_;
   bool slow_ = false;
   RequestId lastId_ = 0;
-  Writer writer_;
+  GroupCommitWriter writer_;
   const Time started_;
   Event deliver_, look_;
 };
@@ -504,8 +507,10 @@
 
 }  // namespace
 
-std::unique_ptr<Keeper> openKeeper(event_base* base, Engine& engine, Entrance& next, const Config& c,
-                                   const translation::AnswerReader& reader, durability::FileHook* hook) {
+std::unique_ptr<IdempotencyHandler> createIdempotencyHandler(event_base* base, Engine& engine,
+                                                             RequestHandler& next, const Config& c,
+                                                             const translation::AnswerReader& reader,
+                                                             durability::FileHook* hook) {
   if (!c.store) return nullptr;
   try {
     try {
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -30,7 +30,7 @@
 namespace sablespur {
 
 // For `sablespur status`.
-struct KeeperView {
+struct IdempotencyView {
   std::string directory, state;  // up, slow, down, damaged
   std::string why;
   std::uint64_t epoch = 0, keys = 0, sessions = 0, operations = 0, commits = 0, largestGroup = 0, lost = 0,
@@ -41,16 +41,18 @@
   std::size_t waiting = 0;
 };
 
-class Keeper : public Entrance {
+class IdempotencyHandler : public RequestHandler {
  public:
-  virtual KeeperView view() const = 0;
+  virtual IdempotencyView view() const = 0;
 };
 
 // Null where the settings have no store. Opens it before it returns; throws std::runtime_error where it may
 // not be opened (another process has it, or it is damaged and is not to be set aside). `reader` reads the
 // answers that are kept.
 // `next`: what takes the requests on, the engine or what stands before it.
-std::unique_ptr<Keeper> openKeeper(event_base*, Engine&, Entrance& next, const Config&,
-                                   const translation::AnswerReader& reader, durability::FileHook* = nullptr);
+std::unique_ptr<IdempotencyHandler> createIdempotencyHandler(event_base*, Engine&, RequestHandler& next,
+                                                             const Config&,
+                                                             const translation::AnswerReader& reader,
+                                                             durability::FileHook* = nullptr);
 
 }  // namespace sablespur
--- a/src/durability/idempotency_store.cpp
+++ b/src/durability/idempotency_store.cpp
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-struct Ledger::Group {
+struct IdempotencyStore::Group {
   Time now{};
   MachineTime machine;
   Database::Batch batch;
@@ -74,7 +74,7 @@
   std::unordered_map<std::uint64_t, CachedSession> sessions;
 };
 
-Ledger::Ledger(Files& files, const LedgerSettings& s, MachineClock machine)
+IdempotencyStore::IdempotencyStore(Files& files, const IdempotencyStoreSettings& s, MachineClock machine)
     : settings_(s),
       machine_(std::move(machine)),
       db_(files, s.directory),
@@ -107,19 +107,19 @@
   b.put(kClock, encode(clock_.record(m)));
   db_.commit(b);
 }
-Ledger::~Ledger() = default;
+IdempotencyStore::~IdempotencyStore() = default;
 
-std::optional<ClockRecord> Ledger::lastClock() {
+std::optional<ClockRecord> IdempotencyStore::lastClock() {
   const auto value = db_.get(kClock);
   if (!value) return std::nullopt;
   return decodedRecord(kClock, *value, decodeClock);
 }
 
-std::vector<Said> Ledger::apply(const std::vector<Operation>& all) {
+std::vector<OperationResult> IdempotencyStore::apply(const std::vector<Operation>& all) {
   Group g;
   g.machine = machine_();
   g.now = clock_.at(g.machine);
-  std::vector<Said> said;
+  std::vector<OperationResult> said;
   said.reserve(all.size());
   for (const Operation& o : all) said.push_back(std::visit([&](const auto& x) { return carryOut(g, x); }, o));
   for (const auto& [key, c] : g.keys) {
@@ -149,7 +149,7 @@
   return said;
 }
 
-Ledger::Cached& Ledger::key(Group& g, const std::string& key) {
+IdempotencyStore::Cached& IdempotencyStore::key(Group& g, const std::string& key) {
   const auto [it, fresh] = g.keys.try_emplace(key);
   if (fresh) {
     if (const auto value = db_.get(keyKey(key))) {
@@ -160,7 +160,7 @@
   }
   return it->second;
 }
-Ledger::CachedSession& Ledger::session(Group& g, std::uint64_t session) {
+IdempotencyStore::CachedSession& IdempotencyStore::session(Group& g, std::uint64_t session) {
   const auto [it, fresh] = g.sessions.try_emplace(session);
   if (fresh) {
     if (const auto value = db_.get(sessionKey(session))) {
@@ -171,9 +171,9 @@
   return it->second;
 }
 
-Said Ledger::carryOut(Group& g, const AskKey& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const AskKey& o) {
   Cached& c = key(g, o.asked.key);
-  Said said;
+  OperationResult said;
   if (!c.record && totals_.keys >= settings_.mostKeys) {
     // Forgetting one early to make room could have it run twice.
     said.full = true;
@@ -181,7 +181,7 @@
     g.keys.erase(o.asked.key);
     return said;
   }
-  const Judged j = judge(c.record ? &*c.record : nullptr, o.asked, g.now, clock_.gapAt());
+  const Judgement j = judge(c.record ? &*c.record : nullptr, o.asked, g.now, clock_.gapAt());
   said.verdict = j.verdict;
   said.since = j.since;
   if (j.verdict == Verdict::Recorded) {
@@ -189,25 +189,26 @@
     said.positionMs = c.record->positionMs;
   }
   totals_.keys += !c.record;
-  c.record = durability::opened(c.record, o.asked, j, g.now, settings_.keep, recovered_.epoch, g.machine.wallMs);
+  c.record =
+      durability::opened(c.record, o.asked, j, g.now, settings_.keep, recovered_.epoch, g.machine.wallMs);
   c.changed = true;
   return said;
 }
-Said Ledger::carryOut(Group& g, const NoteSent& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const NoteSent& o) {
   Cached& c = key(g, o.key);
   if (!c.record) return {};
   sent(*c.record, {o.id, o.attempt, o.member, g.now, End::Out});
   c.changed = true;
   return {};
 }
-Said Ledger::carryOut(Group& g, const NoteEnded& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const NoteEnded& o) {
   Cached& c = key(g, o.key);
   if (!c.record) return {};
   ended(*c.record, o.id, o.attempt, o.end);
   c.changed = true;
   return {};
 }
-Said Ledger::carryOut(Group& g, const Finish& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const Finish& o) {
   if (o.session != 0) see(g, o.session, o.positionMs);
   Cached& c = key(g, o.key);
   if (!c.record) return {};
@@ -221,14 +222,14 @@
   c.changed = true;
   return {};
 }
-Said Ledger::carryOut(Group& g, const NoteTold& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const NoteTold& o) {
   Cached& c = key(g, o.key);
   if (!c.record) return {};
   told(*c.record, o.id);
   c.changed = true;
   return {};
 }
-Said Ledger::carryOut(Group& g, const NoteLeft& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const NoteLeft& o) {
   Cached& c = key(g, o.key);
   if (!c.record) return {};
   c.record->mayHaveRun = c.record->mayHaveRun || o.mayHaveRun;
@@ -236,18 +237,18 @@
   c.changed = true;
   return {};
 }
-Said Ledger::carryOut(Group& g, const NoteSeen& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const NoteSeen& o) {
   see(g, o.session, o.positionMs);
   return {};
 }
-Said Ledger::carryOut(Group& g, const AskSession& o) {
+OperationResult IdempotencyStore::carryOut(Group& g, const AskSession& o) {
   const CachedSession& c = session(g, o.session);
-  Said said;
+  OperationResult said;
   said.positionMs = c.record ? c.record->positionMs : totals_.floorMs;
   return said;
 }
 
-void Ledger::see(Group& g, std::uint64_t of, std::int64_t positionMs) {
+void IdempotencyStore::see(Group& g, std::uint64_t of, std::int64_t positionMs) {
   CachedSession& c = session(g, of);
   if (!c.record) {
     // One more than there is room for is forgotten at once: that raises the floor for all who are not known.
@@ -265,7 +266,7 @@
   c.changed = true;
 }
 
-Time Ledger::firstExpiry() {
+Time IdempotencyStore::firstExpiry() {
   Time first = Time::max();
   db_.scan("x", "x", [&](std::string_view key, std::string_view) {
     if (key.size() < 10 || key[9] != 'k') return true;
@@ -275,7 +276,7 @@
   return first;
 }
 
-void Ledger::expire(Group& g, std::size_t most) {
+void IdempotencyStore::expire(Group& g, std::size_t most) {
   db_.scan("x", "x", [&](std::string_view key, std::string_view) {
     if (key.size() < 10) damaged("an expiry entry that names nothing: " + shown(key));
     const Time at(static_cast<std::int64_t>(readNumber(key.substr(1))));
--- a/src/durability/idempotency_store.hpp
+++ b/src/durability/idempotency_store.hpp
@@ -27,7 +27,7 @@
 
 namespace sablespur::durability {
 
-struct LedgerSettings {
+struct IdempotencyStoreSettings {
   std::string directory;
   Time keep = std::chrono::minutes(10);          // a key, after the last word on it
   Time keepSessions = std::chrono::minutes(10);  // after it was last seen
@@ -37,7 +37,7 @@
 };
 
 struct AskKey {  // its intent is durable before anything of it is sent
-  Asked asked;
+  KeyedRequest asked;
 };
 struct NoteSent {
   std::string key, id, member;
@@ -73,7 +73,7 @@
 using Operation = std::variant<AskKey, NoteSent, NoteEnded, Finish, NoteTold, NoteLeft, NoteSeen, AskSession>;
 
 // What an operation brings; for those that only note, nothing.
-struct Said {
+struct OperationResult {
   Verdict verdict = Verdict::Unknown;  // AskKey
   bool full = false;                   // AskKey: no room for another key
   Time wait{};                         // full: until some expire
@@ -88,17 +88,17 @@
   Opened database;
 };
 
-class Ledger {
+class IdempotencyStore {
  public:
   using MachineClock = std::function<MachineTime()>;
   // Throws StoreError.
-  Ledger(Files&, const LedgerSettings&, MachineClock = machineTime);
-  ~Ledger();
+  IdempotencyStore(Files&, const IdempotencyStoreSettings&, MachineClock = machineTime);
+  ~IdempotencyStore();
 
   const Recovered& recovered() const { return recovered_; }
   // All of it in one commit; what is only asked costs none. Throws StoreError: none of it counts as durable
   // then, and this object is of no more use.
-  std::vector<Said> apply(const std::vector<Operation>&);
+  std::vector<OperationResult> apply(const std::vector<Operation>&);
   const Totals& totals() const { return totals_; }
   std::uint64_t commits() const { return db_.commits(); }
   std::uint64_t bytesOnDisk() const { return db_.bytesOnDisk(); }
@@ -119,22 +119,22 @@
   Cached& key(Group&, const std::string&);
   CachedSession& session(Group&, std::uint64_t);
   void see(Group&, std::uint64_t session, std::int64_t positionMs);
-  Said carryOut(Group&, const AskKey&);
-  Said carryOut(Group&, const NoteSent&);
-  Said carryOut(Group&, const NoteEnded&);
-  Said carryOut(Group&, const Finish&);
-  Said carryOut(Group&, const NoteTold&);
-  Said carryOut(Group&, const NoteLeft&);
-  Said carryOut(Group&, const NoteSeen&);
-  Said carryOut(Group&, const AskSession&);
+  OperationResult carryOut(Group&, const AskKey&);
+  OperationResult carryOut(Group&, const NoteSent&);
+  OperationResult carryOut(Group&, const NoteEnded&);
+  OperationResult carryOut(Group&, const Finish&);
+  OperationResult carryOut(Group&, const NoteTold&);
+  OperationResult carryOut(Group&, const NoteLeft&);
+  OperationResult carryOut(Group&, const NoteSeen&);
+  OperationResult carryOut(Group&, const AskSession&);
   void expire(Group&, std::size_t most);
   Time firstExpiry();
   std::optional<ClockRecord> lastClock();
 
-  const LedgerSettings settings_;
+  const IdempotencyStoreSettings settings_;
   const MachineClock machine_;
   Database db_;
-  LedgerClock clock_;
+  StoreClock clock_;
   Totals totals_;
   Recovered recovered_;
 };
--- a/src/durability/rules.cpp
+++ b/src/durability/rules.cpp
@@ -27,7 +27,7 @@
   return kNames[static_cast<int>(v)];
 }
 
-Judged judge(const KeyRecord* r, const Asked& a, Time now, Time gapAt) {
+Judgement judge(const KeyRecord* r, const KeyedRequest& a, Time now, Time gapAt) {
   if (!r) return {Verdict::Run, {}};
   if (r->outcome == Outcome::Served)
     return {r->answered && r->group == a.group ? Verdict::Recorded : Verdict::Unknown, {}};
@@ -40,8 +40,8 @@
   return {Verdict::Again, since};
 }
 
-KeyRecord opened(const std::optional<KeyRecord>& was, const Asked& a, const Judged& j, Time now, Time keep,
-                 std::uint64_t epoch, std::int64_t wallMs) {
+KeyRecord opened(const std::optional<KeyRecord>& was, const KeyedRequest& a, const Judgement& j, Time now,
+                 Time keep, std::uint64_t epoch, std::int64_t wallMs) {
   KeyRecord r;
   if (was && j.verdict != Verdict::Run) r = *was;
   if (j.verdict == Verdict::Run) {
--- a/src/durability/rules.hpp
+++ b/src/durability/rules.hpp
@@ -9,7 +9,7 @@
 namespace sablespur::durability {
 
 // A keyed write as it comes.
-struct Asked {
+struct KeyedRequest {
   std::string id, key, cls;
   std::uint32_t group = 0;
   Time window{};  // of its class
@@ -23,15 +23,15 @@
 };
 const char* name(Verdict);
 
-struct Judged {
+struct Judgement {
   Verdict verdict = Verdict::Run;
   Time since{};  // Again: since the first send, at most
 };
 // `gapAt`: LedgerClock's.
-Judged judge(const KeyRecord*, const Asked&, Time now, Time gapAt);
+Judgement judge(const KeyRecord*, const KeyedRequest&, Time now, Time gapAt);
 
 // The record once the verdict is carried out; for Run of a key whose attempts never ran, a new beginning.
-KeyRecord opened(const std::optional<KeyRecord>&, const Asked&, const Judged&, Time now, Time keep,
+KeyRecord opened(const std::optional<KeyRecord>&, const KeyedRequest&, const Judgement&, Time now, Time keep,
                  std::uint64_t epoch, std::int64_t wallMs);
 
 void sent(KeyRecord&, Attempt);
--- a/src/durability/store_clock.cpp
+++ b/src/durability/store_clock.cpp
@@ -22,7 +22,7 @@
           std::chrono::duration_cast<std::chrono::milliseconds>(wall).count()};
 }
 
-LedgerClock::LedgerClock(const std::optional<ClockRecord>& last, const MachineTime& now)
+StoreClock::StoreClock(const std::optional<ClockRecord>& last, const MachineTime& now)
     : boot_(now.boot), bootUs_(now.us), base_(1), last_(base_) {
   if (!last) return;
   gapAt_ = last->gapAt;
@@ -37,10 +37,10 @@
   last_ = base_;
 }
 
-Time LedgerClock::at(const MachineTime& now) {
+Time StoreClock::at(const MachineTime& now) {
   last_ = std::max(last_, base_ + Time(std::max<std::int64_t>(now.us - bootUs_, 0)));
   return last_;
 }
-ClockRecord LedgerClock::record(const MachineTime& now) { return {at(now), boot_, now.us, gapAt_}; }
+ClockRecord StoreClock::record(const MachineTime& now) { return {at(now), boot_, now.us, gapAt_}; }
 
 }  // namespace sablespur::durability
--- a/src/durability/store_clock.hpp
+++ b/src/durability/store_clock.hpp
@@ -20,9 +20,9 @@
 };
 MachineTime machineTime();
 
-class LedgerClock {
+class StoreClock {
  public:
-  LedgerClock(const std::optional<ClockRecord>& last, const MachineTime& now);
+  StoreClock(const std::optional<ClockRecord>& last, const MachineTime& now);
   bool gap() const { return gap_; }      // between the last record and now lies a time that is not known
   Time gapAt() const { return gapAt_; }  // of the last gap; 0: there was none
   Time at(const MachineTime&);           // never less than before
--- a/src/engine/acceptor.cpp
+++ b/src/engine/acceptor.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-Acceptor::Acceptor(event_base* base, const Clock& clock, const Address& at, Account& account, Spare& spare,
-                   Taker taker, bool share)
+Acceptor::Acceptor(event_base* base, const Clock& clock, const Address& at, ResourceBudget& account,
+                   ReservedDescriptor& spare, ConnectionHandler taker, bool share)
     : clock_(clock), account_(account), spare_(spare), taker_(std::move(taker)) {
   const auto fail = [&] {
     const std::string why = std::strerror(errno);
@@ -59,25 +59,25 @@
 
 // A program of the reuseport group that names the second socket in it: the one of the process that came later
 // (bpf, "SO_ATTACH_REUSEPORT_CBPF", socket(7)). Where there is no second one the system goes on by its hash.
-void Acceptor::yield() {
+void Acceptor::handOverListener() {
   sock_filter second{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog program{1, &second};
   if (setsockopt(fd_, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof program) != 0)
-    logEvent(LogLevel::Warning, "listen_not_yielded", {{"why", std::strerror(errno)}});
+    logEvent(LogLevel::Warning, "listener_handover_failed", {{"why", std::strerror(errno)}});
 }
 
-void Acceptor::takeRest() {
-  for (int n = 0; n < kBacklog && taker_.room(); ++n) {
+void Acceptor::drainBacklog() {
+  for (int n = 0; n < kBacklog && taker_.hasRoom(); ++n) {
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
     if (fd < 0) {
       const SocketFault fault = classify(SocketCall::Accept, errno);
       if (fault == SocketFault::Transient) continue;  // of one connection: others wait behind it
-      if (fault == SocketFault::OwnResource) turnAway();
+      if (fault == SocketFault::OwnResource) rejectConnections();
       return;
     }
-    taker_.taken(fd, reinterpret_cast<const sockaddr*>(&from));
+    taker_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
   }
 }
 
@@ -93,7 +93,7 @@
 void Acceptor::ready() {
   bool accepted = false;
   for (int n = 0; n < kBurst; ++n) {
-    if (!taker_.room()) return pause(kPause);
+    if (!taker_.hasRoom()) return pause(kPause);
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
@@ -104,10 +104,10 @@
     accepted = true;
     pause_ = {};
     if (short_ && clock_.now() - failedAt_ >= kCalm) {
-      logEvent(LogLevel::Info, "accept_well_again");
+      logEvent(LogLevel::Info, "accept_recovered");
       short_ = false;
     }
-    taker_.taken(fd, reinterpret_cast<const sockaddr*>(&from));
+    taker_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
   }
   // Guards against spinning: an error that stays takes no connection off the queue, and the listener stays
   // ready.
@@ -118,19 +118,20 @@
   const SocketFault fault = classify(SocketCall::Accept, error);
   if (fault == SocketFault::BadDescriptor) pause(kLongestPause);
   if (fault != SocketFault::OwnResource) return fault == SocketFault::Transient;
-  const Shortage what = shortageOf(error);
-  account_.ranShort(what);
+  const ResourceExhaustion what = resourceExhaustionOf(error);
+  account_.recordExhaustion(what);
   if (!short_)
-    logEvent(LogLevel::Warning, "accept_failed", {{"why", std::strerror(error)}, {"of", shortageName(what)}});
+    logEvent(LogLevel::Warning, "accept_failed",
+             {{"why", std::strerror(error)}, {"of", resourceExhaustionName(what)}});
   short_ = true;
   failedAt_ = clock_.now();
-  if (what == Shortage::Memory) {
+  if (what == ResourceExhaustion::Memory) {
     pause_ = std::clamp(pause_ * 2, kPause, kLongestPause);
     pause(pause_);
     return false;
   }
-  taker_.shortage();
-  turnAway();
+  taker_.onExhaustion();
+  rejectConnections();
   pause_ = kPause;
   pause(kPause);
   return false;
@@ -138,17 +139,17 @@
 
 // Guards against clients that wait in the backlog until their time is up, with no word: the listener stays
 // ready while nothing can be accepted.
-void Acceptor::turnAway() {
+void Acceptor::rejectConnections() {
   for (int n = 0; n < kTurnAways; ++n) {
     bool took = false;
     spare_.lend([&] {
       const int fd = systemCalls().accept(fd_, nullptr, nullptr);
       if (fd < 0) return;
       took = true;
-      taker_.refuse(fd);
+      taker_.reject(fd);
       close(fd);
     });
-    spare_.hold();
+    spare_.reacquire();
     if (!took) return;
   }
 }
--- a/src/engine/acceptor.hpp
+++ b/src/engine/acceptor.hpp
@@ -21,23 +21,24 @@
 
 class Acceptor {
  public:
-  struct Taker {
-    std::function<void(evutil_socket_t, const sockaddr*)> taken;  // owns the descriptor from here on
-    std::function<bool()> room;      // asked before each; false: no more are taken until resume
-    std::function<void()> shortage;  // there is no descriptor: what can be spared is to be closed
-    std::function<void(evutil_socket_t)> refuse;  // writes a last word; the caller closes
+  struct ConnectionHandler {
+    std::function<void(evutil_socket_t, const sockaddr*)> accepted;  // owns the descriptor from here on
+    std::function<bool()> hasRoom;       // asked before each; false: no more are taken until resume
+    std::function<void()> onExhaustion;  // there is no descriptor: what can be spared is to be closed
+    std::function<void(evutil_socket_t)> reject;  // writes a last word; the caller closes
   };
   // `share`: another process of the same proxy may listen at the same address (SO_REUSEPORT). Throws
   // std::runtime_error where it cannot listen.
-  Acceptor(event_base*, const Clock&, const Address&, Account&, Spare&, Taker, bool share = false);
+  Acceptor(event_base*, const Clock&, const Address&, ResourceBudget&, ReservedDescriptor&, ConnectionHandler,
+           bool share = false);
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
 
   void resume();  // there is room again
   // Before the end. Guards against connections that the closing of a listener with others in its backlog
   // would reset: the system gives new ones to the process that came later, and what has come here is taken.
-  void yield();
-  void takeRest();
+  void handOverListener();
+  void drainBacklog();
   int port() const;
   std::chrono::microseconds pausing() const { return pause_; }  // of the last failure; 0: none since
 
@@ -45,12 +46,12 @@
   void ready();
   bool failed(int error);  // true: the next one may be tried at once
   void pause(std::chrono::microseconds);
-  void turnAway();
+  void rejectConnections();
 
   const Clock& clock_;
-  Account& account_;
-  Spare& spare_;
-  const Taker taker_;
+  ResourceBudget& account_;
+  ReservedDescriptor& spare_;
+  const ConnectionHandler taker_;
   int fd_ = -1;
   bool short_ = false;
   Clock::Time failedAt_{};
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -8,32 +8,31 @@
 constexpr std::chrono::microseconds kLogAgain = std::chrono::seconds(30);
 
 const char* stateName(balancer::Lifecycle s) {
-  return s == balancer::Lifecycle::Ready      ? "active"
-         : s == balancer::Lifecycle::Draining ? "leaving"
-                                               : "gone";
+  return s == balancer::Lifecycle::Ready ? "active" : s == balancer::Lifecycle::Draining ? "leaving" : "gone";
 }
 
 }  // namespace
 
-MemberFeed::MemberFeed(event_base* base, const Clock& clock, ListTaker& to, const MembershipPolicy& policy)
+EndpointUpdater::EndpointUpdater(event_base* base, const Clock& clock, EndpointListConsumer& to,
+                                 const EndpointTablePolicy& policy)
     : clock_(clock),
       to_(to),
       members_(policy),
       timer_(event_new(
-          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<MemberFeed*>(self)->pass(); },
-          this)) {}
+          base, -1, 0,
+          [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->pass(); }, this)) {}
 
-void MemberFeed::found(std::vector<Instance> all, bool first) {
+void EndpointUpdater::found(std::vector<DiscoveredEndpoint> all, bool first) {
   members_.found(clock_.now(), std::move(all), first);
   pass();
 }
 
-void MemberFeed::listed(InstanceList list) {
+void EndpointUpdater::endpointsListed(EndpointList list) {
   members_.changed(clock_.now(), std::move(list));
   pass();
 }
 
-void MemberFeed::listFailed(const std::string& why) {
+void EndpointUpdater::discoveryFailed(const std::string& why) {
   const auto now = clock_.now();
   members_.failed(now, why);
   const auto view = members_.view(now);
@@ -45,22 +44,22 @@
     else
       logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
   }
-  to_.listFailed(why);
+  to_.discoveryFailed(why);
   pass();
 }
 
-void MemberFeed::pass() {
+void EndpointUpdater::pass() {
   const auto now = clock_.now();
   while (auto list = members_.take(now)) {
-    for (const Instance& i : list->instances)
-      logEvent(LogLevel::Info, "member",
+    for (const DiscoveredEndpoint& i : list->instances)
+      logEvent(LogLevel::Info, "endpoint_changed",
                {{"name", i.name},
                 {"state", stateName(i.state)},
                 {"address", i.address.text()},
                 {"group", i.group},
                 {"weight", i.weight},
                 {"started_ms", i.startedMs}});
-    to_.listed(std::move(*list));
+    to_.endpointsListed(std::move(*list));
   }
   if (const auto at = members_.next())
     startTimer(timer_.get(), *at - now);
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -9,26 +9,26 @@
 
 namespace sablespur {
 
-class MemberFeed final : public ListTaker {
+class EndpointUpdater final : public EndpointListConsumer {
  public:
-  MemberFeed(event_base*, const Clock&, ListTaker& to, const MembershipPolicy&);
+  EndpointUpdater(event_base*, const Clock&, EndpointListConsumer& to, const EndpointTablePolicy&);
 
   // From a source that tells everything each time; see Membership::found.
-  void found(std::vector<Instance>, bool first);
+  void found(std::vector<DiscoveredEndpoint>, bool first);
   // From a source with generations.
-  void listed(InstanceList) override;
-  void listFailed(const std::string& why) override;
+  void endpointsListed(EndpointList) override;
+  void discoveryFailed(const std::string& why) override;
   std::uint64_t generation() const override { return members_.generation(); }
 
-  void policy(const MembershipPolicy& p) { members_.policy(p); }
-  Membership::View view() const { return members_.view(clock_.now()); }
+  void policy(const EndpointTablePolicy& p) { members_.policy(p); }
+  EndpointTable::View view() const { return members_.view(clock_.now()); }
 
  private:
   void pass();
 
   const Clock& clock_;
-  ListTaker& to_;
-  Membership members_;
+  EndpointListConsumer& to_;
+  EndpointTable members_;
   Event timer_;
   std::chrono::microseconds logged_{};  // when the age of the list was last logged
 };
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -50,38 +50,38 @@
   // Positions are whole milliseconds of Unix time; so is zero, lest rounding make data look newer.
   zero_ = std::chrono::duration_cast<std::chrono::milliseconds>(zero_);
   balancer::Settings settings = config.settings;
-  settings.zero = zero_;
+  settings.positionEpoch = zero_;
   balancer_ =
-      std::make_unique<balancer::Balancer>(settings, config.seed, static_cast<balancer::Sink&>(*this));
+      std::make_unique<balancer::Balancer>(settings, config.seed, static_cast<balancer::ActionSink&>(*this));
 }
 Engine::~Engine() = default;
 
-void Engine::start(Members& members, Lists& lists) {
+void Engine::start(Backend& members, DiscoverySource& lists) {
   members_ = &members;
   lists_ = &lists;
   events_.emplace_back(Listed{false, config_.known});
 }
 
-RequestId Engine::request(Requester& asker, balancer::Request q, Message message) {
+RequestId Engine::request(ResponseHandler& asker, balancer::Request q, Message message) {
   q.id = ++lastId_;
-  held_[q.id] = Held{&asker, std::make_shared<const Message>(std::move(message)), q.cls, {}};
+  held_[q.id] = Held{&asker, std::make_shared<const Message>(std::move(message)), q.classIndex, {}};
   events_.emplace_back(Arrived{q});
   return q.id;
 }
-void Engine::left(RequestId id) {
+void Engine::clientDisconnected(RequestId id) {
   const auto it = held_.find(id);
   if (it == held_.end()) return;
   it->second.asker = nullptr;
   events_.emplace_back(Left{id});
 }
-void Engine::connected(RequestId id, int attempt) { events_.emplace_back(Connected{id, attempt}); }
-void Engine::ended(RequestId id, int attempt, MemberId member, Ending ending) {
+void Engine::connectionReady(RequestId id, int attempt) { events_.emplace_back(Connected{id, attempt}); }
+void Engine::attemptEnded(RequestId id, int attempt, EndpointId member, AttemptEnd ending) {
   events_.emplace_back(Ended{id, attempt, member, std::move(ending)});
 }
-void Engine::probed(MemberId member, bool ok, const std::vector<double>& report) {
+void Engine::healthCheckEnded(EndpointId member, bool ok, const std::vector<double>& report) {
   events_.emplace_back(Probed{member, ok, report});
 }
-void Engine::heard(const cluster::Hint& hint) {
+void Engine::gossipReceived(const cluster::GossipUpdate& hint) {
   if (gossip_.empty()) events_.emplace_back(Heard{});
   gossip_.push_back(hint);
 }
@@ -90,12 +90,12 @@
   events_.emplace_back(Suspended{name, on});
   return true;
 }
-void Engine::ban(const std::string& name) { banned_.insert(name); }
-void Engine::settle(const balancer::Settings& settings) { events_.emplace_back(Settled{settings}); }
-void Engine::listed(InstanceList list) { events_.emplace_back(Listed{false, std::move(list)}); }
-void Engine::listFailed(const std::string&) { events_.emplace_back(Listed{true, {}}); }
+void Engine::restoreSuspension(const std::string& name) { banned_.insert(name); }
+void Engine::updateSettings(const balancer::Settings& settings) { events_.emplace_back(Settled{settings}); }
+void Engine::endpointsListed(EndpointList list) { events_.emplace_back(Listed{false, std::move(list)}); }
+void Engine::discoveryFailed(const std::string&) { events_.emplace_back(Listed{true, {}}); }
 
-void Engine::turn() {
+void Engine::runTurn() {
   now_ = std::max(now_, clock_.now());
   followWallClock();
   rebase();
@@ -105,9 +105,9 @@
   while (!timers_.empty() && timers_.top().due <= now_) {
     const std::uint64_t token = timers_.top().token;
     timers_.pop();
-    balancer_->timer(now_, token);
+    balancer_->timerFired(now_, token);
   }
-  if (now_ - swept_ >= kSweep) sweep(now_);
+  if (now_ - swept_ >= kSweep) removeExpired(now_);
   if (confidant_) actions_.emplace_back([this] { confidant_->flush(); });
   std::vector<std::function<void()>> actions;
   actions.swap(actions_);
@@ -119,9 +119,9 @@
 }
 
 // Guards against growth where data servers are replaced: each new one has a new name.
-void Engine::sweep(Time now) {
+void Engine::removeExpired(Time now) {
   swept_ = now_ = std::max(now_, now);
-  for (const MemberId id : balancer_->forget(now_)) {
+  for (const EndpointId id : balancer_->removeExpiredEndpoints(now_)) {
     if (const auto name = names_.find(id); name != names_.end()) {
       ids_.erase(name->second);
       names_.erase(name);
@@ -134,7 +134,7 @@
       tagged_.erase(tag->second);
       tags_.erase(tag);
     }
-    actions_.emplace_back([this, id] { members_->forget(id); });
+    actions_.emplace_back([this, id] { members_->removeEndpoint(id); });
   }
 }
 
@@ -146,7 +146,7 @@
   applyOffset();
 }
 
-void Engine::primaryTold(MemberId member, Time position, Time sent) {
+void Engine::primaryTold(EndpointId member, Time position, Time sent) {
   reference_.primaryAnswered(member, position, sent, now_);
   applyOffset();
 }
@@ -165,7 +165,7 @@
 
 // A start that is first seen now counts as recent, whatever its stamp says: the warming window runs from
 // here. In the first lists it may be long ago, which only the stamp can tell.
-Time Engine::startOf(MemberId id, const Instance& instance, bool fromFirstLists) {
+Time Engine::startOf(EndpointId id, const DiscoveredEndpoint& instance, bool fromFirstLists) {
   if (instance.startedMs == 0) {
     starts_.erase(id);
     return Time(0);
@@ -184,79 +184,82 @@
 
 // Guards against a server that has just started and was taken for warm since the wall clock was ahead.
 void Engine::judgeStartsAnew() {
-  std::vector<balancer::ListedMember> later;
+  std::vector<balancer::ListedEndpoint> later;
   for (auto& [id, start] : starts_) {
     if (!start.byStamp) continue;
     const Time at = std::clamp<Time>(std::chrono::milliseconds(start.stampMs) - offset_, Time(1), now_);
-    const bool warming = now_ < at + config_.settings.coldFor;
+    const bool warming = now_ < at + config_.settings.warmUpPeriod;
     if (at < start.at + kStartMoves || !warming || start.listed.state != Lifecycle::Ready) continue;
     start.at = start.listed.started = at;
     later.push_back(start.listed);
   }
-  if (!later.empty()) balancer_->list(now_, ListKind::Delta, later);
+  if (!later.empty()) balancer_->endpointsListed(now_, ListKind::Delta, later);
 }
 
 void Engine::rebase() {
   if (now_ - zero_ < kRebase) return;
   zero_ = std::chrono::duration_cast<std::chrono::milliseconds>(now_ - kBeforeZero);
-  balancer_->countFrom(zero_);
+  balancer_->setPositionEpoch(zero_);
 }
 
 // ---- events ----------------------------------------------------------------------------------------------
 void Engine::tell(Arrived& e) {
   if (tracing())
-    logEvent(LogLevel::Trace, "asked",
-             {{"r", e.request.id}, {"class", e.request.cls}, {"group", e.request.group}});
+    logEvent(LogLevel::Trace, "request_received",
+             {{"r", e.request.id}, {"class", e.request.classIndex}, {"group", e.request.group}});
   // The reference may have moved since the age of the session's last write was counted.
-  if (const auto it = held_.find(e.request.id); it != held_.end() && e.request.tokenMs > 0) {
+  if (const auto it = held_.find(e.request.id); it != held_.end() && e.request.sessionTokenAgeMs > 0) {
     const Time moved = offset_ - it->second.message->clockOffset;
-    e.request.tokenMs = std::max(kLeastTokenMs, e.request.tokenMs + static_cast<float>(moved.count()) / 1e3f);
+    e.request.sessionTokenAgeMs =
+        std::max(kLeastTokenMs, e.request.sessionTokenAgeMs + static_cast<float>(moved.count()) / 1e3f);
   }
   balancer_->request(now_, e.request);
 }
 
 void Engine::tell(Left& e) {
-  balancer_->clientLeft(now_, e.id);
+  balancer_->clientDisconnected(now_, e.id);
   held_.erase(e.id);
 }
 
 void Engine::tell(Connected& e) {
   const auto it = held_.find(e.id);
-  const bool fit = it != held_.end() &&
-                   balancer_->fit(now_, e.id, it->second.sent[static_cast<std::size_t>(e.attempt)].member);
-  actions_.emplace_back([this, id = e.id, attempt = e.attempt, fit] { members_->start(id, attempt, fit); });
+  const bool fit =
+      it != held_.end() &&
+      balancer_->maySendNow(now_, e.id, it->second.sent[static_cast<std::size_t>(e.attempt)].member);
+  actions_.emplace_back(
+      [this, id = e.id, attempt = e.attempt, fit] { members_->continueAttempt(id, attempt, fit); });
 }
 
 void Engine::tell(Ended& e) {
   tellOn(e);
   const auto it = held_.find(e.id);
   if (tracing())
-    logEvent(LogLevel::Trace, "ended",
+    logEvent(LogLevel::Trace, "attempt_ended",
              {{"r", e.id},
               {"a", e.attempt},
-              {"m", nameOf(e.member)},
+              {"m", endpointName(e.member)},
               {"result", static_cast<int>(e.ending.result)},
               {"position_ms", e.ending.positionMs}});
-  if (witness_) witness_->ended(e.id, e.attempt, e.ending);
-  balancer::Outcome o;
+  if (witness_) witness_->attemptEnded(e.id, e.attempt, e.ending);
+  balancer::AttemptOutcome o;
   o.request = e.id;
   o.attempt = e.attempt;
-  o.member = e.member;
+  o.endpoint = e.member;
   o.result = e.ending.result;
   // A bad statement is the client's fault: it is not tried elsewhere, nor held against the member.
-  if (e.ending.badStatement) o.result = Result::Cancelled;
-  o.closed = it == held_.end() || o.result == Result::Ok || e.ending.badStatement;
+  if (e.ending.invalidStatement) o.result = AttemptResult::Cancelled;
+  o.clientAnswered = it == held_.end() || o.result == AttemptResult::Ok || e.ending.invalidStatement;
   const std::chrono::milliseconds position(e.ending.positionMs);
   if (e.ending.role == Role::Primary && e.ending.positionMs > 0 && it != held_.end())
     primaryTold(e.member, position, it->second.sent[static_cast<std::size_t>(e.attempt)].at);
   else if (e.ending.role == Role::Replica)
     reference_.forget(e.member);
-  o.note = millisecondsSince(zero_ + offset_, e.ending.positionMs) << 2;
-  if (e.ending.role == Role::Primary) o.note |= 1;
-  if (e.ending.role == Role::Replica) o.note |= 2;
-  if (it != held_.end() && o.closed) {
-    Requester* const asker = it->second.asker;
-    if (asker && e.ending.badStatement && !e.ending.answer.messages)
+  o.replicationStatus = millisecondsSince(zero_ + offset_, e.ending.positionMs) << 2;
+  if (e.ending.role == Role::Primary) o.replicationStatus |= 1;
+  if (e.ending.role == Role::Replica) o.replicationStatus |= 2;
+  if (it != held_.end() && o.clientAnswered) {
+    ResponseHandler* const asker = it->second.asker;
+    if (asker && e.ending.invalidStatement && !e.ending.answer.messages)
       actions_.emplace_back([asker] { asker->failed(); });
     else if (asker)
       actions_.emplace_back([asker, answer = std::make_shared<Answer>(std::move(e.ending.answer))] {
@@ -264,7 +267,7 @@
       });
     held_.erase(it);
   }
-  balancer_->outcome(now_, o);
+  balancer_->attemptEnded(now_, o);
 }
 
 // An answer with a position, for the other proxies; how long it took too, if it was a full one.
@@ -273,27 +276,27 @@
   if (!confidant_ || e.ending.positionMs <= 0 || e.ending.positionMs > (now_ + offset_).count() / 1000 ||
       tag == tags_.end())
     return;
-  cluster::Hint h{tag->second, e.ending.positionMs,
-                e.ending.role == Role::Primary   ? cluster::HintRole::Primary
-                : e.ending.role == Role::Replica ? cluster::HintRole::Replica
-                                                 : cluster::HintRole::Unknown};
+  cluster::GossipUpdate h{tag->second, e.ending.positionMs,
+                          e.ending.role == Role::Primary   ? cluster::GossipRole::Primary
+                          : e.ending.role == Role::Replica ? cluster::GossipRole::Replica
+                                                           : cluster::GossipRole::Unknown};
   const auto it = held_.find(e.id);
-  if (it != held_.end() && e.ending.result == Result::Ok) {
+  if (it != held_.end() && e.ending.result == AttemptResult::Ok) {
     h.cls = it->second.cls;
     h.latencyUs = (now_ - it->second.sent[static_cast<std::size_t>(e.attempt)].at).count();
   }
-  confidant_->learned(h);
+  confidant_->statusObserved(h);
 }
 
 // What other proxies had from members. A member is believed in only when the list has named it here.
 void Engine::tell(Heard&) {
-  for (const cluster::Hint& h : gossip_) {
+  for (const cluster::GossipUpdate& h : gossip_) {
     const auto it = tagged_.find(h.tag);
     if (it == tagged_.end() || it->second == 0) continue;
     const std::uint32_t position = millisecondsSince(zero_ + offset_, h.positionMs) << 2;
     if (position > 0)
-      balancer_->heard(now_, it->second, position | static_cast<std::uint32_t>(h.role), h.cls,
-                       Time(h.latencyUs));
+      balancer_->gossipReceived(now_, it->second, position | static_cast<std::uint32_t>(h.role), h.cls,
+                                Time(h.latencyUs));
   }
   gossip_.clear();
 }
@@ -307,45 +310,47 @@
   if (it == ids_.end()) return;
   balancer_->suspend(now_, it->second, e.on);
   // One that staff let back counts as one that has just started, as in the Balancer.
-  actions_.emplace_back(
-      [this, id = it->second, ready = !e.on && ready_.count(it->second) > 0,
-       warm = now_ + config_.settings.coldFor] { members_->listed(id, Address(), ready, warm); });
+  actions_.emplace_back([this, id = it->second, ready = !e.on && ready_.count(it->second) > 0,
+                         warm = now_ + config_.settings.warmUpPeriod] {
+    members_->endpointListed(id, Address(), ready, warm);
+  });
 }
 
 void Engine::tell(Settled& e) {
-  e.settings.zero = zero_;
-  balancer_->settle(now_, e.settings);
+  e.settings.positionEpoch = zero_;
+  balancer_->updateSettings(now_, e.settings);
 }
 
 void Engine::tell(Probed& e) {
   const auto probedAt = probedAt_.find(e.member);
   const Time sent = probedAt == probedAt_.end() ? Time(0) : probedAt->second;
-  const cluster::Hint said = hintOf(e);
-  if (said.role == cluster::HintRole::Primary && said.positionMs > 0)
+  const cluster::GossipUpdate said = hintOf(e);
+  if (said.role == cluster::GossipRole::Primary && said.positionMs > 0)
     primaryTold(e.member, std::chrono::milliseconds(said.positionMs), sent);
-  else if (said.role == cluster::HintRole::Replica)
+  else if (said.role == cluster::GossipRole::Replica)
     reference_.forget(e.member);
-  balancer::Probe p;
-  p.member = e.member;
+  balancer::HealthCheckResult p;
+  p.endpoint = e.member;
   p.ok = e.ok;
-  for (std::size_t k = 0; k < e.report.size() && k < config_.settings.figures.size(); ++k)
-    p.report.push_back(config_.settings.figures[k] == balancer::Figure::Position
+  for (std::size_t k = 0; k < e.report.size() && k < config_.settings.reportFields.size(); ++k)
+    p.report.push_back(config_.settings.reportFields[k] == balancer::ReportField::Position
                            ? secondsSince(zero_ + offset_, e.report[k])
                            : static_cast<float>(e.report[k]));
-  if (tracing()) logEvent(LogLevel::Trace, "probed", {{"m", nameOf(e.member)}, {"ok", e.ok}});
-  balancer_->probed(now_, p);
+  if (tracing())
+    logEvent(LogLevel::Trace, "health_check_ended", {{"m", endpointName(e.member)}, {"ok", e.ok}});
+  balancer_->healthCheckEnded(now_, p);
   tellOn(e);
 }
 
 // What a report says of position and role.
-cluster::Hint Engine::hintOf(const Probed& e) const {
-  cluster::Hint h;
+cluster::GossipUpdate Engine::hintOf(const Probed& e) const {
+  cluster::GossipUpdate h;
   if (!e.ok) return h;
-  for (std::size_t k = 0; k < e.report.size() && k < config_.settings.figures.size(); ++k) {
-    if (config_.settings.figures[k] == balancer::Figure::Position)
+  for (std::size_t k = 0; k < e.report.size() && k < config_.settings.reportFields.size(); ++k) {
+    if (config_.settings.reportFields[k] == balancer::ReportField::Position)
       h.positionMs = static_cast<std::int64_t>(e.report[k] * 1000);
-    if (config_.settings.figures[k] == balancer::Figure::Primary)
-      h.role = e.report[k] > 0 ? cluster::HintRole::Primary : cluster::HintRole::Replica;
+    if (config_.settings.reportFields[k] == balancer::ReportField::Primary)
+      h.role = e.report[k] > 0 ? cluster::GossipRole::Primary : cluster::GossipRole::Replica;
   }
   return h;
 }
@@ -353,26 +358,26 @@
 void Engine::tellOn(const Probed& e) {
   const auto tag = tags_.find(e.member);
   if (!confidant_ || !e.ok || tag == tags_.end()) return;
-  cluster::Hint h = hintOf(e);
+  cluster::GossipUpdate h = hintOf(e);
   h.tag = tag->second;
-  if (h.positionMs > 0) confidant_->learned(h);
+  if (h.positionMs > 0) confidant_->statusObserved(h);
 }
 
 void Engine::tell(Listed& e) {
-  if (e.failed) return balancer_->list(now_, ListKind::Failed, {});
+  if (e.failed) return balancer_->endpointsListed(now_, ListKind::Failed, {});
   const bool first = lastMember_ == 0 && generation_ == 0;
   generation_ = e.list.generation;
   tellList(first ? ListKind::Cached : e.list.reset ? ListKind::Full : ListKind::Delta, e.list);
 }
 
-void Engine::tellList(ListKind kind, const InstanceList& list) {
+void Engine::tellList(ListKind kind, const EndpointList& list) {
   const bool fromFirstLists = listsTold_ < kFirstLists;
   ++listsTold_;
-  std::vector<balancer::ListedMember> entries;
-  for (const Instance& i : list.instances) {
+  std::vector<balancer::ListedEndpoint> entries;
+  for (const DiscoveredEndpoint& i : list.instances) {
     const bool unknown = ids_.find(i.name) == ids_.end();
     if (unknown && i.state == Lifecycle::Gone) continue;  // it came and went unseen
-    balancer::ListedMember m;
+    balancer::ListedEndpoint m;
     m.id = idOf(i.name);
     m.group = i.group;
     const auto zone = std::find(config_.zones.begin(), config_.zones.end(), i.zone);
@@ -388,27 +393,27 @@
     else
       ready_.erase(m.id);
     if (everListed_.size() < kMostNames) everListed_.insert(i.name);
-    members_->listed(m.id, i.address, i.state == Lifecycle::Ready && !m.suspended,
-                     m.started > Time(0) ? m.started + config_.settings.coldFor : Time(0));
+    members_->endpointListed(m.id, i.address, i.state == Lifecycle::Ready && !m.suspended,
+                             m.started > Time(0) ? m.started + config_.settings.warmUpPeriod : Time(0));
   }
   if (kind != ListKind::Delta) {
-    std::unordered_set<MemberId> listed;
-    for (const balancer::ListedMember& m : entries) listed.insert(m.id);
+    std::unordered_set<EndpointId> listed;
+    for (const balancer::ListedEndpoint& m : entries) listed.insert(m.id);
     for (const auto& [name, id] : ids_) {
       if (listed.count(id) > 0) continue;
       ready_.erase(id);
-      members_->listed(id, Address(), false, Time(0));
+      members_->endpointListed(id, Address(), false, Time(0));
     }
   }
-  balancer_->list(now_, kind, entries);
+  balancer_->endpointsListed(now_, kind, entries);
 }
 
-MemberId Engine::idOf(const std::string& name) {
+EndpointId Engine::idOf(const std::string& name) {
   const auto [it, added] = ids_.emplace(name, lastMember_ + 1);
   lastMember_ += added;  // no id is given twice, for late events bear them
   if (added) {
     names_[it->second] = name;
-    const std::uint64_t tag = cluster::tagOf(name);
+    const std::uint64_t tag = cluster::endpointTag(name);
     tags_[it->second] = tag;
     const auto [same, alone] = tagged_.emplace(tag, it->second);
     if (!alone) same->second = 0;
@@ -416,50 +421,52 @@
   return it->second;
 }
 
-std::string Engine::nameOf(MemberId id) const {
+std::string Engine::endpointName(EndpointId id) const {
   const auto it = names_.find(id);
   return it == names_.end() ? std::string() : it->second;
 }
 
 // ---- actions: recorded here, carried out at the end of the turn ---------------------------------------
-void Engine::send(RequestId id, MemberId member, Time until) {
+void Engine::send(RequestId id, EndpointId member, Time until) {
   const auto it = held_.find(id);
   if (it == held_.end()) return;  // no send is decided for what has been answered
   Held& h = it->second;
   const int attempt = static_cast<int>(h.sent.size());
   h.sent.push_back({member, now_});
-  if (tracing()) logEvent(LogLevel::Trace, "sent", {{"r", id}, {"a", attempt}, {"m", nameOf(member)}});
+  if (tracing())
+    logEvent(LogLevel::Trace, "attempt_sent", {{"r", id}, {"a", attempt}, {"m", endpointName(member)}});
   actions_.emplace_back([this, id, attempt, member, until, message = h.message] {
-    if (witness_) witness_->sent(id, attempt, nameOf(member));
+    if (witness_) witness_->attemptSent(id, attempt, endpointName(member));
     members_->send(id, attempt, member, until, message);
   });
 }
-void Engine::refuse(RequestId id, Time retryAfter) {
+void Engine::reject(RequestId id, Time retryAfter) {
   const auto it = held_.find(id);
   if (it == held_.end()) return;
-  if (tracing()) logEvent(LogLevel::Trace, "refused", {{"r", id}, {"after_ms", retryAfter.count() / 1000}});
-  if (Requester* const asker = it->second.asker)
-    actions_.emplace_back([asker, retryAfter] { asker->refused(retryAfter); });
+  if (tracing())
+    logEvent(LogLevel::Trace, "request_rejected", {{"r", id}, {"after_ms", retryAfter.count() / 1000}});
+  if (ResponseHandler* const asker = it->second.asker)
+    actions_.emplace_back([asker, retryAfter] { asker->rejected(retryAfter); });
   held_.erase(it);
 }
 void Engine::fail(RequestId id) {
   const auto it = held_.find(id);
   if (it == held_.end()) return;
-  if (tracing()) logEvent(LogLevel::Trace, "failed", {{"r", id}});
-  if (Requester* const asker = it->second.asker) actions_.emplace_back([asker] { asker->failed(); });
+  if (tracing()) logEvent(LogLevel::Trace, "request_failed", {{"r", id}});
+  if (ResponseHandler* const asker = it->second.asker) actions_.emplace_back([asker] { asker->failed(); });
   held_.erase(it);
 }
 void Engine::cancel(RequestId id, int attempt) {
   actions_.emplace_back([this, id, attempt] { members_->cancel(id, attempt); });
 }
-void Engine::timer(Time in, std::uint64_t token) { timers_.push({now_ + in, ++timersSet_, token}); }
-void Engine::probe(MemberId member) {
-  if (tracing()) logEvent(LogLevel::Trace, "probe", {{"m", nameOf(member)}});
+void Engine::scheduleTimer(Time in, std::uint64_t token) { timers_.push({now_ + in, ++timersSet_, token}); }
+void Engine::startHealthCheck(EndpointId member) {
+  if (tracing()) logEvent(LogLevel::Trace, "health_check_sent", {{"m", endpointName(member)}});
   probedAt_[member] = now_;
-  actions_.emplace_back([this, member] { members_->probe(member); });
+  actions_.emplace_back([this, member] { members_->startHealthCheck(member); });
 }
 void Engine::subscribe() {
-  if (tracing()) logEvent(LogLevel::Trace, "watch", {{"after", generation_}});
+  if (tracing()) logEvent(LogLevel::Trace, "discovery_watch_opened", {{"after", generation_}});
   actions_.emplace_back([this] { lists_->watch(generation_); });
 }
 void Engine::log(const std::string& line) { logEvent(LogLevel::Info, "decision", {{"text", line}}); }
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -25,9 +25,9 @@
 
 namespace sablespur {
 
-using balancer::MemberId;
+using balancer::AttemptResult;
+using balancer::EndpointId;
 using balancer::RequestId;
-using balancer::Result;
 
 // A request as it goes on to a member; between the two parts stands what is left of its time, in ms.
 struct Message {
@@ -42,109 +42,110 @@
 struct Answer {
   Buffer messages;
   const translation::AnswerReader* reader = nullptr;  // of the form that they are in
-  bool problem = false;                             // one error, for what the statement says
+  bool problem = false;                               // one error, for what the statement says
 };
 
 // Whoever asked. It says so by Engine::left when it goes before it got one of these, once.
-class Requester {
+class ResponseHandler {
  public:
-  virtual ~Requester() = default;
+  virtual ~ResponseHandler() = default;
   virtual void served(Answer) = 0;
-  virtual void refused(Time retryAfter) = 0;  // 0: no word on when to come back
+  virtual void rejected(Time retryAfter) = 0;  // 0: no word on when to come back
   virtual void failed() = 0;
 };
 
 // Where requests come in: the engine, or what stands before it. Ids are the entrance's own.
-class Entrance {
+class RequestHandler {
  public:
-  virtual ~Entrance() = default;
+  virtual ~RequestHandler() = default;
   // Answered by the Requester, after this call has returned.
-  virtual RequestId request(Requester&, balancer::Request, Message) = 0;  // the request's id is given here
-  virtual void left(RequestId) = 0;
+  virtual RequestId request(ResponseHandler&, balancer::Request,
+                            Message) = 0;  // the request's id is given here
+  virtual void clientDisconnected(RequestId) = 0;
 };
 
-struct Ending;
+struct AttemptEnd;
 // Whoever keeps account of attempts; called within a turn, before what comes of it is carried out.
-class Witness {
+class AttemptObserver {
  public:
-  virtual ~Witness() = default;
-  virtual void sent(RequestId, int attempt, const std::string& member) = 0;
-  virtual void ended(RequestId, int attempt, const Ending&) = 0;
+  virtual ~AttemptObserver() = default;
+  virtual void attemptSent(RequestId, int attempt, const std::string& member) = 0;
+  virtual void attemptEnded(RequestId, int attempt, const AttemptEnd&) = 0;
 };
 
 // Whoever tells other proxies what answers and probes have told this one; called within a turn, flushed at
 // its end.
-class Confidant {
+class ReplicationObserver {
  public:
-  virtual ~Confidant() = default;
-  virtual void learned(const cluster::Hint&) = 0;
+  virtual ~ReplicationObserver() = default;
+  virtual void statusObserved(const cluster::GossipUpdate&) = 0;
   virtual void flush() = 0;
 };
 
 // The way to the members. Each send ends in one Engine::ended, each probe in one Engine::probed; both come
 // after the call has returned.
-class Members {
+class Backend {
  public:
-  virtual ~Members() = default;
+  virtual ~Backend() = default;
   // warmAt: until then it has just started, and what all proxies send it is bounded (the cold budget).
-  virtual void listed(MemberId, const Address&, bool ready, Time warmAt) = 0;
-  virtual void send(RequestId, int attempt, MemberId, Time until, std::shared_ptr<const Message>) = 0;
-  virtual void start(RequestId, int attempt, bool fit) = 0;  // answers Engine::connected
+  virtual void endpointListed(EndpointId, const Address&, bool ready, Time warmAt) = 0;
+  virtual void send(RequestId, int attempt, EndpointId, Time until, std::shared_ptr<const Message>) = 0;
+  virtual void continueAttempt(RequestId, int attempt, bool fit) = 0;  // answers Engine::connected
   virtual void cancel(RequestId, int attempt) = 0;
-  virtual void probe(MemberId) = 0;
-  virtual void forget(MemberId) = 0;  // nothing is out there, and nothing will be sent
+  virtual void startHealthCheck(EndpointId) = 0;
+  virtual void removeEndpoint(EndpointId) = 0;  // nothing is out there, and nothing will be sent
 };
 
 // Where the list comes from. Each watch brings Engine::listed time and again, or Engine::listFailed once.
-class Lists {
+class DiscoverySource {
  public:
-  virtual ~Lists() = default;
+  virtual ~DiscoverySource() = default;
   virtual void watch(std::uint64_t after) = 0;
 };
 
 enum class Role { Unknown, Primary, Replica };
 
 // How an attempt ended.
-struct Ending {
-  Result result = Result::Reset;
+struct AttemptEnd {
+  AttemptResult result = AttemptResult::Reset;
   Role role = Role::Unknown;
-  std::int64_t positionMs = 0;  // Unix time; 0: not told
-  bool badStatement = false;    // the member turned the statement away for what it says
-  Answer answer;                // Result::Ok; with badStatement the error, if it is to be told
+  std::int64_t positionMs = 0;    // Unix time; 0: not told
+  bool invalidStatement = false;  // the member turned the statement away for what it says
+  Answer answer;                  // AttemptResult::Ok; with badStatement the error, if it is to be told
 };
 
 // Positions as the module takes them: after a zero that is near, rounded down, 0 where there is none.
 float secondsSince(Time zero, double unixSeconds);
 std::uint32_t millisecondsSince(Time zero, std::int64_t unixMs);  // below 2^30
 
-class Engine final : public Entrance, public ListTaker, balancer::Sink {
+class Engine final : public RequestHandler, public EndpointListConsumer, balancer::ActionSink {
  public:
   Engine(event_base*, const Config&, ClockSource = {});
   ~Engine() override;
-  void witness(Witness* w) { witness_ = w; }        // null: none
-  void confidant(Confidant* c) { confidant_ = c; }  // null: none
-  void start(Members&, Lists&);  // tells the Balancer the list that the configuration holds
+  void setAttemptObserver(AttemptObserver* w) { witness_ = w; }            // null: none
+  void setReplicationObserver(ReplicationObserver* c) { confidant_ = c; }  // null: none
+  void start(Backend&, DiscoverySource&);  // tells the Balancer the list that the configuration holds
 
   // What has come in; it waits for the turn.
-  RequestId request(Requester&, balancer::Request, Message) override;
-  void left(RequestId) override;
-  void connected(RequestId, int attempt);  // a new connection stands: may the attempt still go out?
-  void ended(RequestId, int attempt, MemberId, Ending);
-  void probed(MemberId, bool ok, const std::vector<double>& report);  // positions in Unix seconds
-  void heard(const cluster::Hint&);  // from another proxy: weighed, never needed
-  void listed(InstanceList) override;
-  void listFailed(const std::string& why) override;
+  RequestId request(ResponseHandler&, balancer::Request, Message) override;
+  void clientDisconnected(RequestId) override;
+  void connectionReady(RequestId, int attempt);  // a new connection stands: may the attempt still go out?
+  void attemptEnded(RequestId, int attempt, EndpointId, AttemptEnd);
+  void healthCheckEnded(EndpointId, bool ok, const std::vector<double>& report);  // positions in Unix seconds
+  void gossipReceived(const cluster::GossipUpdate&);  // from another proxy: weighed, never needed
+  void endpointsListed(EndpointList) override;
+  void discoveryFailed(const std::string& why) override;
 
   std::uint64_t generation() const override { return generation_; }  // of the list as it is known
   // Staff take a data server out of use, or back, in this pass of the loop. False: the list has never named
   // it.
   bool suspend(const std::string& name, bool on);
-  void ban(const std::string& name);        // before the start: from an earlier process of this proxy
-  void settle(const balancer::Settings&);  // new settings, for what comes from here on
-  std::string nameOf(MemberId) const;
-  bool pending() const { return !events_.empty(); }
-  void turn();
-  void sweep(Time now);  // forgets what is gone and quiet; the turn does it now and then
+  void restoreSuspension(const std::string& name);  // before the start: from an earlier process of this proxy
+  void updateSettings(const balancer::Settings&);   // new settings, for what comes from here on
+  std::string endpointName(EndpointId) const;
+  bool hasPendingEvents() const { return !events_.empty(); }
+  void runTurn();
+  void removeExpired(Time now);  // forgets what is gone and quiet; the turn does it now and then
   Time now() const { return clock_.now(); }
   const Clock& clock() const { return clock_; }
   // Unix time, for what other machines tell in it: an instant to be compared with theirs, never a span's end.
@@ -165,17 +166,17 @@
   struct Ended {
     RequestId id;
     int attempt;
-    MemberId member;
-    Ending ending;
+    EndpointId member;
+    AttemptEnd ending;
   };
   struct Probed {
-    MemberId member;
+    EndpointId member;
     bool ok;
     std::vector<double> report;
   };
   struct Listed {
     bool failed;
-    InstanceList list;
+    EndpointList list;
   };
   struct Heard {};  // see gossip_
   struct Suspended {
@@ -187,11 +188,11 @@
   };
   using Incoming = std::variant<Arrived, Left, Connected, Ended, Probed, Listed, Heard, Suspended, Settled>;
   struct Held {
-    Requester* asker;
+    ResponseHandler* asker;
     std::shared_ptr<const Message> message;
     int cls;
     struct Sent {
-      MemberId member;
+      EndpointId member;
       Time at;
     };
     std::vector<Sent> sent;  // by attempt
@@ -213,22 +214,22 @@
   void tell(Settled&);
   void tellOn(const Ended&);
   void tellOn(const Probed&);
-  cluster::Hint hintOf(const Probed&) const;
-  void tellList(balancer::ListKind, const InstanceList&);
+  cluster::GossipUpdate hintOf(const Probed&) const;
+  void tellList(balancer::ListKind, const EndpointList&);
   void rebase();
   void followWallClock();
-  void primaryTold(MemberId, Time position, Time sent);
+  void primaryTold(EndpointId, Time position, Time sent);
   void applyOffset();
-  Time startOf(MemberId, const Instance&, bool fromFirstLists);
+  Time startOf(EndpointId, const DiscoveredEndpoint&, bool fromFirstLists);
   void judgeStartsAnew();
-  MemberId idOf(const std::string& name);
+  EndpointId idOf(const std::string& name);
 
-  void send(RequestId, MemberId, Time until) override;
-  void refuse(RequestId, Time retryAfter) override;
+  void send(RequestId, EndpointId, Time until) override;
+  void reject(RequestId, Time retryAfter) override;
   void fail(RequestId) override;
   void cancel(RequestId, int attempt) override;
-  void timer(Time in, std::uint64_t token) override;
-  void probe(MemberId) override;
+  void scheduleTimer(Time in, std::uint64_t token) override;
+  void startHealthCheck(EndpointId) override;
   void subscribe() override;
   void log(const std::string& line) override;
 
@@ -237,7 +238,7 @@
     std::int64_t stampMs = 0;  // as the list tells it
     Time at{};                 // on this process's clock
     bool byStamp = false;      // judged by the stamp: it was in the first lists
-    balancer::ListedMember listed;
+    balancer::ListedEndpoint listed;
   };
 
   Clock clock_;
@@ -246,26 +247,26 @@
   Time wallReadAt_{};  // when the wall clock was last looked at
   Time now_;           // of this turn
   Time zero_;          // positions are told to the Balancer from here on
-  Members* members_ = nullptr;
-  Lists* lists_ = nullptr;
-  Witness* witness_ = nullptr;
-  Confidant* confidant_ = nullptr;
+  Backend* members_ = nullptr;
+  DiscoverySource* lists_ = nullptr;
+  AttemptObserver* witness_ = nullptr;
+  ReplicationObserver* confidant_ = nullptr;
   std::vector<Incoming> events_;
-  std::vector<cluster::Hint> gossip_;             // heard since the last turn; keeps its storage
+  std::vector<cluster::GossipUpdate> gossip_;   // heard since the last turn; keeps its storage
   std::vector<std::function<void()>> actions_;  // recorded in the order in which they take effect
   std::unordered_map<RequestId, Held> held_;
-  std::unordered_map<std::string, MemberId> ids_;
-  std::unordered_map<MemberId, std::string> names_;  // of each id in ids_
-  std::unordered_set<std::string> everListed_;       // bounded; what is suspended is in banned_ as well
+  std::unordered_map<std::string, EndpointId> ids_;
+  std::unordered_map<EndpointId, std::string> names_;  // of each id in ids_
+  std::unordered_set<std::string> everListed_;         // bounded; what is suspended is in banned_ as well
   std::unordered_set<std::string> banned_;
-  std::unordered_set<MemberId> ready_;                  // by the list
-  std::unordered_map<std::uint64_t, MemberId> tagged_;  // 0: two members share the tag, so it names neither
-  std::unordered_map<MemberId, std::uint64_t> tags_;
+  std::unordered_set<EndpointId> ready_;                  // by the list
+  std::unordered_map<std::uint64_t, EndpointId> tagged_;  // 0: two members share the tag, so it names neither
+  std::unordered_map<EndpointId, std::uint64_t> tags_;
   std::uint64_t generation_ = 0;
-  std::unordered_map<MemberId, Start> starts_;  // of those whose start the list tells
-  std::unordered_map<MemberId, Time> probedAt_;
+  std::unordered_map<EndpointId, Start> starts_;  // of those whose start the list tells
+  std::unordered_map<EndpointId, Time> probedAt_;
   int listsTold_ = 0;
-  MemberId lastMember_ = 0;
+  EndpointId lastMember_ = 0;
   RequestId lastId_ = 0;
   Time swept_{};
   std::priority_queue<Timer, std::vector<Timer>, std::greater<Timer>> timers_;
--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -14,65 +14,66 @@
 
 namespace sablespur {
 
-enum class Holder { Clients, Servers };
+enum class DescriptorHolder { Clients, Servers };
 constexpr std::size_t kHolders = 2;
 
-class Account {
+class ResourceBudget {
  public:
-  explicit Account(const Config& c) : bytesMost_(c.largeStatements) {
+  explicit ResourceBudget(const Config& c) : bytesMost_(c.largeStatements) {
     parts_[0].most = c.clientConnections;
     parts_[1].most = c.serverConnections;
   }
-  Account(const Account&) = delete;
+  ResourceBudget(const ResourceBudget&) = delete;
 
-  struct Part {
+  struct DescriptorShare {
     std::size_t held = 0, most = 0, peak = 0;
   };
-  const Part& part(Holder h) const { return parts_[static_cast<std::size_t>(h)]; }
-  bool room(Holder h) const { return part(h).held < part(h).most; }
+  const DescriptorShare& share(DescriptorHolder h) const { return parts_[static_cast<std::size_t>(h)]; }
+  bool hasRoom(DescriptorHolder h) const { return share(h).held < share(h).most; }
 
   // A descriptor of a part, for as long as it lives. It is given whether or not there is room: who asks has
   // looked, or takes one for a moment to say no.
-  class Place {
+  class DescriptorPermit {
    public:
-    Place() = default;
-    Place(Account& a, Holder h) : account_(&a), holder_(h) {
-      Part& p = a.parts_[static_cast<std::size_t>(h)];
+    DescriptorPermit() = default;
+    DescriptorPermit(ResourceBudget& a, DescriptorHolder h) : account_(&a), holder_(h) {
+      DescriptorShare& p = a.parts_[static_cast<std::size_t>(h)];
       p.peak = std::max(p.peak, ++p.held);
     }
-    Place(Place&& o) noexcept : account_(std::exchange(o.account_, nullptr)), holder_(o.holder_) {}
-    Place& operator=(Place&& o) noexcept {
+    DescriptorPermit(DescriptorPermit&& o) noexcept
+        : account_(std::exchange(o.account_, nullptr)), holder_(o.holder_) {}
+    DescriptorPermit& operator=(DescriptorPermit&& o) noexcept {
       std::swap(account_, o.account_);
       std::swap(holder_, o.holder_);
       return *this;
     }
-    ~Place() {
+    ~DescriptorPermit() {
       if (account_) --account_->parts_[static_cast<std::size_t>(holder_)].held;
     }
 
    private:
-    Account* account_ = nullptr;
-    Holder holder_ = Holder::Clients;
+    ResourceBudget* account_ = nullptr;
+    DescriptorHolder holder_ = DescriptorHolder::Clients;
   };
 
   // Bytes of long statements and of what clients have prepared. False: there is no room, nothing is taken.
-  bool takeBytes(std::size_t n) {
+  bool reserveBytes(std::size_t n) {
     if (n > bytesMost_ - bytes_) return false;
     bytes_ += n;
     bytesPeak_ = std::max(bytesPeak_, bytes_);
     return true;
   }
-  void giveBytes(std::size_t n) { bytes_ -= n; }
+  void releaseBytes(std::size_t n) { bytes_ -= n; }
   std::size_t bytes() const { return bytes_; }
   std::size_t bytesMost() const { return bytesMost_; }
   std::size_t bytesPeak() const { return bytesPeak_; }
 
   // What the system itself had none of, whatever this account says.
-  void ranShort(Shortage s) { ++short_[static_cast<std::size_t>(s)]; }
-  std::uint64_t shortages(Shortage s) const { return short_[static_cast<std::size_t>(s)]; }
+  void recordExhaustion(ResourceExhaustion s) { ++short_[static_cast<std::size_t>(s)]; }
+  std::uint64_t exhaustionCount(ResourceExhaustion s) const { return short_[static_cast<std::size_t>(s)]; }
 
  private:
-  std::array<Part, kHolders> parts_{};
+  std::array<DescriptorShare, kHolders> parts_{};
   const std::size_t bytesMost_;
   std::size_t bytes_ = 0, bytesPeak_ = 0;
   std::array<std::uint64_t, kShortages> short_{};
--- a/src/engine/system_calls.cpp
+++ b/src/engine/system_calls.cpp
@@ -9,34 +9,34 @@
 
 namespace sablespur {
 
-Shortage shortageOf(int error) {
+ResourceExhaustion resourceExhaustionOf(int error) {
   switch (error) {
     case EMFILE:
     case ENFILE:
-      return Shortage::Descriptors;
+      return ResourceExhaustion::Descriptors;
     case ENOBUFS:
     case ENOMEM:
-      return Shortage::Memory;
+      return ResourceExhaustion::Memory;
     case EADDRNOTAVAIL:
-      return Shortage::Ports;
+      return ResourceExhaustion::Ports;
     case ENETUNREACH:
     case ENETDOWN:
     case EACCES:
     case EPERM:
-      return Shortage::Route;
+      return ResourceExhaustion::Route;
     default:
-      return Shortage::None;
+      return ResourceExhaustion::None;
   }
 }
-const char* shortageName(Shortage s) {
+const char* resourceExhaustionName(ResourceExhaustion s) {
   switch (s) {
-    case Shortage::Descriptors:
+    case ResourceExhaustion::Descriptors:
       return "descriptors";
-    case Shortage::Memory:
+    case ResourceExhaustion::Memory:
       return "memory";
-    case Shortage::Ports:
+    case ResourceExhaustion::Ports:
       return "ports";
-    case Shortage::Route:
+    case ResourceExhaustion::Route:
       return "route";
     default:
       return "none";
@@ -46,8 +46,8 @@
 namespace {
 
 bool isScarceMemoryOrDescriptors(int error) {
-  const Shortage what = shortageOf(error);
-  return what == Shortage::Descriptors || what == Shortage::Memory;
+  const ResourceExhaustion what = resourceExhaustionOf(error);
+  return what == ResourceExhaustion::Descriptors || what == ResourceExhaustion::Memory;
 }
 
 SocketFault classifyAccept(int error) {
@@ -66,7 +66,8 @@
     case EAGAIN:  // no free entries in the routing cache, or no local port (connect(2))
       return SocketFault::OwnResource;
     default:
-      return shortageOf(error) != Shortage::None ? SocketFault::OwnResource : SocketFault::Peer;
+      return resourceExhaustionOf(error) != ResourceExhaustion::None ? SocketFault::OwnResource
+                                                                     : SocketFault::Peer;
   }
 }
 
@@ -118,21 +119,21 @@
   return started;
 }
 
-Spare::Spare() { hold(); }
-Spare::~Spare() { give(); }
-void Spare::give() {
+ReservedDescriptor::ReservedDescriptor() { reacquire(); }
+ReservedDescriptor::~ReservedDescriptor() { release(); }
+void ReservedDescriptor::release() {
   if (fd_ >= 0) close(fd_);
   fd_ = -1;
 }
-void Spare::hold() {
+void ReservedDescriptor::reacquire() {
   if (fd_ < 0) fd_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
 }
-bool Spare::lend(const std::function<void()>& use) {
+bool ReservedDescriptor::lend(const std::function<void()>& use) {
   if (fd_ < 0) return false;
-  give();
+  release();
   struct Hold {
-    Spare& spare;
-    ~Hold() { spare.hold(); }  // `use` may throw
+    ReservedDescriptor& spare;
+    ~Hold() { spare.reacquire(); }  // `use` may throw
   } after{*this};
   use();
   return true;
--- a/src/engine/system_calls.hpp
+++ b/src/engine/system_calls.hpp
@@ -11,7 +11,7 @@
 namespace sablespur {
 
 // What this machine lacked, where a failed call tells of it and not of the other side.
-enum class Shortage {
+enum class ResourceExhaustion {
   None,
   Descriptors,  // EMFILE, ENFILE: of this process, of the machine
   Memory,       // ENOBUFS, ENOMEM
@@ -19,8 +19,8 @@
   Route  // ENETUNREACH, ENETDOWN, EACCES, EPERM: the routing table or the firewall here lets nothing out
 };
 constexpr std::size_t kShortages = 5;
-Shortage shortageOf(int error);
-const char* shortageName(Shortage);
+ResourceExhaustion resourceExhaustionOf(int error);
+const char* resourceExhaustionName(ResourceExhaustion);
 
 enum class SocketCall {
   Accept,      // accept(2)
@@ -65,17 +65,17 @@
 
 // A descriptor kept for the moment in which there is none left: with it one more connection can be taken,
 // told so and closed, or a file be read. One thread only.
-class Spare {
+class ReservedDescriptor {
  public:
-  Spare();
-  ~Spare();
-  Spare(const Spare&) = delete;
+  ReservedDescriptor();
+  ~ReservedDescriptor();
+  ReservedDescriptor(const ReservedDescriptor&) = delete;
   // Calls `use` while the descriptor is free for it; what `use` opened has to be closed when it returns.
   // False: there was none to lend.
   bool lend(const std::function<void()>& use);
   bool held() const { return fd_ >= 0; }
-  void hold();  // once more, where others took its place
-  void give();  // for something that is to stay open; hold() once that is closed
+  void reacquire();  // once more, where others took its place
+  void release();    // for something that is to stay open; hold() once that is closed
 
  private:
   int fd_ = -1;
--- a/src/engine/workers.cpp
+++ b/src/engine/workers.cpp
@@ -16,15 +16,15 @@
 
 }  // namespace
 
-Workers::Workers(event_base* base, std::size_t threads)
+WorkerPool::WorkerPool(event_base* base, std::size_t threads)
     : most_(threads), wake_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (wake_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
   woken_.reset(event_new(
       base, wake_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Workers*>(self)->finished(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<WorkerPool*>(self)->finished(); }, this));
   event_add(woken_.get(), nullptr);
 }
-Workers::~Workers() {
+WorkerPool::~WorkerPool() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     stop_ = true;
@@ -36,7 +36,7 @@
   close(wake_);
 }
 
-Workers::Ticket Workers::run(std::function<std::string()> work, std::function<void(std::string)> done) {
+WorkerPool::Ticket WorkerPool::run(std::function<std::string()> work, std::function<void(std::string)> done) {
   auto ticket = std::make_shared<Wanted>();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -48,7 +48,7 @@
   return ticket;
 }
 
-void Workers::serve() {
+void WorkerPool::serve() {
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
     more_.wait(lock, [this] { return stop_ || !waiting_.empty(); });
@@ -64,7 +64,7 @@
   }
 }
 
-void Workers::finished() {
+void WorkerPool::finished() {
   std::uint64_t count = 0;
   [[maybe_unused]] const ssize_t n = read(wake_, &count, sizeof count);
   std::deque<Piece> done;
--- a/src/engine/workers.hpp
+++ b/src/engine/workers.hpp
@@ -16,11 +16,11 @@
 
 namespace sablespur {
 
-class Workers {
+class WorkerPool {
  public:
-  Workers(event_base*, std::size_t threads);
-  ~Workers();  // what has not begun is dropped, what runs is waited for
-  Workers(const Workers&) = delete;
+  WorkerPool(event_base*, std::size_t threads);
+  ~WorkerPool();  // what has not begun is dropped, what runs is waited for
+  WorkerPool(const WorkerPool&) = delete;
 
   // Whoever holds this still wants the result; once it is gone `done` is not called.
   struct Wanted {};
--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -14,18 +14,18 @@
 
 using admission::Answered;
 using admission::IpAddress;
-using admission::Requests;
-using admission::Spell;
-using admission::Turn;
+using admission::RejectionPeriod;
+using admission::RequestDecision;
+using admission::RequestLimiter;
 
 // How often what waits too long, what is held beyond a cap and spells of refusals are looked at.
 constexpr Time kRound = std::chrono::milliseconds(20);
 constexpr std::size_t kSurplus = 64;   // idle connections taken back in one round
 constexpr std::size_t kShortage = 32;  // the same, when descriptors run out
 
-class AdmissionGate final : public Gate {
+class AdmissionGate final : public AdmissionController {
  public:
-  AdmissionGate(event_base* base, Engine& engine, Entrance& next, const Config& c)
+  AdmissionGate(event_base* base, Engine& engine, RequestHandler& next, const Config& c)
       : engine_(engine),
         next_(next),
         classes_(c.settings.classes),
@@ -38,18 +38,18 @@
         round_(event_new(
             base, -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<AdmissionGate*>(self)->round(); }, this)) {
-    if (s_->requests) requests_ = std::make_unique<admission::Lanes>(*s_->requests);
+    if (s_->requests) requests_ = std::make_unique<admission::RequestQueues>(*s_->requests);
     spells_.resize(2 * door_.groups());
     startTimer(round_.get(), kRound);
   }
 
-  bool hidesClients(const Address& a) const override {
+  bool expectsProxyHeader(const Address& a) const override {
     return s_->fronts.size() > 0 && s_->fronts.find(admission::addressOf(a.data()), 1) == 0;
   }
   bool knowsNames() const override { return !s_->users.empty(); }
-  std::size_t antechamber() const override { return s_->antechamber; }
+  std::size_t maxUnadmittedConnections() const override { return s_->antechamber; }
 
-  Admission arrived(Guest& g, const Address& from) override {
+  AdmissionDecision connectionArrived(AdmittedConnection& g, const Address& from) override {
     const IpAddress ip = admission::addressOf(from.data());
     std::optional<std::size_t> group;
     if (s_->servedBefore && door_.groupOf(ip) == door_.groups() - 1 && known_.is(engine_.now(), ip))
@@ -57,32 +57,33 @@
     return enter(g, ip, group);
   }
 
-  Admission named(Guest& g, PlaceId place, const Address& from, const std::string& user) override {
+  AdmissionDecision userAuthenticated(AdmittedConnection& g, PermitId place, const Address& from,
+                                      const std::string& user) override {
     const auto it = s_->users.find(user);
     if (place == 0) {
       if (it != s_->users.end()) return enter(g, admission::addressOf(from.data()), it->second);
-      Admission none;
+      AdmissionDecision none;
       none.why = "full";
       return none;
     }
     if (it != s_->users.end()) door_.belongs(place, it->second);
-    Admission a;
+    AdmissionDecision a;
     a.place = place;
     return a;
   }
 
-  void left(PlaceId place) override {
+  void connectionClosed(PermitId place) override {
     if (place == 0) return;
     door_.left(place);
     guests_.erase(place);
   }
-  void busy(PlaceId place) override { door_.busy(place); }
-  void idle(PlaceId place) override { door_.idle(engine_.now(), place); }
-  void served(PlaceId place) override {
+  void busy(PermitId place) override { door_.busy(place); }
+  void idle(PermitId place) override { door_.idle(engine_.now(), place); }
+  void served(PermitId place) override {
     const auto it = guests_.find(place);
     if (s_->servedBefore && it != guests_.end()) known_.served(engine_.now(), it->second.address);
   }
-  void shortage() override {
+  void onExhaustion() override {
     std::size_t reserved = 0;
     for (std::size_t k = 0; k < door_.groups(); ++k) reserved += door_.limits(k).reserve;
     ceiling_.ranShort(engine_.now(), door_.held(), reserved);
@@ -90,24 +91,24 @@
     for (const admission::ConnectionId id : door_.spare(engine_.now(), kShortage)) askBack(id);
   }
 
-  RequestId request(Requester& asker, balancer::Request q, Message m, PlaceId place) override {
+  RequestId request(ResponseHandler& asker, balancer::Request q, Message m, PermitId place) override {
     if (!requests_) return next_.request(asker, q, std::move(m));
     const RequestId key = ++lastKey_;
     auto e = std::make_unique<Entered>(*this, key, asker, q, std::move(m));
     e->arrived = engine_.now();
     Entered& entered = *entered_.emplace(key, std::move(e)).first->second;
-    const Requests::Asked a =
+    const RequestLimiter::Asked a =
         requests_->ask(engine_.now(), key, laneOf(q), door_.groupOf(place), engine_.now() + aimOf(q));
-    if (a.turn == Turn::Go) go(entered);
-    if (a.turn == Turn::Refuse) refuse(key, a.comeBack);
+    if (a.turn == RequestDecision::Admit) go(entered);
+    if (a.turn == RequestDecision::Reject) refuse(key, a.comeBack);
     carryOut(a.others);
     return key;
   }
-  void gone(RequestId key) override {
-    if (!requests_) return next_.left(key);
+  void requestCancelled(RequestId key) override {
+    if (!requests_) return next_.clientDisconnected(key);
     const auto it = entered_.find(key);
     if (it == entered_.end()) return;
-    if (it->second->inEngine != 0) next_.left(it->second->inEngine);
+    if (it->second->inEngine != 0) next_.clientDisconnected(it->second->inEngine);
     entered_.erase(it);
     carryOut(requests_->left(engine_.now(), key));
   }
@@ -115,11 +116,11 @@
   void reload(const Config& c) override {
     if (!c.admission || c.admission->requests.has_value() != s_->requests.has_value() ||
         (c.admission->requests && c.admission->requests->limit.kind != s_->requests->limit.kind))
-      logEvent(LogLevel::Warning, "settings_need_restart",
+      logEvent(LogLevel::Warning, "config_restart_needed",
                {{"key", c.admission ? "[admission] requests" : "[admission] door"}});
     if (!c.admission) return;
     // By name: the spell that a group is in goes on.
-    std::vector<Spell> spells(2 * c.admission->door.groups.size());
+    std::vector<RejectionPeriod> spells(2 * c.admission->door.groups.size());
     for (std::size_t k = 0; k < c.admission->door.groups.size(); ++k)
       for (std::size_t was = 0; was < door_.groups(); ++was)
         if (door_.limits(was).name == c.admission->door.groups[k].name) {
@@ -132,20 +133,21 @@
     if (requests_ && s_->requests) requests_->reload(*s_->requests);
   }
 
-  GateView view() const override {
-    GateView v;
+  AdmissionView view() const override {
+    AdmissionView v;
     v.held = door_.held();
     v.most = door_.most();
     v.antechamber = s_->antechamber;
     v.known = known_.size();
     v.limits = requests_ != nullptr;
     if (requests_)
-      for (const admission::Lanes::View& l : requests_->view())
-        v.lanes.push_back({l.lane == admission::Lanes::kRest ? -1 : static_cast<std::int64_t>(l.lane >> 1),
-                           (l.lane & 1) != 0, l.limit, l.out, l.waiting, l.usual});
+      for (const admission::RequestQueues::View& l : requests_->view())
+        v.lanes.push_back(
+            {l.lane == admission::RequestQueues::kRest ? -1 : static_cast<std::int64_t>(l.lane >> 1),
+             (l.lane & 1) != 0, l.limit, l.out, l.waiting, l.usual});
     for (std::size_t k = 0; k < door_.groups(); ++k) {
-      const admission::Door::Count& c = door_.count(k);
-      GateView::Group g;
+      const admission::ConnectionAdmission::Count& c = door_.count(k);
+      AdmissionView::Group g;
       g.name = door_.limits(k).name;
       g.held = c.held;
       g.idle = c.idle;
@@ -155,16 +157,16 @@
       g.weight = door_.limits(k).weight;
       g.admitted = c.admitted;
       g.askedBack = c.asked;
-      for (const auto& [why, n] : c.refused) g.refused[admission::whyName(why)] = n;
+      for (const auto& [why, n] : c.refused) g.refused[admission::rejectionReasonName(why)] = n;
       if (requests_ && k < requests_->groups()) {
-        const Requests::Count r = requests_->count(k);
+        const RequestLimiter::Count r = requests_->count(k);
         g.out = r.out;
         g.waiting = r.waiting;
         g.went = r.went;
         g.waited = r.waited;
         for (std::size_t t = 0; t < admission::kTurned; ++t)
           if (r.refused[t] > 0)
-            g.turnedAway[admission::turnedName(static_cast<admission::Turned>(t))] = r.refused[t];
+            g.turnedAway[admission::turnedName(static_cast<admission::RequestRejection>(t))] = r.refused[t];
       }
       g.refusing = spells_[2 * k].on() || spells_[2 * k + 1].on();
       v.groups.push_back(std::move(g));
@@ -175,27 +177,27 @@
  private:
   // A request between its front and the engine. The engine answers it, and it tells the decisions how that
   // ended before its front hears of it.
-  struct Entered final : Requester {
-    Entered(AdmissionGate& g, RequestId k, Requester& a, const balancer::Request& r, Message&& m)
+  struct Entered final : ResponseHandler {
+    Entered(AdmissionGate& g, RequestId k, ResponseHandler& a, const balancer::Request& r, Message&& m)
         : gate(g), key(k), asker(a), q(r), message(std::move(m)) {}
     void served(Answer answer) override {
-      Requester& to = asker;
+      ResponseHandler& to = asker;
       gate.ended(*this, End::Served);  // this is no more
       to.served(std::move(answer));
     }
-    void refused(Time retryAfter) override {
-      Requester& to = asker;
+    void rejected(Time retryAfter) override {
+      ResponseHandler& to = asker;
       gate.ended(*this, End::Refused);
-      to.refused(retryAfter);
+      to.rejected(retryAfter);
     }
     void failed() override {
-      Requester& to = asker;
+      ResponseHandler& to = asker;
       gate.ended(*this, End::Failed);
       to.failed();
     }
     AdmissionGate& gate;
     const RequestId key;
-    Requester& asker;
+    ResponseHandler& asker;
     balancer::Request q;
     Message message;
     RequestId inEngine = 0;  // 0: it has not gone on
@@ -203,12 +205,12 @@
   };
   enum class End { Served, Refused, Failed };
 
-  Admission enter(Guest& g, const IpAddress& ip, std::optional<std::size_t> group) {
-    const PlaceId id = ++lastPlace_;
-    const admission::Welcome w = door_.arrived(engine_.now(), id, ip, group);
-    Admission a;
+  AdmissionDecision enter(AdmittedConnection& g, const IpAddress& ip, std::optional<std::size_t> group) {
+    const PermitId id = ++lastPlace_;
+    const admission::ConnectionDecision w = door_.arrived(engine_.now(), id, ip, group);
+    AdmissionDecision a;
     if (!w.admitted) {
-      a.why = admission::whyName(w.why);
+      a.why = admission::rejectionReasonName(w.why);
       a.comeBack = w.comeBack;
       return a;
     }
@@ -221,28 +223,29 @@
   void askBack(admission::ConnectionId id) {
     const auto it = guests_.find(id);
     if (it == guests_.end()) return;
-    Guest* const g = it->second.guest;
+    AdmittedConnection* const g = it->second.guest;
     guests_.erase(it);
-    g->giveUpPlace();
+    g->evict();
   }
 
   const balancer::ClassSettings& classOf(const balancer::Request& q) const {
-    return classes_[static_cast<std::size_t>(q.cls)];
+    return classes_[static_cast<std::size_t>(q.classIndex)];
   }
   // Who has to queue does so to be answered within the aim. Later an answer may still have some worth, but a
   // place that it takes then is one that another could have had on time.
   Time aimOf(const balancer::Request& q) const {
-    return std::min(classOf(q).aim, q.deadline - engine_.now());
+    return std::min(classOf(q).latencyObjective, q.deadline - engine_.now());
   }
-  admission::LaneKey laneOf(const balancer::Request& q) const {
-    const balancer::Need need = classOf(q).need;
-    const bool primary = need == balancer::Need::Write || need == balancer::Need::Fresh;
-    return static_cast<admission::LaneKey>(q.group) << 1 | (primary ? 1 : 0);
+  admission::QueueKey laneOf(const balancer::Request& q) const {
+    const balancer::Requirement need = classOf(q).requirement;
+    const bool primary = need == balancer::Requirement::Write || need == balancer::Requirement::Strong;
+    return static_cast<admission::QueueKey>(q.group) << 1 | (primary ? 1 : 0);
   }
   void go(Entered& e) {
     e.went = engine_.now();
     // How long ago the session last wrote counts from now.
-    if (e.q.tokenMs > 0) e.q.tokenMs += static_cast<float>((e.went - e.arrived).count()) / 1e3f;
+    if (e.q.sessionTokenAgeMs > 0)
+      e.q.sessionTokenAgeMs += static_cast<float>((e.went - e.arrived).count()) / 1e3f;
     e.inEngine = next_.request(e, e.q, std::move(e.message));
   }
   void refuse(RequestId key, Time comeBack) {
@@ -253,7 +256,7 @@
     for (const Answered& a : all) {
       const auto it = entered_.find(a.key);
       if (it == entered_.end()) continue;
-      if (a.turn == Turn::Go)
+      if (a.turn == RequestDecision::Admit)
         go(*it->second);
       else
         refuse(a.key, a.comeBack);
@@ -275,9 +278,9 @@
     for (const auto& [key, comeBack] : all) {
       const auto it = entered_.find(key);
       if (it == entered_.end()) continue;  // its client has left
-      Requester& asker = it->second->asker;
+      ResponseHandler& asker = it->second->asker;
       entered_.erase(it);
-      asker.refused(comeBack);
+      asker.rejected(comeBack);
     }
   }
   void round() {
@@ -291,29 +294,30 @@
       const char* why = "none";
       for (const auto& [w, n] : door_.count(k).refused) {
         refused += n;
-        if (n > most) why = admission::whyName(w);
+        if (n > most) why = admission::rejectionReasonName(w);
         most = std::max(most, n);
       }
       tell(k, "connections", spells_[2 * k], refused, why);
       if (!requests_ || k >= requests_->groups()) continue;
-      const Requests::Count c = requests_->count(k);
+      const RequestLimiter::Count c = requests_->count(k);
       std::size_t widest = 0;
       for (std::size_t t = 0; t < admission::kTurned; ++t) {
         turned += c.refused[t];
         if (c.refused[t] > c.refused[widest]) widest = t;
       }
       tell(k, "requests", spells_[2 * k + 1], turned,
-           admission::turnedName(static_cast<admission::Turned>(widest)));
+           admission::turnedName(static_cast<admission::RequestRejection>(widest)));
     }
   }
-  void tell(std::size_t group, const char* what, Spell& spell, std::uint64_t total, const char* why) {
-    const Spell::Turn turn = spell.at(engine_.now(), total);
+  void tell(std::size_t group, const char* what, RejectionPeriod& spell, std::uint64_t total,
+            const char* why) {
+    const RejectionPeriod::Turn turn = spell.at(engine_.now(), total);
     const std::string& name = door_.limits(group).name;
-    if (turn == Spell::Turn::Began)
-      logEvent(LogLevel::Warning, "refusing_began",
+    if (turn == RejectionPeriod::Turn::Began)
+      logEvent(LogLevel::Warning, "rejection_started",
                {{"group", name}, {"what", what}, {"mostly", why}, {"held", door_.count(group).held}});
-    if (turn == Spell::Turn::Ended)
-      logEvent(LogLevel::Info, "refusing_ended",
+    if (turn == RejectionPeriod::Turn::Ended)
+      logEvent(LogLevel::Info, "rejection_ended",
                {{"group", name},
                 {"what", what},
                 {"refused", spell.within()},
@@ -321,29 +325,30 @@
   }
 
   struct Held {
-    Guest* guest;
+    AdmittedConnection* guest;
     IpAddress address;
   };
   Engine& engine_;
-  Entrance& next_;
+  RequestHandler& next_;
   const std::vector<balancer::ClassSettings> classes_;
   std::shared_ptr<const admission::Settings> s_;
-  admission::Door door_;
-  admission::Known known_;
-  admission::Ceiling ceiling_;
-  std::unique_ptr<admission::Lanes> requests_;
-  std::unordered_map<PlaceId, Held> guests_;
+  admission::ConnectionAdmission door_;
+  admission::RecentClients known_;
+  admission::ConnectionLimit ceiling_;
+  std::unique_ptr<admission::RequestQueues> requests_;
+  std::unordered_map<PermitId, Held> guests_;
   std::unordered_map<RequestId, std::unique_ptr<Entered>> entered_;
   std::vector<std::pair<RequestId, Time>> refusals_;  // to be told
-  std::vector<Spell> spells_;                         // by group: of connections, of requests
-  PlaceId lastPlace_ = 0;
+  std::vector<RejectionPeriod> spells_;               // by group: of connections, of requests
+  PermitId lastPlace_ = 0;
   RequestId lastKey_ = 0;
   Event deliver_, round_;
 };
 
 }  // namespace
 
-std::unique_ptr<Gate> openGate(event_base* base, Engine& engine, Entrance& next, const Config& c) {
+std::unique_ptr<AdmissionController> createAdmissionController(event_base* base, Engine& engine,
+                                                               RequestHandler& next, const Config& c) {
   if (!c.admission) return nullptr;
   return std::make_unique<AdmissionGate>(base, engine, next, c);
 }
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -16,24 +16,24 @@
 namespace sablespur {
 
 // A client's connection, as the Gate sees it.
-class Guest {
+class AdmittedConnection {
  public:
-  virtual ~Guest() = default;
+  virtual ~AdmittedConnection() = default;
   // It is idle, and its place is another's from now on: it closes once what was written has gone out. Never
   // called from within a call of its own.
-  virtual void giveUpPlace() = 0;
+  virtual void evict() = 0;
 };
 
-using PlaceId = std::uint64_t;  // 0: none
+using PermitId = std::uint64_t;  // 0: none
 
-struct Admission {
-  PlaceId place = 0;         // 0: it is not let in
+struct AdmissionDecision {
+  PermitId place = 0;        // 0: it is not let in
   const char* why = "none";  // not let in: the bound that was met
   Time comeBack{};           // not let in: after so long, spread among those refused
 };
 
 // For `sablespur status`.
-struct GateView {
+struct AdmissionView {
   std::size_t held = 0, most = 0, antechamber = 0;
   std::size_t known = 0;  // addresses that have been served before
   struct Group {
@@ -55,36 +55,38 @@
   std::vector<Lane> lanes;
 };
 
-class Gate {
+class AdmissionController {
  public:
-  virtual ~Gate() = default;
+  virtual ~AdmissionController() = default;
 
   // Whether connections from there begin with a PROXY header.
-  virtual bool hidesClients(const Address&) const = 0;
-  virtual Admission arrived(Guest&, const Address& from) = 0;
+  virtual bool expectsProxyHeader(const Address&) const = 0;
+  virtual AdmissionDecision connectionArrived(AdmittedConnection&, const Address& from) = 0;
   // It has proved this name. One that was not let in by its address may be by its name; one that was moves.
   // `place`: 0, or its place.
-  virtual Admission named(Guest&, PlaceId place, const Address& from, const std::string& user) = 0;
+  virtual AdmissionDecision userAuthenticated(AdmittedConnection&, PermitId place, const Address& from,
+                                              const std::string& user) = 0;
   virtual bool knowsNames() const = 0;
-  virtual std::size_t antechamber() const = 0;  // connections that may be held without a place
-  virtual void left(PlaceId) = 0;
-  virtual void busy(PlaceId) = 0;    // it has asked
-  virtual void idle(PlaceId) = 0;    // it is answered, or greeted
-  virtual void served(PlaceId) = 0;  // by an answer of a data server
+  virtual std::size_t maxUnadmittedConnections() const = 0;  // connections that may be held without a place
+  virtual void connectionClosed(PermitId) = 0;
+  virtual void busy(PermitId) = 0;    // it has asked
+  virtual void idle(PermitId) = 0;    // it is answered, or greeted
+  virtual void served(PermitId) = 0;  // by an answer of a data server
   // There is no descriptor: the idle connection that is asked back first makes way.
-  virtual void shortage() = 0;
+  virtual void onExhaustion() = 0;
 
   // As Entrance::request and Entrance::left; ids are the Gate's own. What is not let on is told by
   // Requester::refused, after this call has returned.
-  virtual RequestId request(Requester&, balancer::Request, Message, PlaceId) = 0;
-  virtual void gone(RequestId) = 0;
+  virtual RequestId request(ResponseHandler&, balancer::Request, Message, PermitId) = 0;
+  virtual void requestCancelled(RequestId) = 0;
 
   virtual void reload(const Config&) = 0;
-  virtual GateView view() const = 0;
+  virtual AdmissionView view() const = 0;
 };
 
 // Null where the settings have no door.
 // Requests that are let on go to the Entrance.
-std::unique_ptr<Gate> openGate(event_base*, Engine&, Entrance&, const Config&);
+std::unique_ptr<AdmissionController> createAdmissionController(event_base*, Engine&, RequestHandler&,
+                                                               const Config&);
 
 }  // namespace sablespur
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -28,8 +28,9 @@
 
 }  // namespace
 
-Clients::Clients(event_base* base, Engine& engine, Entrance& entrance, Workers& workers, Account& account,
-                 Spare& spare, Gate* gate, const Config& config)
+Clients::Clients(event_base* base, Engine& engine, RequestHandler& entrance, WorkerPool& workers,
+                 ResourceBudget& account, ReservedDescriptor& spare, AdmissionController* gate,
+                 const Config& config)
     : base_(base),
       engine_(engine),
       entrance_(entrance),
@@ -38,11 +39,11 @@
       gate_(gate),
       config_(config),
       users_(config.users) {
-  Acceptor::Taker taker;
-  taker.taken = [this](evutil_socket_t fd, const sockaddr* from) { accepted(fd, from); };
-  taker.room = [this] { return room(); };
-  taker.shortage = [this] { shortage(); };
-  taker.refuse = [this](evutil_socket_t fd) { turnAway(fd, kShortOf); };
+  Acceptor::ConnectionHandler taker;
+  taker.accepted = [this](evutil_socket_t fd, const sockaddr* from) { accepted(fd, from); };
+  taker.hasRoom = [this] { return room(); };
+  taker.onExhaustion = [this] { shortage(); };
+  taker.reject = [this](evutil_socket_t fd) { turnAway(fd, kShortOf); };
   acceptor_ = std::make_unique<Acceptor>(base, engine.clock(), config.listen, account, spare,
                                          std::move(taker), !config.control.none());
   round_.reset(event_new(
@@ -69,10 +70,10 @@
 
 int Clients::port() const { return acceptor_->port(); }
 
-RequestId Clients::request(Requester& asker, const balancer::Request& q, Message m, PlaceId place) {
+RequestId Clients::request(ResponseHandler& asker, const balancer::Request& q, Message m, PermitId place) {
   return gate_ ? gate_->request(asker, q, std::move(m), place) : entrance_.request(asker, q, std::move(m));
 }
-void Clients::left(RequestId id) { gate_ ? gate_->gone(id) : entrance_.left(id); }
+void Clients::left(RequestId id) { gate_ ? gate_->requestCancelled(id) : entrance_.clientDisconnected(id); }
 
 // Unguessable, both the number that stands for a process and the secret.
 postgres::Key Clients::newKey(Session& s, std::size_t length) {
@@ -91,11 +92,11 @@
 
 void Clients::accepted(evutil_socket_t fd, const sockaddr* from) {
   const Address address = Address::fromSocket(from);
-  const bool hidden = gate_ && gate_->hidesClients(address);
+  const bool hidden = gate_ && gate_->expectsProxyHeader(address);
   auto session = std::make_unique<Session>(*this, fd, address, hidden);
   if (gate_ && !hidden) session->enterDoor();
   // Guards the descriptors: only so many are held for a moment to be told in words of their version.
-  if (gate_ && outside_ > gate_->antechamber()) {
+  if (gate_ && outside_ > gate_->maxUnadmittedConnections()) {
     turnAway(fd, session->comeBack());
     return;
   }
@@ -125,11 +126,11 @@
 
 // Accepts while there is room, or someone to make it; the rest waits in the listener's backlog. With a Gate
 // everyone is taken, if only to be told no: it keeps to its bounds, and what is told no is bounded too.
-bool Clients::room() { return gate_ || account_.room(Holder::Clients) || makeRoom(); }
+bool Clients::room() { return gate_ || account_.hasRoom(DescriptorHolder::Clients) || makeRoom(); }
 
 void Clients::shortage() {
   if (gate_)
-    gate_->shortage();
+    gate_->onExhaustion();
   else
     makeRoom();
 }
@@ -225,7 +226,7 @@
   if (draining_) return;
   draining_ = true;
   done_ = std::move(done);
-  if (!config_.control.none()) acceptor_->yield();
+  if (!config_.control.none()) acceptor_->handOverListener();
   Time longest{};
   for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
   const ShutdownTimes times = shutdownTimes(longest);
@@ -236,7 +237,7 @@
 }
 
 void Clients::stopListening() {
-  acceptor_->takeRest();
+  acceptor_->drainBacklog();
   acceptor_.reset();
   std::vector<Session*> all;
   for (const auto& [s, owned] : sessions_) all.push_back(s);
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -22,7 +22,8 @@
 class Clients {
  public:
   // `gate` may be null. Throws std::runtime_error where it cannot listen.
-  Clients(event_base*, Engine&, Entrance&, Workers&, Account&, Spare&, Gate* gate, const Config&);
+  Clients(event_base*, Engine&, RequestHandler&, WorkerPool&, ResourceBudget&, ReservedDescriptor&,
+          AdmissionController* gate, const Config&);
   ~Clients();
   // Serves on while new connections still come, then closes connections between requests and finishes what is
   // taken, all in time for the earliest SIGKILL (shutdown.hpp). `done` follows when no connection is left.
@@ -55,14 +56,14 @@
 
   event_base* const base_;
   Engine& engine_;
-  Entrance& entrance_;
-  Workers& workers_;
+  RequestHandler& entrance_;
+  WorkerPool& workers_;
   // Requests go by the Gate where there is one, else straight to the Entrance.
-  RequestId request(Requester&, const balancer::Request&, Message, PlaceId);
+  RequestId request(ResponseHandler&, const balancer::Request&, Message, PermitId);
   void left(RequestId);
 
-  Account& account_;
-  Gate* const gate_;
+  ResourceBudget& account_;
+  AdmissionController* const gate_;
   const Config& config_;
   std::shared_ptr<const auth::Users> users_;
   std::size_t asking_ = 0;   // sessions that have asked something
--- a/src/frontend/postgres/input_timestamps.hpp
+++ b/src/frontend/postgres/input_timestamps.hpp
@@ -9,7 +9,7 @@
 
 namespace sablespur {
 
-class Arrivals {
+class InputTimestamps {
  public:
   using Time = Clock::Time;
   // `full`: the input stands at its limit now, so more may be waiting in the system. What comes next counts
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -23,7 +23,8 @@
       case auth::Method::Cleartext:
         return version2_ ? pg2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
       case auth::Method::Md5:
-        return version2_ ? pg2::askMd5(host_.salt()) : postgres::authentication(postgres::kAuthMd5, host_.salt());
+        return version2_ ? pg2::askMd5(host_.salt())
+                         : postgres::authentication(postgres::kAuthMd5, host_.salt());
       default:
         break;
     }
--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -10,8 +10,8 @@
 // Guards the memory: a client that never closes what it prepares.
 constexpr std::size_t kMostNames = 256, kLongestColumns = 8192;
 
-Prepared::Said fault(const char* code, std::string text) { return {{}, code, std::move(text)}; }
-Prepared::Said malformed(const char* what) {
+PreparedStatements::Said fault(const char* code, std::string text) { return {{}, code, std::move(text)}; }
+PreparedStatements::Said malformed(const char* what) {
   return fault("08P01", std::string("malformed ") + what + " message");
 }
 std::string quoted(std::string_view name) { return "\"" + std::string(name) + "\""; }
@@ -19,7 +19,7 @@
 bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n;") == std::string_view::npos; }
 
 // A RowDescription as the asker gets it, with its formats.
-std::string described(const std::string& body, const translation::Wanted& wanted) {
+std::string described(const std::string& body, const translation::ResultFormat& wanted) {
   std::vector<translation::Column> columns;
   if (!postgres::readColumns(body, columns)) return postgres::noData();
   for (std::size_t k = 0; k < columns.size(); ++k) {
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-void Prepared::drop(std::map<std::string, Statement, std::less<>>::iterator it) {
+void PreparedStatements::drop(std::map<std::string, Statement, std::less<>>::iterator it) {
   bytes_ -= it->second.text.size() + it->second.columns.size();
   statements_.erase(it);
 }
-void Prepared::drop(std::map<std::string, Portal, std::less<>>::iterator it) {
+void PreparedStatements::drop(std::map<std::string, Portal, std::less<>>::iterator it) {
   bytes_ -= it->second.text.size();
   portals_.erase(it);
 }
 
-Prepared::Said Prepared::parse(std::string_view body, bool backslashes) {
+PreparedStatements::Said PreparedStatements::parse(std::string_view body, bool backslashes) {
   auto m = postgres::parseParse(body);
   if (!m) return malformed("Parse");
   if (const auto old = statements_.find(m->name); old != statements_.end()) {
@@ -60,7 +60,8 @@
   return {postgres::parseComplete(), nullptr, {}};
 }
 
-Prepared::Said Prepared::bind(std::string_view body, bool backslashes, std::size_t longest) {
+PreparedStatements::Said PreparedStatements::bind(std::string_view body, bool backslashes,
+                                                  std::size_t longest) {
   auto m = postgres::parseBind(body);
   if (!m) return malformed("Bind");
   const auto it = statements_.find(m->statement);
@@ -94,7 +95,7 @@
   return {postgres::bindComplete(), nullptr, {}};
 }
 
-Prepared::Said Prepared::describe(std::string_view body) {
+PreparedStatements::Said PreparedStatements::describe(std::string_view body) {
   const auto m = postgres::parseTarget(body);
   if (!m) return malformed("Describe");
   if (m->portal) {
@@ -114,12 +115,13 @@
   types.resize(s.parameters);
   for (std::uint32_t& t : types)
     if (t == 0) t = translation::kText;
-  return {postgres::parameterDescription(types) + (s.columns.empty() ? postgres::noData() : described(s.columns, {})),
+  return {postgres::parameterDescription(types) +
+              (s.columns.empty() ? postgres::noData() : described(s.columns, {})),
           nullptr,
           {}};
 }
 
-Prepared::Said Prepared::settle() {
+PreparedStatements::Said PreparedStatements::settle() {
   std::string answer;
   for (auto& [name, p] : portals_) {
     if (!p.describe) continue;
@@ -132,7 +134,7 @@
   return {answer, nullptr, {}};
 }
 
-Prepared::Said Prepared::close(std::string_view body) {
+PreparedStatements::Said PreparedStatements::close(std::string_view body) {
   const auto m = postgres::parseTarget(body);
   if (!m) return malformed("Close");
   if (m->portal) {
@@ -143,7 +145,7 @@
   return {postgres::closeComplete(), nullptr, {}};
 }
 
-Prepared::Said Prepared::execute(std::string_view body, std::optional<Asked>& asked) {
+PreparedStatements::Said PreparedStatements::execute(std::string_view body, std::optional<Asked>& asked) {
   const auto m = postgres::parseExecute(body);
   if (!m) return malformed("Execute");
   const auto it = portals_.find(m->portal);
@@ -163,7 +165,7 @@
   return {};
 }
 
-void Prepared::executed(std::string_view columns, bool suspended) {
+void PreparedStatements::executed(std::string_view columns, bool suspended) {
   const auto p = portals_.find(last_);
   if (p == portals_.end()) return;
   p->second.suspended = suspended;
@@ -175,13 +177,13 @@
   bytes_ += columns.size();
 }
 
-Prepared::Said Prepared::sync() {
+PreparedStatements::Said PreparedStatements::sync() {
   Said owed = settle();
   while (!portals_.empty()) drop(portals_.begin());
   return owed;
 }
 
-void Prepared::simpleQuery() {
+void PreparedStatements::simpleQuery() {
   if (const auto p = portals_.find(""); p != portals_.end()) drop(p);
   if (const auto s = statements_.find(""); s != statements_.end()) drop(s);
 }
--- a/src/frontend/postgres/prepared_statements.hpp
+++ b/src/frontend/postgres/prepared_statements.hpp
@@ -16,7 +16,7 @@
 
 namespace sablespur {
 
-class Prepared {
+class PreparedStatements {
  public:
   // What a message leads to: an answer, or an error after which everything is passed over until Sync.
   struct Said {
@@ -27,7 +27,7 @@
   // What an Execute asks.
   struct Asked {
     std::string statement;  // empty: of nothing but blanks
-    translation::Wanted wanted;
+    translation::ResultFormat wanted;
     bool described = false;  // its columns are still owed
     std::size_t mostRows = 0;
   };
@@ -57,7 +57,7 @@
   struct Portal {
     std::string statement;  // by name
     std::string text;
-    translation::Wanted wanted;
+    translation::ResultFormat wanted;
     bool describe = false, suspended = false, ran = false;
   };
   void drop(std::map<std::string, Statement, std::less<>>::iterator);
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -54,7 +54,7 @@
 
 Session::Session(Clients& owner, evutil_socket_t fd, const Address& from, bool hidden)
     : owner_(owner),
-      descriptor_(owner.account_, Holder::Clients),
+      descriptor_(owner.account_, DescriptorHolder::Clients),
       bev_(bufferevent_socket_new(owner.base_, fd, BEV_OPT_CLOSE_ON_FREE)),
       from_(from),
       hidden_(hidden),
@@ -79,9 +79,9 @@
   owner_.watchEnd(*this, false);
   if (request_ != 0) owner_.left(request_);
   outside(false);
-  if (owner_.gate_) owner_.gate_->left(place_);
+  if (owner_.gate_) owner_.gate_->connectionClosed(place_);
   owner_.asking_ -= asked_;
-  owner_.account_.giveBytes(held_);
+  owner_.account_.releaseBytes(held_);
   owner_.keys_.erase(key_.process);
   forget();
   release();
@@ -94,7 +94,7 @@
   outside_ = is;
 }
 void Session::enterDoor() {
-  const Admission a = owner_.gate_->arrived(*this, from_);
+  const AdmissionDecision a = owner_.gate_->connectionArrived(*this, from_);
   place_ = a.place;
   comeBack_ = a.comeBack;
   outside(place_ == 0);
@@ -102,7 +102,7 @@
 bool Session::admitted() {
   if (!owner_.gate_) return true;
   if (!user_.empty() || place_ != 0) {
-    const Admission a = owner_.gate_->named(*this, place_, from_, user_);
+    const AdmissionDecision a = owner_.gate_->userAuthenticated(*this, place_, from_, user_);
     place_ = a.place;
     if (a.comeBack > Time(0)) comeBack_ = a.comeBack;
     outside(place_ == 0);
@@ -114,7 +114,7 @@
   lingers();
   return false;
 }
-void Session::giveUpPlace() {
+void Session::evict() {
   place_ = 0;
   outside(true);
   retire();  // a request may have come just now
@@ -127,7 +127,7 @@
   write(std::move(answer));
   answered();
 }
-void Session::refused(Time retryAfter) {
+void Session::rejected(Time retryAfter) {
   request_ = 0;
   translation::Problem p = problem("ERROR", "53300", "no data server can take this request now");
   const auto ms = (retryAfter.count() + 999) / 1000;
@@ -162,8 +162,8 @@
     return std::string_view(reinterpret_cast<const char*>(evbuffer_pullup(from, -1)), length);
   };
   if (answer.problem) return tell(answer.reader->problem(whole()));
-  const bool same =
-      speaks_ == Speaks::Version3 && answer.reader == &postgres::reader() && wanted_.plain() && mostRows_ == 0;
+  const bool same = speaks_ == Speaks::Version3 && answer.reader == &postgres::reader() && wanted_.plain() &&
+                    mostRows_ == 0;
   if (same && !extended_) {
     evbuffer_add_buffer(output(), from);
     return;
@@ -186,7 +186,7 @@
   translation::Conversion conversion(*codec_, wanted_, described_, 2 * length + kGrowth, mostRows_);
   if (!answer.reader->answer(whole(), conversion)) {
     const std::string why = conversion.why().empty() ? "a malformed answer" : conversion.why();
-    logEvent(LogLevel::Warning, "not_translated", {{"why", why}});
+    logEvent(LogLevel::Warning, "answer_not_translated", {{"why", why}});
     return tell(problem("ERROR", "22P03", "the answer cannot be told: " + why));
   }
   std::string told = conversion.take();
@@ -329,20 +329,20 @@
 // its part of what the configuration leaves for all such, from its head to its answer.
 bool Session::reserve(std::size_t whole) {
   if (whole <= kReadAhead || reserved_ > 0) return true;
-  if (!owner_.account_.takeBytes(whole)) return false;
+  if (!owner_.account_.reserveBytes(whole)) return false;
   reserved_ = whole;
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, whole);
   return true;
 }
 void Session::release() {
   if (reserved_ == 0) return;
-  owner_.account_.giveBytes(reserved_);
+  owner_.account_.releaseBytes(reserved_);
   reserved_ = 0;
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
 }
 bool Session::hold(std::size_t bytes) {
-  if (bytes > held_ && !owner_.account_.takeBytes(bytes - held_)) return false;
-  if (bytes < held_) owner_.account_.giveBytes(held_ - bytes);
+  if (bytes > held_ && !owner_.account_.reserveBytes(bytes - held_)) return false;
+  if (bytes < held_) owner_.account_.releaseBytes(held_ - bytes);
   held_ = bytes;
   return true;
 }
@@ -467,7 +467,8 @@
     return false;
   }
   const int minor = postgres::agreedMinor(s->minor);
-  if (minor != s->minor || !s->extensions.empty()) append(output(), postgres::negotiate(minor, s->extensions));
+  if (minor != s->minor || !s->extensions.empty())
+    append(output(), postgres::negotiate(minor, s->extensions));
   speaks_ = Speaks::Version3;
   if (minor > 0) codec_ = &kVersion32;
   enter(s->user);
@@ -562,7 +563,8 @@
   append(output(), speaks_ == Speaks::Version3
                        ? postgres::welcome(key_, side_.backslashes)
                        : pg2::authenticationOk() +
-                             pg2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) + pg2::ready());
+                             pg2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
+                             pg2::ready());
   lastActive_ = owner_.engine_.now();
   sideTold();
   if (owner_.gate_) owner_.gate_->idle(place_);
@@ -662,7 +664,7 @@
   return true;
 }
 
-void Session::take(const Prepared::Said& said) {
+void Session::take(const PreparedStatements::Said& said) {
   append(output(), said.answer);
   if (!said.code) return;
   extended_ = true;
@@ -672,12 +674,12 @@
 
 void Session::takeExtended(char type, std::string_view body) {
   const std::size_t whole = postgres::kHead + body.size();
-  if (!prepared_) prepared_ = std::make_unique<Prepared>();
-  Prepared& p = *prepared_;
-  std::optional<Prepared::Asked> asked;
+  if (!prepared_) prepared_ = std::make_unique<PreparedStatements>();
+  PreparedStatements& p = *prepared_;
+  std::optional<PreparedStatements::Asked> asked;
   batch_ = type != 'S';
   if (type == 'S') {
-    const Prepared::Said owed = p.sync();
+    const PreparedStatements::Said owed = p.sync();
     if (!skipping_) take(owed);
     skipping_ = false;
     append(output(), codec_->ready());
@@ -773,16 +775,16 @@
 
   const Time now = owner_.engine_.now();
   balancer::Request q;
-  q.cls = static_cast<int>(cls - classes.begin());
+  q.classIndex = static_cast<int>(cls - classes.begin());
   q.group = comment.cluster;
-  const auto& settings = owner_.config_.settings.classes[static_cast<std::size_t>(q.cls)];
+  const auto& settings = owner_.config_.settings.classes[static_cast<std::size_t>(q.classIndex)];
   // Its client's time runs from its last byte, also while it stands behind others here.
   q.deadline = lastByte_ + (comment.waitLength > 0
                                 ? Time(std::chrono::milliseconds(std::min(comment.waitMs, kLongestWaitMs)))
                                 : settings.deadline);
   q.deadline = std::min(q.deadline, owner_.answerBy_);
   if (comment.after > 0)
-    q.tokenMs =
+    q.sessionTokenAgeMs =
         std::max(0.001f, static_cast<float>(static_cast<double>(owner_.engine_.unixNow().count()) / 1e3 -
                                             static_cast<double>(comment.after)));
   if (owner_.config_.sessions) {
@@ -807,7 +809,7 @@
   if (owner_.gate_) owner_.gate_->busy(place_);
   request_ = owner_.request(*this, q, std::move(message), place_);
   if (tracing())
-    logEvent(LogLevel::Trace, "taken",
+    logEvent(LogLevel::Trace, "request_accepted",
              {{"r", request_}, {"id", id_}, {"left_ms", (q.deadline - now).count() / 1000}});
 }
 void Session::forget() {
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -24,7 +24,7 @@
 class Clients;
 
 // What is pipelined behind a request waits in the input, which is bounded.
-class Session final : public Requester, public Guest {
+class Session final : public ResponseHandler, public AdmittedConnection {
  public:
   // `hidden`: it comes from a front, and a PROXY header tells whom it stands for.
   Session(Clients& owner, evutil_socket_t fd, const Address& from, bool hidden);
@@ -33,10 +33,10 @@
   // Asks the Gate for a place. Without one the client is told so once it has said what it speaks.
   void enterDoor();
   Time comeBack() const { return comeBack_; }
-  void giveUpPlace() override;
+  void evict() override;
 
   void served(Answer) override;
-  void refused(Time retryAfter) override;
+  void rejected(Time retryAfter) override;
   void failed() override;
   // By a CancelRequest that bore this session's key: the request that is out is given up, with its one final
   // answer.
@@ -89,7 +89,7 @@
   void answered();
   void tell(const translation::Problem&);
   void reject(const char* code, std::string_view text, bool fatal);
-  void take(const Prepared::Said&);
+  void take(const PreparedStatements::Said&);
 
   // Each takes one message, or leaves it (false) for when the rest has come.
   bool takeHeader();  // of the PROXY protocol
@@ -119,10 +119,10 @@
   void write(Answer);
 
   Clients& owner_;
-  Account::Place descriptor_;
+  ResourceBudget::DescriptorPermit descriptor_;
   BufferEvent bev_;
   Address from_;          // its own, or that which a front told
-  PlaceId place_ = 0;     // with the Gate; 0: none
+  PermitId place_ = 0;    // with the Gate; 0: none
   bool hidden_ = false;   // its PROXY header is still to come
   bool outside_ = false;  // the Gate has not let it in
   Time comeBack_{};       // what it is told then
@@ -131,15 +131,16 @@
   postgres::Key key_;
   std::string user_;
   std::unique_ptr<Login> login_;  // until it is let in
-  Workers::Ticket salting_;
+  WorkerPool::Ticket salting_;
   translation::Side side_;
-  std::shared_ptr<const translation::Side> told_;  // side_, where it is not what data servers take for granted
-  std::unique_ptr<Prepared> prepared_;           // once it sends something of the extended sub-protocol
-  bool extended_ = false;                        // the request that is out comes from an Execute
-  bool skipping_ = false;                        // until Sync, after an error
-  bool batch_ = false;                           // a Sync is still to come
-  translation::Wanted wanted_;                     // of the request that is out
-  bool described_ = true;                        // its columns are told
+  std::shared_ptr<const translation::Side>
+      told_;                                      // side_, where it is not what data servers take for granted
+  std::unique_ptr<PreparedStatements> prepared_;  // once it sends something of the extended sub-protocol
+  bool extended_ = false;                         // the request that is out comes from an Execute
+  bool skipping_ = false;                         // until Sync, after an error
+  bool batch_ = false;                            // a Sync is still to come
+  translation::ResultFormat wanted_;              // of the request that is out
+  bool described_ = true;                         // its columns are told
   std::size_t mostRows_ = 0;
   bool asked_ = false, ending_ = false, retiring_ = false;
   bool lingering_ = false;    // its last word is said; what still comes is thrown away
@@ -150,10 +151,10 @@
   std::size_t reserved_ = 0;  // of the account's bytes, for the message at hand
   std::size_t held_ = 0;      // the same, for what is prepared
   std::size_t discarded_ = 0;
-  Arrivals arrivals_;  // of what stands in the input
-  Time lastByte_{};    // when that of the message at hand came
-  Time lastActive_{};  // when it came, or had its last answer
-  Time halfSince_{};   // since when there is input that makes no whole message; 0: there is none
+  InputTimestamps arrivals_;  // of what stands in the input
+  Time lastByte_{};           // when that of the message at hand came
+  Time lastActive_{};         // when it came, or had its last answer
+  Time halfSince_{};          // since when there is input that makes no whole message; 0: there is none
 };
 
 }  // namespace sablespur
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -114,7 +114,7 @@
     allowance_ -= 1;
     if (dropped_ > 0) {
       const LogField count("count", dropped_);
-      put(LogLevel::Warning, "lines_left_out", &count, &count + 1);
+      put(LogLevel::Warning, "log_lines_dropped", &count, &count + 1);
       dropped_ = 0;
     }
     put(level, event, first, last);
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,9 +1,9 @@
 // The program's log, on spdlog: one function, a line an event, on standard error, rate-limited.
 //
-// An event has a name (lower case, words joined by _, its subject first: "watch_ended") and fields. A value
-// may hold anything, bytes from the network included: what would break the line or its form is escaped, and
-// what is longer than kLongestValue is cut. Secrets are never fields. Not thread-safe: the loop's thread
-// logs, workers hand their events to it.
+// An event has a name (lower case, words joined by _, its subject first: "discovery_watch_closed") and
+// fields. A value may hold anything, bytes from the network included: what would break the line or its form
+// is escaped, and what is longer than kLongestValue is cut. Secrets are never fields. Not thread-safe: the
+// loop's thread logs, workers hand their events to it.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +37,7 @@
 void setLog(LogForm, LogLevel least);
 
 // Writes one line. Guards against a log that grows with a trouble's size: beyond a burst of 50, lines over 10
-// a second are counted, and the count goes out as an event of its own ("lines_left_out") before the next
+// a second are counted, and the count goes out as an event of its own ("log_lines_dropped") before the next
 // line. Lines of level Trace are what a day is counted from: they are all written, or none, and whoever has
 // them to write asks tracing() first.
 bool tracing();
--- a/src/protocol/postgres/codec.cpp
+++ b/src/protocol/postgres/codec.cpp
@@ -133,7 +133,7 @@
   return readRow(body, values) && values.size() == columns;
 }
 
-bool readAnswer(std::string_view in, translation::AnswerTaker& taker) {
+bool readAnswer(std::string_view in, translation::AnswerConsumer& taker) {
   std::vector<Value> values;
   std::vector<Column> columns;
   while (in.size() >= kHead) {
@@ -159,7 +159,7 @@
 namespace {
 class Reader final : public translation::AnswerReader {
  public:
-  bool answer(std::string_view messages, translation::AnswerTaker& taker) const override {
+  bool answer(std::string_view messages, translation::AnswerConsumer& taker) const override {
     return readAnswer(messages, taker);
   }
   Problem problem(std::string_view messages) const override {
--- a/src/protocol/postgres/codec.hpp
+++ b/src/protocol/postgres/codec.hpp
@@ -29,7 +29,7 @@
 
 // Messages of an answer, from RowDescription or CommandComplete on; false: they are malformed, or the taker
 // said so.
-bool readAnswer(std::string_view messages, translation::AnswerTaker&);
+bool readAnswer(std::string_view messages, translation::AnswerConsumer&);
 // The body of a RowDescription: names point into it. False: it is malformed.
 bool readColumns(std::string_view body, std::vector<translation::Column>&);
 // The form alone, for answers that are passed on as they are: a DataRow of so many columns.
--- a/src/protocol/postgres2/codec.cpp
+++ b/src/protocol/postgres2/codec.cpp
@@ -6,7 +6,8 @@
 
 std::string Codec::columns(const std::vector<translation::Column>& columns) const {
   std::vector<Column> own;
-  for (const translation::Column& c : columns) own.push_back({std::string(c.name), c.type, c.size, c.modifier});
+  for (const translation::Column& c : columns)
+    own.push_back({std::string(c.name), c.type, c.size, c.modifier});
   return cursor() + rowDescription(own);
 }
 
