--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -19,9 +19,9 @@
 namespace sablespur {
 namespace {
 
-using recovery::Head;
-using recovery::MemberFact;
+using recovery::EndpointRecord;
 using recovery::Snapshot;
+using recovery::SnapshotHeader;
 
 constexpr Time kLook = std::chrono::milliseconds(20);  // while service returns
 constexpr double kSmooth = 0.1;                        // weight of a new latency in a member's own
@@ -37,22 +37,22 @@
 
 std::string snapshotPath(const Config& c) { return c.store->directory + ".snapshot"; }
 
-class FleetRecoverer final : public Recoverer {
+class FleetRecoverer final : public RecoveryCoordinator {
  public:
-  FleetRecoverer(event_base* base, Engine& engine, Workers& workers, Config& c, PeerPort port,
-                 Confidant* next)
+  FleetRecoverer(event_base* base, Engine& engine, WorkerPool& workers, Config& c, PeerTransport port,
+                 ReplicationObserver* next)
       : engine_(engine),
         workers_(workers),
         settings_(c.recovery),
         name_(c.peerListen.none() ? c.name : c.peerListen.text()),
         classes_(c.settings.classes),
-        retryAfter_(c.settings.retryAfter),
+        retryAfter_(c.settings.retryAfterAllowed),
         path_(snapshotPath(c)),
         port_(std::move(port)),
         next_(next),
         began_(engine.now()),
         own_(read()),
-        beliefs_(recovery::trust(own_, nowMs(), {})),
+        beliefs_(recovery::validateSnapshot(own_, nowMs(), {})),
         inquiry_(inquiryPolicy(port_.peers), c.seed, began_, headOf(own_)),
         order_(orderPolicy(c), c.seed ^ 0x5ab1e, began_),
         deliver_(event_new(
@@ -85,11 +85,12 @@
   }
 
   // ---- requests ------------------------------------------------------------------------------------------
-  RequestId request(Requester& asker, balancer::Request q, Message m) override {
+  RequestId request(ResponseHandler& asker, balancer::Request q, Message m) override {
     if (done_) return engine_.request(asker, std::move(q), std::move(m));
-    const bool write = classes_[static_cast<std::size_t>(q.cls)].need == balancer::Need::Write;
+    const bool write =
+        classes_[static_cast<std::size_t>(q.classIndex)].requirement == balancer::Requirement::Write;
     const std::uint32_t group = q.group;
-    const recovery::Order::Decision d = order_.ask(engine_.now(), group, write);
+    const recovery::RecoveryAdmission::Decision d = order_.ask(engine_.now(), group, write);
     if (!d.go) {
       ++view_.refused;
       const RequestId id = kTurnedAway + ++turnedAway_;
@@ -103,12 +104,12 @@
     passed_.emplace(p.id, std::move(passed));
     return p.id;
   }
-  void left(RequestId id) override {
+  void clientDisconnected(RequestId id) override {
     if (id >= kTurnedAway) {
       refused_.erase(id);
       return;
     }
-    engine_.left(id);
+    engine_.clientDisconnected(id);
     const auto it = passed_.find(id);
     if (it == passed_.end()) return;
     order_.ended(engine_.now(), it->second->group, it->second->write, recovery::End::Left);
@@ -116,24 +117,24 @@
   }
 
   // ---- the list ------------------------------------------------------------------------------------------
-  void listed(InstanceList list) override {
+  void endpointsListed(EndpointList list) override {
     if (list.reset) members_.clear();
-    for (Instance& i : list.instances) {
+    for (DiscoveredEndpoint& i : list.instances) {
       // Where the source tells no starts, each may have started while this proxy was down.
       if (startsUnknown_ && i.startedMs == 0 && i.state == balancer::Lifecycle::Ready)
         i.startedMs = assumed_.emplace(i.name, (began_ + engine_.clockOffset()).count() / 1000).first->second;
       note(i);
     }
     if (tags_.size() > 4 * members_.size() + 64) retag();
-    engine_.listed(std::move(list));
+    engine_.endpointsListed(std::move(list));
   }
-  void listFailed(const std::string& why) override { engine_.listFailed(why); }
+  void discoveryFailed(const std::string& why) override { engine_.discoveryFailed(why); }
   std::uint64_t generation() const override { return engine_.generation(); }
 
   // ---- what answers and probes tell
   // ------------------------------------------------------------------------
-  void learned(const cluster::Hint& h) override {
-    if (next_) next_->learned(h);
+  void statusObserved(const cluster::GossipUpdate& h) override {
+    if (next_) next_->statusObserved(h);
     const auto it = tags_.find(h.tag);
     if (it == tags_.end()) return;
     const auto m = members_.find(it->second);
@@ -149,7 +150,7 @@
       f.at = now;
     }
     if (!done_) order_.answered(now, group);
-    if (h.role != cluster::HintRole::Primary) return;
+    if (h.role != cluster::GossipRole::Primary) return;
     Seen& p = primaries_[group];
     const bool other = p.member != it->second;
     p = {it->second, nowMs()};
@@ -170,17 +171,17 @@
   // ---- other proxies
   // ---------------------------------------------------------------------------------------
   void heard(std::size_t peer, std::string_view datagram) override {
-    const std::optional<Head> h = recovery::decodeHead(datagram);
+    const std::optional<SnapshotHeader> h = recovery::decodeHead(datagram);
     if (!h) return;
     if (h->question) {
-      Head answer = current();
+      SnapshotHeader answer = current();
       answer.nonce = h->nonce;
       if (port_.send) port_.send(peer, recovery::encode(answer));
       return;
     }
     const bool believed = inquiry_.answered(peer, *h, nowMs());
     logEvent(
-        LogLevel::Info, believed ? "head_believed" : "head_turned_away",
+        LogLevel::Info, believed ? "peer_state_accepted" : "peer_state_rejected",
         {{"peer", peer}, {"epoch", h->epoch}, {"serving", h->serving}, {"ahead_ms", h->wallMs - nowMs()}});
   }
   Time dialTurn(const std::string& member) const override {
@@ -200,32 +201,32 @@
 
  private:
   // A request that went on while service returned: how it ended is the order's evidence.
-  struct Passed final : Requester {
-    Passed(FleetRecoverer& r, Requester& a, std::uint32_t g, bool w)
+  struct Passed final : ResponseHandler {
+    Passed(FleetRecoverer& r, ResponseHandler& a, std::uint32_t g, bool w)
         : recoverer(r), asker(a), group(g), write(w) {}
     void served(Answer a) override {
-      Requester& to = asker;
+      ResponseHandler& to = asker;
       recoverer.ended(*this, a.problem ? recovery::End::Left : recovery::End::Served);
       to.served(std::move(a));
     }
-    void refused(Time retryAfter) override {
-      Requester& to = asker;
+    void rejected(Time retryAfter) override {
+      ResponseHandler& to = asker;
       recoverer.ended(*this, recovery::End::TurnedAway);
-      to.refused(retryAfter);
+      to.rejected(retryAfter);
     }
     void failed() override {
-      Requester& to = asker;
+      ResponseHandler& to = asker;
       recoverer.ended(*this, recovery::End::Failed);
       to.failed();
     }
     FleetRecoverer& recoverer;
-    Requester& asker;
+    ResponseHandler& asker;
     const std::uint32_t group;
     const bool write;
     RequestId id = 0;
   };
   struct Refused {
-    Requester* asker;
+    ResponseHandler* asker;
     Time back;
   };
   struct Seen {
@@ -245,7 +246,7 @@
   void deliver() {
     std::map<RequestId, Refused> all;
     all.swap(refused_);
-    for (const auto& [id, r] : all) r.asker->refused(r.back);
+    for (const auto& [id, r] : all) r.asker->rejected(r.back);
   }
 
   bool comesBack() const { return view_.snapshot != "none"; }  // there was a run before this one
@@ -254,35 +255,35 @@
     return f.answers *
            std::exp(-static_cast<double>((now - f.at).count()) / static_cast<double>(kRateSpan.count()));
   }
-  static recovery::InquiryPolicy inquiryPolicy(std::size_t peers) {
-    recovery::InquiryPolicy p;
+  static recovery::PeerStateExchangePolicy inquiryPolicy(std::size_t peers) {
+    recovery::PeerStateExchangePolicy p;
     p.peers = peers;
     return p;
   }
-  static recovery::OrderPolicy orderPolicy(const Config& c) {
-    recovery::OrderPolicy p;
-    p.proxies = c.settings.balancers;
+  static recovery::RecoveryAdmissionPolicy orderPolicy(const Config& c) {
+    recovery::RecoveryAdmissionPolicy p;
+    p.proxies = c.settings.proxyCount;
     p.longest = c.recovery.longest;
     return p;
   }
-  static Head headOf(const Snapshot& s) {
-    Head h;
+  static SnapshotHeader headOf(const Snapshot& s) {
+    SnapshotHeader h;
     h.epoch = s.epoch;
     h.sequence = s.sequence;
     h.wallMs = s.wallMs;
-    for (const recovery::PrimaryFact& p : s.primaries)
-      h.primaries.push_back({p.group, cluster::tagOf(p.member)});
+    for (const recovery::PrimaryRecord& p : s.primaries)
+      h.primaries.push_back({p.group, cluster::endpointTag(p.member)});
     return h;
   }
-  Head current() const {
-    Head h = headOf(own_);
+  SnapshotHeader current() const {
+    SnapshotHeader h = headOf(own_);
     if (asking_) return h;  // of the past, as it was written
     h.serving = true;
     h.epoch = epoch_;
     h.sequence = sequence_;
     h.wallMs = nowMs();
     h.primaries.clear();
-    for (const auto& [group, p] : primaries_) h.primaries.push_back({group, cluster::tagOf(p.member)});
+    for (const auto& [group, p] : primaries_) h.primaries.push_back({group, cluster::endpointTag(p.member)});
     return h;
   }
 
@@ -295,9 +296,9 @@
       view_.snapshot = "read";
       return s;
     } catch (const recovery::Damaged& e) {
-      logEvent(LogLevel::Warning, "snapshot_refused", {{"file", path_}, {"at", e.at}, {"why", e.what()}});
+      logEvent(LogLevel::Warning, "snapshot_rejected", {{"file", path_}, {"at", e.at}, {"why", e.what()}});
     } catch (const std::exception& e) {
-      logEvent(LogLevel::Warning, "snapshot_refused", {{"file", path_}, {"why", e.what()}});
+      logEvent(LogLevel::Warning, "snapshot_rejected", {{"file", path_}, {"why", e.what()}});
     }
     view_.snapshot = "refused";
     files_->RenameFile(path_, path_ + ".refused");  // for whoever looks into it; one is kept
@@ -309,8 +310,8 @@
   void known(Config& c) {
     if (settings_.trust != Trust::Nothing && c.source != Source::Fixed && !beliefs_.members.empty()) {
       c.known.instances.clear();
-      for (const MemberFact& m : beliefs_.members) {
-        Instance i;
+      for (const EndpointRecord& m : beliefs_.members) {
+        DiscoveredEndpoint i;
         i.name = m.name;
         i.address = Address::parse(m.address).value_or(Address());
         i.zone = m.zone;
@@ -320,50 +321,50 @@
         if (!i.address.none()) c.known.instances.push_back(std::move(i));
       }
     }
-    for (Instance& i : c.known.instances) {
+    for (DiscoveredEndpoint& i : c.known.instances) {
       // Warmth is health, and never trusted: whatever stopped this proxy may have stopped them.
       if (comesBack() && settings_.trust != Trust::All)
         i.startedMs = assumed_.emplace(i.name, nowMs()).first->second;
       note(i);
     }
     std::map<std::uint32_t, double> out;  // by Little's law
-    for (const MemberFact& m : beliefs_.members) out[m.group] += m.perSecond * m.latencyUs / 1e6;
+    for (const EndpointRecord& m : beliefs_.members) out[m.group] += m.perSecond * m.latencyUs / 1e6;
     for (const auto& [group, n] : out)
       if (settings_.trust != Trust::Nothing && n > 0) order_.usual(group, n);
     if (settings_.trust != Trust::All) return;
     // For the lab: what trust by kind guards against.
-    std::vector<cluster::Hint> hints;
-    for (const MemberFact& m : own_.members) {
+    std::vector<cluster::GossipUpdate> hints;
+    for (const EndpointRecord& m : own_.members) {
       const bool primary = std::any_of(own_.primaries.begin(), own_.primaries.end(),
                                        [&](const auto& p) { return p.member == m.name; });
-      hints.push_back({cluster::tagOf(m.name), m.positionMs,
-                       primary ? cluster::HintRole::Primary : cluster::HintRole::Replica});
+      hints.push_back({cluster::endpointTag(m.name), m.positionMs,
+                       primary ? cluster::GossipRole::Primary : cluster::GossipRole::Replica});
     }
     naive_ = std::move(hints);
   }
-  void note(const Instance& i) {
+  void note(const DiscoveredEndpoint& i) {
     if (i.state == balancer::Lifecycle::Gone) {
       members_.erase(i.name);
       return;
     }
-    Instance& m = members_[i.name];
+    DiscoveredEndpoint& m = members_[i.name];
     const Address was = m.address;
     m = i;
     if (m.address.none()) m.address = was;
-    tags_[cluster::tagOf(i.name)] = i.name;
+    tags_[cluster::endpointTag(i.name)] = i.name;
   }
   void retag() {
     tags_.clear();
-    for (const auto& [name, m] : members_) tags_[cluster::tagOf(name)] = name;
+    for (const auto& [name, m] : members_) tags_[cluster::endpointTag(name)] = name;
     for (auto it = figures_.begin(); it != figures_.end();)
       it = members_.count(it->first) ? std::next(it) : figures_.erase(it);
   }
 
   void look() {
     const Time now = engine_.now();
-    for (const cluster::Hint& h : std::exchange(naive_, {})) engine_.heard(h);
+    for (const cluster::GossipUpdate& h : std::exchange(naive_, {})) engine_.gossipReceived(h);
     for (const std::size_t peer : inquiry_.due(now)) {
-      Head q = headOf(own_);
+      SnapshotHeader q = headOf(own_);
       q.question = true;
       q.nonce = inquiry_.nonce();
       if (port_.send) port_.send(peer, recovery::encode(q));
@@ -379,10 +380,11 @@
                 {"after_ms", (now - began_).count() / 1000}});
       write();
     }
-    for (const recovery::Order::Change& c : order_.changes())
-      logEvent(
-          LogLevel::Info, "group_returns",
-          {{"group", c.group}, {"step", recovery::stepName(c.step)}, {"after_ms", c.after.count() / 1000}});
+    for (const recovery::RecoveryAdmission::Change& c : order_.changes())
+      logEvent(LogLevel::Info, "group_recovery_advanced",
+               {{"group", c.group},
+                {"step", recovery::recoveryPhaseName(c.step)},
+                {"after_ms", c.after.count() / 1000}});
     if (!done_ && order_.over(now)) {
       done_ = true;
       view_.took = now - began_;
@@ -402,7 +404,7 @@
     s.wallMs = nowMs();
     for (const auto& [name, i] : members_) {
       if (i.state != balancer::Lifecycle::Ready) continue;
-      MemberFact m;
+      EndpointRecord m;
       m.name = name;
       m.address = i.address.text();
       m.zone = i.zone;
@@ -415,13 +417,13 @@
         m.positionMs = f->second.positionMs;
       } else if (!done_) {
         // Nothing has been heard of it yet: what was believed is not thrown away by a second loss.
-        for (const MemberFact& b : beliefs_.members)
+        for (const EndpointRecord& b : beliefs_.members)
           if (b.name == name) m.latencyUs = b.latencyUs, m.perSecond = b.perSecond;
       }
       s.members.push_back(std::move(m));
     }
     for (const auto& [group, p] : primaries_) s.primaries.push_back({group, p.member, p.atMs});
-    for (const recovery::PrimaryFact& p : beliefs_.candidates)
+    for (const recovery::PrimaryRecord& p : beliefs_.candidates)
       if (primaries_.count(p.group) == 0) s.primaries.push_back(p);
     writing_ = workers_.run(
         [files = files_, path = path_, taken = std::move(s)] {
@@ -431,31 +433,33 @@
           writing_.reset();
           ++(why.empty() ? view_.written : view_.lost);
           const bool failedBefore = std::exchange(writeFailed_, !why.empty());
-          if (!why.empty() && !failedBefore) logEvent(LogLevel::Warning, "snapshot_lost", {{"why", why}});
-          if (why.empty() && failedBefore) logEvent(LogLevel::Info, "snapshot_written_again");
+          if (!why.empty() && !failedBefore)
+            logEvent(LogLevel::Warning, "snapshot_write_failed", {{"why", why}});
+          if (why.empty() && failedBefore) logEvent(LogLevel::Info, "snapshot_write_recovered");
         });
   }
 
   Engine& engine_;
-  Workers& workers_;
+  WorkerPool& workers_;
   const RecoveryConfig settings_;
   const std::string name_;
   const std::vector<balancer::ClassSettings> classes_;
   const bool retryAfter_;
   const std::string path_;
-  const PeerPort port_;
-  Confidant* const next_;
+  const PeerTransport port_;
+  ReplicationObserver* const next_;
   const Time began_;
   RecoveryView view_;
-  const std::shared_ptr<durability::Files> files_ = std::make_shared<durability::Files>();  // a worker may outlive this
+  const std::shared_ptr<durability::Files> files_ =
+      std::make_shared<durability::Files>();  // a worker may outlive this
   const Snapshot own_;
-  const recovery::Beliefs beliefs_;
-  recovery::Inquiry inquiry_;
-  recovery::Order order_;
+  const recovery::RecoveredState beliefs_;
+  recovery::PeerStateExchange inquiry_;
+  recovery::RecoveryAdmission order_;
   std::vector<std::string> proxies_;
-  std::vector<cluster::Hint> naive_;
+  std::vector<cluster::GossipUpdate> naive_;
   std::map<std::string, std::int64_t> assumed_;  // starts of those that do not tell theirs
-  std::map<std::string, Instance> members_;
+  std::map<std::string, DiscoveredEndpoint> members_;
   std::unordered_map<std::string, Figures> figures_;
   std::unordered_map<std::uint64_t, std::string> tags_;
   std::map<std::uint32_t, Seen> primaries_;
@@ -463,15 +467,17 @@
   std::map<RequestId, Refused> refused_;
   std::uint64_t epoch_ = 0, sequence_ = 0, turnedAway_ = 0;
   bool asking_ = true, done_ = false, startsUnknown_ = false;
-  Workers::Ticket writing_;
+  WorkerPool::Ticket writing_;
   bool writeFailed_ = false;  // the last one; logged already
   Event deliver_, look_, write_;
 };
 
 }  // namespace
 
-std::unique_ptr<Recoverer> openRecoverer(event_base* base, Engine& engine, Workers& workers, Config& c,
-                                         const PeerPort& port, Confidant* next) {
+std::unique_ptr<RecoveryCoordinator> createRecoveryCoordinator(event_base* base, Engine& engine,
+                                                               WorkerPool& workers, Config& c,
+                                                               const PeerTransport& port,
+                                                               ReplicationObserver* next) {
   if (!c.store || !c.recovery.on) return nullptr;
   return std::make_unique<FleetRecoverer>(base, engine, workers, c, port, next);
 }
--- a/src/recovery/coordinator.hpp
+++ b/src/recovery/coordinator.hpp
@@ -22,7 +22,7 @@
 namespace sablespur {
 
 // The way to other proxies: by index among them, this one left out.
-struct PeerPort {
+struct PeerTransport {
   std::size_t peers = 0;
   std::function<void(std::size_t, const std::string&)> send;
 };
@@ -36,7 +36,7 @@
   Time took{};  // until service had returned
 };
 
-class Recoverer : public Entrance, public ListTaker, public Confidant {
+class RecoveryCoordinator : public RequestHandler, public EndpointListConsumer, public ReplicationObserver {
  public:
   // A head from a proxy; datagrams that are none are dropped.
   virtual void heard(std::size_t peer, std::string_view datagram) = 0;
@@ -47,7 +47,8 @@
 
 // Reads the snapshot and puts its members into `known`, so it is called before Engine::start. Null where the
 // settings have no store, or switch it off. `next`: who else is told what answers show; may be null.
-std::unique_ptr<Recoverer> openRecoverer(event_base*, Engine&, Workers&, Config&, const PeerPort&,
-                                         Confidant* next);
+std::unique_ptr<RecoveryCoordinator> createRecoveryCoordinator(event_base*, Engine&, WorkerPool&, Config&,
+                                                               const PeerTransport&,
+                                                               ReplicationObserver* next);
 
 }  // namespace sablespur
--- a/src/recovery/peer_state_exchange.cpp
+++ b/src/recovery/peer_state_exchange.cpp
@@ -20,14 +20,14 @@
 
 }  // namespace
 
-std::string encode(const Head& h) {
+std::string encode(const SnapshotHeader& h) {
   std::string d(1, kHeadVersion);
   put(d, (h.question ? 1u : 0u) | (h.serving ? 2u : 0u), 1);
   put(d, h.nonce, 4);
   put(d, h.epoch, 8);
   put(d, h.sequence, 8);
   put(d, static_cast<std::uint64_t>(h.wallMs), 8);
-  for (const Head::Primary& p : h.primaries) {
+  for (const SnapshotHeader::Primary& p : h.primaries) {
     if (d.size() + kEach > kLongestHead) break;
     put(d, p.group, 4);
     put(d, p.tag, 5);
@@ -35,12 +35,12 @@
   return d;
 }
 
-std::optional<Head> decodeHead(std::string_view d) {
+std::optional<SnapshotHeader> decodeHead(std::string_view d) {
   if (d.size() < kFixed || d.size() > kLongestHead || d[0] != kHeadVersion ||
       (d.size() - kFixed) % kEach != 0)
     return std::nullopt;
   d.remove_prefix(1);
-  Head h;
+  SnapshotHeader h;
   const std::uint64_t flags = take(d, 1);
   if (flags > 3) return std::nullopt;
   h.question = (flags & 1) != 0;
@@ -51,7 +51,7 @@
   h.wallMs = static_cast<std::int64_t>(take(d, 8));
   if (h.wallMs < 0) return std::nullopt;
   while (!d.empty()) {
-    Head::Primary p;
+    SnapshotHeader::Primary p;
     p.group = static_cast<std::uint32_t>(take(d, 4));
     p.tag = take(d, 5);
     h.primaries.push_back(p);
@@ -59,14 +59,16 @@
   return h;
 }
 
-Inquiry::Inquiry(const InquiryPolicy& policy, std::uint64_t seed, Time now, const Head& own)
+PeerStateExchange::PeerStateExchange(const PeerStateExchangePolicy& policy, std::uint64_t seed, Time now,
+                                     const SnapshotHeader& own)
     : policy_(policy),
       seed_(seed),
       nonce_(static_cast<std::uint32_t>(dice(0))),
       own_(own.epoch),
       newest_(own.epoch),
       heard_(policy.peers) {
-  for (const Head::Primary& p : own.primaries) claim(p.group, {p.tag, own.epoch, own.sequence, own.wallMs});
+  for (const SnapshotHeader::Primary& p : own.primaries)
+    claim(p.group, {p.tag, own.epoch, own.sequence, own.wallMs});
   if (policy_.peers == 0) round_ = policy_.rounds;
   // All proxies together start at once at the most.
   const double questions =
@@ -76,18 +78,18 @@
   end_ = policy_.peers == 0 ? now : next_ + policy_.rounds * policy_.round;
 }
 
-std::uint64_t Inquiry::dice(std::uint64_t k) const {
+std::uint64_t PeerStateExchange::dice(std::uint64_t k) const {
   std::uint64_t x = seed_ + 0x9e3779b97f4a7c15ull * (k + 1);
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ x >> 27) * 0x94d049bb133111ebull;
   return x ^ x >> 31;
 }
 
-std::optional<Time> Inquiry::next() const {
+std::optional<Time> PeerStateExchange::next() const {
   return round_ < policy_.rounds ? std::optional<Time>(next_) : std::nullopt;
 }
 
-std::vector<std::size_t> Inquiry::due(Time now) {
+std::vector<std::size_t> PeerStateExchange::due(Time now) {
   std::vector<std::size_t> ask;
   if (round_ >= policy_.rounds || now < next_) return ask;
   // Those that have not answered yet, others in each round: a peer that is gone must not be all that is
@@ -106,7 +108,7 @@
   return ask;
 }
 
-bool Inquiry::answered(std::size_t peer, const Head& h, std::int64_t nowMs) {
+bool PeerStateExchange::answered(std::size_t peer, const SnapshotHeader& h, std::int64_t nowMs) {
   if (h.question || h.nonce != nonce_ || peer >= heard_.size() || heard_[peer]) return false;
   heard_[peer] = true;
   if (h.epoch < own_ || h.wallMs > nowMs + policy_.ahead.count() / 1000) {
@@ -116,14 +118,16 @@
   ++believed_;
   newest_ = std::max(newest_, h.epoch);
   if (h.serving) serving_ = std::max(serving_, h.epoch);
-  for (const Head::Primary& p : h.primaries) claim(p.group, {p.tag, h.epoch, h.sequence, h.wallMs});
+  for (const SnapshotHeader::Primary& p : h.primaries) claim(p.group, {p.tag, h.epoch, h.sequence, h.wallMs});
   return true;
 }
 
 // Those who serve were there all along. Guards against one that comes late into an epoch that others began.
-std::uint64_t Inquiry::epoch() const { return serving_ >= own_ && serving_ > 0 ? serving_ : newest_ + 1; }
+std::uint64_t PeerStateExchange::epoch() const {
+  return serving_ >= own_ && serving_ > 0 ? serving_ : newest_ + 1;
+}
 
-void Inquiry::claim(std::uint32_t group, const Claim& c) {
+void PeerStateExchange::claim(std::uint32_t group, const Claim& c) {
   std::vector<Claim>& all = claims_[group];
   const auto same = std::find_if(all.begin(), all.end(), [&](const Claim& x) { return x.tag == c.tag; });
   if (same != all.end()) {
@@ -134,14 +138,14 @@
   std::sort(all.begin(), all.end(), [](const Claim& a, const Claim& b) { return a.newer(b); });
 }
 
-std::vector<std::uint64_t> Inquiry::claims(std::uint32_t group) const {
+std::vector<std::uint64_t> PeerStateExchange::claims(std::uint32_t group) const {
   std::vector<std::uint64_t> tags;
   if (const auto it = claims_.find(group); it != claims_.end())
     for (const Claim& c : it->second) tags.push_back(c.tag);
   return tags;
 }
 
-std::optional<std::uint64_t> Inquiry::confirmed(std::uint32_t group, std::uint64_t tag) {
+std::optional<std::uint64_t> PeerStateExchange::confirmed(std::uint32_t group, std::uint64_t tag) {
   std::optional<std::uint64_t> by;
   if (const auto it = claims_.find(group); it != claims_.end())
     for (const Claim& c : it->second)
@@ -152,7 +156,7 @@
   return by;
 }
 
-std::optional<std::uint64_t> Inquiry::primary(std::uint32_t group) const {
+std::optional<std::uint64_t> PeerStateExchange::primary(std::uint32_t group) const {
   const auto it = confirmed_.find(group);
   return it == confirmed_.end() ? std::nullopt : std::optional<std::uint64_t>(it->second.tag);
 }
--- a/src/recovery/peer_state_exchange.hpp
+++ b/src/recovery/peer_state_exchange.hpp
@@ -21,7 +21,7 @@
 
 using Time = std::chrono::microseconds;
 
-struct Head {
+struct SnapshotHeader {
   bool question = false;    // an answer is wanted; else it is one
   bool serving = false;     // its sender has entered its epoch: who asks joins it
   std::uint32_t nonce = 0;  // of the question; an answer brings it back
@@ -35,10 +35,10 @@
 };
 constexpr std::size_t kLongestHead = 256;  // bytes: the platform takes no more
 constexpr char kHeadVersion = 2;           // the datagram's first byte; 1 is for hints
-std::string encode(const Head&);
-std::optional<Head> decodeHead(std::string_view datagram);  // nothing where the bytes are no head
+std::string encode(const SnapshotHeader&);
+std::optional<SnapshotHeader> decodeHead(std::string_view datagram);  // nothing where the bytes are no head
 
-struct InquiryPolicy {
+struct PeerStateExchangePolicy {
   std::size_t peers = 0;   // others, by index from 0
   std::size_t fanout = 3;  // asked in each round
   int rounds = 3;
@@ -47,16 +47,16 @@
   Time ahead = std::chrono::seconds(2);  // clocks of two machines may differ so much
 };
 
-class Inquiry {
+class PeerStateExchange {
  public:
   // What this proxy's own snapshot says; an empty head where there is none.
-  Inquiry(const InquiryPolicy&, std::uint64_t seed, Time now, const Head& own);
+  PeerStateExchange(const PeerStateExchangePolicy&, std::uint64_t seed, Time now, const SnapshotHeader& own);
 
   std::vector<std::size_t> due(Time now);  // peers to be asked now
   std::optional<Time> next() const;        // when due has something to say; nothing: never again
   std::uint32_t nonce() const { return nonce_; }
   // True: it is believed.
-  bool answered(std::size_t peer, const Head&, std::int64_t nowMs);
+  bool answered(std::size_t peer, const SnapshotHeader&, std::int64_t nowMs);
   bool over(Time now) const { return !next() && now >= end_; }
 
   // The epoch to go on in, once it is over: that of those who serve; else one more than any that was told.
@@ -83,7 +83,7 @@
   void claim(std::uint32_t group, const Claim&);
   std::uint64_t dice(std::uint64_t) const;
 
-  const InquiryPolicy policy_;
+  const PeerStateExchangePolicy policy_;
   const std::uint64_t seed_;
   const std::uint32_t nonce_;
   const std::uint64_t own_;
--- a/src/recovery/recovery_admission.cpp
+++ b/src/recovery/recovery_admission.cpp
@@ -24,43 +24,47 @@
 
 }  // namespace
 
-const char* stepName(Step s) {
+const char* recoveryPhaseName(RecoveryPhase s) {
   constexpr const char* kNames[] = {"waking", "reading", "writing", "returned"};
   return kNames[static_cast<int>(s)];
 }
 
-Order::Order(const OrderPolicy& policy, std::uint64_t seed, Time now)
+RecoveryAdmission::RecoveryAdmission(const RecoveryAdmissionPolicy& policy, std::uint64_t seed, Time now)
     : policy_(policy), began_(now), state_(seed) {}
 
-double Order::chance() {
+double RecoveryAdmission::chance() {
   state_ += 0x9e3779b97f4a7c15ull;
   return static_cast<double>(mix(state_) >> 11) * 0x1p-53;
 }
-Order::Group& Order::of(std::uint32_t group) {
+RecoveryAdmission::Group& RecoveryAdmission::of(std::uint32_t group) {
   Group& g = groups_[group];
   g.window = std::max(g.window, policy_.window);
   return g;
 }
 
 // A quarter of what was usual at once: half of the servers may be gone, and those that are back are cold.
-void Order::usual(std::uint32_t group, double out) {
+void RecoveryAdmission::usual(std::uint32_t group, double out) {
   Group& g = of(group);
   g.usual = std::max(0.0, out);
   g.window = std::clamp(kFirstShare * g.usual, policy_.window, policy_.wide / 2);
 }
 
-void Order::go(Time now, std::uint32_t id, Group& g, Step s) {
+void RecoveryAdmission::go(Time now, std::uint32_t id, Group& g, RecoveryPhase s) {
   if (s <= g.step) return;
   g.step = s;
   changes_.push_back({id, s, now - began_});
 }
-void Order::answered(Time now, std::uint32_t group) { go(now, group, of(group), Step::Reading); }
-void Order::primary(Time now, std::uint32_t group) { go(now, group, of(group), Step::Writing); }
+void RecoveryAdmission::answered(Time now, std::uint32_t group) {
+  go(now, group, of(group), RecoveryPhase::Reading);
+}
+void RecoveryAdmission::primary(Time now, std::uint32_t group) {
+  go(now, group, of(group), RecoveryPhase::Writing);
+}
 
-Order::Decision Order::ask(Time now, std::uint32_t group, bool write) {
+RecoveryAdmission::Decision RecoveryAdmission::ask(Time now, std::uint32_t group, bool write) {
   if (now - began_ >= policy_.longest || groups_.size() >= kMostGroups) return {true, {}};
   Group& g = of(group);
-  if (g.step == Step::Returned) return {true, {}};
+  if (g.step == RecoveryPhase::Returned) return {true, {}};
   const auto later = [&](Time about) {
     // Guards against all that were turned away coming back together: each has a moment of its own, and the
     // more there are for the room, the longer they are spread.
@@ -72,7 +76,7 @@
     const double least = static_cast<double>(policy_.backLeast.count());
     return Decision{false, Time(static_cast<std::int64_t>(least + chance() * (most - least)))};
   };
-  if (write && g.step < Step::Writing) {
+  if (write && g.step < RecoveryPhase::Writing) {
     // The primary is not known: one in a while goes on, and by it the module asks who is.
     if (now < g.scoutAt) return later(g.scoutAt - now);
     const Time pause = std::clamp(policy_.scouts * std::max(1, policy_.proxies), kScoutLeast, kScoutMost);
@@ -85,39 +89,40 @@
   return {true, {}};
 }
 
-void Order::ended(Time now, std::uint32_t group, bool, End end) {
+void RecoveryAdmission::ended(Time now, std::uint32_t group, bool, End end) {
   const auto it = groups_.find(group);
   if (it == groups_.end()) return;
   Group& g = it->second;
   g.out -= g.out > 0;
-  if (g.step == Step::Returned) return;
+  if (g.step == RecoveryPhase::Returned) return;
   if (end == End::Served) {
     g.turned = 0;
     g.window += 1;  // for each answer: twice as much in the time of one
     // What was usual goes through, with room to spare; or as much as any start can need.
     const bool room =
         g.window >= policy_.wide || (g.usual > 0 && g.window >= kHeadroom * g.usual + policy_.window);
-    if (room && g.step == Step::Writing) go(now, group, g, Step::Returned);
+    if (room && g.step == RecoveryPhase::Writing) go(now, group, g, RecoveryPhase::Returned);
   } else if (end != End::Left && now >= g.cutAt) {
     g.window = std::max(policy_.window, kCut * g.window);
     g.cutAt = now + kCutPause;
   }
 }
 
-Step Order::step(std::uint32_t group) const {
+RecoveryPhase RecoveryAdmission::step(std::uint32_t group) const {
   const auto it = groups_.find(group);
-  return it == groups_.end() ? Step::Waking : it->second.step;
+  return it == groups_.end() ? RecoveryPhase::Waking : it->second.step;
 }
-double Order::window(std::uint32_t group) const {
+double RecoveryAdmission::window(std::uint32_t group) const {
   const auto it = groups_.find(group);
   return it == groups_.end() ? policy_.window : it->second.window;
 }
-bool Order::over(Time now) const {
+bool RecoveryAdmission::over(Time now) const {
   if (now - began_ >= policy_.longest) return true;
-  return !groups_.empty() && std::all_of(groups_.begin(), groups_.end(),
-                                         [](const auto& g) { return g.second.step == Step::Returned; });
+  return !groups_.empty() && std::all_of(groups_.begin(), groups_.end(), [](const auto& g) {
+    return g.second.step == RecoveryPhase::Returned;
+  });
 }
-std::vector<Order::Change> Order::changes() {
+std::vector<RecoveryAdmission::Change> RecoveryAdmission::changes() {
   std::vector<Change> all;
   all.swap(changes_);
   return all;
--- a/src/recovery/recovery_admission.hpp
+++ b/src/recovery/recovery_admission.hpp
@@ -20,10 +20,10 @@
 
 using Time = std::chrono::microseconds;
 
-enum class Step { Waking, Reading, Writing, Returned };
-const char* stepName(Step);
+enum class RecoveryPhase { Waking, Reading, Writing, Returned };
+const char* recoveryPhaseName(RecoveryPhase);
 
-struct OrderPolicy {
+struct RecoveryAdmissionPolicy {
   int proxies = 1;                          // that come back together, as far as is known
   double window = 4;                        // requests out at once in a group, at first
   double wide = 64;                         // with so many out at once nothing is held back any more
@@ -36,7 +36,7 @@
 
 enum class End { Served, TurnedAway, Failed, Left };
 
-class Order {
+class RecoveryAdmission {
  public:
   struct Decision {
     bool go = false;
@@ -44,10 +44,10 @@
   };
   struct Change {
     std::uint32_t group = 0;
-    Step step = Step::Waking;
+    RecoveryPhase step = RecoveryPhase::Waking;
     Time after{};  // since the start
   };
-  Order(const OrderPolicy&, std::uint64_t seed, Time now);
+  RecoveryAdmission(const RecoveryAdmissionPolicy&, std::uint64_t seed, Time now);
 
   // What the group did before the start, aged: requests that this proxy had out there at once; 0: not known.
   void usual(std::uint32_t group, double out);
@@ -56,7 +56,7 @@
   Decision ask(Time now, std::uint32_t group, bool write);  // go: it counts as out until `ended`
   void ended(Time now, std::uint32_t group, bool write, End);
 
-  Step step(std::uint32_t group) const;
+  RecoveryPhase step(std::uint32_t group) const;
   double window(std::uint32_t group) const;
   // Every group that was asked for has returned, or the longest time is up.
   bool over(Time now) const;
@@ -64,7 +64,7 @@
 
  private:
   struct Group {
-    Step step = Step::Waking;
+    RecoveryPhase step = RecoveryPhase::Waking;
     double window = 0, usual = 0;
     int out = 0;
     Time scoutAt{}, cutAt{};
@@ -72,10 +72,10 @@
     int turned = 0;                                // away since the last that was served
   };
   Group& of(std::uint32_t group);
-  void go(Time now, std::uint32_t id, Group&, Step);
+  void go(Time now, std::uint32_t id, Group&, RecoveryPhase);
   double chance();
 
-  const OrderPolicy policy_;
+  const RecoveryAdmissionPolicy policy_;
   const Time began_;
   std::uint64_t state_;
   std::map<std::uint32_t, Group> groups_;
--- a/src/recovery/snapshot.cpp
+++ b/src/recovery/snapshot.cpp
@@ -34,7 +34,7 @@
 
 std::string encode(const Snapshot& s) {
   Json members = Json::array(), primaries = Json::array();
-  for (const MemberFact& m : s.members) {
+  for (const EndpointRecord& m : s.members) {
     if (members.size() >= kMostMembers) break;
     members.push_back({{"n", m.name},
                        {"a", m.address},
@@ -46,7 +46,7 @@
                        {"r", m.perSecond},
                        {"p", m.positionMs}});
   }
-  for (const PrimaryFact& p : s.primaries)
+  for (const PrimaryRecord& p : s.primaries)
     primaries.push_back({{"g", p.group}, {"n", p.member}, {"t", p.seenMs}});
   const std::vector<std::uint8_t> cbor = Json::to_cbor({{"e", s.epoch},
                                                         {"q", s.sequence},
@@ -78,7 +78,7 @@
     s.sequence = j.at("q");
     s.wallMs = j.at("t");
     for (const Json& m : j.at("m")) {
-      MemberFact f;
+      EndpointRecord f;
       f.name = m.at("n");
       f.address = m.at("a");
       f.zone = m.at("z");
--- a/src/recovery/snapshot.hpp
+++ b/src/recovery/snapshot.hpp
@@ -12,7 +12,7 @@
 
 namespace sablespur::recovery {
 
-struct MemberFact {
+struct EndpointRecord {
   std::string name, address, zone;
   std::uint32_t group = 0;
   double weight = 1;
@@ -21,7 +21,7 @@
   double perSecond = 0;         // answers a second that it gave this proxy, of late
   std::int64_t positionMs = 0;  // how far its data were seen to go, Unix time; 0: never seen
 };
-struct PrimaryFact {
+struct PrimaryRecord {
   std::uint32_t group = 0;
   std::string member;
   std::int64_t seenMs = 0;  // when a data server last answered as primary
@@ -30,8 +30,8 @@
   std::uint64_t epoch = 0;     // of the fleet: one more after each time that none of it was there to ask
   std::uint64_t sequence = 0;  // of this proxy's snapshots, never less than the one before
   std::int64_t wallMs = 0;     // when it was taken
-  std::vector<MemberFact> members;
-  std::vector<PrimaryFact> primaries;
+  std::vector<EndpointRecord> members;
+  std::vector<PrimaryRecord> primaries;
 };
 
 // Bounds of what is written and of what is read: whatever the file holds, reading it costs no more.
--- a/src/recovery/snapshot_validation.cpp
+++ b/src/recovery/snapshot_validation.cpp
@@ -26,8 +26,9 @@
 
 }  // namespace
 
-Beliefs trust(const Snapshot& s, std::int64_t nowMs, const TrustPolicy& policy) {
-  Beliefs b;
+RecoveredState validateSnapshot(const Snapshot& s, std::int64_t nowMs,
+                                const SnapshotValidationPolicy& policy) {
+  RecoveredState b;
   b.epoch = s.epoch;
   b.sequence = s.sequence;
   const std::int64_t aheadMs = policy.ahead.count() / 1000;
@@ -38,9 +39,9 @@
                                   static_cast<double>(std::max<Time::rep>(1, policy.halfLife.count())));
   std::map<std::uint32_t, Kin> groups;
   Kin all;
-  for (const MemberFact& m : s.members)
+  for (const EndpointRecord& m : s.members)
     for (Kin* const k : {&groups[m.group], &all}) k->latency.add(m.latencyUs), k->rate.add(m.perSecond);
-  for (MemberFact m : s.members) {
+  for (EndpointRecord m : s.members) {
     const Kin& own = groups[m.group];
     const Kin& latency = own.latency.n > 1 ? own : all;
     const Kin& rate = own.rate.n > 1 ? own : all;
--- a/src/recovery/snapshot_validation.hpp
+++ b/src/recovery/snapshot_validation.hpp
@@ -21,22 +21,22 @@
 
 using Time = std::chrono::microseconds;
 
-struct TrustPolicy {
+struct SnapshotValidationPolicy {
   Time halfLife = std::chrono::minutes(10);  // after which a figure counts half, its kin's the other half
   Time ahead =
       std::chrono::seconds(2);  // a snapshot so much after now is from the future: its age is unknown
 };
 
-struct Beliefs {
+struct RecoveredState {
   std::uint64_t epoch = 0, sequence = 0;  // of the snapshot
   Time age{};                             // 0 where it is from the future
   bool future = false;
-  double weight = 0;                    // of a member's own figures; 0: its kin's alone
-  std::vector<MemberFact> members;      // figures aged, positions gone
-  std::vector<PrimaryFact> candidates;  // to be asked first; not primaries
+  double weight = 0;                      // of a member's own figures; 0: its kin's alone
+  std::vector<EndpointRecord> members;    // figures aged, positions gone
+  std::vector<PrimaryRecord> candidates;  // to be asked first; not primaries
 };
 
 // nowMs: Unix time, as the machine has it now.
-Beliefs trust(const Snapshot&, std::int64_t nowMs, const TrustPolicy&);
+RecoveredState validateSnapshot(const Snapshot&, std::int64_t nowMs, const SnapshotValidationPolicy&);
 
 }  // namespace sablespur::recovery
--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -42,11 +42,11 @@
     std::memcpy(&v, skip(sizeof(T), what), sizeof(T));
     return v;
   }
-  MemberId node() {
+  EndpointId node() {
     const std::uint8_t* p = skip(6, "node");
-    MemberId id = 0;
+    EndpointId id = 0;
     for (int k = 0; k < 4; ++k) id = id << 8 | p[k];
-    return id << 16 | static_cast<MemberId>(p[4] | p[5] << 8);
+    return id << 16 | static_cast<EndpointId>(p[4] | p[5] << 8);
   }
   std::vector<float> report() {
     std::vector<float> v(get<std::uint8_t>("report length"));
@@ -75,7 +75,7 @@
     const auto* p = reinterpret_cast<const std::uint8_t*>(&v);
     for (std::size_t k = 0; k < sizeof(T); ++k) bytes_.push_back(p[k]);
   }
-  void node(MemberId id) {
+  void node(EndpointId id) {
     for (int k = 3; k >= 0; --k) put(static_cast<std::uint8_t>(id >> (16 + 8 * k)));
     put(static_cast<std::uint16_t>(id));
   }
@@ -160,26 +160,26 @@
   std::map<std::string, std::string> values_;
 };
 
-std::optional<Result> toResult(std::uint16_t how) {
+std::optional<AttemptResult> toResult(std::uint16_t how) {
   switch (how) {
     case 0:
-      return Result::Ok;
+      return AttemptResult::Ok;
     case 13:
-      return Result::Error;
+      return AttemptResult::Error;
     case 8:
-      return Result::Full;
+      return AttemptResult::Rejected;
     case 4:
-      return Result::Timeout;
+      return AttemptResult::Timeout;
     case 14:
-      return Result::ConnectFailed;
+      return AttemptResult::ConnectFailed;
     case 10:
-      return Result::Reset;
+      return AttemptResult::Reset;
     case 1:
-      return Result::Cancelled;
+      return AttemptResult::Cancelled;
     case 9:
-      return Result::Moot;
+      return AttemptResult::NotSent;
     case 5:
-      return Result::Miss;
+      return AttemptResult::TooStale;
     default:
       return std::nullopt;
   }
@@ -203,84 +203,92 @@
     const std::string p = "classes." + std::to_string(k) + ".";
     const auto at = static_cast<std::size_t>(k);
     ClassSettings c;
-    c.need = Facts::toChoice<Need>("specifics.consistency", needs[at],
-                                   {{"any", Need::Any},
-                                    {"bounded", Need::Bounded},
-                                    {"session", Need::Session},
-                                    {"fresh", Need::Fresh},
-                                    {"write", Need::Write}});
-    c.bound = Time(static_cast<std::int64_t>(Facts::toNumber("specifics.classBoundUs", bounds[at])));
-    c.effect = f.choice<Effect>(
-        p + "effect", {{"safe", Effect::Safe}, {"keyed", Effect::Keyed}, {"unsafe", Effect::Unsafe}});
-    if (c.effect == Effect::Keyed) {
-      c.scope = f.choice<KeyScope>(
-          p + "group", {{"all", KeyScope::All}, {"zone", KeyScope::Zone}, {"cell", KeyScope::Group}});
-      c.memory = f.time(p + "memorySpanUs");
+    c.requirement = Facts::toChoice<Requirement>("specifics.consistency", needs[at],
+                                                 {{"any", Requirement::Any},
+                                                  {"bounded", Requirement::BoundedStaleness},
+                                                  {"session", Requirement::Session},
+                                                  {"fresh", Requirement::Strong},
+                                                  {"write", Requirement::Write}});
+    c.maxStaleness = Time(static_cast<std::int64_t>(Facts::toNumber("specifics.classBoundUs", bounds[at])));
+    c.idempotency = f.choice<Idempotency>(p + "effect", {{"safe", Idempotency::Idempotent},
+                                                         {"keyed", Idempotency::WithKey},
+                                                         {"unsafe", Idempotency::NonIdempotent}});
+    if (c.idempotency == Idempotency::WithKey) {
+      c.idempotencyScope = f.choice<IdempotencyScope>(p + "group", {{"all", IdempotencyScope::All},
+                                                                    {"zone", IdempotencyScope::Zone},
+                                                                    {"cell", IdempotencyScope::Group}});
+      c.deduplicationWindow = f.time(p + "memorySpanUs");
     }
-    c.aim = f.time(p + "promiseUs");
+    c.latencyObjective = f.time(p + "promiseUs");
     c.deadline = f.time(p + "deadlineUs");
-    c.worth = f.number(p + "worth");
-    c.lateWorth = f.number(p + "lateWorth");
+    c.priorityWeight = f.number(p + "worth");
+    c.lateWeight = f.number(p + "lateWorth");
     s.classes.push_back(c);
   }
-  s.checks = f.choice<Checks>(
-      "specifics.checks", {{"silent", Checks::Silent}, {"refuse", Checks::Refuse}, {"wait", Checks::Wait}});
-  s.roleListed = f.choice<RoleListed>(
-      "specifics.roleListed",
-      {{"silent", RoleListed::Silent}, {"start", RoleListed::Start}, {"late", RoleListed::Late}});
-  s.discovery = f.choice<Discovery>(
-      "discovery", {{"automatic", Discovery::Automatic}, {"subscribe", Discovery::Subscribe}});
-  s.reports = f.choice<Reports>(
-      "report.how",
-      {{"silent", Reports::Silent}, {"piggyback", Reports::Piggyback}, {"pull", Reports::Pull}});
-  if (s.reports != Reports::Silent) {
-    const std::map<std::string, Figure> known{{"x0", Figure::Position},
-                                              {"x1", Figure::Primary},
-                                              {"inflight", Figure::Inflight},
-                                              {"queue", Figure::Queue}};
+  s.laggingReplicaPolicy =
+      f.choice<LaggingReplicaPolicy>("specifics.checks", {{"silent", LaggingReplicaPolicy::Serve},
+                                                          {"refuse", LaggingReplicaPolicy::Reject},
+                                                          {"wait", LaggingReplicaPolicy::Wait}});
+  s.listedRolePolicy =
+      f.choice<ListedRolePolicy>("specifics.roleListed", {{"silent", ListedRolePolicy::NotListed},
+                                                          {"start", ListedRolePolicy::AtStart},
+                                                          {"late", ListedRolePolicy::Delayed}});
+  s.discoveryMode = f.choice<DiscoveryMode>(
+      "discovery", {{"automatic", DiscoveryMode::Automatic}, {"subscribe", DiscoveryMode::Subscribe}});
+  s.loadReportMode = f.choice<LoadReportMode>("report.how", {{"silent", LoadReportMode::None},
+                                                             {"piggyback", LoadReportMode::Piggyback},
+                                                             {"pull", LoadReportMode::Pull}});
+  if (s.loadReportMode != LoadReportMode::None) {
+    const std::map<std::string, ReportField> known{{"x0", ReportField::Position},
+                                                   {"x1", ReportField::Primary},
+                                                   {"inflight", ReportField::Inflight},
+                                                   {"queue", ReportField::Queue}};
     for (const std::string& name : split(f.text("report.names"), ',')) {
       const auto it = known.find(name);
-      s.figures.push_back(it == known.end() ? Figure::Other : it->second);
+      s.reportFields.push_back(it == known.end() ? ReportField::Other : it->second);
     }
   }
   s.positionsInAnswers = f.flag("specifics.stamps");
-  s.tokensCarried = f.choice<bool>("specifics.sessionMarks", {{"carried", true}, {"remembered", false}});
-  s.synchronous = f.flag("specifics.synchronous");
-  s.probing = f.flag("allowed.probing");
-  s.cancel = f.flag("allowed.cancel");
-  s.parallelTries = f.flag("allowed.parallelTries");
-  s.retryAfter = f.flag("allowed.retryAfter");
-  s.droppedStayOpen = f.has("obligations.droppedStayOpen") && f.flag("obligations.droppedStayOpen");
-  s.attemptsCap = f.count("allowed.attemptsCap", 1, 255);
-  s.balancers = f.count("balancers", 1, 1e9);
-  s.holdsFor = f.time("specifics.holdsForUs");
-  s.zero = f.time("specifics.zeroUs");
+  s.sessionTokensCarried =
+      f.choice<bool>("specifics.sessionMarks", {{"carried", true}, {"remembered", false}});
+  s.synchronousReplication = f.flag("specifics.synchronous");
+  s.healthChecksAllowed = f.flag("allowed.probing");
+  s.cancelAllowed = f.flag("allowed.cancel");
+  s.parallelAttemptsAllowed = f.flag("allowed.parallelTries");
+  s.retryAfterAllowed = f.flag("allowed.retryAfter");
+  s.removedEndpointsStayUsable =
+      f.has("obligations.droppedStayOpen") && f.flag("obligations.droppedStayOpen");
+  s.maxAttempts = f.count("allowed.attemptsCap", 1, 255);
+  s.proxyCount = f.count("balancers", 1, 1e9);
+  s.replicaWaitLimit = f.time("specifics.holdsForUs");
+  s.positionEpoch = f.time("specifics.zeroUs");
   s.maxRetryAfter = f.time("allowed.maxRetryAfterUs");
   s.drainGrace = f.time("obligations.drainGraceUs");
-  s.coldFor = f.time("obligations.coldUs");
-  s.fallFor = f.time("obligations.fallUs");
-  if (s.discovery == Discovery::Subscribe) s.mustAskIn = f.time("obligations.mustAskInUs");
-  s.step = f.time("stepUs");
-  s.startCapacity = f.number("obligations.startCapacity");
-  s.fallMultiple = f.number("obligations.fallMultiple");
-  s.goalWhole = f.number("goal.whole");
-  s.goalWorstClass = f.number("goal.worstClass");
+  s.warmUpPeriod = f.time("obligations.coldUs");
+  s.overloadWindow = f.time("obligations.fallUs");
+  if (s.discoveryMode == DiscoveryMode::Subscribe)
+    s.discoveryPollDeadline = f.time("obligations.mustAskInUs");
+  s.timerResolution = f.time("stepUs");
+  s.warmUpStartCapacity = f.number("obligations.startCapacity");
+  s.overloadFactor = f.number("obligations.fallMultiple");
+  s.wholeServiceGoalWeight = f.number("goal.whole");
+  s.worstClassGoalWeight = f.number("goal.worstClass");
   return s;
 }
 
-struct Host::Instance final : Sink {
+struct Host::Instance final : ActionSink {
   std::uint16_t number = 0;
   Writer* out = nullptr;
   std::unique_ptr<Balancer> balancer;
   bool dead = false;
 
-  void send(RequestId id, MemberId m, Time until) override {
+  void send(RequestId id, EndpointId m, Time until) override {
     out->record(kDispatch, number);
     out->put(static_cast<std::uint32_t>(id));
     out->put(static_cast<std::uint64_t>(until.count()));
     out->node(m);
   }
-  void refuse(RequestId id, Time retryAfter) override {
+  void reject(RequestId id, Time retryAfter) override {
     out->record(kRefuse, number);
     out->put(static_cast<std::uint32_t>(id));
     out->put(static_cast<std::uint32_t>(retryAfter.count()));
@@ -294,12 +302,12 @@
     out->put(static_cast<std::uint32_t>(id));
     out->put(static_cast<std::uint8_t>(attempt));
   }
-  void timer(Time in, std::uint64_t token) override {
+  void scheduleTimer(Time in, std::uint64_t token) override {
     out->record(kSleep, number);
     out->put(static_cast<std::uint32_t>(in.count()));
     out->put(token);
   }
-  void probe(MemberId m) override {
+  void startHealthCheck(EndpointId m) override {
     out->record(kAskLoad, number);
     out->node(m);
   }
@@ -335,8 +343,8 @@
       const auto ref = r.get<std::uint32_t>("list number");
       const auto n = r.get<std::uint32_t>("list length");
       if (r.left() / kEntryBytes < n) throw Malformed("list is cut short", r.where());
-      std::vector<ListedMember> items(n);
-      for (ListedMember& m : items) {
+      std::vector<ListedEndpoint> items(n);
+      for (ListedEndpoint& m : items) {
         m.id = r.node();
         m.zone = r.get<std::uint16_t>("zone");
         r.get<std::uint16_t>("kind");
@@ -387,10 +395,12 @@
         r.get<std::uint64_t>("list version");
         const auto ref = r.get<std::uint32_t>("list number");
         if (kind > 3) break;
-        static const std::vector<ListedMember> none;
+        static const std::vector<ListedEndpoint> none;
         const auto list = lists_.find(ref);
         if (kind != 3 && list == lists_.end()) throw Malformed("list number without a list", where);
-        tell([&](Balancer& b) { b.list(now, static_cast<ListKind>(kind), kind == 3 ? none : list->second); });
+        tell([&](Balancer& b) {
+          b.endpointsListed(now, static_cast<ListKind>(kind), kind == 3 ? none : list->second);
+        });
         break;
       }
       case kOrder: {
@@ -399,47 +409,47 @@
         r.get<std::uint8_t>("bits");
         r.get<std::uint32_t>("owner");
         q.session = r.get<std::uint64_t>("session");
-        q.tokenMs = r.get<float>("token");
+        q.sessionTokenAgeMs = r.get<float>("token");
         q.deadline = Time(static_cast<std::int64_t>(r.get<std::uint64_t>("deadline")));
         const float group = r.get<float>("group");
         if (!(group >= 0 && group < 65536)) throw Malformed("group out of range", where);
         q.group = static_cast<GroupId>(group);
-        q.cls = r.get<std::uint16_t>("class");
+        q.classIndex = r.get<std::uint16_t>("class");
         r.get<std::uint32_t>("effort");
         tell([&](Balancer& b) { b.request(now, q); });
         break;
       }
       case kReportBack: {
-        Outcome o;
+        AttemptOutcome o;
         o.request = r.get<std::uint32_t>("request");
         o.attempt = r.get<std::uint8_t>("attempt");
-        o.member = r.node();
+        o.endpoint = r.node();
         const auto result = toResult(r.get<std::uint16_t>("outcome"));
         o.latency = Time(r.get<std::uint32_t>("latency"));
-        o.closed = r.get<std::uint8_t>("closed") != 0;
-        o.note = r.get<std::uint32_t>("note");
+        o.clientAnswered = r.get<std::uint8_t>("closed") != 0;
+        o.replicationStatus = r.get<std::uint32_t>("note");
         o.report = r.report();
-        o.result = result.value_or(Result::Error);  // an ending of a later version proves nothing
-        tell([&](Balancer& b) { b.outcome(now, o); });
+        o.result = result.value_or(AttemptResult::Error);  // an ending of a later version proves nothing
+        tell([&](Balancer& b) { b.attemptEnded(now, o); });
         break;
       }
       case kGone: {
         const auto id = r.get<std::uint32_t>("request");
-        tell([&](Balancer& b) { b.clientLeft(now, id); });
+        tell([&](Balancer& b) { b.clientDisconnected(now, id); });
         break;
       }
       case kBell: {
         const auto token = r.get<std::uint64_t>("token");
-        tell([&](Balancer& b) { b.timer(now, token); });
+        tell([&](Balancer& b) { b.timerFired(now, token); });
         break;
       }
       case kHealth: {
-        Probe p;
-        p.member = r.node();
+        HealthCheckResult p;
+        p.endpoint = r.node();
         p.latency = Time(r.get<std::uint32_t>("latency"));
         p.ok = r.get<std::uint16_t>("outcome") == 0;
         p.report = r.report();
-        tell([&](Balancer& b) { b.probed(now, p); });
+        tell([&](Balancer& b) { b.healthCheckEnded(now, p); });
         break;
       }
       default:
--- a/src/simulator/protocol.hpp
+++ b/src/simulator/protocol.hpp
@@ -36,7 +36,7 @@
  private:
   struct Instance;
   std::map<std::uint16_t, std::unique_ptr<Instance>> instances_;
-  std::map<std::uint32_t, std::vector<balancer::ListedMember>> lists_;
+  std::map<std::uint32_t, std::vector<balancer::ListedEndpoint>> lists_;
 };
 
 // Reads batches until the input ends. 0: it ended between frames; 1: it was malformed (one line on stderr).
--- a/src/translation/answer.hpp
+++ b/src/translation/answer.hpp
@@ -14,7 +14,7 @@
 namespace sablespur::translation {
 
 // What an asker wants of values.
-struct Wanted {
+struct ResultFormat {
   std::optional<ByteaForm> bytea;     // nothing: as they come
   std::vector<std::int16_t> results;  // 1 binary, 0 text: none all text, one of all, else one a column
   bool plain() const { return !bytea && std::find(results.begin(), results.end(), 1) == results.end(); }
@@ -26,11 +26,11 @@
 
 // Hands an answer on to a codec, value by value, and gathers what that writes. After a failure nothing that
 // was gathered may go out: why() tells, and the answer ends in an error instead.
-class Conversion final : public AnswerTaker {
+class Conversion final : public AnswerConsumer {
  public:
   // `described`: whether the columns are told, too. `most`: bytes of what is gathered. `mostRows`: 0, or
   // after so many rows the rest is left and suspended() is true.
-  Conversion(const ClientCodec& codec, Wanted wanted, bool described, std::size_t most,
+  Conversion(const ClientCodec& codec, ResultFormat wanted, bool described, std::size_t most,
              std::size_t mostRows = 0)
       : codec_(codec), wanted_(std::move(wanted)), described_(described), most_(most), mostRows_(mostRows) {}
 
@@ -48,7 +48,7 @@
   bool put(const std::string& message);
 
   const ClientCodec& codec_;
-  const Wanted wanted_;
+  const ResultFormat wanted_;
   const bool described_;
   const std::size_t most_, mostRows_;
   std::vector<std::uint32_t> types_;
--- a/src/translation/terms.hpp
+++ b/src/translation/terms.hpp
@@ -27,9 +27,9 @@
 
 // Takes an answer piece by piece: columns, where it has any, its rows, then its tag ("SELECT 2"). What is
 // given lives as long as the call. False: it goes no further.
-class AnswerTaker {
+class AnswerConsumer {
  public:
-  virtual ~AnswerTaker() = default;
+  virtual ~AnswerConsumer() = default;
   virtual bool columns(const std::vector<Column>&) = 0;
   virtual bool row(const std::vector<Value>&) = 0;
   virtual bool completed(std::string_view tag) = 0;
@@ -47,7 +47,7 @@
  public:
   virtual ~AnswerReader() = default;
   virtual bool answer(std::string_view messages,
-                      AnswerTaker&) const = 0;                   // false: malformed, or the taker said so
+                      AnswerConsumer&) const = 0;                // false: malformed, or the taker said so
   virtual Problem problem(std::string_view messages) const = 0;  // one error; no code: malformed
 };
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -104,8 +104,8 @@
 // ---- the door
 // ----------------------------------------------------------------------------------------------------
 constexpr std::size_t kDesks = 0, kApps = 1, kElse = 2;
-DoorSettings settings(std::size_t most) {
-  DoorSettings s;
+ConnectionAdmissionSettings settings(std::size_t most) {
+  ConnectionAdmissionSettings s;
   s.most = most;
   s.groups.resize(3);
   s.groups[kDesks].name = "desks";
@@ -122,16 +122,16 @@
 }
 
 TEST(Door, AnAddressThatConnectsInALoopTakesItsOwnShare) {
-  DoorSettings s = settings(100);
+  ConnectionAdmissionSettings s = settings(100);
   s.groups[kApps].mostByAddress = 5;
-  Door door(s, museum());
+  ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   int let = 0;
   for (int k = 0; k < 1000; ++k) {
-    const Welcome w = door.arrived(Time(k), ++id, ip("10.2.0.7"));
+    const ConnectionDecision w = door.arrived(Time(k), ++id, ip("10.2.0.7"));
     let += w.admitted;
     if (!w.admitted) {
-      EXPECT_EQ(w.why, Why::AddressFull);
+      EXPECT_EQ(w.why, RejectionReason::AddressFull);
     }
   }
   EXPECT_EQ(let, 5);
@@ -139,12 +139,12 @@
   EXPECT_TRUE(door.arrived(Time(1000), ++id, ip("10.1.0.8")).admitted);
 }
 TEST(Door, TheSameFromFiveHundredAddressesOfOneNetwork) {
-  DoorSettings s = settings(400);
+  ConnectionAdmissionSettings s = settings(400);
   s.groups[kElse].mostByAddress = 2;
   s.groups[kElse].mostByPrefix = 50;
   s.prefix4 = 8;
   s.groups[kDesks].reserve = 20;
-  Door door(s, museum());
+  ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   std::size_t let = 0;
   for (std::size_t k = 0; k < 500; ++k)
@@ -153,60 +153,62 @@
   for (std::size_t k = 0; k < 20; ++k) EXPECT_TRUE(door.arrived(1s, ++id, ip(host("10.1", k))).admitted);
 }
 TEST(Door, AReserveIsTakenByNobodyElse) {
-  DoorSettings s = settings(100);
+  ConnectionAdmissionSettings s = settings(100);
   s.groups[kDesks].reserve = 30;
-  Door door(s, museum());
+  ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   std::size_t let = 0;
   for (std::size_t k = 0; k < 200; ++k) {
-    const Welcome w = door.arrived(Time(k), ++id, ip(host("10.2", k)));
+    const ConnectionDecision w = door.arrived(Time(k), ++id, ip(host("10.2", k)));
     let += w.admitted;
     if (!w.admitted) {
-      EXPECT_EQ(w.why, Why::Full);
+      EXPECT_EQ(w.why, RejectionReason::Full);
     }
   }
   EXPECT_EQ(let, 70u);
   for (std::size_t k = 0; k < 30; ++k) EXPECT_TRUE(door.arrived(1s, ++id, ip(host("10.1", k))).admitted);
   EXPECT_EQ(door.count(kDesks).reserveLeft, 0u);
   // All is taken now, and nobody is idle: the next desk waits like anyone.
-  EXPECT_EQ(door.arrived(1s, ++id, ip("10.1.9.9")).why, Why::Full);
+  EXPECT_EQ(door.arrived(1s, ++id, ip("10.1.9.9")).why, RejectionReason::Full);
 }
 // Beyond its reserve a desk gets the place of an app that has been idle, since apps hold more by weight; an
 // app that is at work keeps its place, and so does one that has just been answered.
 TEST(Door, AnIdleOneOfWhoHoldsMostMakesWay) {
-  Door door(settings(10), museum());
+  ConnectionAdmission door(settings(10), museum());
   for (ConnectionId id = 1; id <= 10; ++id)
     ASSERT_TRUE(door.arrived(Time(id), id, ip(host("10.2", id))).admitted);
-  EXPECT_EQ(door.arrived(1s, 11, ip("10.1.0.1")).why, Why::Full);
+  EXPECT_EQ(door.arrived(1s, 11, ip("10.1.0.1")).why, RejectionReason::Full);
   door.idle(1s, 4);
   door.idle(1200ms, 3);
-  EXPECT_EQ(door.arrived(1400ms, 11, ip("10.1.0.1")).why, Why::Full);  // not yet idle for half a second
-  const Welcome w = door.arrived(2s, 11, ip("10.1.0.1"));
+  EXPECT_EQ(door.arrived(1400ms, 11, ip("10.1.0.1")).why,
+            RejectionReason::Full);  // not yet idle for half a second
+  const ConnectionDecision w = door.arrived(2s, 11, ip("10.1.0.1"));
   EXPECT_TRUE(w.admitted);
   EXPECT_EQ(w.close, 4u);
   door.busy(3);
-  EXPECT_EQ(door.arrived(3s, 12, ip("10.1.0.2")).why, Why::Full);
+  EXPECT_EQ(door.arrived(3s, 12, ip("10.1.0.2")).why, RejectionReason::Full);
   EXPECT_EQ(door.held(), 10u);
   EXPECT_EQ(door.count(kApps).asked, 1u);
 }
 TEST(Door, AnAppTakesNoDesksPlace) {
-  Door door(settings(4), museum());
+  ConnectionAdmission door(settings(4), museum());
   for (ConnectionId id = 1; id <= 4; ++id) {
     ASSERT_TRUE(door.arrived(Time(id), id, ip(host("10.1", id))).admitted);
     door.idle(Time(id), id);
   }
   // Four desks weigh one, an app would weigh one as well: it has to wait.
-  EXPECT_EQ(door.arrived(10s, 5, ip("10.2.0.1")).why, Why::Full);
-  const Welcome own = door.arrived(10s, 6, ip("10.1.0.9"));  // among themselves the longest idle one goes
+  EXPECT_EQ(door.arrived(10s, 5, ip("10.2.0.1")).why, RejectionReason::Full);
+  const ConnectionDecision own =
+      door.arrived(10s, 6, ip("10.1.0.9"));  // among themselves the longest idle one goes
   EXPECT_TRUE(own.admitted);
   EXPECT_EQ(own.close, 1u);
 }
 // After a restart all come at once: as many as the burst, the others one by one, each at a time of its own.
 TEST(Door, ThoseRefusedForTheRateComeBackSpread) {
-  DoorSettings s = settings(1000);
+  ConnectionAdmissionSettings s = settings(1000);
   s.groups[kDesks].perSecond = 100;
   s.groups[kDesks].burst = 50;
-  Door door(s, museum());
+  ConnectionAdmission door(s, museum());
   std::multimap<Time, std::size_t> returns;
   ConnectionId id = 0;
   std::size_t let = 0;
@@ -217,11 +219,11 @@
     const auto [now, k] = *returns.begin();
     returns.erase(returns.begin());
     ++tries[now.count() / 100000];
-    const Welcome w = door.arrived(now, ++id, ip(host("10.1", k)));
+    const ConnectionDecision w = door.arrived(now, ++id, ip(host("10.1", k)));
     let += w.admitted;
     last = now;
     if (!w.admitted) {
-      EXPECT_EQ(w.why, Why::Rate);
+      EXPECT_EQ(w.why, RejectionReason::Rate);
       EXPECT_GE(w.comeBack, s.comeBackLeast);
       EXPECT_LE(w.comeBack, s.comeBackMost);
       returns.emplace(now + w.comeBack, k);
@@ -236,11 +238,11 @@
   }
 }
 TEST(Door, AReloadThatLowersACapClosesOnlyWhatIsIdle) {
-  Door door(settings(100), museum());
+  ConnectionAdmission door(settings(100), museum());
   for (ConnectionId id = 1; id <= 20; ++id)
     ASSERT_TRUE(door.arrived(Time(0), id, ip(host("10.2", id))).admitted);
   for (ConnectionId id = 1; id <= 12; ++id) door.idle(Time(100 - static_cast<std::int64_t>(id)), id);
-  DoorSettings s = settings(100);
+  ConnectionAdmissionSettings s = settings(100);
   s.groups[kApps].most = 10;
   door.reload(s, museum());
   EXPECT_EQ(door.count(kApps).held, 20u);
@@ -251,7 +253,7 @@
   EXPECT_FALSE(door.arrived(1ms, 50, ip("10.2.9.9")).admitted);
 }
 TEST(Door, AnAddressMovesToAnotherGroupOnReloadAndANamedOneStays) {
-  Door door(settings(10), museum());
+  ConnectionAdmission door(settings(10), museum());
   ASSERT_TRUE(door.arrived(Time(0), 1, ip("10.2.0.1")).admitted);
   ASSERT_TRUE(door.arrived(Time(0), 2, ip("10.2.0.2")).admitted);
   door.idle(Time(5), 1);
@@ -268,27 +270,27 @@
 }
 // The reserve is new and others hold everything: who is idle makes way at once.
 TEST(Door, AReserveThatIsOwedIsTakenBack) {
-  Door door(settings(10), museum());
+  ConnectionAdmission door(settings(10), museum());
   for (ConnectionId id = 1; id <= 10; ++id) {
     ASSERT_TRUE(door.arrived(Time(0), id, ip(host("10.2", id))).admitted);
     door.idle(Time(static_cast<std::int64_t>(id)), id);
   }
-  DoorSettings s = settings(10);
+  ConnectionAdmissionSettings s = settings(10);
   s.groups[kDesks].reserve = 3;
   door.reload(s, museum());
   for (ConnectionId id = 11; id <= 13; ++id) {
-    const Welcome w = door.arrived(1s, id, ip(host("10.1", id)));
+    const ConnectionDecision w = door.arrived(1s, id, ip(host("10.1", id)));
     EXPECT_TRUE(w.admitted);
     EXPECT_EQ(w.close, id - 10);
   }
 }
 TEST(Door, AnAbuserAmongTheDesksTakesNothingFromThem) {
-  DoorSettings s = settings(100);
+  ConnectionAdmissionSettings s = settings(100);
   s.groups[kDesks].reserve = 60;
   s.groups[kDesks].mostByAddress = 3;
   s.groups[kDesks].perSecond = 50;
   s.groups[kDesks].burst = 10;
-  Door door(s, museum());
+  ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   std::size_t desks = 0;
   for (int k = 0; k < 20000; ++k) {
@@ -304,12 +306,12 @@
 TEST(Door, KeepsItsBoundsWhateverHappens) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 random(seed);
-    DoorSettings s = settings(40);
+    ConnectionAdmissionSettings s = settings(40);
     s.groups[kDesks].reserve = 10;
     s.groups[kApps].most = 25;
     s.groups[kApps].mostByAddress = 4;
     s.groups[kElse].mostByPrefix = 6;
-    Door door(s, museum());
+    ConnectionAdmission door(s, museum());
     struct Held {
       IpAddress from;
       bool idle = false;
@@ -328,7 +330,7 @@
       if (what < 5) {
         const IpAddress from = ip(host(nets[random(3)], random(12)));
         const std::size_t group = door.groupOf(0) - 1;  // the last one
-        const Welcome w = door.arrived(now, ++id, from);
+        const ConnectionDecision w = door.arrived(now, ++id, from);
         if (w.close != 0) {
           ASSERT_TRUE(w.admitted);
           ASSERT_EQ(model.count(w.close), 1u);
@@ -372,7 +374,7 @@
 // ---- who has been served before
 // ----------------------------------------------------------------------------------
 TEST(Known, WhoWasServedOverAWhileIsKnownUntilItIsForgotten) {
-  Known known({});
+  RecentClients known({});
   const IpAddress a = ip("10.1.0.1");
   for (int k = 0; k < 50; ++k) known.served(Time(k), a);  // often, but within a moment
   EXPECT_FALSE(known.is(1s, a));
@@ -385,10 +387,10 @@
   EXPECT_FALSE(known.is(2s, ip("10.1.0.2")));
 }
 TEST(Known, AnAbuserCannotFillIt) {
-  KnownSettings s;
+  RecentClientsSettings s;
   s.most = 100;
   s.mostByPrefix = 10;
-  Known known(s);
+  RecentClients known(s);
   std::vector<IpAddress> desks;
   for (std::size_t k = 0; k < 60; ++k) desks.push_back(ip("10." + std::to_string(k) + ".1.1"));
   for (const IpAddress& d : desks)
@@ -405,8 +407,8 @@
 // ---- the limit
 // ---------------------------------------------------------------------------------------------------- A
 // server that does `cores` requests at once in 10 ms each; what is beyond them queues.
-std::size_t settled(const LimitSettings& s, double cores, int rounds) {
-  Limit limit(s);
+std::size_t settled(const ConcurrencyLimitSettings& s, double cores, int rounds) {
+  ConcurrencyLimit limit(s);
   Time now{};
   for (int k = 0; k < rounds; ++k) {
     const std::size_t out = limit.value();  // demand is endless
@@ -418,26 +420,26 @@
 }
 TEST(Limit, FindsWhatAServerCanDo) {
   for (const double cores : {8.0, 40.0, 200.0}) {
-    LimitSettings gradient;
+    ConcurrencyLimitSettings gradient;
     const auto g = static_cast<double>(settled(gradient, cores, 4000));
     EXPECT_GE(g, cores * 0.9) << cores;
     EXPECT_LE(g, cores * 4 + 40) << cores;
-    LimitSettings aimd;
+    ConcurrencyLimitSettings aimd;
     aimd.kind = LimitKind::Aimd;
     aimd.bound = 25ms;
     const auto a = static_cast<double>(settled(aimd, cores, 20000));
     EXPECT_GE(a, cores * 0.9) << cores;
     EXPECT_LE(a, cores * 2.6) << cores;
   }
-  LimitSettings fixed;
+  ConcurrencyLimitSettings fixed;
   fixed.kind = LimitKind::Fixed;
   EXPECT_EQ(settled(fixed, 8, 100), 20u);
 }
 TEST(Limit, ShrinksWhenThingsAreDroppedAndNeverBelowItsLeast) {
   for (const LimitKind kind : {LimitKind::Aimd, LimitKind::Gradient}) {
-    LimitSettings s;
+    ConcurrencyLimitSettings s;
     s.kind = kind;
-    Limit limit(s);
+    ConcurrencyLimit limit(s);
     Time now{};
     for (int k = 0; k < 400; ++k) limit.ended(now += 300ms, 10ms, 20, true);
     EXPECT_EQ(limit.value(), 4u);
@@ -445,8 +447,8 @@
 }
 // A request in twenty that runs out of time is a data server's trouble, not a queue.
 TEST(Limit, AFewThatRanOutOfTimeAreNoOverload) {
-  LimitSettings s;
-  Limit some(s), many(s);
+  ConcurrencyLimitSettings s;
+  ConcurrencyLimit some(s), many(s);
   Time now{};
   for (int k = 0; k < 4000; ++k) {
     now += 10ms;
@@ -457,8 +459,8 @@
   EXPECT_LT(many.value(), 10u);
 }
 TEST(Limit, DoesNotGrowWhileNothingPushes) {
-  LimitSettings s;
-  Limit limit(s);
+  ConcurrencyLimitSettings s;
+  ConcurrencyLimit limit(s);
   Time now{};
   for (int k = 0; k < 10000; ++k) limit.ended(now += 10ms, 10ms, 2, false);
   EXPECT_LE(limit.value(), 20u);
@@ -466,8 +468,8 @@
 
 // ---- requests
 // ------------------------------------------------------------------------------------------------------
-RequestSettings shares(double a, double b, double limit, std::size_t waiting) {
-  RequestSettings s;
+RequestLimiterSettings shares(double a, double b, double limit, std::size_t waiting) {
+  RequestLimiterSettings s;
   s.limit.kind = LimitKind::Fixed;
   s.limit.first = limit;
   s.limit.least = 1;
@@ -476,18 +478,18 @@
   return s;
 }
 TEST(Requests, GoWhileThereIsRoomThenWaitThenAreRefused) {
-  Requests r(shares(1, 1, 2, 2));
-  EXPECT_EQ(r.ask(Time(0), 1, 0, 1s).turn, Turn::Go);
-  EXPECT_EQ(r.ask(Time(0), 2, 0, 1s).turn, Turn::Go);
-  EXPECT_EQ(r.ask(Time(0), 3, 0, 1s).turn, Turn::Wait);
-  EXPECT_EQ(r.ask(Time(0), 4, 0, 1s).turn, Turn::Wait);
+  RequestLimiter r(shares(1, 1, 2, 2));
+  EXPECT_EQ(r.ask(Time(0), 1, 0, 1s).turn, RequestDecision::Admit);
+  EXPECT_EQ(r.ask(Time(0), 2, 0, 1s).turn, RequestDecision::Admit);
+  EXPECT_EQ(r.ask(Time(0), 3, 0, 1s).turn, RequestDecision::Queue);
+  EXPECT_EQ(r.ask(Time(0), 4, 0, 1s).turn, RequestDecision::Queue);
   const auto refused = r.ask(Time(0), 5, 0, 1s);
-  EXPECT_EQ(refused.turn, Turn::Refuse);
+  EXPECT_EQ(refused.turn, RequestDecision::Reject);
   EXPECT_GT(refused.comeBack, Time(0));
   const auto next = r.ended(10ms, 1, 10ms, false);
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].key, 3u);
-  EXPECT_EQ(next[0].turn, Turn::Go);
+  EXPECT_EQ(next[0].turn, RequestDecision::Admit);
   EXPECT_TRUE(r.ended(10ms, 1, 10ms, false).empty());  // it has ended already
   EXPECT_TRUE(r.left(10ms, 4).empty());
   EXPECT_EQ(r.waiting(), 0u);
@@ -495,20 +497,20 @@
 }
 // A group that pipelines hundreds takes its weight's part, no more: the other gets in at once.
 TEST(Requests, AFullQueueGivesWayByWeight) {
-  Requests r(shares(1, 1, 1, 10));
+  RequestLimiter r(shares(1, 1, 1, 10));
   for (RequestKey k = 1; k <= 300; ++k) r.ask(Time(0), k, 0, 1s);
   EXPECT_EQ(r.waiting(), 10u);
   const auto a = r.ask(Time(0), 1000, 1, 1s);
-  EXPECT_EQ(a.turn, Turn::Wait);
+  EXPECT_EQ(a.turn, RequestDecision::Queue);
   ASSERT_EQ(a.others.size(), 1u);
   EXPECT_EQ(a.others[0].key, 11u);  // the newest of those that wait
-  EXPECT_EQ(a.others[0].turn, Turn::Refuse);
+  EXPECT_EQ(a.others[0].turn, RequestDecision::Reject);
   const auto next = r.ended(1ms, 1, 1ms, false);
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].key, 1000u);  // its group has nothing out
 }
 TEST(Requests, ServeBusyGroupsByWeight) {
-  Requests r(shares(3, 1, 8, 40));
+  RequestLimiter r(shares(3, 1, 8, 40));
   pcg32 random(4);
   RequestKey key = 0;
   std::map<RequestKey, std::size_t> group;
@@ -519,62 +521,62 @@
     now += 100us;
     for (const std::size_t g : {0u, 1u}) {
       group[++key] = g;
-      if (r.ask(now, key, g, now + 10s).turn == Turn::Go) out.push_back(key);
+      if (r.ask(now, key, g, now + 10s).turn == RequestDecision::Admit) out.push_back(key);
     }
     const std::size_t at = random(static_cast<std::uint32_t>(out.size()));
     const RequestKey done = out[at];
     out.erase(out.begin() + static_cast<std::ptrdiff_t>(at));
     ++served[group[done]];
     for (const Answered& a : r.ended(now, done, 1ms, false))
-      if (a.turn == Turn::Go) out.push_back(a.key);
+      if (a.turn == RequestDecision::Admit) out.push_back(a.key);
   }
   EXPECT_NEAR(static_cast<double>(served[0]) / served[1], 3.0, 0.3);
 }
 TEST(Requests, WhatCanNoLongerBeOnTimeIsDroppedFirst) {
-  RequestSettings s = shares(1, 1, 4, 10);
+  RequestLimiterSettings s = shares(1, 1, 4, 10);
   s.limit.kind = LimitKind::Gradient;
   s.limit.first = s.limit.most = s.limit.least = 4;
-  Requests r(s);
+  RequestLimiter r(s);
   RequestKey key = 0;
   Time now{};
   // It learns that a request takes 100 ms.
   for (int k = 0; k < 400; ++k) {
-    EXPECT_EQ(r.ask(now, ++key, 0, now + 1s).turn, Turn::Go);
+    EXPECT_EQ(r.ask(now, ++key, 0, now + 1s).turn, RequestDecision::Admit);
     r.ended(now += 100ms, key, 100ms, false);
   }
-  for (int k = 0; k < 4; ++k) EXPECT_EQ(r.ask(now, ++key, 0, now + 1s).turn, Turn::Go);
-  EXPECT_EQ(r.ask(now, ++key, 0, now + 50ms).turn, Turn::Refuse);  // at once, not near its end
+  for (int k = 0; k < 4; ++k) EXPECT_EQ(r.ask(now, ++key, 0, now + 1s).turn, RequestDecision::Admit);
+  EXPECT_EQ(r.ask(now, ++key, 0, now + 50ms).turn, RequestDecision::Reject);  // at once, not near its end
   const RequestKey first = ++key, second = ++key;
-  EXPECT_EQ(r.ask(now, first, 0, now + 150ms).turn, Turn::Wait);
-  EXPECT_EQ(r.ask(now, second, 0, now + 400ms).turn, Turn::Wait);
+  EXPECT_EQ(r.ask(now, first, 0, now + 150ms).turn, RequestDecision::Queue);
+  EXPECT_EQ(r.ask(now, second, 0, now + 400ms).turn, RequestDecision::Queue);
   const auto late = r.overdue(now + 60ms);
   ASSERT_EQ(late.size(), 1u);
   EXPECT_EQ(late[0].key, first);
-  EXPECT_EQ(late[0].turn, Turn::Refuse);
+  EXPECT_EQ(late[0].turn, RequestDecision::Reject);
 }
 // Each request gets exactly one word in the end, and the limit holds, whatever comes and goes.
 TEST(Requests, EachGetsOneWord) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 random(seed);
-    RequestSettings s = shares(2, 1, 6, 8);
+    RequestLimiterSettings s = shares(2, 1, 6, 8);
     s.groups[1].mostOpen = 5;
-    Requests r(s);
-    std::map<RequestKey, Turn> state;  // Wait or Go
+    RequestLimiter r(s);
+    std::map<RequestKey, RequestDecision> state;  // Wait or Go
     RequestKey key = 0;
     Time now{};
     const auto take = [&](const std::vector<Answered>& all) {
       for (const Answered& a : all) {
         ASSERT_EQ(state.count(a.key), 1u);
-        ASSERT_EQ(state[a.key], Turn::Wait);
-        if (a.turn == Turn::Go)
-          state[a.key] = Turn::Go;
+        ASSERT_EQ(state[a.key], RequestDecision::Queue);
+        if (a.turn == RequestDecision::Admit)
+          state[a.key] = RequestDecision::Admit;
         else
           state.erase(a.key);
       }
     };
     for (int k = 0; k < 5000; ++k) {
       now += Time(random(3000));
-      const auto pick = [&](Turn t) {
+      const auto pick = [&](RequestDecision t) {
         std::vector<RequestKey> all;
         for (const auto& [id, is] : state)
           if (is == t) all.push_back(id);
@@ -584,14 +586,14 @@
       if (what < 5) {
         const auto a = r.ask(now, ++key, random(2), now + Time(random(20000)));
         take(a.others);
-        if (a.turn != Turn::Refuse) state[key] = a.turn;
+        if (a.turn != RequestDecision::Reject) state[key] = a.turn;
       } else if (what < 8) {
-        const RequestKey done = pick(Turn::Go);
+        const RequestKey done = pick(RequestDecision::Admit);
         if (done == 0) continue;
         state.erase(done);
         take(r.ended(now, done, Time(random(5000)), random(20) == 0));
       } else if (what < 9) {
-        const RequestKey gone = pick(random(2) == 0 ? Turn::Go : Turn::Wait);
+        const RequestKey gone = pick(random(2) == 0 ? RequestDecision::Admit : RequestDecision::Queue);
         if (gone == 0) continue;
         state.erase(gone);
         take(r.left(now, gone));
@@ -599,7 +601,7 @@
         take(r.overdue(now));
       }
       std::size_t out = 0;
-      for (const auto& [id, is] : state) out += is == Turn::Go;
+      for (const auto& [id, is] : state) out += is == RequestDecision::Admit;
       ASSERT_EQ(r.out(), out);
       ASSERT_EQ(r.waiting(), state.size() - out);
       ASSERT_LE(out, 6u);
@@ -612,21 +614,21 @@
 }
 
 TEST(Requests, SayWhyAndKeepWhatIsOutOverAReload) {
-  RequestSettings s;
+  RequestLimiterSettings s;
   s.limit.kind = LimitKind::Fixed;
   s.limit.first = 2;
   s.limit.least = s.limit.most = 2;
   s.mostWaiting = 1;
   s.groups = {{1, 2}, {1, 0}};
-  Requests r(s);
+  RequestLimiter r(s);
   const Time late = 10s;
-  EXPECT_EQ(r.ask(1s, 1, 0, late).turn, Turn::Go);
-  EXPECT_EQ(r.ask(1s, 2, 0, late).turn, Turn::Go);
-  EXPECT_EQ(r.ask(1s, 3, 0, late).turn, Turn::Refuse);  // its group's cap
-  EXPECT_EQ(r.ask(1s, 4, 1, late).turn, Turn::Wait);
-  EXPECT_EQ(r.ask(1s, 5, 1, late).turn, Turn::Refuse);  // no room to wait
-  EXPECT_EQ(r.count(0).refused[static_cast<std::size_t>(Turned::Share)], 1u);
-  EXPECT_EQ(r.count(1).refused[static_cast<std::size_t>(Turned::Queue)], 1u);
+  EXPECT_EQ(r.ask(1s, 1, 0, late).turn, RequestDecision::Admit);
+  EXPECT_EQ(r.ask(1s, 2, 0, late).turn, RequestDecision::Admit);
+  EXPECT_EQ(r.ask(1s, 3, 0, late).turn, RequestDecision::Reject);  // its group's cap
+  EXPECT_EQ(r.ask(1s, 4, 1, late).turn, RequestDecision::Queue);
+  EXPECT_EQ(r.ask(1s, 5, 1, late).turn, RequestDecision::Reject);  // no room to wait
+  EXPECT_EQ(r.count(0).refused[static_cast<std::size_t>(RequestRejection::Share)], 1u);
+  EXPECT_EQ(r.count(1).refused[static_cast<std::size_t>(RequestRejection::Queue)], 1u);
   s.groups = {{1, 0}};  // one group fewer: who waited waits on
   r.reload(s);
   EXPECT_EQ(r.out(), 2u);
@@ -634,11 +636,11 @@
   const auto went = r.ended(1s, 1, 1ms, false);
   ASSERT_EQ(went.size(), 1u);
   EXPECT_EQ(went[0].key, 4u);
-  EXPECT_EQ(went[0].turn, Turn::Go);
+  EXPECT_EQ(went[0].turn, RequestDecision::Admit);
 }
 
-RequestSettings laneSettings() {
-  RequestSettings s;
+RequestLimiterSettings laneSettings() {
+  RequestLimiterSettings s;
   s.limit.kind = LimitKind::Fixed;
   s.limit.first = s.limit.least = s.limit.most = 2;
   s.mostWaiting = 2;
@@ -647,24 +649,24 @@
 }
 // Found in the lab: writes that queued for a crowded primary held the places of reads.
 TEST(Lanes, WhatQueuesInOneKeepsNothingFromAnother) {
-  Lanes lanes(laneSettings());
+  RequestQueues lanes(laneSettings());
   for (RequestKey k = 1; k <= 4; ++k) lanes.ask(1s, k, 1, 0, 9s);
-  EXPECT_EQ(lanes.ask(1s, 5, 1, 0, 9s).turn, Turn::Refuse);
-  EXPECT_EQ(lanes.ask(1s, 6, 2, 0, 9s).turn, Turn::Go);
+  EXPECT_EQ(lanes.ask(1s, 5, 1, 0, 9s).turn, RequestDecision::Reject);
+  EXPECT_EQ(lanes.ask(1s, 6, 2, 0, 9s).turn, RequestDecision::Admit);
   EXPECT_EQ(lanes.count(0).out, 3u);
   EXPECT_EQ(lanes.count(0).waiting, 2u);
 }
 TEST(Lanes, CapsOfGroupsCountOverAllOfThem) {
-  Lanes lanes(laneSettings());
-  for (RequestKey k = 1; k <= 3; ++k) EXPECT_EQ(lanes.ask(1s, k, k, 1, 9s).turn, Turn::Go);
-  EXPECT_EQ(lanes.ask(1s, 4, 9, 1, 9s).turn, Turn::Refuse);
-  EXPECT_EQ(lanes.count(1).refused[static_cast<std::size_t>(Turned::Share)], 1u);
+  RequestQueues lanes(laneSettings());
+  for (RequestKey k = 1; k <= 3; ++k) EXPECT_EQ(lanes.ask(1s, k, k, 1, 9s).turn, RequestDecision::Admit);
+  EXPECT_EQ(lanes.ask(1s, 4, 9, 1, 9s).turn, RequestDecision::Reject);
+  EXPECT_EQ(lanes.count(1).refused[static_cast<std::size_t>(RequestRejection::Share)], 1u);
   lanes.ended(1s, 2, 1ms, false);
-  EXPECT_EQ(lanes.ask(1s, 5, 9, 1, 9s).turn, Turn::Go);
+  EXPECT_EQ(lanes.ask(1s, 5, 9, 1, 9s).turn, RequestDecision::Admit);
 }
 // Clients name the groups: thousands of names must not make thousands of lanes, nor be kept for ever.
 TEST(Lanes, AreBoundedAndForgotten) {
-  Lanes lanes(laneSettings(), 8);
+  RequestQueues lanes(laneSettings(), 8);
   for (RequestKey k = 1; k <= 5000; ++k) {
     lanes.ask(1s, k, k, 0, 9s);
     lanes.left(1s, k);
@@ -682,8 +684,8 @@
 TEST(Lanes, EachRequestGetsOneWordWhateverHappens) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg64 random(seed);
-    RequestSettings s = laneSettings();
-    Lanes lanes(s, 3);
+    RequestLimiterSettings s = laneSettings();
+    RequestQueues lanes(s, 3);
     struct At {
       bool out;
       std::size_t group;
@@ -694,7 +696,7 @@
     const auto word = [&](const std::vector<Answered>& all) {
       for (const Answered& a : all) {
         ASSERT_TRUE(open.count(a.key) == 1 && !open.at(a.key).out) << "seed " << seed;
-        if (a.turn == Turn::Go)
+        if (a.turn == RequestDecision::Admit)
           open.at(a.key).out = true;
         else
           open.erase(a.key);
@@ -712,7 +714,7 @@
         const std::size_t group = random() % s.groups.size();
         const RequestKey key = ++last;
         const auto a = lanes.ask(now, key, random() % 6, group, now + Time(random() % 200000));
-        if (a.turn != Turn::Refuse) open.emplace(key, At{a.turn == Turn::Go, group});
+        if (a.turn != RequestDecision::Reject) open.emplace(key, At{a.turn == RequestDecision::Admit, group});
         word(a.others);
       } else if (what < 7) {
         const RequestKey key = any();
@@ -739,19 +741,19 @@
         ASSERT_EQ(lanes.count(g).out, held[g].first) << "seed " << seed << " step " << step;
         ASSERT_EQ(lanes.count(g).waiting, held[g].second) << "seed " << seed << " step " << step;
       }
-      for (const Lanes::View& v : lanes.view()) ASSERT_LE(v.out, 2u);
+      for (const RequestQueues::View& v : lanes.view()) ASSERT_LE(v.out, 2u);
     }
   }
 }
 
 TEST(Door, GivesUpIdleOnesBeyondReservesWhenDescriptorsRunOut) {
-  DoorSettings s;
+  ConnectionAdmissionSettings s;
   s.most = 10;
   s.groups.resize(2);
   s.groups[0].name = "desks";
   s.groups[0].reserve = 2;
   s.groups[1].name = "others";
-  Door door(s, networks({{"10.0.0.0/8", 0}}));
+  ConnectionAdmission door(s, networks({{"10.0.0.0/8", 0}}));
   for (ConnectionId id = 1; id <= 4; ++id) {
     EXPECT_TRUE(door.arrived(1s, id, ip("10.0.0." + std::to_string(id))).admitted);
     door.idle(1s, id);
@@ -766,13 +768,13 @@
   EXPECT_EQ(door.held(), 3u);
 }
 TEST(Door, WhoIsKnownByNameIsInItsGroupWhateverItsNetwork) {
-  DoorSettings s;
+  ConnectionAdmissionSettings s;
   s.most = 2;
   s.groups.resize(2);
   s.groups[0].name = "desks";
   s.groups[0].reserve = 1;
   s.groups[1].name = "others";
-  Door door(s, networks({}));
+  ConnectionAdmission door(s, networks({}));
   EXPECT_TRUE(door.arrived(1s, 1, ip("10.0.0.1")).admitted);
   EXPECT_FALSE(door.arrived(1s, 2, ip("10.0.0.2")).admitted);
   EXPECT_TRUE(door.arrived(1s, 2, ip("10.0.0.2"), 0).admitted);
@@ -782,7 +784,7 @@
 }
 
 TEST(Ceiling, FallsByATenthOncePerWantAndClimbsByOneASecond) {
-  Ceiling c;
+  ConnectionLimit c;
   EXPECT_EQ(c.value(1s, 100), 100u);
   c.ranShort(1s, 80, 10);
   EXPECT_EQ(c.value(1s, 100), 70u);
@@ -798,13 +800,13 @@
 }
 // A reserve is worth nothing if others have taken the descriptors behind it.
 TEST(Ceiling, KeepsReservesWithinWhatThereIs) {
-  DoorSettings s;
+  ConnectionAdmissionSettings s;
   s.most = 100;
   s.groups.resize(2);
   s.groups[0].name = "desks";
   s.groups[0].reserve = 10;
   s.groups[1].name = "others";
-  Door door(s, networks({{"10.0.0.0/8", 0}}));
+  ConnectionAdmission door(s, networks({{"10.0.0.0/8", 0}}));
   ConnectionId id = 0;
   for (int k = 0; k < 60; ++k) EXPECT_TRUE(door.arrived(1s, ++id, ip("192.168.0.1")).admitted);
   for (ConnectionId k = 1; k <= 50; ++k) door.idle(1s, k);
@@ -815,17 +817,17 @@
 }
 
 TEST(Spells, BeginAtTheFirstAndEndAfterACalm) {
-  Spell s;
-  EXPECT_EQ(s.at(1s, 0), Spell::Turn::None);
-  EXPECT_EQ(s.at(2s, 3), Spell::Turn::Began);
-  EXPECT_EQ(s.at(2500ms, 4), Spell::Turn::None);
-  EXPECT_EQ(s.at(3400ms, 4), Spell::Turn::None);
+  RejectionPeriod s;
+  EXPECT_EQ(s.at(1s, 0), RejectionPeriod::Turn::None);
+  EXPECT_EQ(s.at(2s, 3), RejectionPeriod::Turn::Began);
+  EXPECT_EQ(s.at(2500ms, 4), RejectionPeriod::Turn::None);
+  EXPECT_EQ(s.at(3400ms, 4), RejectionPeriod::Turn::None);
   EXPECT_TRUE(s.on());
-  EXPECT_EQ(s.at(3500ms, 4), Spell::Turn::Ended);
+  EXPECT_EQ(s.at(3500ms, 4), RejectionPeriod::Turn::Ended);
   EXPECT_EQ(s.within(), 4u);
   EXPECT_EQ(s.lasted(), 500ms);
-  EXPECT_EQ(s.at(9s, 4), Spell::Turn::None);
-  EXPECT_EQ(s.at(10s, 5), Spell::Turn::Began);
+  EXPECT_EQ(s.at(9s, 4), RejectionPeriod::Turn::None);
+  EXPECT_EQ(s.at(10s, 5), RejectionPeriod::Turn::Began);
   EXPECT_EQ(s.within(), 1u);
 }
 
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -12,10 +12,10 @@
   s.classes.clear();
   EXPECT_THROW(Balancer(s, 1, r), std::invalid_argument);
   s = settings();
-  s.classes[0].aim = s.classes[0].deadline + milliseconds(1);
+  s.classes[0].latencyObjective = s.classes[0].deadline + milliseconds(1);
   EXPECT_THROW(Balancer(s, 1, r), std::invalid_argument);
   s = settings();
-  s.startCapacity = 0;
+  s.warmUpStartCapacity = 0;
   EXPECT_THROW(Balancer(s, 1, r), std::invalid_argument);
 }
 
@@ -25,7 +25,7 @@
   const RequestId id = t.ask(kAny);
   ASSERT_EQ(t.sends(id).size(), 1u);
   t.pass(20);
-  t.end(id, Result::Ok, 2);
+  t.end(id, AttemptResult::Ok, 2);
   t.run(3000);
   EXPECT_EQ(t.sends(id).size(), 1u);
   EXPECT_FALSE(t.finalAnswer(id));
@@ -34,7 +34,7 @@
   Bench t;
   const RequestId id = t.ask(kAny);
   t.pass(2000);
-  t.end(id, Result::Timeout);
+  t.end(id, AttemptResult::Timeout);
   EXPECT_EQ(t.out.of("refuse", id).size(), 1u);
 }
 TEST(FinalAnswer, WhatComesAfterItsTimeIsRefusedAtOnceAndGoesNowhere) {
@@ -48,7 +48,7 @@
 }
 Settings lateWritesCount() {
   Settings s = settings();
-  s.classes[kWrite].lateWorth = 0.5;  // else the aim ends the wait
+  s.classes[kWrite].lateWeight = 0.5;  // else the aim ends the wait
   return s;
 }
 // Found on the bench (join+vast): a fifth of the members' work went to reads that were already worth nothing.
@@ -58,13 +58,14 @@
   const Time asked = t.now;
   const RequestId read = t.ask(kAny), write = t.ask(kWrite);
   ASSERT_EQ(t.sends(read).size(), 1u);
-  EXPECT_EQ(t.sends(read).back().time, asked + t.s.classes[kAny].aim);
+  EXPECT_EQ(t.sends(read).back().time, asked + t.s.classes[kAny].latencyObjective);
   ASSERT_EQ(t.sends(write).size(), 1u);
   EXPECT_EQ(t.sends(write).back().time, asked + t.s.classes[kWrite].deadline);
   t.pass(50);
-  t.end(read, Result::Error, 2);
+  t.end(read, AttemptResult::Error, 2);
   ASSERT_EQ(t.sends(read).size(), 2u);
-  EXPECT_EQ(t.sends(read).back().time, asked + t.s.classes[kAny].aim) << "the time goes on over all attempts";
+  EXPECT_EQ(t.sends(read).back().time, asked + t.s.classes[kAny].latencyObjective)
+      << "the time goes on over all attempts";
   const RequestId hurried = t.ask(kAny, 0, 0, 100);
   if (!t.sends(hurried).empty()) {
     EXPECT_EQ(t.sends(hurried).back().time, t.now + milliseconds(100));
@@ -74,10 +75,10 @@
   Bench t;
   RequestId id = t.ask(kAny);
   t.pass(100);
-  t.end(id, Result::Ok, 2);  // a usual latency is known
+  t.end(id, AttemptResult::Ok, 2);  // a usual latency is known
   id = t.ask(kAny);
   t.pass(600);
-  t.end(id, Result::Timeout);
+  t.end(id, AttemptResult::Timeout);
   ASSERT_EQ(t.out.of("refuse", id).size(), 1u);
   EXPECT_EQ(t.out.of("refuse", id).back().time, t.s.maxRetryAfter);
   t.b.list(t.now, ListKind::Full, {});
@@ -94,7 +95,7 @@
     const RequestId id = t.ask(kAny);
     ASSERT_EQ(t.sends(id).size(), 1u) << k;
     t.pass(600);
-    t.end(id, Result::Timeout);
+    t.end(id, AttemptResult::Timeout);
   }
 }
 // Found on the bench: a request that waited for a member outlived its client between two housekeeping ticks.
@@ -113,7 +114,8 @@
 // member had a part in; the client could have come back meanwhile.
 TEST(FinalAnswer, AWriteThatNoMemberHasHadIsRefusedBeforeHalfOfItsTime) {
   Bench t(lateWritesCount());
-  for (MemberId m = 1; m <= 3; ++m) t.b.list(t.now, ListKind::Delta, {Bench::entry(m, Lifecycle::Draining)});
+  for (EndpointId m = 1; m <= 3; ++m)
+    t.b.list(t.now, ListKind::Delta, {Bench::entry(m, Lifecycle::Draining)});
   const Time asked = t.now;
   const RequestId id = t.ask(kWrite);
   while (t.out.of("refuse", id).empty() && t.now < asked + seconds(3)) t.run(5);
@@ -124,7 +126,7 @@
   Bench t(lateWritesCount());
   const Time asked = t.now;
   const RequestId id = t.ask(kWrite);
-  for (int k = 0; k < 3; ++k) t.end(id, Result::Miss, t.note(0, 2));
+  for (int k = 0; k < 3; ++k) t.end(id, AttemptResult::TooStale, t.note(0, 2));
   while (t.now < asked + t.s.classes[kWrite].deadline * 6 / 10) t.run(5);
   EXPECT_FALSE(t.finalAnswer(id));
 }
@@ -149,9 +151,9 @@
 }
 TEST(Fit, ASendThatNeverWentOutCostsNoFurtherAttempt) {
   Bench t;
-  for (MemberId m = 1; m <= 3; ++m) t.report(m, 0);
+  for (EndpointId m = 1; m <= 3; ++m) t.report(m, 0);
   const RequestId id = t.ask(kAny);
-  for (int k = 0; k < 3; ++k) t.end(id, Result::Moot);
+  for (int k = 0; k < 3; ++k) t.end(id, AttemptResult::NotSent);
   EXPECT_EQ(t.sends(id).size(), 4u);
   EXPECT_FALSE(t.finalAnswer(id));
 }
@@ -161,7 +163,7 @@
   t.b.countFrom(t.now - seconds(60));
   const RequestId id = t.ask(kBounded);
   EXPECT_EQ(t.lastTo(id), 1u);
-  t.end(id, Result::Ok, (60000 - 50) * 4 + 2);
+  t.end(id, AttemptResult::Ok, (60000 - 50) * 4 + 2);
   t.pass(420);
   EXPECT_EQ(t.lastTo(t.ask(kBounded)), 1u);  // 470 ms old; by the first report it would be 520
 }
@@ -170,7 +172,7 @@
   Bench t;
   const RequestId id = t.ask(kAny);
   t.b.clientLeft(t.now, id);
-  t.end(id, Result::Cancelled);
+  t.end(id, AttemptResult::Cancelled);
   t.run(3000);
   EXPECT_FALSE(t.finalAnswer(id));
   EXPECT_EQ(t.sends(id).size(), 1u);
@@ -179,27 +181,27 @@
   Bench t;
   Request q;
   q.id = 9;
-  q.cls = 99;
+  q.classIndex = 99;
   t.b.request(t.now, q);
   EXPECT_EQ(t.out.of("refuse", 9).size(), 1u);
-  Outcome o;
+  AttemptOutcome o;
   o.request = 12345;
-  o.member = 55;
+  o.endpoint = 55;
   t.b.outcome(t.now, o);
-  Probe p;
-  p.member = 77;
+  HealthCheckResult p;
+  p.endpoint = 77;
   t.b.probed(t.now, p);
   t.b.clientLeft(t.now, 4711);
   t.b.timer(t.now, ~0ull);
   const RequestId id = t.ask(kAny);
-  t.end(id, Result::Ok);
-  t.end(id, Result::Error);  // looks like a second outcome of the same attempt
+  t.end(id, AttemptResult::Ok);
+  t.end(id, AttemptResult::Error);  // looks like a second outcome of the same attempt
   EXPECT_FALSE(t.finalAnswer(id));
 }
 
 // ---- each outcome by each effect -------------------------------------------------------------------------
 struct Ending {
-  Result result;
+  AttemptResult result;
   bool ran;
 };
 class Endings : public testing::TestWithParam<Ending> {};
@@ -236,23 +238,24 @@
   EXPECT_TRUE(t.out.of("refuse", id).empty());
   EXPECT_EQ(t.out.of("fail", id).size(), 1u);
 }
-INSTANTIATE_TEST_SUITE_P(All, Endings,
-                         testing::Values(Ending{Result::Error, true}, Ending{Result::Timeout, true},
-                                         Ending{Result::Reset, true}, Ending{Result::Cancelled, true},
-                                         Ending{Result::Full, false}, Ending{Result::ConnectFailed, false},
-                                         Ending{Result::Miss, false}, Ending{Result::Moot, false}));
+INSTANTIATE_TEST_SUITE_P(
+    All, Endings,
+    testing::Values(Ending{AttemptResult::Error, true}, Ending{AttemptResult::Timeout, true},
+                    Ending{AttemptResult::Reset, true}, Ending{AttemptResult::Cancelled, true},
+                    Ending{AttemptResult::Rejected, false}, Ending{AttemptResult::ConnectFailed, false},
+                    Ending{AttemptResult::TooStale, false}, Ending{AttemptResult::NotSent, false}));
 TEST(Keyed, IsSentAgainInsideTheMemory) {
   Bench t;
   const RequestId id = t.ask(kKeyedGroup);
   t.pass(100);
-  t.end(id, Result::Reset);
+  t.end(id, AttemptResult::Reset);
   EXPECT_EQ(t.sends(id).size(), 2u);
 }
 TEST(Keyed, MayBeRefusedWhenAllMembersDropRepeats) {
   Bench t;
   const RequestId id = t.ask(kKeyedAll);
   t.pass(1000);
-  t.end(id, Result::Timeout);
+  t.end(id, AttemptResult::Timeout);
   EXPECT_EQ(t.out.of("refuse", id).size(), 1u);
 }
 
@@ -273,10 +276,10 @@
 }
 TEST(Stale, AnF32PositionIsRoundedDown) {
   Settings s = settings();
-  s.zero = seconds(0);  // far from zero an f32 of seconds is coarse: 1100 s +- 61 us
+  s.positionEpoch = seconds(0);  // far from zero an f32 of seconds is coarse: 1100 s +- 61 us
   Bench t(s);
-  Probe p;
-  p.member = 2;
+  HealthCheckResult p;
+  p.endpoint = 2;
   p.ok = true;
   const float x = 1100.0f;
   p.report = {x, 0};
@@ -289,7 +292,7 @@
   t.teachPrimary(1);
   const RequestId w = t.ask(kWrite, 5);
   t.pass(20);
-  t.end(w, Result::Ok, t.note(0, 1));
+  t.end(w, AttemptResult::Ok, t.note(0, 1));
   t.report(2, 10);  // from before the commit
   t.report(3, 10);
   const RequestId first = t.ask(kSession, 5);
@@ -303,7 +306,7 @@
 }
 TEST(Stale, ACarriedTokenIsRoundedUp) {
   Settings s = settings();
-  s.tokensCarried = true;
+  s.sessionTokensCarried = true;
   Bench t(s);
   t.report(2, 100);
   EXPECT_TRUE(t.sends(t.ask(kSession, 5, 99.0f)).empty());
@@ -320,7 +323,7 @@
 }
 TEST(Stale, CheckingMembersMayBeTriedUnproven) {
   Settings s = settings();
-  s.checks = Checks::Refuse;
+  s.laggingReplicaPolicy = LaggingReplicaPolicy::Reject;
   Bench t(s);
   EXPECT_EQ(t.sends(t.ask(kBounded)).size(), 1u);
 }
@@ -333,19 +336,19 @@
   t.report(3, 550);
   ASSERT_EQ(t.lastTo(a), 1u);
   t.pass(10);
-  t.end(a, Result::Ok, 2);
+  t.end(a, AttemptResult::Ok, 2);
   EXPECT_TRUE(t.sends(t.ask(kBounded)).empty());
 }
 
 // ---- selection -------------------------------------------------------------------------------------------
 TEST(Selection, LeastRecentlyUsedFirst) {
   Bench t;
-  std::set<MemberId> met;
+  std::set<EndpointId> met;
   for (int k = 0; k < 3; ++k) {
     const RequestId id = t.ask(kAny);
     met.insert(t.lastTo(id));
     t.pass(10);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
     t.pass(10);
   }
   EXPECT_EQ(met.size(), 3u);
@@ -357,7 +360,7 @@
     const RequestId id = t.ask(kAny);
     EXPECT_NE(t.lastTo(id), 1u);
     t.pass(10);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
 }
 // Members 1 and 2 turn late, one sample in two each, while what all showed together is mostly in time: their
@@ -369,7 +372,7 @@
   for (int k = 0; k < 80 && t.lastTo(id) != 3; ++k) {
     id = t.ask(kAny, 0, 0, 2000);
     t.pass(k < 40 || k % 4 < 2 ? 10 : 700);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   EXPECT_EQ(t.lastTo(id), 3u);
 }
@@ -383,7 +386,7 @@
     const RequestId id = t.ask(kAny);
     EXPECT_EQ(t.lastTo(id), 2u);
     t.pass(10);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   EXPECT_NE(t.lastTo(t.ask(kBounded)), 2u);
 }
@@ -394,43 +397,43 @@
   for (int k = 0; k < 30; ++k) {
     const RequestId id = t.ask(kAny);
     t.pass(20);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   const RequestId stuck = t.ask(kAny);
-  const MemberId hung = t.lastTo(stuck);
+  const EndpointId hung = t.lastTo(stuck);
   t.run(110);
   ASSERT_EQ(t.out.of("probe").size(), 1u) << "is it dead, or was an answer lost?";
   EXPECT_TRUE(t.out.of("cancel", stuck).empty());
   t.run(60);  // ankara-schools big-2: its probe is not answered either; waiting for its time-out cost reads
   ASSERT_EQ(t.out.of("cancel", stuck).size(), 1u);
   EXPECT_EQ(t.sends(stuck).size(), 1u) << "no second attempt before the outcome of the first";
-  t.end(stuck, Result::Cancelled);
+  t.end(stuck, AttemptResult::Cancelled);
   ASSERT_EQ(t.sends(stuck).size(), 2u);
   EXPECT_NE(t.lastTo(stuck), hung);
   for (int k = 0; k < 6; ++k) {
     const RequestId id = t.ask(kAny);
     EXPECT_NE(t.lastTo(id), hung);
     t.pass(10);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
 }
 // Incident if8264e: connections broke at random on all members; each reset set one aside, then all were
 // refused.
 TEST(Health, ASingleResetDoesNotSetAMemberAside) {
   Bench t(settings(), 1);
-  t.end(t.ask(kAny), Result::Ok, 2);
+  t.end(t.ask(kAny), AttemptResult::Ok, 2);
   const RequestId id = t.ask(kAny);
   t.pass(5);
-  t.end(id, Result::Reset);
+  t.end(id, AttemptResult::Reset);
   EXPECT_FALSE(t.sends(t.ask(kAny)).empty());
 }
 TEST(Health, AFailedConnectionWithNothingHeardSinceDoes) {
   Settings s = settings();
-  s.probing = false;
+  s.healthChecksAllowed = false;
   Bench t(s, 1);
   const RequestId id = t.ask(kAny);
   t.pass(5);
-  t.end(id, Result::ConnectFailed);
+  t.end(id, AttemptResult::ConnectFailed);
   EXPECT_EQ(t.sends(t.ask(kAny)).size(), 0u);
 }
 // muscat-guides, connections reset at random, new ones too: members were set aside in turn, each for a reset.
@@ -442,12 +445,12 @@
       const RequestId id = t.ask(kWrite);
       ASSERT_EQ(t.sends(id).size(), 1u) << k;
       t.pass(1);
-      t.end(id, k < 2 ? Result::Reset : Result::ConnectFailed);
+      t.end(id, k < 2 ? AttemptResult::Reset : AttemptResult::ConnectFailed);
     }
     ASSERT_EQ(t.out.of("probe").size(), 1u);
     t.pass(1);
-    Probe p;
-    p.member = 1;
+    HealthCheckResult p;
+    p.endpoint = 1;
     if (answers)
       t.report(1, 0, true);
     else
@@ -459,11 +462,11 @@
   Bench t(settings(), 1);
   const RequestId first = t.ask(kAny);
   t.pass(100);
-  t.end(first, Result::Ok, 2);
+  t.end(first, AttemptResult::Ok, 2);
   const RequestId id = t.ask(kAny);
   for (int k = 0; k < 4; ++k) {
     ASSERT_EQ(t.sends(id).size(), static_cast<std::size_t>(k + 1));
-    t.end(id, Result::Reset);
+    t.end(id, AttemptResult::Reset);
     if (k == 2) t.report(1, 0);  // the probe that three in a row bring
   }
 }
@@ -475,9 +478,9 @@
     const RequestId with = t.ask(kAny);
     EXPECT_EQ(t.sends(with).size(), 1u);
     t.pass(10);
-    t.end(id, k % 3 ? Result::Ok : Result::Reset, 2, 0);
-    if (!t.sends(with).empty()) t.end(with, Result::Ok, 2, 0);
-    if (t.sends(id).size() > 1) t.end(id, Result::Ok, 2);
+    t.end(id, k % 3 ? AttemptResult::Ok : AttemptResult::Reset, 2, 0);
+    if (!t.sends(with).empty()) t.end(with, AttemptResult::Ok, 2, 0);
+    if (t.sends(id).size() > 1) t.end(id, AttemptResult::Ok, 2);
   }
 }
 TEST(Health, AMemberThatFailsFastLosesItsTurn) {
@@ -489,10 +492,10 @@
       if (t.lastTo(id) != 1) break;
       ++toOne;
       t.pass(1);
-      t.end(id, Result::Error, 2);
+      t.end(id, AttemptResult::Error, 2);
     }
     t.pass(15);
-    if (!t.finalAnswer(id)) t.end(id, Result::Ok, 2);
+    if (!t.finalAnswer(id)) t.end(id, AttemptResult::Ok, 2);
   }
   EXPECT_LE(toOne, 6);
 }
@@ -501,9 +504,9 @@
 TEST(Writes, TryMembersByIdThenWaitForAnAnswerAsPrimary) {
   Bench t;
   const RequestId id = t.ask(kWrite);
-  for (MemberId m = 1; m <= 3; ++m) {
+  for (EndpointId m = 1; m <= 3; ++m) {
     ASSERT_EQ(t.lastTo(id), m);
-    t.end(id, Result::Miss, 2);
+    t.end(id, AttemptResult::TooStale, 2);
   }
   EXPECT_EQ(t.sends(id).size(), 3u);
   const RequestId other = t.ask(kWrite);
@@ -518,8 +521,8 @@
 TEST(Writes, AMisplacedWriteLeavesNoLatencySample) {
   Bench t;
   const RequestId id = t.ask(kWrite);
-  t.end(id, Result::Miss, 2);
-  t.end(id, Result::Ok, t.note(0, 1));
+  t.end(id, AttemptResult::TooStale, 2);
+  t.end(id, AttemptResult::Ok, t.note(0, 1));
   ASSERT_EQ(t.lastTo(id), 2u);
   t.b.list(t.now, ListKind::Delta, {Bench::entry(3, Lifecycle::Gone)});
   EXPECT_EQ(t.lastTo(t.ask(kAny)), 1u);
@@ -534,11 +537,11 @@
 }
 TEST(Writes, AListedRoleIsTheWeakestEvidence) {
   Settings s = settings();
-  s.roleListed = RoleListed::Start;
-  s.probing = false;
+  s.listedRolePolicy = ListedRolePolicy::AtStart;
+  s.healthChecksAllowed = false;
   Recorder r;
   Bench t(s);
-  ListedMember m = Bench::entry(2);
+  ListedEndpoint m = Bench::entry(2);
   m.primary = true;
   t.b.list(t.now, ListKind::Delta, {m});
   EXPECT_EQ(t.lastTo(t.ask(kWrite)), 2u);
@@ -574,7 +577,7 @@
 }
 Settings amongMany() {
   Settings s = settings();
-  s.balancers = 300;
+  s.proxyCount = 300;
   return s;
 }
 TEST(Suspension, OneThatComesBackIsUsedAgainAsOneThatHasJustStarted) {
@@ -589,7 +592,7 @@
       const RequestId id = t.ask(kAny);
       back += t.lastTo(id) == 1;
       t.pass(20);
-      t.end(id, Result::Ok, 2);
+      t.end(id, AttemptResult::Ok, 2);
     }
   }
   EXPECT_GT(back, 0);
@@ -597,7 +600,7 @@
 }
 TEST(Suspension, OneThatTheListNamesWhileItIsSuspendedStaysSo) {
   Bench t;
-  ListedMember m = Bench::entry(9, Lifecycle::Ready, t.now - seconds(30));
+  ListedEndpoint m = Bench::entry(9, Lifecycle::Ready, t.now - seconds(30));
   m.suspended = true;
   t.b.list(t.now, ListKind::Delta, {m});
   for (int k = 0; k < 20; ++k) EXPECT_NE(t.lastTo(t.ask(kAny)), 9u);
@@ -606,22 +609,22 @@
   Bench t;
   const RequestId old = t.ask(kAny);
   Settings s = settings();
-  s.attemptsCap = 1;
+  s.maxAttempts = 1;
   s.classes.push_back(s.classes[kAny]);
-  s.classes.back().aim = milliseconds(100);
+  s.classes.back().latencyObjective = milliseconds(100);
   t.b.settle(t.now, s);
   Request q;
   q.id = 5000;
-  q.cls = static_cast<int>(s.classes.size()) - 1;
+  q.classIndex = static_cast<int>(s.classes.size()) - 1;
   q.group = 7;
   q.deadline = t.now + milliseconds(500);
   t.b.request(t.now, q);
   ASSERT_EQ(t.sends(5000).size(), 1u);
   EXPECT_EQ(t.sends(5000).back().time, t.now + milliseconds(100));
-  t.end(5000, Result::Error, 2);
+  t.end(5000, AttemptResult::Error, 2);
   EXPECT_EQ(t.sends(5000).size(), 1u) << "one attempt is allowed now";
   t.pass(20);
-  t.end(old, Result::Ok, 2);
+  t.end(old, AttemptResult::Ok, 2);
   EXPECT_FALSE(t.finalAnswer(old));
 }
 
@@ -631,13 +634,13 @@
   const RequestId id = t.ask(kKeyedGroup);
   ASSERT_EQ(t.sends(id).size(), 1u);
   t.pass(20);
-  t.end(id, Result::Reset, 2);
+  t.end(id, AttemptResult::Reset, 2);
   ASSERT_EQ(t.sends(id).size(), 2u) << "within the window of 400 ms";
   t.pass(350);
   EXPECT_TRUE(t.b.fit(t.now, id, t.lastTo(id)));
   t.pass(40);
   EXPECT_FALSE(t.b.fit(t.now, id, t.lastTo(id)));
-  t.end(id, Result::Moot);
+  t.end(id, AttemptResult::NotSent);
   EXPECT_EQ(t.sends(id).size(), 2u);
 }
 
@@ -651,18 +654,18 @@
 }
 TEST(Drain, WhereGoneDoesNotBindOnlyDrainingDoes) {
   Settings s = settings();
-  s.droppedStayOpen = true;
+  s.removedEndpointsStayUsable = true;
   Bench t(s);
   t.b.list(t.now, ListKind::Delta, {Bench::entry(1, Lifecycle::Draining), Bench::entry(2, Lifecycle::Gone)});
   t.b.list(t.now, ListKind::Delta, {Bench::entry(1, Lifecycle::Gone)});
-  std::set<MemberId> met;
+  std::set<EndpointId> met;
   for (int k = 0; k < 6; ++k) {
     const RequestId id = t.ask(kAny);
     met.insert(t.lastTo(id));
     t.pass(10);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
-  EXPECT_EQ(met, (std::set<MemberId>{2, 3}));
+  EXPECT_EQ(met, (std::set<EndpointId>{2, 3}));
 }
 // Found on the bench (izmir-glaze-later, ankara-schools-later): hundreds of routers, each of which sent one
 // request at a time to a member that had just started, pushed it over.
@@ -674,10 +677,10 @@
     t.b.list(t.now, ListKind::Delta, {Bench::entry(1, Lifecycle::Ready, t.now)});
     for (int k = 0; k < 30; ++k) {
       const RequestId id = t.ask(kAny);
-      const MemberId to = t.lastTo(id);
+      const EndpointId to = t.lastTo(id);
       (to == 1 ? cold : warm) += 1;
       t.pass(20);
-      t.end(id, Result::Ok, 2);
+      t.end(id, AttemptResult::Ok, 2);
     }
   }
   // At the least it can do a fifth of what a warm member does, and is pushed over by twice that. It warms
@@ -699,7 +702,7 @@
         const bool cold = t.lastTo(id) == 1;
         sent[well] += k >= 40 && cold;
         t.pass(50);
-        t.end(id, cold && !well ? Result::Full : Result::Ok, 2);
+        t.end(id, cold && !well ? AttemptResult::Rejected : AttemptResult::Ok, 2);
       }
     }
   EXPECT_GT(sent[1], 3 * sent[0] / 2);
@@ -709,7 +712,7 @@
 // its part.
 TEST(Cold, FewProxiesThatAskSeldomAreNotKeptOut) {
   Settings s = settings();
-  s.balancers = 3;
+  s.proxyCount = 3;
   int sent[2] = {0, 0};
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Bench t(s, 1, seed);
@@ -734,10 +737,10 @@
       const bool write = k % 2 == 0;
       const RequestId id = t.ask(write ? kWrite : kAny);
       if (t.sends(id).empty()) continue;
-      const MemberId to = t.lastTo(id);
+      const EndpointId to = t.lastTo(id);
       reads += !write && to == 1;
       t.pass(5);
-      t.end(id, Result::Ok, t.note(0, to == 2 ? 1 : 2));
+      t.end(id, AttemptResult::Ok, t.note(0, to == 2 ? 1 : 2));
     }
   }
   EXPECT_GT(reads, 20);
@@ -769,7 +772,7 @@
     const bool went = !t.sends(id).empty();
     sent[write] += went;
     t.pass(5);
-    if (went) t.end(id, Result::Ok, t.note(0, 1));
+    if (went) t.end(id, AttemptResult::Ok, t.note(0, 1));
   }
   EXPECT_GE(sent[1], asked[1] / 2);
   EXPECT_GT(sent[0], 0);
@@ -779,9 +782,9 @@
 // many calls have failed and however long the settings let a proxy go without asking.
 TEST(Discovery, PausesAfterFailedCallsStayShort) {
   Settings s = settings();
-  s.discovery = Discovery::Subscribe;
-  s.mustAskIn = seconds(60);
-  s.balancers = 300;
+  s.discoveryMode = DiscoveryMode::Subscribe;
+  s.discoveryPollDeadline = seconds(60);
+  s.proxyCount = 300;
   Bench t(s);
   Time longest{};
   for (int k = 0; k < 40; ++k) {
@@ -798,7 +801,7 @@
 // Found on the bench (istanbul-main-later big-2: the busiest server at 12 times the mean): all routers began
 // with the same member.
 TEST(Herd, RoutersStartAtDifferentMembers) {
-  std::set<MemberId> first;
+  std::set<EndpointId> first;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Bench t(settings(), 3, seed);
     first.insert(t.lastTo(t.ask(kAny)));
@@ -813,18 +816,18 @@
   for (int k = 0; k < 60; ++k) {
     const RequestId id = t.ask(kAny);
     t.pass(300);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   int failed = 0, again = 0;
   for (int k = 0; k < 20; ++k) {
     const RequestId id = t.ask(kAny);
     if (t.sends(id).empty()) continue;  // members were set aside
     t.pass(160);                        // more than at once: work was done
-    t.end(id, Result::Error, 2);
+    t.end(id, AttemptResult::Error, 2);
     ++failed;
     if (t.sends(id).size() < 2) continue;
     ++again;
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   EXPECT_GE(again, 1);
   EXPECT_LE(again, 1 + failed / 5);
@@ -857,22 +860,22 @@
 // ankara-schools-later: most routers see a member's queue in its reports only.
 TEST(Asking, TheLessLoadedOfTwoIsChosenByTheirReports) {
   Settings s = settings();
-  s.checks = Checks::Refuse;
-  s.figures = {Figure::Position, Figure::Primary, Figure::Inflight};
+  s.laggingReplicaPolicy = LaggingReplicaPolicy::Reject;
+  s.reportFields = {ReportField::Position, ReportField::Primary, ReportField::Inflight};
   Bench t(s);
   t.teachPrimary(3);
   const RequestId warm = t.ask(kAny);
-  const auto tell = [&](MemberId m, float held) {
-    Probe p;
-    p.member = m;
+  const auto tell = [&](EndpointId m, float held) {
+    HealthCheckResult p;
+    p.endpoint = m;
     p.ok = true;
-    p.report = {static_cast<float>(std::chrono::duration<double>(t.now - s.zero).count()), 0, held};
+    p.report = {static_cast<float>(std::chrono::duration<double>(t.now - s.positionEpoch).count()), 0, held};
     t.b.probed(t.now, p);
   };
   tell(1, 0);
   tell(2, 0);
   t.pass(100);
-  t.end(warm, Result::Ok, 2);
+  t.end(warm, AttemptResult::Ok, 2);
   t.pass(2000);
   const RequestId id = t.ask(kAny);
   ASSERT_TRUE(t.sends(id).empty());
@@ -887,21 +890,21 @@
   for (int k = 0; k < 30; ++k) {
     const RequestId id = t.ask(kAny);
     t.pass(20);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   const RequestId lost = t.ask(kAny);
-  const MemberId member = t.lastTo(lost);
+  const EndpointId member = t.lastTo(lost);
   t.run(110);
   t.report(member, 10);
   t.run(30);
   EXPECT_EQ(t.out.of("cancel", lost).size(), 1u);
-  t.end(lost, Result::Cancelled);
+  t.end(lost, AttemptResult::Cancelled);
   EXPECT_NE(t.lastTo(lost), member);
-  std::set<MemberId> met;
+  std::set<EndpointId> met;
   for (int k = 0; k < 6; ++k) {
     const RequestId id = t.ask(kAny);
     met.insert(t.lastTo(id));
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   EXPECT_EQ(met.count(member), 1u) << "it serves on";
 }
@@ -915,11 +918,11 @@
   for (int k = 0; k < 3; ++k) first.push_back(t.ask(kBounded));
   for (const RequestId id : first) {  // three in a row set the replica aside
     ASSERT_EQ(t.lastTo(id), 2u);
-    t.end(id, Result::Error, t.note(0, 2));
+    t.end(id, AttemptResult::Error, t.note(0, 2));
   }
   t.pass(100);
   ASSERT_EQ(t.lastTo(first[0]), 1u);
-  t.end(first[0], Result::Ok, t.note(0, 1));
+  t.end(first[0], AttemptResult::Ok, t.note(0, 1));
   t.report(2, 10);
   int atPrimary = 0, atReplica = 0;
   for (int k = 0; k < 30 && atReplica == 0; ++k) {
@@ -935,16 +938,16 @@
   Bench t;
   t.teachPrimary(1);
   const RequestId id = t.ask(kAny);
-  const MemberId busy = t.lastTo(id);
-  const MemberId quiet = busy == 2 ? 3 : 2;
+  const EndpointId busy = t.lastTo(id);
+  const EndpointId quiet = busy == 2 ? 3 : 2;
   t.b.list(t.now, ListKind::Delta,
            {Bench::entry(quiet, Lifecycle::Gone), Bench::entry(busy, Lifecycle::Gone)});
   t.pass(9000);
   EXPECT_TRUE(t.b.forget(t.now).empty());
   t.pass(1000);
-  EXPECT_EQ(t.b.forget(t.now), std::vector<MemberId>{quiet});
-  t.end(id, Result::Ok, 2);
-  EXPECT_EQ(t.b.forget(t.now), std::vector<MemberId>{busy});
+  EXPECT_EQ(t.b.forget(t.now), std::vector<EndpointId>{quiet});
+  t.end(id, AttemptResult::Ok, 2);
+  EXPECT_EQ(t.b.forget(t.now), std::vector<EndpointId>{busy});
   t.report(quiet, 0);  // late: ignored
   t.b.list(t.now, ListKind::Delta, {Bench::entry(quiet)});
   t.pass(20000);
@@ -958,14 +961,14 @@
   for (int k = 0; k < 6; ++k) {
     const RequestId id = t.ask(kWrite);
     ASSERT_EQ(t.lastTo(id), 1u) << k;
-    t.end(id, Result::Error, t.note(0, 1));
+    t.end(id, AttemptResult::Error, t.note(0, 1));
     t.pass(1);
   }
   // One whose connection fails is gone, and gets nothing for a while.
   const RequestId last = t.ask(kWrite);
-  t.end(last, Result::ConnectFailed);
-  Probe refused;
-  refused.member = 1;
+  t.end(last, AttemptResult::ConnectFailed);
+  HealthCheckResult refused;
+  refused.endpoint = 1;
   t.b.probed(t.now, refused);
   const RequestId next = t.ask(kWrite);
   EXPECT_NE(t.lastTo(next), 1u);
@@ -975,13 +978,13 @@
   t.teachPrimary(1);
   const RequestId first = t.ask(kBounded);
   t.pass(40);
-  t.end(first, Result::Ok, t.note(0, 1));
+  t.end(first, AttemptResult::Ok, t.note(0, 1));
   const RequestId id = t.ask(kBounded);
   for (int k = 0; k < 5; ++k) {
     ASSERT_EQ(t.sends(id).size(), static_cast<std::size_t>(k + 1));
-    t.end(id, Result::Error, t.note(0, 1));  // at once: it draws on no purse
+    t.end(id, AttemptResult::Error, t.note(0, 1));  // at once: it draws on no purse
   }
-  t.end(id, Result::Ok, t.note(0, 1));
+  t.end(id, AttemptResult::Ok, t.note(0, 1));
   EXPECT_FALSE(t.finalAnswer(id));
 }
 // muscat-guides, replicas that lag: two that got no sends stayed next in turn and were the only ones asked,
@@ -989,7 +992,7 @@
 TEST(Asking, LaggardsThatWereAskedInVainLetTheOthersBeAsked) {
   Bench t(settings(), 5);
   t.teachPrimary(1);
-  std::set<MemberId> asked;
+  std::set<EndpointId> asked;
   for (int k = 0; k < 4; ++k) {
     t.pass(1000);
     const std::size_t before = t.out.all.size();
@@ -1000,7 +1003,7 @@
         asked.insert(a.member);
         t.report(a.member, a.member <= 3 ? 5000 : 10, a.member == 1);
       }
-    if (!t.sends(id).empty()) t.end(id, Result::Ok, t.note(10, t.lastTo(id) == 1 ? 1 : 2));
+    if (!t.sends(id).empty()) t.end(id, AttemptResult::Ok, t.note(10, t.lastTo(id) == 1 ? 1 : 2));
   }
   EXPECT_GT(asked.count(4) + asked.count(5), 0u);
 }
@@ -1013,8 +1016,8 @@
   t.pass(30);
   t.report(probes[1].member, 10);
   EXPECT_EQ(t.lastTo(id), probes[1].member);
-  Probe p;
-  p.member = probes[0].member;
+  HealthCheckResult p;
+  p.endpoint = probes[0].member;
   t.pass(220);
   t.b.probed(t.now, p);
   for (int k = 0; k < 5; ++k) EXPECT_NE(t.lastTo(t.ask(kAny)), probes[0].member);
@@ -1022,7 +1025,7 @@
 TEST(Idle, ARouterWithNothingOutSetsNoTimer) {
   Bench t;
   const RequestId id = t.ask(kAny);
-  t.end(id, Result::Ok, 2);
+  t.end(id, AttemptResult::Ok, 2);
   t.run(100);
   const std::size_t before = t.out.of("timer").size();
   t.run(5000);
@@ -1030,12 +1033,12 @@
 }
 TEST(Discovery, IsAskedAtTheStartAndAgainAfterAFailure) {
   Settings s = settings();
-  s.discovery = Discovery::Subscribe;
+  s.discoveryMode = DiscoveryMode::Subscribe;
   Bench t(s);
   EXPECT_EQ(t.out.of("subscribe").size(), 1u);
   t.b.list(t.now, ListKind::Failed, {});
   const Action again = t.out.of("timer").back();
-  EXPECT_LT(again.time, s.mustAskIn / 4);
+  EXPECT_LT(again.time, s.discoveryPollDeadline / 4);
   t.now += again.time;
   t.b.timer(t.now, again.token);
   EXPECT_EQ(t.out.of("subscribe").size(), 2u);
@@ -1046,10 +1049,10 @@
 }
 TEST(Discovery, AnUnansweredCallIsRepeatedBeforeItIsTooLate) {
   Settings s = settings();
-  s.discovery = Discovery::Subscribe;
+  s.discoveryMode = DiscoveryMode::Subscribe;
   Bench t(s);
   const Action guard = t.out.of("timer").back();
-  EXPECT_LT(guard.time, s.mustAskIn);
+  EXPECT_LT(guard.time, s.discoveryPollDeadline);
   t.now += guard.time;
   t.b.timer(t.now, guard.token);
   EXPECT_EQ(t.out.of("subscribe").size(), 2u);
@@ -1063,7 +1066,7 @@
   for (int k = 0; k < 20; ++k) {
     const RequestId id = t.ask(kAny);
     t.pass(100);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   int refused = 0;
   for (int k = 0; k < 200; ++k) refused += t.finalAnswer(t.ask(kAny));
@@ -1074,19 +1077,19 @@
 // Incident i1a9b26: a share of the attempts was never answered; each counted as load for seconds.
 TEST(Refusals, AttemptsThatWereOvertakenLongAgoAreNoLoad) {
   Settings s = settings();
-  s.cancel = false;
+  s.cancelAllowed = false;
   Bench t(s, 1);
   for (int k = 0; k < 20; ++k) {
     const RequestId id = t.ask(kAny);
     t.pass(20);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
   }
   for (int k = 0; k < 12; ++k) {
     t.ask(kAny);  // lost
     const RequestId id = t.ask(kAny);
     ASSERT_EQ(t.sends(id).size(), 1u) << k;
     t.pass(20);
-    t.end(id, Result::Ok, 2);
+    t.end(id, AttemptResult::Ok, 2);
     t.pass(130);
   }
 }
@@ -1095,9 +1098,9 @@
     Bench t;
     for (int k = 0; k < 50; ++k) {
       const RequestId id = t.ask(k % 4);
-      t.report(static_cast<MemberId>(k % 3 + 1), k, k % 7 == 0);
+      t.report(static_cast<EndpointId>(k % 3 + 1), k, k % 7 == 0);
       t.run(15);
-      if (!t.sends(id).empty()) t.end(id, k % 5 ? Result::Ok : Result::Error, 2);
+      if (!t.sends(id).empty()) t.end(id, k % 5 ? AttemptResult::Ok : AttemptResult::Error, 2);
     }
     std::string s;
     for (const Action& a : t.out.all)
@@ -1132,22 +1135,23 @@
   const RequestId id = t.ask(kWrite);
   ASSERT_EQ(t.lastTo(id), 3u);
   t.pass(10);
-  t.end(id, Result::Miss, t.note(0, 2));            // it says itself that it is none
-  t.b.heard(t.now, 3, t.note(30, 1), -1, Time(0));  // from before
+  t.end(id, AttemptResult::TooStale, t.note(0, 2));  // it says itself that it is none
+  t.b.heard(t.now, 3, t.note(30, 1), -1, Time(0));   // from before
   t.pass(5);
   EXPECT_NE(t.lastTo(t.ask(kWrite)), 3u);
 }
 TEST(Heard, AMemberThatNobodyHearsOfIsAskedByAllRoutersTogetherNotByEach) {
   Settings s = settings();
-  s.balancers = 100;
+  s.proxyCount = 100;
   Bench t(s);
   for (int k = 0; k < 400; ++k) {  // 2 s
     t.b.heard(t.now, 2, t.note(20, 2), 0, milliseconds(5));
     const RequestId id = t.ask(kBounded);
     ASSERT_EQ(t.lastTo(id), 2u);
     t.pass(5);
-    t.end(id, Result::Ok, t.note(1, 2));
-    for (const MemberId m : {MemberId(1), MemberId(3)}) t.report(m, 3000);  // lags: a probe proves nothing
+    t.end(id, AttemptResult::Ok, t.note(1, 2));
+    for (const EndpointId m : {EndpointId(1), EndpointId(3)})
+      t.report(m, 3000);  // lags: a probe proves nothing
   }
   EXPECT_LE(t.out.of("probe").size(), 6u) << "one in 40 ms by 100 routers: one in 2 to 6 s by each, of each";
 }
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -24,7 +24,7 @@
 
 // A primary answers each 100 ms from `from` to `to`; its position's offset to the monotonic scale is
 // `offset`.
-void primaryAnswers(ReferenceClock& clock, Time from, Time to, Time offset, MemberId server = 1) {
+void primaryAnswers(ReferenceClock& clock, Time from, Time to, Time offset, EndpointId server = 1) {
   for (Time sent = from; sent < to; sent += milliseconds(100)) {
     const Time received = sent + kRoundTrip;
     clock.primaryAnswered(server, sent + kRoundTrip / 2 + offset, sent, received);
@@ -79,7 +79,7 @@
 TEST(ReferenceClock, OneServerWithAWrongClockIsOutvoted) {
   for (const Time wrong : {Time(hours(1)), -Time(hours(1))}) {
     ReferenceClock clock;
-    for (const MemberId server : {2, 3}) primaryAnswers(clock, seconds(1), seconds(3), Time(0), server);
+    for (const EndpointId server : {2, 3}) primaryAnswers(clock, seconds(1), seconds(3), Time(0), server);
     primaryAnswers(clock, seconds(3), seconds(6), wrong, 1);
     EXPECT_EQ(clock.offset(), Time(0));
   }
@@ -102,32 +102,32 @@
 // ---- the engine ------------------------------------------------------------------------------------------
 constexpr Time kTrueStart = hours(24 * 365 * 56);  // on the data servers' clocks, which are right
 constexpr Time kTick = milliseconds(10);
-constexpr MemberId kPrimary = 1, kReplica = 2;
+constexpr EndpointId kPrimary = 1, kReplica = 2;
 constexpr Time kBound = seconds(5);  // of the configuration's class 0
 constexpr Time kWarmUp = seconds(18);
 constexpr int kRead = 0, kWrite = 1;
 
-struct CountingRequester : Requester {
+struct CountingRequester : ResponseHandler {
   int answers = 0, refusals = 0, failures = 0;
   void served(Answer) override { ++answers; }
-  void refused(Time) override { ++refusals; }
+  void rejected(Time) override { ++refusals; }
   void failed() override { ++failures; }
 };
 
 // A primary, a replica that may stop applying, and an engine whose wall clock is off by `wallError`.
 class World {
  public:
-  explicit World(Time wallError, std::vector<Instance> known = {},
-                 balancer::Need readNeed = balancer::Need::Bounded)
+  explicit World(Time wallError, std::vector<DiscoveredEndpoint> known = {},
+                 balancer::Requirement readNeed = balancer::Requirement::BoundedStaleness)
       : wallError_(wallError) {
-    config_.settings.classes[kRead].need = readNeed;
+    config_.settings.classes[kRead].requirement = readNeed;
     if (!known.empty()) config_.known.instances = std::move(known);
     ClockSource source;
     source.wall = [this] { return now_ + wallError_; };
     source.steady = [this] { return now_ - kTrueStart + seconds(100); };
     engine_ = std::make_unique<Engine>(base_.get(), config_, source);
     engine_->start(members_, lists_);
-    engine_->turn();
+    engine_->runTurn();
   }
 
   void stepWall(Time error) { wallError_ = error; }
@@ -139,15 +139,16 @@
   const Config& config() const { return config_; }
   Time now() const { return now_; }
 
-  void list(InstanceList list) {
-    engine_->listed(std::move(list));
-    engine_->turn();
+  void list(EndpointList list) {
+    engine_->endpointsListed(std::move(list));
+    engine_->runTurn();
   }
   // `after`: Unix time of the session's last write; 0: none.
   RequestId ask(CountingRequester& asker, int cls, Time after = Time(0)) {
     balancer::Request q;
-    if (after > Time(0)) q.tokenMs = static_cast<float>((engine_->unixNow() - after).count()) / 1e3f;
-    q.cls = cls;
+    if (after > Time(0))
+      q.sessionTokenAgeMs = static_cast<float>((engine_->unixNow() - after).count()) / 1e3f;
+    q.classIndex = cls;
     q.group = 3;
     q.deadline = engine_->now() + config_.settings.classes[static_cast<std::size_t>(cls)].deadline;
     Message message{newBuffer(), newBuffer(), nullptr, {}, {}};
@@ -167,7 +168,7 @@
       answerSends();
       if (ticks_ % 5 == 0) ask(traffic, kRead);
       if (ticks_ % 30 == 0) ask(traffic, kWrite);
-      engine_->turn();
+      engine_->runTurn();
       lookAtSends();
     }
   }
@@ -178,30 +179,30 @@
   Time oldestRead{};
 
  private:
-  Time positionOf(MemberId member) const { return member == kPrimary ? now_ : replicaPosition_; }
+  Time positionOf(EndpointId member) const { return member == kPrimary ? now_ : replicaPosition_; }
   void answerProbes() {
-    const std::vector<MemberId> probes = std::move(members_.probes);
+    const std::vector<EndpointId> probes = std::move(members_.probes);
     members_.probes.clear();
-    for (const MemberId member : probes) {
+    for (const EndpointId member : probes) {
       if (member == kPrimary && !primaryUp_)
-        engine_->probed(member, false, {});
+        engine_->healthCheckEnded(member, false, {});
       else
-        engine_->probed(
+        engine_->healthCheckEnded(
             member, true,
             {static_cast<double>(positionOf(member).count()) / 1e6, member == kPrimary ? 1.0 : 0.0, 0.0});
     }
   }
   void answerSends() {
     for (const test::FakeMembers::Sent& sent : pending_) {
-      Ending ending;
+      AttemptEnd ending;
       const bool reset = sent.member == kPrimary && !primaryUp_;
-      ending.result = reset ? Result::Reset : Result::Ok;
+      ending.result = reset ? AttemptResult::Reset : AttemptResult::Ok;
       if (!reset) {
         ending.role = sent.member == kPrimary ? Role::Primary : Role::Replica;
         ending.positionMs = positionOf(sent.member).count() / 1000;
         ending.answer.messages = newBuffer();
       }
-      engine_->ended(sent.id, sent.attempt, sent.member, std::move(ending));
+      engine_->attemptEnded(sent.id, sent.attempt, sent.member, std::move(ending));
     }
     pending_.clear();
   }
@@ -319,7 +320,7 @@
   for (const bool decidedBefore : {false, true}) {
     SCOPED_TRACE(decidedBefore ? "it waits in the module"
                                : "its age was counted, the module has not seen it");
-    World world(hours(1), {}, balancer::Need::Session);
+    World world(hours(1), {}, balancer::Requirement::Session);
     world.run(milliseconds(500));
     world.replicaApplies(false);
     world.run(milliseconds(200));
@@ -341,14 +342,14 @@
 }
 
 // ---- starts ----------------------------------------------------------------------------------------------
-Instance serverStarted(const World& world, Time at) {
-  Instance i = world.config().known.instances[1];
+DiscoveredEndpoint serverStarted(const World& world, Time at) {
+  DiscoveredEndpoint i = world.config().known.instances[1];
   i.name = "s-3";
   i.startedMs = at.count() / 1000;
   return i;
 }
-std::vector<Instance> knownWithStart(Time at) {
-  std::vector<Instance> known = parseConfig(test::configuration({}, 1, {11, 12})).known.instances;
+std::vector<DiscoveredEndpoint> knownWithStart(Time at) {
+  std::vector<DiscoveredEndpoint> known = parseConfig(test::configuration({}, 1, {11, 12})).known.instances;
   known[1].startedMs = at.count() / 1000;
   return known;
 }
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -34,27 +34,27 @@
 Settings coldSettings(const Plan& p) {
   Settings s = settings();
   s.classes.resize(1);
-  s.classes[0].bound = milliseconds(200);
-  s.classes[0].aim = milliseconds(400);
+  s.classes[0].maxStaleness = milliseconds(200);
+  s.classes[0].latencyObjective = milliseconds(400);
   s.classes[0].deadline = milliseconds(1200);
   ClassSettings write = s.classes[0];
-  write.need = Need::Write;
-  write.effect = Effect::Keyed;
-  write.scope = KeyScope::Group;
-  write.memory = seconds(2);
-  write.worth = 6;
-  write.lateWorth = 0.5;
-  write.aim = seconds(1);
+  write.requirement = Requirement::Write;
+  write.idempotency = Idempotency::WithKey;
+  write.idempotencyScope = IdempotencyScope::Group;
+  write.deduplicationWindow = seconds(2);
+  write.priorityWeight = 6;
+  write.lateWeight = 0.5;
+  write.latencyObjective = seconds(1);
   write.deadline = seconds(3);
   s.classes.push_back(write);
-  s.figures = {Figure::Position, Figure::Primary, Figure::Inflight};
-  s.balancers = p.told > 0 ? p.told : p.routers;
+  s.reportFields = {ReportField::Position, ReportField::Primary, ReportField::Inflight};
+  s.proxyCount = p.told > 0 ? p.told : p.routers;
   s.positionsInAnswers = true;
-  s.attemptsCap = 8;
-  s.coldFor = seconds(12);
-  s.fallFor = milliseconds(1500);
-  s.fallMultiple = p.fallMultiple;
-  s.startCapacity = 0.21;
+  s.maxAttempts = 8;
+  s.warmUpPeriod = seconds(12);
+  s.overloadWindow = milliseconds(1500);
+  s.overloadFactor = p.fallMultiple;
+  s.warmUpStartCapacity = 0.21;
   return s;
 }
 
@@ -72,11 +72,11 @@
   };
 
   Fleet(const Plan& p, std::uint64_t seed) : plan(p), s(coldSettings(p)), random_(seed) {
-    capacity_ = p.budget / (p.fallMultiple * s.startCapacity * 1.5);
+    capacity_ = p.budget / (p.fallMultiple * s.warmUpStartCapacity * 1.5);
     slots_ = std::max(1, static_cast<int>(capacity_ * 0.06));
     for (int g = 0; g < p.groups; ++g)
       for (int k = 0; k < p.each; ++k) {
-        const auto id = static_cast<MemberId>(g * p.each + k + 1);
+        const auto id = static_cast<EndpointId>(g * p.each + k + 1);
         servers[id].group = static_cast<GroupId>(g + 1);
         servers[id].primary = k == 0;
         all_.push_back(entry(id));
@@ -88,18 +88,18 @@
       weights_.push_back(k % 7 == 0 ? 5 : k % 3 == 0 ? 0.3 : 1);
     }
   }
-  ListedMember entry(MemberId id, Lifecycle state = Lifecycle::Ready) const {
-    ListedMember m = Bench::entry(id, state, servers.at(id).started);
+  ListedEndpoint entry(EndpointId id, Lifecycle state = Lifecycle::Ready) const {
+    ListedEndpoint m = Bench::entry(id, state, servers.at(id).started);
     m.group = servers.at(id).group;
     return m;
   }
   // One of each group starts anew, all of it is told at once.
   void start() {
-    std::vector<ListedMember> delta;
+    std::vector<ListedEndpoint> delta;
     for (auto& [id, x] : servers) {
-      const bool first = (id - 1) % static_cast<MemberId>(plan.each) == 0,
-                 last = (id - 1) % static_cast<MemberId>(plan.each) >=
-                        static_cast<MemberId>(plan.each - plan.warming);
+      const bool first = (id - 1) % static_cast<EndpointId>(plan.each) == 0,
+                 last = (id - 1) % static_cast<EndpointId>(plan.each) >=
+                        static_cast<EndpointId>(plan.each - plan.warming);
       const bool anew = plan.all || (plan.primaries ? first : last);
       if (anew) {
         x.started = now;
@@ -130,32 +130,32 @@
   const Plan plan;
   Settings s;
   Time now = seconds(1100);
-  std::map<MemberId, Server> servers;
+  std::map<EndpointId, Server> servers;
   int asked[2] = {0, 0}, served[2] = {0, 0};
 
  private:
-  struct Router : Sink {
+  struct Router : ActionSink {
     Router(Fleet& f, std::uint64_t seed) : fleet(f), b(f.s, seed, *this) {}
-    void send(RequestId id, MemberId m, Time until) override {
+    void send(RequestId id, EndpointId m, Time until) override {
       const int attempt = attempts[id]++;
       fleet.at(fleet.now + milliseconds(1),
                [this, id, attempt, m, until] { fleet.take(*this, id, attempt, m, until); });
     }
-    void refuse(RequestId id, Time) override { fleet.turnedAway(id); }
+    void reject(RequestId id, Time) override { fleet.turnedAway(id); }
     void fail(RequestId id) override { fleet.turnedAway(id); }
     void cancel(RequestId id, int attempt) override {
-      fleet.at(fleet.now, [this, id, attempt] { fleet.end(*this, id, attempt, Result::Cancelled); });
+      fleet.at(fleet.now, [this, id, attempt] { fleet.end(*this, id, attempt, AttemptResult::Cancelled); });
     }
-    void timer(Time in, std::uint64_t token) override {
+    void scheduleTimer(Time in, std::uint64_t token) override {
       fleet.at(fleet.now + in, [this, token] { b.timer(fleet.now, token); });
     }
-    void probe(MemberId m) override {
+    void startHealthCheck(EndpointId m) override {
       fleet.at(fleet.now + milliseconds(3), [this, m] {
         const Server& x = fleet.servers[m];
-        Probe p;
-        p.member = m;
+        HealthCheckResult p;
+        p.endpoint = m;
         p.ok = true;
-        p.report = {static_cast<float>((fleet.now - fleet.s.zero).count()) / 1e6f - 0.01f,
+        p.report = {static_cast<float>((fleet.now - fleet.s.positionEpoch).count()) / 1e6f - 0.01f,
                     x.primary ? 1.f : 0.f, static_cast<float>(x.busy) + static_cast<float>(x.queue.size())};
         b.probed(fleet.now, p);
       });
@@ -167,7 +167,7 @@
     std::map<RequestId, int> attempts;
   };
   struct Out {
-    MemberId member;
+    EndpointId member;
     int cls;
   };
   struct Event {
@@ -185,12 +185,12 @@
   void ask(std::size_t who, int cls, GroupId group, int again) {
     Request q;
     q.id = ++lastId_;
-    q.cls = cls;
+    q.classIndex = cls;
     q.group = group;
     tries_[q.id] = {who, cls, group, again};
-    q.deadline = now + s.classes[static_cast<std::size_t>(q.cls)].deadline;
-    classes_[q.id] = q.cls;
-    ++asked[q.cls];
+    q.deadline = now + s.classes[static_cast<std::size_t>(q.classIndex)].deadline;
+    classes_[q.id] = q.classIndex;
+    ++asked[q.classIndex];
     routers_[who]->b.request(now, q);
   }
   void turnedAway(RequestId id) {
@@ -201,30 +201,31 @@
   double share(const Server& x, Time when) const {
     if (x.started == Time(0)) return 1;
     const double age =
-        static_cast<double>((when - x.started).count()) / static_cast<double>(s.coldFor.count());
-    return std::min(1.0, s.startCapacity + (1 - s.startCapacity) * std::max(age, 0.0));
+        static_cast<double>((when - x.started).count()) / static_cast<double>(s.warmUpPeriod.count());
+    return std::min(1.0, s.warmUpStartCapacity + (1 - s.warmUpStartCapacity) * std::max(age, 0.0));
   }
-  void take(Router& r, RequestId id, int attempt, MemberId to, Time until) {
+  void take(Router& r, RequestId id, int attempt, EndpointId to, Time until) {
     Server& x = servers[to];
     ++x.arrived;
     x.writes += classes_[id];
-    if (x.started != Time(0) && now < x.started + s.coldFor) {
+    if (x.started != Time(0) && now < x.started + s.warmUpPeriod) {
       x.window.push_back(now);
-      while (x.window.front() < now - s.fallFor) x.window.pop_front();
+      while (x.window.front() < now - s.overloadWindow) x.window.pop_front();
       // What it could do in the window that ends now, which for the first one is shorter.
-      const Time from = std::max(x.started, now - s.fallFor);
+      const Time from = std::max(x.started, now - s.overloadWindow);
       const double mean = (share(x, from) + share(x, now)) / 2;
-      const double n = s.fallMultiple * capacity_ * mean * 1.5, calls = static_cast<double>(x.window.size());
+      const double n = s.overloadFactor * capacity_ * mean * 1.5,
+                   calls = static_cast<double>(x.window.size());
       const double worst = calls / (n + 2 * std::sqrt(n) + 2);
       if (worst > x.worst) x.worst = worst, x.mostCalls = calls, x.thatBudget = n;
     }
     out_[{id, attempt}] = {to, classes_[id]};
-    at(std::max(until, now), [this, &r, id, attempt] { end(r, id, attempt, Result::Timeout); });
+    at(std::max(until, now), [this, &r, id, attempt] { end(r, id, attempt, AttemptResult::Timeout); });
     for (std::size_t k = 0; k < routers_.size(); ++k)
       if (routers_[k].get() == &r) x.queue.push_back({static_cast<int>(k), {id, attempt}});
     serve(to);
   }
-  void serve(MemberId id) {
+  void serve(EndpointId id) {
     Server& x = servers[id];
     while (x.busy < slots_ && !x.queue.empty()) {
       const auto [router, key] = x.queue.front();
@@ -236,35 +237,36 @@
       at(now + Time(static_cast<std::int64_t>(took * 1e6) + 1), [this, id, router = router, key = key] {
         --servers[id].busy;
         if (out_.count(key) > 0)
-          end(*routers_[static_cast<std::size_t>(router)], key.first, key.second, Result::Ok);
+          end(*routers_[static_cast<std::size_t>(router)], key.first, key.second, AttemptResult::Ok);
         serve(id);
       });
     }
   }
-  void end(Router& r, RequestId id, int attempt, Result result) {
+  void end(Router& r, RequestId id, int attempt, AttemptResult result) {
     const auto it = out_.find({id, attempt});
     if (it == out_.end()) return;
     const Out was = it->second;
     out_.erase(it);
     const Server& x = servers[was.member];
-    Outcome o;
+    AttemptOutcome o;
     o.request = id;
     o.attempt = attempt;
-    o.member = was.member;
+    o.endpoint = was.member;
     o.result = result;
-    if (result == Result::Ok && was.cls == 1 && !x.primary) o.result = Result::Miss;
-    if (result == Result::Ok)
-      o.note = static_cast<std::uint32_t>((now - milliseconds(5) - s.zero).count() / 1000) * 4 +
-               (x.primary ? 1 : 2);
-    served[was.cls] += o.result == Result::Ok;
-    o.closed = o.result == Result::Ok;
+    if (result == AttemptResult::Ok && was.cls == 1 && !x.primary) o.result = AttemptResult::TooStale;
+    if (result == AttemptResult::Ok)
+      o.replicationStatus =
+          static_cast<std::uint32_t>((now - milliseconds(5) - s.positionEpoch).count() / 1000) * 4 +
+          (x.primary ? 1 : 2);
+    served[was.cls] += o.result == AttemptResult::Ok;
+    o.clientAnswered = o.result == AttemptResult::Ok;
     r.b.outcome(now, o);
   }
 
   std::mt19937_64 random_;
   double capacity_ = 1;  // calls a second, warm
   int slots_ = 1;
-  std::vector<ListedMember> all_;
+  std::vector<ListedEndpoint> all_;
   std::vector<double> weights_;
   std::vector<std::unique_ptr<Router>> routers_;
   std::priority_queue<Event> events_;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -79,9 +79,9 @@
   EXPECT_EQ(c.known.instances[0].group, 3u);
   EXPECT_EQ(c.known.instances[1].address.text(), "[::1]:6002");
   const auto& write = c.settings.classes[1];
-  EXPECT_EQ(write.need, balancer::Need::Write);
-  EXPECT_EQ(write.memory, microseconds(2000000));
-  EXPECT_EQ(write.lateWorth, 0.5);
+  EXPECT_EQ(write.requirement, balancer::Requirement::Write);
+  EXPECT_EQ(write.deduplicationWindow, microseconds(2000000));
+  EXPECT_EQ(write.lateWeight, 0.5);
 
   // The defaults are those that the platform's settings state today.
   test::Setting limits;
@@ -94,24 +94,25 @@
   EXPECT_EQ(c.idleClose, j.idleClose);
   EXPECT_EQ(c.reportNames, j.reportNames);
   const auto &a = c.settings, &b = j.settings;
-  EXPECT_EQ(a.figures, b.figures);
-  EXPECT_EQ(a.checks, b.checks);
-  EXPECT_EQ(a.discovery, b.discovery);
-  EXPECT_EQ(a.reports, b.reports);
-  EXPECT_EQ(a.attemptsCap, b.attemptsCap);
+  EXPECT_EQ(a.reportFields, b.reportFields);
+  EXPECT_EQ(a.laggingReplicaPolicy, b.laggingReplicaPolicy);
+  EXPECT_EQ(a.discoveryMode, b.discoveryMode);
+  EXPECT_EQ(a.loadReportMode, b.loadReportMode);
+  EXPECT_EQ(a.maxAttempts, b.maxAttempts);
   EXPECT_EQ(a.drainGrace, b.drainGrace);
-  EXPECT_EQ(a.coldFor, b.coldFor);
-  EXPECT_EQ(a.fallFor, b.fallFor);
-  EXPECT_EQ(a.mustAskIn, b.mustAskIn);
+  EXPECT_EQ(a.warmUpPeriod, b.warmUpPeriod);
+  EXPECT_EQ(a.overloadWindow, b.overloadWindow);
+  EXPECT_EQ(a.discoveryPollDeadline, b.discoveryPollDeadline);
   EXPECT_EQ(a.maxRetryAfter, b.maxRetryAfter);
-  EXPECT_EQ(a.step, b.step);
-  EXPECT_EQ(a.startCapacity, b.startCapacity);
-  EXPECT_EQ(a.fallMultiple, b.fallMultiple);
-  EXPECT_EQ(a.goalWhole, b.goalWhole);
-  EXPECT_EQ(a.goalWorstClass, b.goalWorstClass);
+  EXPECT_EQ(a.timerResolution, b.timerResolution);
+  EXPECT_EQ(a.warmUpStartCapacity, b.warmUpStartCapacity);
+  EXPECT_EQ(a.overloadFactor, b.overloadFactor);
+  EXPECT_EQ(a.wholeServiceGoalWeight, b.wholeServiceGoalWeight);
+  EXPECT_EQ(a.worstClassGoalWeight, b.worstClassGoalWeight);
   EXPECT_EQ(a.positionsInAnswers, b.positionsInAnswers);
-  EXPECT_EQ(a.tokensCarried, b.tokensCarried);
-  EXPECT_EQ(a.probing && a.cancel && a.retryAfter, b.probing && b.cancel && b.retryAfter);
+  EXPECT_EQ(a.sessionTokensCarried, b.sessionTokensCarried);
+  EXPECT_EQ(a.healthChecksAllowed && a.cancelAllowed && a.retryAfterAllowed,
+            b.healthChecksAllowed && b.cancelAllowed && b.retryAfterAllowed);
 }
 
 TEST(Settings, FaultsNameFileLineKeyAndFix) {
@@ -263,8 +264,8 @@
 
 TEST(Members, AreShownAsATableAndAsJson) {
   const Config c = parseSettings(kGood, "f.ini");
-  Membership known;
-  std::vector<Instance> all = c.known.instances;
+  EndpointTable known;
+  std::vector<DiscoveredEndpoint> all = c.known.instances;
   all[1].state = balancer::Lifecycle::Draining;
   all[1].startedMs = 1767225600123;
   all[1].kind = "a\"\xff";
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -20,8 +20,8 @@
 namespace sablespur {
 namespace {
 
-using admin::Bans;
-using admin::Reader;
+using admin::CommandReader;
+using admin::SuspendedEndpoints;
 using admin::Verb;
 
 TEST(ControlLine, KnowsItsCallsAndNoOthers) {
@@ -45,18 +45,18 @@
 TEST(ControlLine, IsReadInPiecesOfAnySizeAndBounded) {
   const std::string call = "SUSPEND s-1\r\nSTATUS\n";
   for (std::size_t n = 1; n <= call.size(); ++n) {
-    Reader r;
-    Reader::State s = Reader::State::More;
+    CommandReader r;
+    CommandReader::State s = CommandReader::State::More;
     for (std::size_t at = 0; at < call.size(); at += n) s = r.feed(std::string_view(call).substr(at, n));
-    EXPECT_EQ(s, Reader::State::Line);
+    EXPECT_EQ(s, CommandReader::State::Line);
     EXPECT_EQ(r.line(), "SUSPEND s-1") << n;
   }
-  Reader half;
-  EXPECT_EQ(half.feed("STATU"), Reader::State::More);
-  Reader endless;
-  Reader::State s = Reader::State::More;
-  for (int k = 0; k < 1000 && s == Reader::State::More; ++k) s = endless.feed(std::string(10, 'x'));
-  EXPECT_EQ(s, Reader::State::TooLong);
+  CommandReader half;
+  EXPECT_EQ(half.feed("STATU"), CommandReader::State::More);
+  CommandReader endless;
+  CommandReader::State s = CommandReader::State::More;
+  for (int k = 0; k < 1000 && s == CommandReader::State::More; ++k) s = endless.feed(std::string(10, 'x'));
+  EXPECT_EQ(s, CommandReader::State::TooLong);
   EXPECT_LE(endless.line().size(), 2 * admin::kLongestLine);
 }
 TEST(ControlLine, AnAnswerIsOneLineWhateverItQuotes) {
@@ -74,17 +74,18 @@
   std::string folder, path;
 };
 TEST_F(BansTest, AFileThatWasCutAnywhereOrIsAnotherIsNone) {
-  const std::string good = admin::writeBans({"s-1", "s-2"});
-  ASSERT_TRUE(admin::readBans(good));
-  EXPECT_EQ(*admin::readBans(good), (std::set<std::string>{"s-1", "s-2"}));
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(admin::readBans(good.substr(0, n))) << n;
-  EXPECT_FALSE(admin::readBans(good + "more\n"));
-  EXPECT_TRUE(admin::readBans(admin::writeBans({})));
+  const std::string good = admin::formatSuspendedEndpoints({"s-1", "s-2"});
+  ASSERT_TRUE(admin::parseSuspendedEndpoints(good));
+  EXPECT_EQ(*admin::parseSuspendedEndpoints(good), (std::set<std::string>{"s-1", "s-2"}));
+  for (std::size_t n = 0; n < good.size(); ++n)
+    EXPECT_FALSE(admin::parseSuspendedEndpoints(good.substr(0, n))) << n;
+  EXPECT_FALSE(admin::parseSuspendedEndpoints(good + "more\n"));
+  EXPECT_TRUE(admin::parseSuspendedEndpoints(admin::formatSuspendedEndpoints({})));
   std::ofstream(path) << good.substr(0, good.size() / 2);
-  EXPECT_TRUE(Bans(path).all().empty());
+  EXPECT_TRUE(SuspendedEndpoints(path).all().empty());
 }
 TEST_F(BansTest, OutliveTheProcessAndReachTheOneBeside) {
-  Bans first(path), second(path);
+  SuspendedEndpoints first(path), second(path);
   EXPECT_TRUE(first.set("s-1", true));
   EXPECT_TRUE(first.set("s-1", true)) << "again is as once";
   EXPECT_TRUE(second.poll());
@@ -92,12 +93,13 @@
   EXPECT_FALSE(second.poll()) << "nothing new";
   EXPECT_TRUE(second.set("s-2", true));
   EXPECT_TRUE(first.set("s-1", false));
-  EXPECT_EQ(Bans(path).all(), std::set<std::string>{"s-2"}) << "each keeps what the other was told";
+  EXPECT_EQ(SuspendedEndpoints(path).all(), std::set<std::string>{"s-2"})
+      << "each keeps what the other was told";
   EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
             1);
 }
 TEST_F(BansTest, HoldInThisProcessWhereTheyCannotBeWritten) {
-  Bans b(folder + "/no/such/folder");
+  SuspendedEndpoints b(folder + "/no/such/folder");
   EXPECT_FALSE(b.set("s-1", true));
   EXPECT_EQ(b.all().count("s-1"), 1u);
 }
@@ -133,36 +135,37 @@
 };
 TEST_F(BansTest, AreDurableWithTheirNameWhenSetSaysSo) {
   const BanDisk disk;
-  Bans b(path);
+  SuspendedEndpoints b(path);
   EXPECT_TRUE(b.set("s-1", true));
   EXPECT_EQ(BanDisk::syncs, 2) << "the file and its folder";
-  EXPECT_EQ(Bans(path).all(), std::set<std::string>{"s-1"}) << "interrupted and short calls are no failure";
+  EXPECT_EQ(SuspendedEndpoints(path).all(), std::set<std::string>{"s-1"})
+      << "interrupted and short calls are no failure";
 }
 TEST_F(BansTest, ThatCouldNotBeWrittenLeaveTheEarlierFileAndAreWrittenOnceTheDiskIsBack) {
   const BanDisk disk;
-  Bans b(path);
+  SuspendedEndpoints b(path);
   ASSERT_TRUE(b.set("s-1", true));
   BanDisk::failing = true;
   EXPECT_FALSE(b.set("s-2", true));
   EXPECT_FALSE(b.set("s-2", true)) << "again is not yet as once";
   EXPECT_FALSE(b.allWritten());
   for (int k = 0; k < 100; ++k) EXPECT_FALSE(b.poll());
-  EXPECT_EQ(Bans(path).all(), std::set<std::string>{"s-1"});
+  EXPECT_EQ(SuspendedEndpoints(path).all(), std::set<std::string>{"s-1"});
   EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
             1)
       << "nothing half written is left";
   // The process beside writes: what is owed here stands beside what it says.
-  std::ofstream(path) << admin::writeBans({"s-1", "s-3"});
+  std::ofstream(path) << admin::formatSuspendedEndpoints({"s-1", "s-3"});
   EXPECT_TRUE(b.poll());
   EXPECT_EQ(b.all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
   BanDisk::failing = false;
   for (int k = 0; k < 30; ++k) b.poll();
   EXPECT_TRUE(b.allWritten());
-  EXPECT_EQ(Bans(path).all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
+  EXPECT_EQ(SuspendedEndpoints(path).all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
 }
 TEST_F(BansTest, AreTriedEverMoreRarelyWhileTheDiskFails) {
   const BanDisk disk;
-  Bans b(path);
+  SuspendedEndpoints b(path);
   BanDisk::failing = true;
   EXPECT_FALSE(b.set("s-1", true));
   int tries = 0;
@@ -181,21 +184,22 @@
   const std::size_t n = start.classes.size();
   ASSERT_EQ(start.classes[0], "read");
   Config read = start;
-  read.settings.attemptsCap = 1;
-  read.settings.classes[0].effect = balancer::Effect::Unsafe;  // stricter
+  read.settings.maxAttempts = 1;
+  read.settings.classes[0].idempotency = balancer::Idempotency::NonIdempotent;  // stricter
   read.classes.push_back("fresh");
   read.settings.classes.push_back(read.settings.classes[1]);
   adopt(running, read);
   ASSERT_EQ(running.classes.size(), running.settings.classes.size());
-  EXPECT_EQ(running.settings.attemptsCap, 1);
-  EXPECT_EQ(running.settings.classes[0].effect, start.settings.classes[0].effect) << "of requests under way";
+  EXPECT_EQ(running.settings.maxAttempts, 1);
+  EXPECT_EQ(running.settings.classes[0].idempotency, start.settings.classes[0].idempotency)
+      << "of requests under way";
   const auto place = [&](const std::string& name) {
     return static_cast<std::size_t>(std::find(running.classes.begin(), running.classes.end(), name) -
                                     running.classes.begin());
   };
   ASSERT_LT(place("read"), running.classes.size());
   EXPECT_GE(place("read"), n);
-  EXPECT_EQ(running.settings.classes[place("read")].effect, balancer::Effect::Unsafe);
+  EXPECT_EQ(running.settings.classes[place("read")].idempotency, balancer::Idempotency::NonIdempotent);
   EXPECT_EQ(place(start.classes[1]), 1u) << "what is as it was stays";
   EXPECT_LT(place("fresh"), running.classes.size());
   adopt(running, start);
@@ -207,7 +211,7 @@
   Config read = running;
   bool thrown = false;
   for (int k = 1; k < 3000 && !thrown; ++k) {
-    read.settings.classes[0].aim += Time(1);
+    read.settings.classes[0].latencyObjective += Time(1);
     const Config before = running;
     try {
       adopt(running, read);
@@ -215,7 +219,7 @@
       thrown = true;
       EXPECT_EQ(running.classes, before.classes);
       EXPECT_EQ(running.settings.classes.size(), before.settings.classes.size());
-      EXPECT_EQ(running.settings.classes[0].aim, before.settings.classes[0].aim);
+      EXPECT_EQ(running.settings.classes[0].latencyObjective, before.settings.classes[0].latencyObjective);
     }
   }
   EXPECT_TRUE(thrown);
@@ -296,7 +300,7 @@
   EXPECT_EQ(t.connectionsOf(2), connections) << "a connection is something new, too";
   EXPECT_EQ(say(t, "RESTORE s-2\n").substr(0, 7), "SUCCESS");
   t.run("s2 wait idle 2");
-  EXPECT_TRUE(Bans(folder + "/sablespur-bans-n0").all().empty());
+  EXPECT_TRUE(SuspendedEndpoints(folder + "/sablespur-bans-n0").all().empty());
 }
 TEST_F(ControlProgram, ABanThatIsNotOnDiskYetIsAnsweredAsSuchAndWrittenOnceItCanBe) {
   test::Scenario t(s);
@@ -304,12 +308,12 @@
   const std::string blocked = folder + "/sablespur-bans-n0." + std::to_string(t.pid());
   std::filesystem::create_directory(blocked);
   EXPECT_EQ(say(t, "SUSPEND s-2\n"), "SUCCESS s-2 suspended, in this process alone: not kept on disk yet\n");
-  t.run("s2 expect drained\nproxy expect log event=bans_unwritten");
+  t.run("s2 expect drained\nproxy expect log event=suspensions_write_failed");
   t.serveFor(std::chrono::milliseconds(900));
-  EXPECT_EQ(t.logged("event=bans_unwritten"), 1u);
+  EXPECT_EQ(t.logged("event=suspensions_write_failed"), 1u);
   std::filesystem::remove(blocked);
-  t.run("proxy expect log event=bans_written");
-  EXPECT_EQ(Bans(folder + "/sablespur-bans-n0").all(), std::set<std::string>{"s-2"});
+  t.run("proxy expect log event=suspensions_write_recovered");
+  EXPECT_EQ(SuspendedEndpoints(folder + "/sablespur-bans-n0").all(), std::set<std::string>{"s-2"});
 }
 TEST_F(ControlProgram, SilentCallersTakeNoOnesTurn) {
   test::Scenario t(s);
@@ -325,7 +329,7 @@
 }
 TEST_F(ControlProgram, ABanOutlivesTheProcessAndABrokenFileStartsItAllTheSame) {
   const std::string file = folder + "/sablespur-bans-n0";
-  std::ofstream(file) << admin::writeBans({"s-2"});
+  std::ofstream(file) << admin::formatSuspendedEndpoints({"s-2"});
   {
     test::Scenario t(s);
     t.run(kServedByFirst);
@@ -336,7 +340,7 @@
   std::ofstream(file) << "sablespur bans 1\ns-2\n";
   s.controlPort = freePort();
   test::Scenario t(s);
-  t.run("proxy expect log event=bans_unreadable\ns2 wait idle 2");
+  t.run("proxy expect log event=suspensions_unreadable\ns2 wait idle 2");
 }
 
 }  // namespace
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -71,21 +71,21 @@
 }
 
 // One proxy's decision module before many endpoints, each of which answers after 30 ms.
-class Proxy : Sink {
+class Proxy : ActionSink {
  public:
   Proxy(int endpoints, bool halfWarmingUp) : endpoints_(endpoints) {
     settings_ = settings();
-    settings_.coldFor = seconds(60);
-    settings_.balancers = 300;
-    balancer_ = std::make_unique<balancer::Balancer>(settings_, 1, static_cast<Sink&>(*this));
+    settings_.warmUpPeriod = seconds(60);
+    settings_.proxyCount = 300;
+    balancer_ = std::make_unique<balancer::Balancer>(settings_, 1, static_cast<ActionSink&>(*this));
     for (int k = 0; k < endpoints; ++k) {
       const bool warmingUp = halfWarmingUp && k % 2 == 1;
       list_.push_back(entry(k, Lifecycle::Ready, warmingUp ? now_ - seconds(1) : Time(0)));
     }
-    balancer_->list(now_, ListKind::Cached, list_);
+    balancer_->endpointsListed(now_, ListKind::Cached, list_);
   }
-  ListedMember entry(int index, Lifecycle state, Time started) const {
-    ListedMember m = Bench::entry(static_cast<MemberId>(index + 1), state, started);
+  ListedEndpoint entry(int index, Lifecycle state, Time started) const {
+    ListedEndpoint m = Bench::entry(static_cast<EndpointId>(index + 1), state, started);
     m.group = static_cast<GroupId>(index / kGroupSize);
     return m;
   }
@@ -95,20 +95,20 @@
       runUntil(now_ + milliseconds(50));
       Request q;
       q.id = ++lastId_;
-      q.cls = k % 5 == 0 ? kWrite : kAny;
+      q.classIndex = k % 5 == 0 ? kWrite : kAny;
       q.group = static_cast<GroupId>(static_cast<unsigned>(k) * 7919u %
                                      static_cast<unsigned>(endpoints_ / kGroupSize));
-      q.deadline = now_ + settings_.classes[static_cast<std::size_t>(q.cls)].deadline;
+      q.deadline = now_ + settings_.classes[static_cast<std::size_t>(q.classIndex)].deadline;
       balancer_->request(now_, q);
     }
   }
-  void listWhole() { balancer_->list(now_, ListKind::Full, list_); }
+  void listWhole() { balancer_->endpointsListed(now_, ListKind::Full, list_); }
   void listOneChangeAtATime(int changes) {
     for (int k = 0; k < changes; ++k)
-      balancer_->list(now_, ListKind::Delta, {entry(k, Lifecycle::Ready, now_)});
+      balancer_->endpointsListed(now_, ListKind::Delta, {entry(k, Lifecycle::Ready, now_)});
   }
   void housekeep(int times) {
-    for (int k = 0; k < times; ++k) balancer_->forget(now_);
+    for (int k = 0; k < times; ++k) balancer_->removeExpiredEndpoints(now_);
   }
   int served() const { return served_; }
 
@@ -129,33 +129,35 @@
     }
     now_ = end;
   }
-  void send(RequestId id, MemberId member, Time) override {
+  void send(RequestId id, EndpointId member, Time) override {
     after(milliseconds(30), [this, id, member, attempt = attempts_[id]++] {
-      Outcome o;
+      AttemptOutcome o;
       o.request = id;
       o.attempt = attempt;
-      o.member = member;
+      o.endpoint = member;
       const bool primary = (member - 1) % kGroupSize == 0;
-      o.note = static_cast<std::uint32_t>((now_ - settings_.zero) / milliseconds(1)) * 4 + (primary ? 1 : 2);
-      o.closed = true;
+      o.replicationStatus =
+          static_cast<std::uint32_t>((now_ - settings_.positionEpoch) / milliseconds(1)) * 4 +
+          (primary ? 1 : 2);
+      o.clientAnswered = true;
       ++served_;
-      balancer_->outcome(now_, o);
+      balancer_->attemptEnded(now_, o);
     });
   }
-  void refuse(RequestId, Time) override {}
+  void reject(RequestId, Time) override {}
   void fail(RequestId) override {}
   void cancel(RequestId, int) override {}
-  void timer(Time in, std::uint64_t token) override {
-    after(in, [this, token] { balancer_->timer(now_, token); });
+  void scheduleTimer(Time in, std::uint64_t token) override {
+    after(in, [this, token] { balancer_->timerFired(now_, token); });
   }
-  void probe(MemberId member) override {
+  void startHealthCheck(EndpointId member) override {
     after(milliseconds(3), [this, member] {
-      Probe p;
-      p.member = member;
+      HealthCheckResult p;
+      p.endpoint = member;
       p.ok = true;
-      p.report = {static_cast<float>((now_ - settings_.zero).count()) / 1e6f,
+      p.report = {static_cast<float>((now_ - settings_.positionEpoch).count()) / 1e6f,
                   (member - 1) % kGroupSize == 0 ? 1.f : 0.f};
-      balancer_->probed(now_, p);
+      balancer_->healthCheckEnded(now_, p);
     });
   }
   void subscribe() override {}
@@ -164,7 +166,7 @@
   const int endpoints_;
   Settings settings_;
   Time now_ = seconds(1100);
-  std::vector<ListedMember> list_;
+  std::vector<ListedEndpoint> list_;
   std::unique_ptr<balancer::Balancer> balancer_;
   std::priority_queue<Event> events_;
   std::map<RequestId, int> attempts_;
@@ -244,7 +246,7 @@
   return text + "]}\n";
 }
 
-InstanceList readInPieces(const std::string& text) {
+EndpointList readInPieces(const std::string& text) {
   constexpr std::size_t kPiece = 4096;
   ListStream stream;
   std::vector<std::string> whole;
@@ -252,7 +254,7 @@
   for (std::size_t at = 0; at < text.size(); at += kPiece)
     EXPECT_TRUE(stream.feed(std::string_view(text).substr(at, kPiece), whole, alive));
   EXPECT_EQ(whole.size(), 1u);
-  return parseInstances(whole.at(0));
+  return parseEndpointList(whole.at(0));
 }
 
 TEST(Cost, ReadingAListCostsInProportionToItsEndpoints) {
@@ -271,7 +273,7 @@
   for (const int endpoints : kEndpoints) {
     const std::string text = wholeList(endpoints);
     const double before = allocatedBytes();
-    const InstanceList list = readInPieces(text);
+    const EndpointList list = readInPieces(text);
     const double each = (allocatedBytes() - before) / endpoints;
     std::printf("cost: a list that was read, %d endpoints: %.0f bytes each\n", endpoints, each);
     if (first == 0) first = each;
@@ -281,27 +283,27 @@
 }
 
 // The engine between a way to the members that does nothing and no source of lists.
-struct NoMembers : Members {
+struct NoMembers : Backend {
   int forgotten = 0;
-  void listed(MemberId, const Address&, bool, Time) override {}
-  void send(RequestId, int, MemberId, Time, std::shared_ptr<const Message>) override {}
-  void start(RequestId, int, bool) override {}
+  void endpointListed(EndpointId, const Address&, bool, Time) override {}
+  void send(RequestId, int, EndpointId, Time, std::shared_ptr<const Message>) override {}
+  void continueAttempt(RequestId, int, bool) override {}
   void cancel(RequestId, int) override {}
-  void probe(MemberId) override {}
-  void forget(MemberId) override { ++forgotten; }
+  void startHealthCheck(EndpointId) override {}
+  void removeEndpoint(EndpointId) override { ++forgotten; }
 };
-struct NoLists : Lists {
+struct NoLists : DiscoverySource {
   void watch(std::uint64_t) override {}
 };
 struct ListedEngine {
-  explicit ListedEngine(const InstanceList& list) {
+  explicit ListedEngine(const EndpointList& list) {
     engine.start(members, lists);
-    engine.turn();
+    engine.runTurn();
     take(list);
   }
-  void take(const InstanceList& list) {
-    engine.listed(list);
-    engine.turn();
+  void take(const EndpointList& list) {
+    engine.endpointsListed(list);
+    engine.runTurn();
   }
   EventBase base{event_base_new()};
   Config config = parseConfig(test::configuration({}, 1, {11, 12}));
@@ -312,7 +314,7 @@
 
 TEST(Cost, TheEngineTakesAWholeListInProportionToItsEndpoints) {
   expectFlat("an endpoint of a whole list at the engine", [](int endpoints) {
-    const InstanceList list = parseInstances(wholeList(endpoints));
+    const EndpointList list = parseEndpointList(wholeList(endpoints));
     return leastMicroseconds([&] { return std::make_unique<ListedEngine>(list); },
                              [&](ListedEngine& e) { e.take(list); }) /
            endpoints;
@@ -321,19 +323,19 @@
 
 TEST(Cost, TheEngineForgetsEndpointsInProportionToTheirNumber) {
   expectFlat("an endpoint that is forgotten", [](int endpoints) {
-    const InstanceList list = parseInstances(wholeList(endpoints));
+    const EndpointList list = parseEndpointList(wholeList(endpoints));
     return leastMicroseconds(
                [&] {
                  auto e = std::make_unique<ListedEngine>(list);
-                 InstanceList none;
+                 EndpointList none;
                  none.generation = list.generation + 1;
                  none.reset = true;
                  e->take(none);
                  return e;
                },
                [&](ListedEngine& e) {
-                 e.engine.sweep(e.engine.now() + std::chrono::seconds(20));
-                 e.engine.turn();
+                 e.engine.removeExpired(e.engine.now() + std::chrono::seconds(20));
+                 e.engine.runTurn();
                  EXPECT_GE(e.members.forgotten, endpoints);
                }) /
            endpoints;
--- a/tests/decision_log.cpp
+++ b/tests/decision_log.cpp
@@ -109,16 +109,16 @@
   return "its decisions have changed: digest " + *recorded + ", the file has " + found->second;
 }
 
-class RecordingBalancer::RecordingSink final : public Sink {
+class RecordingBalancer::RecordingSink final : public ActionSink {
  public:
-  RecordingSink(int number, Sink& to) : number_(number), to_(to) {}
-  void send(RequestId id, MemberId member, Time until) override {
+  RecordingSink(int number, ActionSink& to) : number_(number), to_(to) {}
+  void send(RequestId id, EndpointId member, Time until) override {
     record("send", {as(id), as(member), until.count()});
     to_.send(id, member, until);
   }
-  void refuse(RequestId id, Time retryAfter) override {
+  void reject(RequestId id, Time retryAfter) override {
     record("refuse", {as(id), retryAfter.count()});
-    to_.refuse(id, retryAfter);
+    to_.reject(id, retryAfter);
   }
   void fail(RequestId id) override {
     record("fail", {as(id)});
@@ -128,13 +128,13 @@
     record("cancel", {as(id), attempt});
     to_.cancel(id, attempt);
   }
-  void timer(Time in, std::uint64_t token) override {
+  void scheduleTimer(Time in, std::uint64_t token) override {
     record("set-timer", {in.count(), as(token)});
-    to_.timer(in, token);
+    to_.scheduleTimer(in, token);
   }
-  void probe(MemberId member) override {
+  void startHealthCheck(EndpointId member) override {
     record("probe", {as(member)});
-    to_.probe(member);
+    to_.startHealthCheck(member);
   }
   void subscribe() override {
     record("subscribe", {});
@@ -152,14 +152,14 @@
   }
 
   const int number_;
-  Sink& to_;
+  ActionSink& to_;
 };
 
 namespace {
 std::int64_t as(std::uint64_t id) { return static_cast<std::int64_t>(id); }
 }  // namespace
 
-RecordingBalancer::RecordingBalancer(const Settings& settings, std::uint64_t seed, Sink& sink)
+RecordingBalancer::RecordingBalancer(const Settings& settings, std::uint64_t seed, ActionSink& sink)
     : number_(DecisionLog::current().addBalancer(seed)),
       sink_(std::make_shared<RecordingSink>(number_, sink)),
       balancer_(settings, seed, *sink_) {}
@@ -172,76 +172,76 @@
   for (const float value : report) record("report-value", {thousandths(static_cast<double>(value))});
 }
 
-void RecordingBalancer::list(Time now, ListKind kind, const std::vector<ListedMember>& members) {
+void RecordingBalancer::list(Time now, ListKind kind, const std::vector<ListedEndpoint>& members) {
   record("list", {now.count(), static_cast<int>(kind)});
-  for (const ListedMember& m : members)
+  for (const ListedEndpoint& m : members)
     record("member", {as(m.id), m.group, m.zone, static_cast<int>(m.state), m.primary, thousandths(m.weight),
                       m.started.count(), m.suspended});
-  balancer_.list(now, kind, members);
+  balancer_.endpointsListed(now, kind, members);
 }
 
 void RecordingBalancer::request(Time now, const Request& request) {
-  record("request", {now.count(), as(request.id), request.cls, request.group, as(request.session),
-                     thousandths(static_cast<double>(request.tokenMs)), request.ranAt.count(),
-                     request.deadline.count()});
+  record("request", {now.count(), as(request.id), request.classIndex, request.group, as(request.session),
+                     thousandths(static_cast<double>(request.sessionTokenAgeMs)),
+                     request.mayHaveRunSince.count(), request.deadline.count()});
   balancer_.request(now, request);
 }
 
-void RecordingBalancer::outcome(Time now, const Outcome& outcome) {
-  record("outcome",
-         {now.count(), as(outcome.request), outcome.attempt, as(outcome.member),
-          static_cast<int>(outcome.result), outcome.latency.count(), outcome.closed, outcome.note});
+void RecordingBalancer::outcome(Time now, const AttemptOutcome& outcome) {
+  record("outcome", {now.count(), as(outcome.request), outcome.attempt, as(outcome.endpoint),
+                     static_cast<int>(outcome.result), outcome.latency.count(), outcome.clientAnswered,
+                     outcome.replicationStatus});
   recordReport(outcome.report);
-  balancer_.outcome(now, outcome);
+  balancer_.attemptEnded(now, outcome);
 }
 
 void RecordingBalancer::clientLeft(Time now, RequestId id) {
   record("client-left", {now.count(), as(id)});
-  balancer_.clientLeft(now, id);
+  balancer_.clientDisconnected(now, id);
 }
 
-void RecordingBalancer::probed(Time now, const Probe& probe) {
-  record("probed", {now.count(), as(probe.member), probe.ok, probe.latency.count()});
+void RecordingBalancer::probed(Time now, const HealthCheckResult& probe) {
+  record("probed", {now.count(), as(probe.endpoint), probe.ok, probe.latency.count()});
   recordReport(probe.report);
-  balancer_.probed(now, probe);
+  balancer_.healthCheckEnded(now, probe);
 }
 
 void RecordingBalancer::timer(Time now, std::uint64_t token) {
   record("timer", {now.count(), as(token)});
-  balancer_.timer(now, token);
+  balancer_.timerFired(now, token);
 }
 
-void RecordingBalancer::heard(Time now, MemberId member, std::uint32_t note, int cls, Time latency) {
+void RecordingBalancer::heard(Time now, EndpointId member, std::uint32_t note, int cls, Time latency) {
   record("heard", {now.count(), as(member), note, cls, latency.count()});
-  balancer_.heard(now, member, note, cls, latency);
+  balancer_.gossipReceived(now, member, note, cls, latency);
 }
 
-bool RecordingBalancer::fit(Time now, RequestId id, MemberId member) {
-  const bool mayGo = balancer_.fit(now, id, member);
+bool RecordingBalancer::fit(Time now, RequestId id, EndpointId member) {
+  const bool mayGo = balancer_.maySendNow(now, id, member);
   record("fit", {now.count(), as(id), as(member), mayGo});
   return mayGo;
 }
 
-void RecordingBalancer::suspend(Time now, MemberId member, bool on) {
+void RecordingBalancer::suspend(Time now, EndpointId member, bool on) {
   record("suspend", {now.count(), as(member), on});
   balancer_.suspend(now, member, on);
 }
 
 void RecordingBalancer::settle(Time now, const Settings& settings) {
   record("settings", {now.count()});
-  balancer_.settle(now, settings);
+  balancer_.updateSettings(now, settings);
 }
 
-std::vector<MemberId> RecordingBalancer::forget(Time now) {
+std::vector<EndpointId> RecordingBalancer::forget(Time now) {
   record("forget", {now.count()});
-  std::vector<MemberId> forgotten = balancer_.forget(now);
-  for (const MemberId member : forgotten) record("forgotten", {as(member)});
+  std::vector<EndpointId> forgotten = balancer_.removeExpiredEndpoints(now);
+  for (const EndpointId member : forgotten) record("forgotten", {as(member)});
   return forgotten;
 }
 
 void RecordingBalancer::countFrom(Time zero) {
   record("count-from", {zero.count()});
-  balancer_.countFrom(zero);
+  balancer_.setPositionEpoch(zero);
 }
 
 }  // namespace sablespur::balancer::test
--- a/tests/decision_log.hpp
+++ b/tests/decision_log.hpp
@@ -51,19 +51,19 @@
 // A Balancer that records its events and actions in DecisionLog::current().
 class RecordingBalancer {
  public:
-  RecordingBalancer(const Settings&, std::uint64_t seed, Sink&);
+  RecordingBalancer(const Settings&, std::uint64_t seed, ActionSink&);
 
-  void list(Time now, ListKind, const std::vector<ListedMember>&);
+  void list(Time now, ListKind, const std::vector<ListedEndpoint>&);
   void request(Time now, const Request&);
-  void outcome(Time now, const Outcome&);
+  void outcome(Time now, const AttemptOutcome&);
   void clientLeft(Time now, RequestId);
-  void probed(Time now, const Probe&);
+  void probed(Time now, const HealthCheckResult&);
   void timer(Time now, std::uint64_t token);
-  void heard(Time now, MemberId, std::uint32_t note, int cls, Time latency);
-  bool fit(Time now, RequestId, MemberId);
-  void suspend(Time now, MemberId, bool on);
+  void heard(Time now, EndpointId, std::uint32_t note, int cls, Time latency);
+  bool fit(Time now, RequestId, EndpointId);
+  void suspend(Time now, EndpointId, bool on);
   void settle(Time now, const Settings&);
-  std::vector<MemberId> forget(Time now);
+  std::vector<EndpointId> forget(Time now);
   void countFrom(Time zero);
 
  private:
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -126,7 +126,7 @@
 // ---- TXT ----------------------------------------------------------------------------------------------
 TEST(DnsSdRecords, TxtSaysWhatAnInstanceIsAndFaultsNameTheKey) {
   const std::vector<GroupName> groups{{"rentals", 3}};
-  Instance i;
+  DiscoveredEndpoint i;
   EXPECT_FALSE(readTxt({"txtvers=1", "Group=rentals", "zone=ruwi", "kind=big", "weight=2.5", "state=leaving",
                         "started=1767225600123", "group=9", "other", "=x"},
                        groups, std::nullopt, i));
@@ -136,7 +136,7 @@
   EXPECT_EQ(i.weight, 2.5);
   EXPECT_EQ(i.state, balancer::Lifecycle::Draining);
   EXPECT_EQ(i.startedMs, 1767225600123);
-  Instance plain;
+  DiscoveredEndpoint plain;
   EXPECT_FALSE(readTxt({""}, groups, 7, plain));
   EXPECT_EQ(plain.group, 7u);
   EXPECT_EQ(plain.weight, 1);
@@ -212,7 +212,7 @@
   void answer(const dns::Message& m, bool tcp = false) { d->answered(now, *m.question, m, tcp); }
   std::string whole() {
     std::string all;
-    for (const Instance& i : d->instances()) all += (all.empty() ? "" : " ") + i.name;
+    for (const DiscoveredEndpoint& i : d->instances()) all += (all.empty() ? "" : " ") + i.name;
     return all;
   }
   std::vector<dns::Question> out;
@@ -375,14 +375,14 @@
 }
 
 // ---- the source, over sockets -------------------------------------------------------------------------
-struct SourceTest : testing::Test, ListTaker {
+struct SourceTest : testing::Test, EndpointListConsumer {
   EventBase base{event_base_new()};
   Clock clock;
   lab::NameServer first{base.get(), kDomain, kService}, second{base.get(), kDomain, kService};
   Config config;
-  std::unique_ptr<MemberFeed> feed;
+  std::unique_ptr<EndpointUpdater> feed;
   std::unique_ptr<DnsSd> source;
-  std::map<std::string, Instance> members;
+  std::map<std::string, DiscoveredEndpoint> members;
   std::uint64_t lists = 0, failures = 0;
   std::string why;
 
@@ -410,22 +410,22 @@
     i.port = static_cast<std::uint16_t>(port);
     for (auto* n : {&first, &second}) n->publish(i);
   }
-  void listed(InstanceList list) override {
+  void endpointsListed(EndpointList list) override {
     ++lists;
     if (list.reset) members.clear();
-    for (const Instance& i : list.instances)
+    for (const DiscoveredEndpoint& i : list.instances)
       if (i.state == balancer::Lifecycle::Gone)
         members.erase(i.name);
       else
         members[i.name] = i;
   }
-  void listFailed(const std::string& w) override {
+  void discoveryFailed(const std::string& w) override {
     ++failures;
     why = w;
   }
   std::uint64_t generation() const override { return 0; }
   void start() {
-    feed = std::make_unique<MemberFeed>(base.get(), clock, *this, MembershipPolicy());
+    feed = std::make_unique<EndpointUpdater>(base.get(), clock, *this, EndpointTablePolicy());
     source = std::make_unique<DnsSd>(base.get(), clock, *feed, config);
   }
   template <typename Done>
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -54,9 +54,9 @@
   t.run(each("c", 1, 3, "$ from 127.9.0.1\n$ expect in") +
         each("c", 4, 40, "$ from 127.9.0.1\n$ expect refused") + "d1 from 127.1.0.7\n" + served("d1", "1") +
         served("c3", "2") + "c41 from 127.9.0.2\nc41 expect in\n" +
-        "proxy expect log event=refusing_began group=others");
-  EXPECT_EQ(t.logged("event=refusing_began"), 1u);  // not one a refusal
-  t.run("proxy expect log event=refusing_ended group=others what=connections refused=37");
+        "proxy expect log event=rejection_started group=others");
+  EXPECT_EQ(t.logged("event=rejection_started"), 1u);  // not one a refusal
+  t.run("proxy expect log event=rejection_ended group=others what=connections refused=37");
 }
 TEST(DoorStep, FiveHundredAddressesOfOneNetworkAreOneNetwork) {
   Scenario t(door("network_bits = 16\n", "", "connections_by_network = 5\n"));
@@ -132,7 +132,7 @@
   EXPECT_TRUE(holds("others")) << t.status();
   t.reload("[admission]\ndoor = yes\n[admission_group desks]\nnetworks = 127.1.0.0/16, 127.9.0.0/24\n" +
            socket.section());
-  t.run("proxy expect log event=settings_read_again\n" + served("c1", "1"));
+  t.run("proxy expect log event=config_reloaded\n" + served("c1", "1"));
   EXPECT_TRUE(holds("desks")) << t.status();
 }
 TEST(DoorStep, AnAbuserAmongTheDesksTakesItsOwnShareOfThem) {
@@ -287,7 +287,8 @@
   }
 }
 TEST(ProxyProtocol, WhatIsNoHeaderIsBad) {
-  const std::string v2 = proxy_protocol::version2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
+  const std::string v2 =
+      proxy_protocol::version2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
   std::string version3 = v2, command = v2, shorter = v2, longer = v2;
   version3[12] = '\x31';
   command[12] = '\x22';
@@ -455,7 +456,7 @@
   usleep(1100 * 1000);  // a second without a failure
   t.run(
       "c10 expect welcome\nc10 send query SELECT 1 /* id=10,c=read,d=9000,cluster=3 */\nc10 expect row v\n"
-      "proxy expect log event=accept_well_again\n");
+      "proxy expect log event=accept_recovered\n");
   for (int k = 1; k <= 9; ++k)  // nothing came behind it
     t.run("c" + std::to_string(k) + " send query\nc" + std::to_string(k) + " expect empty\n");
 }
@@ -470,8 +471,8 @@
   Calls calls;
   EventBase base{event_base_new()};
   Config config = parseConfig(test::configuration({}, 1, {11, 12}));
-  Account account{config};
-  Spare spare;
+  ResourceBudget account{config};
+  ReservedDescriptor spare;
   void spin(const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + 10s;
     while (!done() && std::chrono::steady_clock::now() < end) {
@@ -492,14 +493,14 @@
     return accept4(l, a, n, SOCK_NONBLOCK | SOCK_CLOEXEC);
   };
   int taken = 0, shortages = 0, refused = 0;
-  Acceptor::Taker taker;
-  taker.taken = [&](evutil_socket_t fd, const sockaddr*) {
+  Acceptor::ConnectionHandler taker;
+  taker.accepted = [&](evutil_socket_t fd, const sockaddr*) {
     ++taken;
     close(fd);
   };
-  taker.room = [] { return true; };
-  taker.shortage = [&] { ++shortages; };
-  taker.refuse = [&](evutil_socket_t) { ++refused; };
+  taker.hasRoom = [] { return true; };
+  taker.onExhaustion = [&] { ++shortages; };
+  taker.reject = [&](evutil_socket_t) { ++refused; };
   const Clock clock;
   Acceptor acceptor(base.get(), clock, *Address::parse("127.0.0.1:0"), account, spare, taker);
   const auto come = [&] {
@@ -528,23 +529,23 @@
     EXPECT_EQ(refused, 1);
     EXPECT_TRUE(spare.held());
   }
-  EXPECT_EQ(account.shortages(Shortage::Descriptors), 2u);
+  EXPECT_EQ(account.exhaustionCount(ResourceExhaustion::Descriptors), 2u);
   for (const int error : {ENOBUFS, ENOMEM}) {
     meet(error, 3);  // 20, 40, 80 ms: it waits in the backlog, and is taken
     EXPECT_EQ(taken, 1);
     EXPECT_EQ(shortages + refused, 0);
   }
-  EXPECT_EQ(account.shortages(Shortage::Memory), 6u);
+  EXPECT_EQ(account.exhaustionCount(ResourceExhaustion::Memory), 6u);
 }
 // An upgrade: from the yielding on all that come go to the listener that came later, and what waits is taken.
 TEST_F(ShortageTest, AListenerThatYieldsLosesNoConnection) {
   int first = 0, second = 0;
   const auto taker = [](int& count) {
-    Acceptor::Taker t;
-    t.taken = [&count](evutil_socket_t fd, const sockaddr*) { ++count, close(fd); };
-    t.room = [] { return true; };
-    t.shortage = [] {};
-    t.refuse = [](evutil_socket_t) {};
+    Acceptor::ConnectionHandler t;
+    t.accepted = [&count](evutil_socket_t fd, const sockaddr*) { ++count, close(fd); };
+    t.hasRoom = [] { return true; };
+    t.onExhaustion = [] {};
+    t.reject = [](evutil_socket_t) {};
     return t;
   };
   const Clock clock;
@@ -560,12 +561,12 @@
     }
   };
   come(64);  // some wait at each: the loop has not run
-  old->yield();
-  old->takeRest();
+  old->handOverListener();
+  old->drainBacklog();
   const int before = first;
   EXPECT_GT(before, 0);
   come(64);
-  old->takeRest();
+  old->drainBacklog();
   EXPECT_EQ(first, before) << "they were led to the other";
   old.reset();
   spin([&] { return first + second == 128; });
@@ -574,12 +575,12 @@
 }
 // The proxy's own want is not held against the data server.
 TEST_F(ShortageTest, OfSocketsForADialIsNoFaultOfTheMember) {
-  struct Seen : Lists {
+  struct Seen : DiscoverySource {
     void watch(std::uint64_t) override {}
   } lists;
   Engine engine(base.get(), config);
-  Workers workers(base.get(), 1);
-  Upstream upstream(base.get(), engine, workers, account, config);
+  WorkerPool workers(base.get(), 1);
+  BackendPool upstream(base.get(), engine, workers, account, config);
   int asked = 0;
   upstream.onShortage([&] { ++asked; });
   const int listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -600,17 +601,20 @@
       }
       return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     };
-    const auto member = static_cast<MemberId>(error);
-    upstream.listed(member, Address::fromSocket(reinterpret_cast<const sockaddr*>(&at)), true, Time(0));
+    const auto member = static_cast<EndpointId>(error);
+    upstream.endpointListed(member, Address::fromSocket(reinterpret_cast<const sockaddr*>(&at)), true,
+                            Time(0));
     EXPECT_EQ(left, 2) << error;  // tried once, not in a loop
-    upstream.probe(member);
-    spin([&] { return account.part(Holder::Servers).held > 0; });
-    EXPECT_FALSE(engine.pending()) << error;  // nothing was told of it
-    upstream.forget(member);
-    EXPECT_EQ(account.part(Holder::Servers).held, 0u);
+    upstream.startHealthCheck(member);
+    spin([&] { return account.share(DescriptorHolder::Servers).held > 0; });
+    EXPECT_FALSE(engine.hasPendingEvents()) << error;  // nothing was told of it
+    upstream.removeEndpoint(member);
+    EXPECT_EQ(account.share(DescriptorHolder::Servers).held, 0u);
   }
   EXPECT_GT(asked, 0);
-  EXPECT_EQ(account.shortages(Shortage::Descriptors) + account.shortages(Shortage::Memory), 12u);
+  EXPECT_EQ(account.exhaustionCount(ResourceExhaustion::Descriptors) +
+                account.exhaustionCount(ResourceExhaustion::Memory),
+            12u);
   close(listener);
 }
 // New settings may be what mends the want: they are read on the spare descriptor.
@@ -623,7 +627,7 @@
   for (int k = 1; k <= 30; ++k) steps += "x" + std::to_string(k) + " send bytes 0\n";
   t.run("s2 wait idle 2\n" + steps + "proxy expect log event=accept_failed\n");
   t.reload("[admission]\ndoor = yes\n[admission_group others]\nconnections = 3\n");
-  t.run("proxy expect log event=settings_read_again\n");
+  t.run("proxy expect log event=config_reloaded\n");
 }
 TEST(Shortage, ALimitOfTheSystemBelowTheSettingsBinds) {
   const Socket socket;
--- a/tests/engine_fakes.hpp
+++ b/tests/engine_fakes.hpp
@@ -10,31 +10,31 @@
 
 namespace sablespur::test {
 
-struct FakeMembers : Members {
+struct FakeMembers : Backend {
   struct Sent {
     RequestId id;
     int attempt;
-    MemberId member;
+    EndpointId member;
   };
   std::vector<Sent> sent, cancelled;
-  std::vector<MemberId> probes;
+  std::vector<EndpointId> probes;
   std::vector<std::pair<int, bool>> started;  // attempt, fit
-  std::map<MemberId, bool> ready;
-  std::map<MemberId, Time> warmAt;
-  void listed(MemberId m, const Address&, bool isReady, Time until) override {
+  std::map<EndpointId, bool> ready;
+  std::map<EndpointId, Time> warmAt;
+  void endpointListed(EndpointId m, const Address&, bool isReady, Time until) override {
     ready[m] = isReady;
     warmAt[m] = until;
   }
-  void send(RequestId id, int attempt, MemberId m, Time, std::shared_ptr<const Message>) override {
+  void send(RequestId id, int attempt, EndpointId m, Time, std::shared_ptr<const Message>) override {
     sent.push_back({id, attempt, m});
   }
-  void start(RequestId, int attempt, bool fit) override { started.emplace_back(attempt, fit); }
+  void continueAttempt(RequestId, int attempt, bool fit) override { started.emplace_back(attempt, fit); }
   void cancel(RequestId id, int attempt) override { cancelled.push_back({id, attempt, 0}); }
-  void probe(MemberId m) override { probes.push_back(m); }
-  std::vector<MemberId> forgotten;
-  void forget(MemberId m) override { forgotten.push_back(m); }
+  void startHealthCheck(EndpointId m) override { probes.push_back(m); }
+  std::vector<EndpointId> forgotten;
+  void removeEndpoint(EndpointId m) override { forgotten.push_back(m); }
 };
-struct FakeLists : Lists {
+struct FakeLists : DiscoverySource {
   std::vector<std::uint64_t> watches;
   void watch(std::uint64_t after) override { watches.push_back(after); }
 };
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -14,14 +14,14 @@
 using test::FakeLists;
 using test::FakeMembers;
 
-struct Asker : Requester {
+struct Asker : ResponseHandler {
   std::string got;
   void served(Answer answer) override {
     got += "served ";
     got.append(reinterpret_cast<const char*>(evbuffer_pullup(answer.messages.get(), -1)),
                evbuffer_get_length(answer.messages.get()));
   }
-  void refused(Time) override { got += "refused"; }
+  void rejected(Time) override { got += "refused"; }
   void failed() override { got += "failed"; }
 };
 
@@ -35,29 +35,29 @@
 
   void SetUp() override {
     engine.start(members, lists);
-    engine.turn();
+    engine.runTurn();
     report(1, true, engine.now());
     report(2, false, engine.now());
   }
-  void report(MemberId m, bool primary, Time position) {
-    engine.probed(m, true, {static_cast<double>(position.count()) / 1e6, primary ? 1.0 : 0.0, 0.0});
-    engine.turn();
+  void report(EndpointId m, bool primary, Time position) {
+    engine.healthCheckEnded(m, true, {static_cast<double>(position.count()) / 1e6, primary ? 1.0 : 0.0, 0.0});
+    engine.runTurn();
   }
   RequestId ask(int cls = 0) {
     balancer::Request q;
-    q.cls = cls;
+    q.classIndex = cls;
     q.group = 3;
     q.deadline = engine.now() + std::chrono::seconds(5);
     const RequestId id = engine.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
-    engine.turn();
+    engine.runTurn();
     return id;
   }
-  void end(RequestId id, int attempt, MemberId m, Result result) {
-    Ending e;
+  void end(RequestId id, int attempt, EndpointId m, AttemptResult result) {
+    AttemptEnd e;
     e.result = result;
     e.answer.messages = newBuffer();
     append(e.answer.messages.get(), "v");
-    engine.ended(id, attempt, m, std::move(e));
+    engine.attemptEnded(id, attempt, m, std::move(e));
   }
 };
 
@@ -71,99 +71,99 @@
   q.deadline = engine.now() + std::chrono::seconds(5);
   engine.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
   EXPECT_TRUE(members.sent.empty());
-  EXPECT_TRUE(engine.pending());
-  engine.turn();
+  EXPECT_TRUE(engine.hasPendingEvents());
+  engine.runTurn();
   ASSERT_EQ(members.sent.size(), 1u);
   EXPECT_EQ(members.sent[0].member, 2u);
 }
 TEST_F(EngineTest, OneFinalAnswerAndAnOutcomeForEachSend) {
   const RequestId id = ask();
-  end(id, 0, 2, Result::Reset);
-  engine.turn();
+  end(id, 0, 2, AttemptResult::Reset);
+  engine.runTurn();
   ASSERT_EQ(members.sent.size(), 2u);  // the module's decision, on the other member
   EXPECT_EQ(members.sent[1].attempt, 1);
-  end(id, 1, 1, Result::Ok);
-  end(id, 1, 1, Result::Ok);  // nobody's: it is told to the module as closed and goes no further
-  engine.turn();
+  end(id, 1, 1, AttemptResult::Ok);
+  end(id, 1, 1, AttemptResult::Ok);  // nobody's: it is told to the module as closed and goes no further
+  engine.runTurn();
   EXPECT_EQ(asker.got, "served v");
 }
 TEST_F(EngineTest, AnAnswerThatCrossesItsClientsLeavingGoesNowhere) {
   const RequestId id = ask();
-  end(id, 0, 2, Result::Ok);
-  engine.left(id);
-  engine.turn();
+  end(id, 0, 2, AttemptResult::Ok);
+  engine.clientDisconnected(id);
+  engine.runTurn();
   EXPECT_EQ(asker.got, "");
   const RequestId other = ask();
-  engine.left(other);
-  engine.turn();
+  engine.clientDisconnected(other);
+  engine.runTurn();
   ASSERT_EQ(members.cancelled.size(), 1u);
   EXPECT_EQ(members.cancelled[0].id, other);
 }
 // A slow dial must not let a drain or the data's age slip past: both count from the bytes sent.
 TEST_F(EngineTest, ASendThatWaitedForItsConnectionIsLookedAtAgain) {
   const RequestId id = ask();
-  engine.connected(id, 0);
-  engine.turn();
+  engine.connectionReady(id, 0);
+  engine.runTurn();
   EXPECT_EQ(members.started.back(), std::make_pair(0, true));
-  InstanceList change{6, false, {config.known.instances[1]}};
+  EndpointList change{6, false, {config.known.instances[1]}};
   change.instances[0].state = balancer::Lifecycle::Draining;
-  engine.listed(change);
-  engine.connected(id, 0);
-  engine.turn();
+  engine.endpointsListed(change);
+  engine.connectionReady(id, 0);
+  engine.runTurn();
   EXPECT_EQ(members.started.back(), std::make_pair(0, false));
   EXPECT_FALSE(members.ready[2]);
-  end(id, 0, 2, Result::Moot);
-  engine.turn();
+  end(id, 0, 2, AttemptResult::NotSent);
+  engine.runTurn();
   EXPECT_EQ(members.sent.back().member, 1u);
 }
 TEST_F(EngineTest, AWholeListTakesAwayWhatItDoesNotName) {
-  engine.listed({7, true, {config.known.instances[0]}});
-  engine.turn();
+  engine.endpointsListed({7, true, {config.known.instances[0]}});
+  engine.runTurn();
   EXPECT_TRUE(members.ready[1]);
   EXPECT_FALSE(members.ready[2]);
-  engine.listFailed("down");
-  engine.turn();
+  engine.discoveryFailed("down");
+  engine.runTurn();
   EXPECT_TRUE(members.ready[1]);
 }
 // On a long day every data server is replaced by a new one with a new name.
 TEST_F(EngineTest, ForgetsWhatIsGoneAndQuietAndGivesNoIdTwice) {
   const RequestId id = ask();  // out at member 2
-  engine.listed({7, true, {config.known.instances[0]}});
-  engine.turn();
-  engine.sweep(engine.now() + std::chrono::seconds(30));
-  engine.turn();
+  engine.endpointsListed({7, true, {config.known.instances[0]}});
+  engine.runTurn();
+  engine.removeExpired(engine.now() + std::chrono::seconds(30));
+  engine.runTurn();
   EXPECT_TRUE(members.forgotten.empty()) << "its attempt is still out";
-  end(id, 0, 2, Result::Reset);
-  for (const MemberId m : std::vector<MemberId>(members.probes)) engine.probed(m, false, {});
-  engine.turn();
-  engine.sweep(engine.now() + std::chrono::seconds(31));
-  engine.turn();
-  EXPECT_EQ(members.forgotten, std::vector<MemberId>{2});
-  end(id, 0, 2, Result::Ok);  // late, of a member that is not known any more
-  engine.probed(2, true, {1, 0, 0});
-  engine.turn();
-  engine.listed({8, true, config.known.instances});
-  engine.turn();
+  end(id, 0, 2, AttemptResult::Reset);
+  for (const EndpointId m : std::vector<EndpointId>(members.probes)) engine.healthCheckEnded(m, false, {});
+  engine.runTurn();
+  engine.removeExpired(engine.now() + std::chrono::seconds(31));
+  engine.runTurn();
+  EXPECT_EQ(members.forgotten, std::vector<EndpointId>{2});
+  end(id, 0, 2, AttemptResult::Ok);  // late, of a member that is not known any more
+  engine.healthCheckEnded(2, true, {1, 0, 0});
+  engine.runTurn();
+  engine.endpointsListed({8, true, config.known.instances});
+  engine.runTurn();
   EXPECT_TRUE(members.ready[3]);
   EXPECT_FALSE(members.ready[2]);
 }
 TEST_F(EngineTest, DataOlderThanTheBoundIsNotRead) {
   Engine fresh(base.get(), config);
   fresh.start(members, lists);
-  fresh.turn();
+  fresh.runTurn();
   const double old =
       static_cast<double>((fresh.now() - std::chrono::seconds(6)).count()) / 1e6;  // bound: 5 s
-  fresh.probed(2, true, {old, 0.0, 0.0});
-  fresh.turn();
+  fresh.healthCheckEnded(2, true, {old, 0.0, 0.0});
+  fresh.runTurn();
   balancer::Request q;
   q.group = 3;
   q.deadline = fresh.now() + std::chrono::seconds(5);
   fresh.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
-  fresh.turn();
+  fresh.runTurn();
   EXPECT_TRUE(members.sent.empty());
-  fresh.probed(1, false, {});
-  fresh.probed(2, true, {static_cast<double>(fresh.now().count()) / 1e6, 0.0, 0.0});
-  fresh.turn();
+  fresh.healthCheckEnded(1, false, {});
+  fresh.healthCheckEnded(2, true, {static_cast<double>(fresh.now().count()) / 1e6, 0.0, 0.0});
+  fresh.runTurn();
   ASSERT_EQ(members.sent.size(), 1u);
   EXPECT_EQ(members.sent[0].member, 2u);
 }
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -8,19 +8,19 @@
 using std::chrono::seconds;
 
 namespace {
-struct Printer : Sink {
+struct Printer : ActionSink {
   int sends = 0, finals = 0;
-  MemberId last = 0;
-  void send(RequestId id, MemberId m, Time) override {
+  EndpointId last = 0;
+  void send(RequestId id, EndpointId m, Time) override {
     ++sends;
     last = m;
     std::printf("  send request %d to member %d\n", static_cast<int>(id), static_cast<int>(m));
   }
-  void refuse(RequestId id, Time) override { ++finals, std::printf("  refuse %d\n", static_cast<int>(id)); }
+  void reject(RequestId id, Time) override { ++finals, std::printf("  refuse %d\n", static_cast<int>(id)); }
   void fail(RequestId id) override { ++finals, std::printf("  fail %d\n", static_cast<int>(id)); }
   void cancel(RequestId id, int a) override { std::printf("  cancel %d/%d\n", static_cast<int>(id), a); }
-  void timer(Time, std::uint64_t) override {}  // a real program calls Balancer::timer when it is due
-  void probe(MemberId) override {}             // a real program asks the member for a report
+  void scheduleTimer(Time, std::uint64_t) override {}  // a real program calls Balancer::timer when it is due
+  void startHealthCheck(EndpointId) override {}        // a real program asks the member for a report
   void subscribe() override {}
   void log(const std::string& line) override { std::printf("  log: %s\n", line.c_str()); }
 };
@@ -29,45 +29,45 @@
 int main() {
   Settings s;
   s.classes.resize(2);
-  s.classes[0].need = Need::Bounded;
-  s.classes[0].bound = milliseconds(500);
-  s.classes[0].aim = milliseconds(200);
+  s.classes[0].requirement = Requirement::BoundedStaleness;
+  s.classes[0].maxStaleness = milliseconds(500);
+  s.classes[0].latencyObjective = milliseconds(200);
   s.classes[0].deadline = seconds(1);
-  s.classes[1].need = Need::Write;
-  s.classes[1].effect = Effect::Unsafe;
-  s.classes[1].aim = milliseconds(500);
+  s.classes[1].requirement = Requirement::Write;
+  s.classes[1].idempotency = Idempotency::NonIdempotent;
+  s.classes[1].latencyObjective = milliseconds(500);
   s.classes[1].deadline = seconds(3);
-  s.checks = Checks::Refuse;  // members turn away reads that they lag too far for
+  s.laggingReplicaPolicy = LaggingReplicaPolicy::Reject;  // members turn away reads that they lag too far for
   s.positionsInAnswers = true;
-  s.attemptsCap = 4;
+  s.maxAttempts = 4;
   Printer out;
   Balancer b(s, 1, out);
   Time now = seconds(100);
 
   std::printf("a list of two members\n");
-  ListedMember one, two;
+  ListedEndpoint one, two;
   one.id = 1;
   two.id = 2;
-  b.list(now, ListKind::Full, {one, two});
+  b.endpointsListed(now, ListKind::Full, {one, two});
 
   std::printf("a write: no primary is known, so members are tried by id\n");
   Request w;
   w.id = 10;
-  w.cls = 1;
+  w.classIndex = 1;
   w.deadline = now + seconds(3);
   b.request(now, w);
-  Outcome o;
+  AttemptOutcome o;
   o.request = 10;
-  o.member = 1;
-  o.result = Result::Miss;
-  o.note = 2;  // "I am a replica"
-  b.outcome(now += milliseconds(1), o);
+  o.endpoint = 1;
+  o.result = AttemptResult::TooStale;
+  o.replicationStatus = 2;  // "I am a replica"
+  b.attemptEnded(now += milliseconds(1), o);
   o.attempt = 1;
-  o.member = 2;
-  o.result = Result::Ok;
-  o.closed = true;
-  o.note = 4u * 100050 + 1;  // committed at 100.050 s, by the primary
-  b.outcome(now += milliseconds(49), o);
+  o.endpoint = 2;
+  o.result = AttemptResult::Ok;
+  o.clientAnswered = true;
+  o.replicationStatus = 4u * 100050 + 1;  // committed at 100.050 s, by the primary
+  b.attemptEnded(now += milliseconds(49), o);
 
   std::printf("a bounded read whose replica fails it: it goes on to the primary\n");
   Request r;
@@ -75,17 +75,17 @@
   r.deadline = now + seconds(1);
   b.request(now, r);
   if (out.last != 1) return 1;
-  o = Outcome();
+  o = AttemptOutcome();
   o.request = 11;
-  o.member = 1;
-  o.result = Result::Reset;
-  b.outcome(now += milliseconds(5), o);
+  o.endpoint = 1;
+  o.result = AttemptResult::Reset;
+  b.attemptEnded(now += milliseconds(5), o);
   if (out.last != 2) return 1;
   o.attempt = 1;
-  o.member = 2;
-  o.result = Result::Ok;
-  o.closed = true;
-  b.outcome(now += milliseconds(30), o);
+  o.endpoint = 2;
+  o.result = AttemptResult::Ok;
+  o.clientAnswered = true;
+  b.attemptEnded(now += milliseconds(30), o);
 
   std::printf("%d sends, %d refused or failed\n", out.sends, out.finals);
   return out.sends == 4 && out.finals == 0 ? 0 : 1;
