--- a/src/app/list_source.cpp
+++ b/src/app/list_source.cpp
@@ -22,7 +22,7 @@
       : watch_(base, feed, c.discovery) {}
   void watch(std::uint64_t after) override { watch_.watch(after); }
   void move(const Config& c) override {
-    if (sameSource(c, Source::Registry)) watch_.move(c.discovery);
+    if (sameSource(c, Source::Registry)) watch_.changeAddress(c.discovery);
   }
 
  private:
@@ -44,13 +44,13 @@
   void move(const Config& c) override {
     if (!sameSource(c, Source::DnsSd)) return;
     feed_.policy(sourcePolicy(c));
-    dnssd_.move(c);
+    dnssd_.updateSettings(c);
   }
   std::map<std::string, std::string> faults() const override { return dnssd_.faults(); }
 
  private:
   EndpointUpdater& feed_;
-  DnsSd dnssd_;
+  DnsSdDiscovery dnssd_;
 };
 #endif
 
@@ -59,15 +59,15 @@
 EndpointTablePolicy sourcePolicy(const Config& c) {
   EndpointTablePolicy p;
   if (c.source != Source::DnsSd) {
-    p.dampens = false;
+    p.flapDamping = false;
     return p;
   }
   const DnsSdSettings& s = c.dnssd;
-  p.suppressAt = s.flapSuppress;
-  p.reuseAt = s.flapReuse;
+  p.suppressThreshold = s.flapSuppressThreshold;
+  p.reuseThreshold = s.flapReuseThreshold;
   p.halfLife = s.flapHalfLife;
-  p.mostHeld = s.flapMost;
-  p.keepFor = s.keepFor;
+  p.maxSuppression = s.flapMaxSuppression;
+  p.maxListAge = s.maxListAge;
   return p;
 }
 
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -30,9 +30,9 @@
 }
 
 std::string age(const MembersView& view) {
-  if (!view.members.toldAt) return "discovery has told nothing";
+  if (!view.members.lastUpdate) return "discovery has told nothing";
   return fmt::format("told {:.1f} s ago",
-                     static_cast<double>((view.now - *view.members.toldAt).count()) / 1e6);
+                     static_cast<double>((view.now - *view.members.lastUpdate).count()) / 1e6);
 }
 
 // Takes the first list that comes.
@@ -59,10 +59,11 @@
   std::vector<std::vector<std::string>> rows{heads};
   std::size_t used = 0;
   for (const EndpointTable::Row& r : view.members.rows) {
-    const DiscoveredEndpoint& i = r.instance;
-    used += r.leftOut.empty();
+    const DiscoveredEndpoint& i = r.endpoint;
+    used += r.exclusionReason.empty();
     rows.push_back({i.name, i.address.text(), groupName(config, i.group), i.zone, i.kind,
-                    fmt::format("{:g}", i.weight), stateName(i.state), started(i.startedMs), r.leftOut});
+                    fmt::format("{:g}", i.weight), stateName(i.state), started(i.startedMs),
+                    r.exclusionReason});
   }
   for (const auto& [name, why] : view.faults) rows.push_back({name, "", "", "", "", "", "", "", why});
   return table(rows) +
@@ -73,7 +74,7 @@
   using Json = nlohmann::ordered_json;
   Json all = Json::array(), out = Json::array();
   for (const EndpointTable::Row& r : view.members.rows) {
-    const DiscoveredEndpoint& i = r.instance;
+    const DiscoveredEndpoint& i = r.endpoint;
     Json one{{"name", i.name},
              {"address", i.address.text()},
              {"group", i.group},
@@ -84,16 +85,16 @@
              {"state", stateName(i.state)},
              {"started_ms", i.startedMs},
              {"withdrawals", r.withdrawals}};
-    if (!r.leftOut.empty()) one["left_out"] = r.leftOut;
-    (r.leftOut.empty() ? all : out).push_back(std::move(one));
+    if (!r.exclusionReason.empty()) one["left_out"] = r.exclusionReason;
+    (r.exclusionReason.empty() ? all : out).push_back(std::move(one));
   }
   for (const auto& [name, why] : view.faults) out.push_back({{"name", name}, {"left_out", why}});
   Json page{{"members", std::move(all)}, {"left_out", std::move(out)}};
-  if (view.members.toldAt)
-    page["list_age_ms"] = (view.now - *view.members.toldAt).count() / 1000;
+  if (view.members.lastUpdate)
+    page["list_age_ms"] = (view.now - *view.members.lastUpdate).count() / 1000;
   else
     page["list_age_ms"] = nullptr;
-  if (view.members.failingSince) page["failing"] = view.members.why;
+  if (view.members.failingSince) page["failing"] = view.members.lastError;
   // Names come from the network: what is no UTF-8 is replaced, never thrown on.
   return page.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
@@ -116,10 +117,10 @@
   }
   if (!taker.told) {  // what the settings know, and that it is not discovery's word
     EndpointTable known;
-    known.found(clock.now(), config.known.instances);
-    known.take(clock.now());
+    known.applySnapshot(clock.now(), config.known.instances);
+    known.nextUpdate(clock.now());
     MembersView view{known.view(clock.now()), {}, clock.now()};
-    view.members.toldAt.reset();
+    view.members.lastUpdate.reset();
     std::fputs((options.json ? membersJson(config, view) : membersTable(config, view)).c_str(), stdout);
     std::fprintf(stderr, "sablespur: discovery: %s; shown is what the settings know\n", taker.why.c_str());
     return 1;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -40,9 +40,9 @@
 
 bool operator==(const DnsSdSettings& a, const DnsSdSettings& b) {
   const auto all = [](const DnsSdSettings& s) {
-    return std::tie(s.domain, s.service, s.servers, s.refreshLeast, s.refreshMost, s.jitter, s.tryTimeout,
-                    s.queriesPerSecond, s.udpPayload, s.defaultGroup, s.keepFor, s.flapHalfLife, s.flapMost,
-                    s.flapSuppress, s.flapReuse);
+    return std::tie(s.domain, s.service, s.servers, s.minRefresh, s.maxRefresh, s.jitter, s.attemptTimeout,
+                    s.queriesPerSecond, s.udpPayload, s.defaultGroup, s.maxListAge, s.flapHalfLife,
+                    s.flapMaxSuppression, s.flapSuppressThreshold, s.flapReuseThreshold);
   };
   return all(a) == all(b);
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -34,18 +34,18 @@
 
 // DNS-SD: what is asked, whom, how often.
 struct DnsSdSettings {
-  std::string domain, service;         // "ruwi.example.org", "_postgresql._tcp"
-  std::vector<Address> servers;        // name servers, the first is asked first
-  Time refreshLeast{}, refreshMost{};  // records are asked for again after their TTL, bounded by these
-  double jitter = 0;                   // and sooner by a random part of up to this
-  Time tryTimeout{};                   // of one question to one name server
-  double queriesPerSecond = 50;        // for single records, where an answer has no room for all
-  int udpPayload = 0;                  // EDNS0
+  std::string domain, service;      // "ruwi.example.org", "_postgresql._tcp"
+  std::vector<Address> servers;     // name servers, the first is asked first
+  Time minRefresh{}, maxRefresh{};  // records are asked for again after their TTL, bounded by these
+  double jitter = 0;                // and sooner by a random part of up to this
+  Time attemptTimeout{};            // of one question to one name server
+  double queriesPerSecond = 50;     // for single records, where an answer has no room for all
+  int udpPayload = 0;               // EDNS0
   std::optional<balancer::GroupId> defaultGroup;  // of instances that do not say
   std::string defaultGroupName;                   // as the file has it
-  Time keepFor{};                   // the last list stands so long when no name server answers; 0: for ever
-  Time flapHalfLife{}, flapMost{};  // see MembershipPolicy
-  double flapSuppress = 0, flapReuse = 0;
+  Time maxListAge{};  // the last list stands so long when no name server answers; 0: for ever
+  Time flapHalfLife{}, flapMaxSuppression{};  // see MembershipPolicy
+  double flapSuppressThreshold = 0, flapReuseThreshold = 0;
   friend bool operator==(const DnsSdSettings&, const DnsSdSettings&);
 };
 
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -403,9 +403,9 @@
     if (d.servers.empty())
       wrong("name_servers",
             {"source = dnssd needs one", "say where name servers listen, such as 10.2.0.1:53"});
-    if (d.refreshMost < d.refreshLeast)
+    if (d.maxRefresh < d.minRefresh)
       wrong("refresh_most", {"it is shorter than refresh_least", "make it at least refresh_least"});
-    if (d.flapReuse >= d.flapSuppress)
+    if (d.flapReuseThreshold >= d.flapSuppressThreshold)
       wrong("flap_reuse", {"it is not below flap_suppress", "make it less than flap_suppress"});
     if (d.defaultGroupName.empty()) return;
     if (const auto id = groupOf(d.defaultGroupName))
--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -30,27 +30,27 @@
 namespace sablespur {
 
 // What an answer is good for.
-enum class Verdict {
+enum class AnswerKind {
   Records,   // it holds what was asked for
-  NotThere,  // it says with authority that there is none
-  Useless    // an error, or an empty answer from one that knows nothing of the name: ask another
+  Negative,  // it says with authority that there is none
+  Unusable   // an error, or an empty answer from one that knows nothing of the name: ask another
 };
-Verdict judge(const dns::Question&, const dns::Message&);
+AnswerKind classifyAnswer(const dns::Question&, const dns::Message&);
 
-class Directory {
+class DnsSdDirectory {
  public:
-  Directory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
+  DnsSdDirectory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
 
-  struct Ask {
+  struct Query {
     dns::Question question;
     bool tcp = false;
   };
-  std::vector<Ask> due(Time now);  // each then ends in one of the next two
-  void answered(Time now, const dns::Question&, const dns::Message&, bool tcp);
-  void failed(Time now, const dns::Question&);
-  std::optional<Time> next() const;  // when due has something, if nothing is out
+  std::vector<Query> dueQueries(Time now);  // each then ends in one of the next two
+  void handleAnswer(Time now, const dns::Question&, const dns::Message&, bool tcp);
+  void handleFailure(Time now, const dns::Question&);
+  std::optional<Time> nextDeadline() const;  // when due has something, if nothing is out
 
-  bool settled();                                     // everything has been asked for at least once
+  bool isComplete();                                  // everything has been asked for at least once
   std::uint64_t version() const { return version_; }  // another one where instances() or faults() may differ
   std::vector<DiscoveredEndpoint> instances() const;  // those that are whole
   // Those that are not, by name, and why; for the log and for staff.
@@ -58,50 +58,50 @@
   bool failing() const { return ptrFailures_ > 0; }
 
  private:
-  struct Set {  // the records of a name and type
+  struct RecordSet {  // the records of a name and type
     enum class State { Unknown, Known, Absent } state = State::Unknown;
     std::vector<dns::Data> data;
     Time refreshAt{};
-    bool out = false, tried = false;
+    bool inFlight = false, attempted = false;
     int failures = 0;
   };
-  void put(Time now, const dns::Question&, std::vector<dns::Data>, std::uint32_t ttl);
-  void absent(Time now, const dns::Question&, const dns::Message&);
-  std::vector<dns::Question> take(Time now, const std::vector<dns::Record>&, bool additional);
-  void answeredPtr(Time now, const dns::Message&, bool tcp);
-  void resolveAll();
+  void storeRecords(Time now, const dns::Question&, std::vector<dns::Data>, std::uint32_t ttl);
+  void storeNegativeAnswer(Time now, const dns::Question&, const dns::Message&);
+  std::vector<dns::Question> storeKnownRecords(Time now, const std::vector<dns::Record>&, bool additional);
+  void handlePtrAnswer(Time now, const dns::Message&, bool tcp);
+  void resolveInstances();
   void resolve(const dns::Name& instance);
   void resolve(const dns::Question&);  // the instances that it is of
-  void describe(const dns::Name& instance, std::optional<DiscoveredEndpoint>&, std::string& fault);
-  void collect();
-  bool spend(Time now);
-  std::vector<dns::Name> names() const;
-  const Set* find(const dns::Name&, dns::Type) const;
-  Time after(Time now, std::uint32_t ttl);
+  void describeInstance(const dns::Name& instance, std::optional<DiscoveredEndpoint>&, std::string& fault);
+  void removeUnlisted();
+  bool spendQueryBudget(Time now);
+  std::vector<dns::Name> listedInstances() const;
+  const RecordSet* find(const dns::Name&, dns::Type) const;
+  Time refreshTime(Time now, std::uint32_t ttl);
   Time backoff(int failures);
-  bool covered() const;
+  bool additionalsComplete() const;
 
   const DnsSdSettings settings_;
   const std::vector<GroupName> groups_;
   const dns::Question ptr_;
   const dns::Name domain_;
   pcg32 random_;
-  std::map<dns::Question, Set> sets_;
-  std::map<dns::Name, DiscoveredEndpoint> whole_;
-  std::map<dns::Name, Address> chosen_;             // of each instance: kept while it is still listed
-  std::map<dns::Name, std::set<dns::Name>> hosts_;  // instances by target
-  std::map<dns::Name, dns::Name> targets_;          // and the other way
+  std::map<dns::Question, RecordSet> sets_;
+  std::map<dns::Name, DiscoveredEndpoint> endpoints_;
+  std::map<dns::Name, Address> chosenAddresses_;  // of each instance: kept while it is still listed
+  std::map<dns::Name, std::set<dns::Name>> instancesByTarget_;  // instances by target
+  std::map<dns::Name, dns::Name> targetByInstance_;             // and the other way
   std::map<std::string, std::string> faults_;
   std::uint64_t version_ = 0;
-  bool settled_ = false;
-  double budget_ = 0;  // of questions for single records
-  Time budgetAt_{};
-  std::size_t out_ = 0;
+  bool complete_ = false;
+  double queryBudget_ = 0;  // of questions for single records
+  Time queryBudgetUpdatedAt_{};
+  std::size_t recordQueriesInFlight_ = 0;
   int ptrFailures_ = 0;
-  bool bundled_ = false;  // the last PTR answer brought all else along
-  bool tcp_ = false;      // PTR is asked over TCP
-  int tcpInVain_ = 0;     // rounds until TCP is tried again for what a datagram has no room for
-  Time ptrAt_{};          // of the last PTR answer
+  bool lastAnswerComplete_ = false;  // the last PTR answer brought all else along
+  bool ptrOverTcp_ = false;          // PTR is asked over TCP
+  int roundsWithoutTcp_ = 0;         // rounds until TCP is tried again for what a datagram has no room for
+  Time lastPtrAnswer_{};             // of the last PTR answer
 };
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/name_servers.cpp
+++ b/src/discovery/dnssd/name_servers.cpp
@@ -6,30 +6,31 @@
 namespace sablespur {
 namespace {
 
-constexpr NameServers::Time kFirstRest = std::chrono::seconds(1), kLongestRest = std::chrono::seconds(30);
+constexpr NameServers::Time kInitialBackoff = std::chrono::seconds(1), kMaxBackoff = std::chrono::seconds(30);
 
 }  // namespace
 
-std::optional<std::size_t> NameServers::pick(Time now, const std::vector<bool>& tried) const {
+std::optional<std::size_t> NameServers::select(Time now, const std::vector<bool>& tried) const {
   std::optional<std::size_t> best;
   const auto rank = [&](std::size_t k) {
-    const bool rests = all_[k].restsUntil > now;
-    const std::size_t turn = (k + all_.size() - current_) % all_.size();
-    return std::make_tuple(rests, rests ? all_[k].restsUntil : Time(0), turn);
+    const bool rests = servers_[k].backoffUntil > now;
+    const std::size_t turn = (k + servers_.size() - current_) % servers_.size();
+    return std::make_tuple(rests, rests ? servers_[k].backoffUntil : Time(0), turn);
   };
-  for (std::size_t k = 0; k < all_.size(); ++k)
+  for (std::size_t k = 0; k < servers_.size(); ++k)
     if (!tried[k] && (!best || rank(k) < rank(*best))) best = k;
   return best;
 }
 
-void NameServers::failed(std::size_t k, Time now) {
-  State& s = all_[k];
-  s.restsUntil = now + std::min(kFirstRest * (std::int64_t{1} << std::min(s.failures, 6)), kLongestRest);
+void NameServers::recordFailure(std::size_t k, Time now) {
+  ServerState& s = servers_[k];
+  s.backoffUntil =
+      now + std::min(kInitialBackoff * (std::int64_t{1} << std::min(s.failures, 6)), kMaxBackoff);
   ++s.failures;
 }
 
-void NameServers::answered(std::size_t k) {
-  all_[k] = {};
+void NameServers::recordAnswer(std::size_t k) {
+  servers_[k] = {};
   current_ = k;
 }
 
--- a/src/discovery/dnssd/name_servers.hpp
+++ b/src/discovery/dnssd/name_servers.hpp
@@ -15,20 +15,20 @@
 class NameServers {
  public:
   using Time = std::chrono::microseconds;
-  explicit NameServers(std::size_t n) : all_(n) {}
+  explicit NameServers(std::size_t n) : servers_(n) {}
 
   // Of those not in `tried`; nothing when all are.
-  std::optional<std::size_t> pick(Time now, const std::vector<bool>& tried) const;
-  void failed(std::size_t, Time now);
-  void answered(std::size_t);
+  std::optional<std::size_t> select(Time now, const std::vector<bool>& tried) const;
+  void recordFailure(std::size_t, Time now);
+  void recordAnswer(std::size_t);
   std::size_t current() const { return current_; }
 
  private:
-  struct State {
+  struct ServerState {
     int failures = 0;
-    Time restsUntil{};
+    Time backoffUntil{};
   };
-  std::vector<State> all_;
+  std::vector<ServerState> servers_;
   std::size_t current_ = 0;
 };
 
--- a/src/discovery/dnssd/records.cpp
+++ b/src/discovery/dnssd/records.cpp
@@ -8,8 +8,8 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kLongestText = 63;  // of a zone or a kind
-constexpr double kMostWeight = 1e6;
+constexpr std::size_t kMaxTextLength = 63;  // of a zone or a kind
+constexpr double kMaxWeight = 1e6;
 
 template <typename T>
 bool number(const std::string& text, T& v) {
@@ -32,7 +32,7 @@
       values.emplace(key, eq == std::string::npos ? std::string() : s.substr(eq + 1));
   }
   const auto wrong = [&](const char* key, const char* what) {
-    return std::string(key) + "=" + values[key].substr(0, kLongestText) + ": " + what;
+    return std::string(key) + "=" + values[key].substr(0, kMaxTextLength) + ": " + what;
   };
   if (values.count("txtvers") > 0 && values["txtvers"] != "1")
     return wrong("txtvers", "only version 1 is known");
@@ -53,11 +53,11 @@
     return "group is missing, and the settings have no default";
   }
   for (const char* key : {"zone", "kind"})
-    if (values[key].size() > kLongestText) return wrong(key, "too long");
+    if (values[key].size() > kMaxTextLength) return wrong(key, "too long");
   i.zone = values["zone"];
   i.kind = values["kind"];
   if (!values["weight"].empty() && (!number(values["weight"], i.weight) || !std::isfinite(i.weight) ||
-                                    i.weight <= 0 || i.weight > kMostWeight))
+                                    i.weight <= 0 || i.weight > kMaxWeight))
     return wrong("weight", "no number above 0");
   const std::string& state = values["state"];
   if (!state.empty() && state != "active" && state != "leaving")
--- a/src/discovery/dnssd/resolver.cpp
+++ b/src/discovery/dnssd/resolver.cpp
@@ -14,9 +14,9 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kLongestDatagram = 65535;
+constexpr std::size_t kMaxDatagramSize = 65535;
 // Guards against one that floods the port with forged answers: so many are looked at in one go.
-constexpr int kDatagramsAtOnce = 64;
+constexpr int kMaxDatagramsPerRead = 64;
 
 struct Socket {
   int fd = -1;
@@ -53,51 +53,51 @@
   Lookup(Resolver& owner, dns::Question q, bool tcp)
       : owner_(owner),
         question_(std::move(q)),
-        wantsTcp_(tcp),
+        startsWithTcp_(tcp),
         tried_(owner.settings_.servers.size()),
         timer_(event_new(
             owner.base_, -1, 0,
-            [](evutil_socket_t, short, void* self) { static_cast<Lookup*>(self)->late(); }, this)) {
+            [](evutil_socket_t, short, void* self) { static_cast<Lookup*>(self)->onTimer(); }, this)) {
     startTimer(timer_.get(), Time(0));  // the first try comes from the loop
   }
 
   const dns::Question& question() const { return question_; }
 
  private:
-  void late() {
-    if (!started_) return next();
-    fail("no answer in time");
+  void onTimer() {
+    if (!started_) return queryNextServer();
+    serverFailed("no answer in time");
   }
-  const Address& server() const { return owner_.settings_.servers[at_]; }
+  const Address& server() const { return owner_.settings_.servers[serverIndex_]; }
 
-  void next() {
-    const auto k = owner_.servers_.pick(owner_.clock_.now(), tried_);
+  void queryNextServer() {
+    const auto k = owner_.servers_.select(owner_.clock_.now(), tried_);
     if (!k) {
       Reply r;
-      r.why = why_;
+      r.error = lastError_;
       ++owner_.counts_.failed;
-      return owner_.ended(*this, std::move(r));
+      return owner_.finish(*this, std::move(r));
     }
     owner_.counts_.failovers += started_;
     started_ = true;
-    at_ = *k;
-    tried_[at_] = true;
-    wantsTcp_ ? overTcp() : overUdp();
+    serverIndex_ = *k;
+    tried_[serverIndex_] = true;
+    startsWithTcp_ ? sendOverTcp() : sendOverUdp();
   }
   // This server has failed for this question.
-  void fail(const std::string& why) {
-    owner_.servers_.failed(at_, owner_.clock_.now());
-    tryNext(why);
+  void serverFailed(const std::string& why) {
+    owner_.servers_.recordFailure(serverIndex_, owner_.clock_.now());
+    leaveServer(why);
   }
   // It is not held against the server where this machine had no socket or no way to it.
-  void failedCall(SocketFault fault, int error) {
-    if (fault == SocketFault::Peer) return fail(std::strerror(error));
-    tryNext(std::strerror(error));
+  void socketCallFailed(SocketFault fault, int error) {
+    if (fault == SocketFault::Peer) return serverFailed(std::strerror(error));
+    leaveServer(std::strerror(error));
   }
-  void tryNext(const std::string& why) {
+  void leaveServer(const std::string& why) {
     close();
-    why_ = server().text() + ": " + why;
-    next();
+    lastError_ = server().text() + ": " + why;
+    queryNextServer();
   }
   void close() {
     event_.reset();
@@ -106,39 +106,39 @@
     event_del(timer_.get());
   }
 
-  std::string query() {
+  std::string encodeQuery() {
     id_ = static_cast<std::uint16_t>(owner_.random_());
-    const int payload = owner_.plain_[at_] ? 0 : owner_.settings_.udpPayload;
+    const int payload = owner_.withoutEdns_[serverIndex_] ? 0 : owner_.settings_.udpPayload;
     return dns::encodeQuery(id_, question_, static_cast<std::uint16_t>(payload));
   }
 
-  void overUdp() {
+  void sendOverUdp() {
     ++owner_.counts_.udp;
     socket_.reset(::socket(server().data()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    if (socket_.fd < 0) return failSoon(SocketCall::Open, errno);
+    if (socket_.fd < 0) return deferSocketFailure(SocketCall::Open, errno);
     // Connected, so that the kernel passes on only what comes from this server's address and port.
     if (connect(socket_.fd, server().data(), server().size()) != 0)
-      return failSoon(SocketCall::Connect, errno);
-    const std::string bytes = query();
+      return deferSocketFailure(SocketCall::Connect, errno);
+    const std::string bytes = encodeQuery();
     ssize_t sent;
     do sent = send(socket_.fd, bytes.data(), bytes.size(), 0);
     while (sent < 0 && errno == EINTR);
-    if (sent < 0) return failSoon(SocketCall::Transfer, errno);
+    if (sent < 0) return deferSocketFailure(SocketCall::Transfer, errno);
     event_.reset(event_new(
         owner_.base_, socket_.fd, EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* self) { static_cast<Lookup*>(self)->readUdp(); }, this));
     event_add(event_.get(), nullptr);
-    startTimer(timer_.get(), owner_.settings_.tryTimeout);
+    startTimer(timer_.get(), owner_.settings_.attemptTimeout);
   }
   // Not within the call that brought it about: all servers may fail like this.
-  void failSoon(SocketCall call, int error) {
-    fault_ = classify(call, error);
-    error_ = error;
+  void deferSocketFailure(SocketCall call, int error) {
+    pendingFault_ = classify(call, error);
+    pendingErrno_ = error;
     event_.reset(event_new(
         owner_.base_, -1, 0,
         [](evutil_socket_t, short, void* self) {
           auto& l = *static_cast<Lookup*>(self);
-          l.failedCall(l.fault_, l.error_);
+          l.socketCallFailed(l.pendingFault_, l.pendingErrno_);
         },
         this));
     event_del(timer_.get());
@@ -146,47 +146,48 @@
   }
 
   void readUdp() {
-    static char bytes[kLongestDatagram];  // one loop, one thread
-    for (int k = 0; k < kDatagramsAtOnce; ++k) {
+    static char bytes[kMaxDatagramSize];  // one loop, one thread
+    for (int k = 0; k < kMaxDatagramsPerRead; ++k) {
       const ssize_t n = recv(socket_.fd, bytes, sizeof bytes, 0);
       if (n < 0) {
         const SocketFault fault = classify(SocketCall::Transfer, errno);
         if (fault == SocketFault::None || fault == SocketFault::Transient) return;
-        return failedCall(fault, errno);  // ECONNREFUSED: nobody listens there
+        return socketCallFailed(fault, errno);  // ECONNREFUSED: nobody listens there
       }
       auto m = dns::parse({bytes, static_cast<std::size_t>(n)});
-      if (m && answers(*m)) return take(std::move(*m), false);
-      ++owner_.counts_.passedOver;
+      if (m && matchesQuery(*m)) return acceptResponse(std::move(*m), false);
+      ++owner_.counts_.discarded;
     }
   }
   // RFC 5452 section 9.1: id, question and, by the connected socket, addresses and ports.
-  bool answers(const dns::Message& m) const {
+  bool matchesQuery(const dns::Message& m) const {
     if (!m.response || m.id != id_) return false;
     if (m.question) return *m.question == question_;
     return m.rcode == dns::Rcode::FormErr;  // one that could not read the question need not repeat it
   }
 
-  void take(dns::Message m, bool tcp) {
+  void acceptResponse(dns::Message m, bool tcp) {
     close();
-    if (m.rcode == dns::Rcode::FormErr && !owner_.plain_[at_]) {  // RFC 6891 section 7
-      owner_.plain_[at_] = true;
-      return tcp ? overTcp() : overUdp();
+    if (m.rcode == dns::Rcode::FormErr && !owner_.withoutEdns_[serverIndex_]) {  // RFC 6891 section 7
+      owner_.withoutEdns_[serverIndex_] = true;
+      return tcp ? sendOverTcp() : sendOverUdp();
     }
-    if (m.truncated && !tcp) return overTcp();
-    if (judge(question_, m) == Verdict::Useless) return fail(std::string("it answers ") + rcodeName(m.rcode));
-    owner_.servers_.answered(at_);
+    if (m.truncated && !tcp) return sendOverTcp();
+    if (classifyAnswer(question_, m) == AnswerKind::Unusable)
+      return serverFailed(std::string("it answers ") + rcodeName(m.rcode));
+    owner_.servers_.recordAnswer(serverIndex_);
     Reply r;
     r.ok = true;
     r.message = std::move(m);
     r.tcp = tcp;
-    owner_.ended(*this, std::move(r));
+    owner_.finish(*this, std::move(r));
   }
 
-  void overTcp() {
+  void sendOverTcp() {
     ++owner_.counts_.tcp;
-    const std::string bytes = query();
+    const std::string bytes = encodeQuery();
     const StartedConnect started = startConnect(server());
-    if (started.fd < 0) return failSoon(SocketCall::Connect, started.error);
+    if (started.fd < 0) return deferSocketFailure(SocketCall::Connect, started.error);
     tcp_.reset(bufferevent_socket_new(owner_.base_, started.fd, BEV_OPT_CLOSE_ON_FREE));
     const char length[2] = {static_cast<char>(bytes.size() >> 8), static_cast<char>(bytes.size())};
     append(bufferevent_get_output(tcp_.get()), {length, sizeof length});
@@ -195,11 +196,11 @@
         tcp_.get(), [](bufferevent*, void* self) { static_cast<Lookup*>(self)->readTcp(); }, nullptr,
         [](bufferevent*, short what, void* self) {
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-            static_cast<Lookup*>(self)->fail("the TCP connection ended or never came up");
+            static_cast<Lookup*>(self)->serverFailed("the TCP connection ended or never came up");
         },
         this);
     bufferevent_enable(tcp_.get(), EV_READ | EV_WRITE);
-    startTimer(timer_.get(), owner_.settings_.tryTimeout);
+    startTimer(timer_.get(), owner_.settings_.attemptTimeout);
     bufferevent_socket_connect(tcp_.get(), nullptr, 0);  // it is under way: this waits for its end
   }
   void readTcp() {
@@ -211,48 +212,48 @@
     const auto* const at =
         reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(sizeof length + whole)));
     auto m = dns::parse({at + sizeof length, whole});
-    if (!m || !answers(*m)) {
-      ++owner_.counts_.passedOver;
-      return fail("it answers over TCP what was not asked");
+    if (!m || !matchesQuery(*m)) {
+      ++owner_.counts_.discarded;
+      return serverFailed("it answers over TCP what was not asked");
     }
-    take(std::move(*m), true);
+    acceptResponse(std::move(*m), true);
   }
 
   Resolver& owner_;
   const dns::Question question_;
-  const bool wantsTcp_;
+  const bool startsWithTcp_;
   std::vector<bool> tried_;
   Event timer_, event_;
   Socket socket_;
   BufferEvent tcp_;
-  std::size_t at_ = 0;
+  std::size_t serverIndex_ = 0;
   std::uint16_t id_ = 0;
   bool started_ = false;
-  std::string why_ = "no name server";
-  SocketFault fault_ = SocketFault::None;  // of a call that failed, until the loop's next pass
-  int error_ = 0;
+  std::string lastError_ = "no name server";
+  SocketFault pendingFault_ = SocketFault::None;  // of a call that failed, until the loop's next pass
+  int pendingErrno_ = 0;
 };
 
-Resolver::Resolver(event_base* base, const Clock& clock, const DnsSdSettings& settings, Done done)
+Resolver::Resolver(event_base* base, const Clock& clock, const DnsSdSettings& settings, Callback done)
     : base_(base),
       clock_(clock),
       settings_(settings),
-      done_(std::move(done)),
+      callback_(std::move(done)),
       servers_(settings.servers.size()),
-      plain_(settings.servers.size()) {}
+      withoutEdns_(settings.servers.size()) {}
 Resolver::~Resolver() = default;
 
-void Resolver::ask(const dns::Question& q, bool tcp) {
+void Resolver::query(const dns::Question& q, bool tcp) {
   auto l = std::make_unique<Lookup>(*this, q, tcp);
   lookups_.emplace(l.get(), std::move(l));
 }
 
-void Resolver::ended(Lookup& l, Reply reply) {
+void Resolver::finish(Lookup& l, Reply reply) {
   const auto it = lookups_.find(&l);
   const std::unique_ptr<Lookup> keep = std::move(it->second);  // until this call, which is its own, is over
   lookups_.erase(it);
   const dns::Question q = keep->question();
-  done_(q, reply);
+  callback_(q, reply);
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/resolver.hpp
+++ b/src/discovery/dnssd/resolver.hpp
@@ -24,33 +24,33 @@
     bool ok = false;  // some server gave an answer that is one (Directory's judge)
     dns::Message message;
     bool tcp = false;
-    std::string why;  // not ok: what the last server did
+    std::string error;  // not ok: what the last server did
   };
-  using Done = std::function<void(const dns::Question&, const Reply&)>;
+  using Callback = std::function<void(const dns::Question&, const Reply&)>;
 
-  Resolver(event_base*, const Clock&, const DnsSdSettings&, Done);
+  Resolver(event_base*, const Clock&, const DnsSdSettings&, Callback);
   ~Resolver();
   Resolver(const Resolver&) = delete;
   Resolver& operator=(const Resolver&) = delete;
 
   // Ends in one call of `done`, from the loop and never within this call. All end silently with the Resolver.
-  void ask(const dns::Question&, bool tcp);
+  void query(const dns::Question&, bool tcp);
 
   struct Counts {
-    std::uint64_t udp = 0, tcp = 0, passedOver = 0, failovers = 0, failed = 0;
+    std::uint64_t udp = 0, tcp = 0, discarded = 0, failovers = 0, failed = 0;
   };
   const Counts& counts() const { return counts_; }
 
  private:
   class Lookup;
-  void ended(Lookup&, Reply);
+  void finish(Lookup&, Reply);
 
   event_base* const base_;
   const Clock& clock_;
   const DnsSdSettings settings_;
-  const Done done_;
+  const Callback callback_;
   NameServers servers_;
-  std::vector<bool> plain_;  // servers that turned EDNS0 down
+  std::vector<bool> withoutEdns_;  // servers that turned EDNS0 down
   std::random_device random_;
   Counts counts_;
   std::unordered_map<Lookup*, std::unique_ptr<Lookup>> lookups_;
--- a/src/discovery/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -4,68 +4,73 @@
 
 namespace sablespur {
 
-DnsSd::DnsSd(event_base* base, const Clock& clock, EndpointUpdater& feed, const Config& config)
+DnsSdDiscovery::DnsSdDiscovery(event_base* base, const Clock& clock, EndpointUpdater& feed,
+                               const Config& config)
     : base_(base),
       clock_(clock),
-      feed_(feed),
+      updater_(feed),
       timer_(event_new(
-          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<DnsSd*>(self)->ask(); }, this)) {
+          base, -1, 0,
+          [](evutil_socket_t, short, void* self) { static_cast<DnsSdDiscovery*>(self)->sendDueQueries(); },
+          this)) {
   open(config);
 }
 
-void DnsSd::open(const Config& config) {
-  auto directory = std::make_unique<Directory>(config.dnssd, config.groups, config.seed);
+void DnsSdDiscovery::open(const Config& config) {
+  auto directory = std::make_unique<DnsSdDirectory>(config.dnssd, config.groups, config.seed);
   resolver_.reset();  // with all that is out
   directory_ = std::move(directory);
   settings_ = config.dnssd;
   resolver_ = std::make_unique<Resolver>(
-      base_, clock_, settings_, [this](const dns::Question& q, const Resolver::Reply& r) { answered(q, r); });
-  told_ = false;
+      base_, clock_, settings_,
+      [this](const dns::Question& q, const Resolver::Reply& r) { handleReply(q, r); });
+  hasPublished_ = false;
   startTimer(timer_.get(), Time(0));
 }
 
-void DnsSd::move(const Config& config) {
+void DnsSdDiscovery::updateSettings(const Config& config) {
   if (config.dnssd == settings_) return;
   open(config);
 }
 
-void DnsSd::ask() {
+void DnsSdDiscovery::sendDueQueries() {
   const Time now = clock_.now();
-  for (const Directory::Ask& a : directory_->due(now)) resolver_->ask(a.question, a.tcp);
-  if (const auto at = directory_->next())
+  for (const DnsSdDirectory::Query& a : directory_->dueQueries(now)) resolver_->query(a.question, a.tcp);
+  if (const auto at = directory_->nextDeadline())
     startTimer(timer_.get(), *at - now);
   else
     event_del(timer_.get());  // the next answer starts it
 }
 
-void DnsSd::answered(const dns::Question& q, const Resolver::Reply& r) {
+void DnsSdDiscovery::handleReply(const dns::Question& q, const Resolver::Reply& r) {
   const Time now = clock_.now();
   if (r.ok)
-    directory_->answered(now, q, r.message, r.tcp);
+    directory_->handleAnswer(now, q, r.message, r.tcp);
   else
-    directory_->failed(now, q);
-  if (!r.ok && q.type == dns::Type::Ptr) feed_.discoveryFailed(r.why);
+    directory_->handleFailure(now, q);
+  if (!r.ok && q.type == dns::Type::Ptr) updater_.discoveryFailed(r.error);
   if (!r.ok && q.type != dns::Type::Ptr)
     logEvent(LogLevel::Warning, "record_failed",
-             {{"name", q.name}, {"type", static_cast<int>(q.type)}, {"why", r.why}});
+             {{"name", q.name}, {"type", static_cast<int>(q.type)}, {"why", r.error}});
   // What only confirms a single record tells nothing new; the PTR answer is the word that the list stands.
-  if (r.ok && (q.type == dns::Type::Ptr || directory_->version() != version_ || !told_)) tell();
-  ask();
+  if (r.ok && (q.type == dns::Type::Ptr || directory_->version() != publishedVersion_ || !hasPublished_))
+    publish();
+  sendDueQueries();
 }
 
 // Not before the first list is whole: what came after it would count as just started.
-void DnsSd::tell() {
-  if (!told_ && !directory_->settled()) return;
-  version_ = directory_->version();
+void DnsSdDiscovery::publish() {
+  if (!hasPublished_ && !directory_->isComplete()) return;
+  publishedVersion_ = directory_->version();
   for (const auto& [name, why] : directory_->faults()) {
-    const auto it = logged_.find(name);
-    if (it == logged_.end() || it->second != why)
+    const auto it = loggedFaults_.find(name);
+    if (it == loggedFaults_.end() || it->second != why)
       logEvent(LogLevel::Warning, "endpoint_ignored", {{"name", dns::firstLabel(name)}, {"why", why}});
   }
-  logged_ = directory_->faults();
-  const bool first = !told_;
-  told_ = true;
-  feed_.found(directory_->instances(), first);
+  loggedFaults_ = directory_->faults();
+  const bool first = !hasPublished_;
+  hasPublished_ = true;
+  updater_.found(directory_->instances(), first);
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/source.hpp
+++ b/src/discovery/dnssd/source.hpp
@@ -14,34 +14,34 @@
 
 namespace sablespur {
 
-class DnsSd {
+class DnsSdDiscovery {
  public:
   // Throws BadInput where the settings name no domain. Asks from the loop's next pass on.
-  DnsSd(event_base*, const Clock&, EndpointUpdater&, const Config&);
+  DnsSdDiscovery(event_base*, const Clock&, EndpointUpdater&, const Config&);
   // New settings: the members stand until the new ones have told a whole list. The same ones change nothing.
-  void move(const Config&);
+  void updateSettings(const Config&);
 
   // A whole list has been told since the start, or since the last move.
-  bool told() const { return told_; }
+  bool hasPublished() const { return hasPublished_; }
   const std::map<std::string, std::string>& faults() const { return directory_->faults(); }
   const Resolver::Counts& counts() const { return resolver_->counts(); }
 
  private:
   void open(const Config&);
-  void ask();
-  void answered(const dns::Question&, const Resolver::Reply&);
-  void tell();
+  void sendDueQueries();
+  void handleReply(const dns::Question&, const Resolver::Reply&);
+  void publish();
 
   event_base* const base_;
   const Clock& clock_;
-  EndpointUpdater& feed_;
+  EndpointUpdater& updater_;
   DnsSdSettings settings_;
-  std::unique_ptr<Directory> directory_;
+  std::unique_ptr<DnsSdDirectory> directory_;
   std::unique_ptr<Resolver> resolver_;
   Event timer_;
-  bool told_ = false;
-  std::uint64_t version_ = 0;                  // of the directory, when it was last told
-  std::map<std::string, std::string> logged_;  // faults that the log has
+  bool hasPublished_ = false;
+  std::uint64_t publishedVersion_ = 0;               // of the directory, when it was last told
+  std::map<std::string, std::string> loggedFaults_;  // faults that the log has
 };
 
 }  // namespace sablespur
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -12,11 +12,11 @@
          a.group == b.group && a.state == b.state && a.weight == b.weight && a.startedMs == b.startedMs;
 }
 
-bool ListStream::feed(std::string_view bytes, std::vector<std::string>& whole, bool& alive) {
+bool EndpointListStream::feed(std::string_view bytes, std::vector<std::string>& whole, bool& alive) {
   constexpr std::size_t kLongest = 4 << 20;
   std::size_t taken = 0;  // bytes up to here are in text_, or belong to no list
   const auto take = [&](std::size_t end) {
-    text_.append(bytes.substr(taken, end - taken));
+    list_.append(bytes.substr(taken, end - taken));
     taken = end;
   };
   for (std::size_t k = 0; k < bytes.size(); ++k) {
@@ -27,19 +27,19 @@
       if (c != '{') return false;
       taken = k;
     }
-    if (text_.size() + (k - taken) >= kLongest) return false;
-    if (quoted_) {
-      quoted_ = c != '"' || escaped_;
-      escaped_ = c == '\\' && !escaped_;
+    if (list_.size() + (k - taken) >= kLongest) return false;
+    if (inString_) {
+      inString_ = c != '"' || afterBackslash_;
+      afterBackslash_ = c == '\\' && !afterBackslash_;
       continue;
     }
-    quoted_ = c == '"';
+    inString_ = c == '"';
     depth_ += (c == '{' || c == '[') - (c == '}' || c == ']');
     if (depth_ > 0) continue;
     alive = true;
     take(k + 1);
-    whole.push_back(std::move(text_));
-    text_.clear();
+    whole.push_back(std::move(list_));
+    list_.clear();
   }
   if (depth_ > 0) take(bytes.size());
   return true;
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -47,7 +47,7 @@
 // Finds the lists in the bytes of a watch: JSON objects, each in one line or indented over many. What ends a
 // list is its last brace, so one that was cut off never counts. Bounded; a feed after a false one is not
 // allowed.
-class ListStream {
+class EndpointListStream {
  public:
   // Whole ones come out at the back of `whole`, as text. `alive`: a list began or ended, or a line ended
   // between two, as a quiet watch sends it. False: something stands there that is no object, or a list is too
@@ -55,9 +55,9 @@
   bool feed(std::string_view bytes, std::vector<std::string>& whole, bool& alive);
 
  private:
-  std::string text_;  // of the list that has begun
+  std::string list_;  // of the list that has begun
   int depth_ = 0;     // of braces and brackets; 0: between two lists
-  bool quoted_ = false, escaped_ = false;
+  bool inString_ = false, afterBackslash_ = false;
 };
 
 Address parseAddress(std::string_view text, const std::string& key);  // Address::parse, or BadInput
--- a/src/discovery/endpoint_table.hpp
+++ b/src/discovery/endpoint_table.hpp
@@ -30,10 +30,10 @@
 
 struct EndpointTablePolicy {
   using Time = std::chrono::microseconds;
-  double suppressAt = 1.5, reuseAt = 0.75;
-  Time halfLife = std::chrono::seconds(15), mostHeld = std::chrono::seconds(60);
-  Time keepFor{};  // 0: the last list stands for ever
-  bool dampens = true;
+  double suppressThreshold = 1.5, reuseThreshold = 0.75;
+  Time halfLife = std::chrono::seconds(15), maxSuppression = std::chrono::seconds(60);
+  Time maxListAge{};  // 0: the last list stands for ever
+  bool flapDamping = true;
 };
 
 class EndpointTable {
@@ -43,66 +43,67 @@
 
   // A source that tells everything each time. `first`: what was not there before has not just come, as after
   // a change of domain; the very first list is always so.
-  void found(Time now, std::vector<DiscoveredEndpoint> all, bool first = false);
+  void applySnapshot(Time now, std::vector<DiscoveredEndpoint> all, bool first = false);
   // A source with generations. It counts returns and starts itself: no damping, no starts given here.
-  void changed(Time now, EndpointList);
-  void failed(Time now, std::string why);
+  void applyUpdate(Time now, EndpointList);
+  void recordFailure(Time now, std::string why);
 
   // What the engine has to be told now, one list a call until there is none. To be called after each of the
   // above and when next() is due.
-  std::optional<EndpointList> take(Time now);
-  std::optional<Time> next() const;  // when something changes though nothing comes
+  std::optional<EndpointList> nextUpdate(Time now);
+  std::optional<Time> nextDeadline() const;  // when something changes though nothing comes
 
   std::uint64_t generation() const { return generation_; }
-  void policy(const EndpointTablePolicy& p) { policy_ = p; }
+  void setPolicy(const EndpointTablePolicy& p) { policy_ = p; }
 
   // For staff.
   struct Row {
-    DiscoveredEndpoint instance;
-    std::string leftOut;  // why the engine is not told of it; empty: it is
+    DiscoveredEndpoint endpoint;
+    std::string exclusionReason;  // why the engine is not told of it; empty: it is
     double penalty = 0;
     unsigned withdrawals = 0;
   };
   struct View {
     std::vector<Row> rows;             // by name
-    std::optional<Time> toldAt;        // when a source last told anything
+    std::optional<Time> lastUpdate;    // when a source last told anything
     std::optional<Time> failingSince;  // no word since then
-    std::string why;                   // of the last failure
+    std::string lastError;             // of the last failure
   };
   View view(Time now) const;
 
  private:
   struct Entry {
-    DiscoveredEndpoint instance;  // as the source has it
+    DiscoveredEndpoint endpoint;  // as the source has it
     bool present = false;
-    bool toldEngine = false;
-    DiscoveredEndpoint told;                         // as the engine has it
-    Time since{};                                    // of the present presence, or of the absence
-    std::int64_t startedMs = 0;                      // where the source tells none
-    std::int64_t aheadStampMs = 0, aheadToldMs = 0;  // a start that lay ahead when it came, and what was told
+    bool published = false;
+    DiscoveredEndpoint lastPublished;  // as the engine has it
+    Time presenceChangedAt{};          // of the present presence, or of the absence
+    std::int64_t inferredStartMs = 0;  // where the source tells none
+    std::int64_t futureStartMs = 0,
+                 clampedStartMs = 0;  // a start that lay ahead when it came, and what was told
     double penalty = 0;
-    Time penaltyAt{};
+    Time penaltyUpdatedAt{};
     unsigned withdrawals = 0, incarnation = 1;
-    bool held = false;
-    Time heldUntil{};
-    const char* leftOut = nullptr;
+    bool suppressed = false;
+    Time suppressedUntil{};
+    const char* exclusionReason = nullptr;
   };
-  double penalty(const Entry&, Time now) const;
-  void appear(Entry&, Time now, bool first);
-  void withdraw(Entry&, Time now);
-  void forget(Time now);
-  static std::int64_t startedNoLaterThan(Entry&, Time now);
+  double currentPenalty(const Entry&, Time now) const;
+  void recordAppearance(Entry&, Time now, bool first);
+  void recordWithdrawal(Entry&, Time now);
+  void removeExpired(Time now);
+  static std::int64_t clampedStart(Entry&, Time now);
 
   EndpointTablePolicy policy_;
   std::map<std::string, Entry> entries_;
   std::uint64_t generation_ = 0;
-  bool listed_ = false;  // a first whole list has come
-  bool whole_ = false;   // the next one told is whole
-  bool registry_ = false;
-  std::deque<EndpointList> raw_;  // of the registry, waiting for take
-  bool dirty_ = false;
-  std::optional<Time> toldAt_, failingSince_;
-  std::string why_;
+  bool hasList_ = false;           // a first whole list has come
+  bool publishWholeList_ = false;  // the next one told is whole
+  bool fromRegistry_ = false;
+  std::deque<EndpointList> registryUpdates_;  // of the registry, waiting for take
+  bool changed_ = false;
+  std::optional<Time> lastUpdate_, failingSince_;
+  std::string lastError_;
   bool expired_ = false;
 };
 
--- a/src/discovery/registry/watch.cpp
+++ b/src/discovery/registry/watch.cpp
@@ -8,46 +8,46 @@
 
 // A change counts as told 6 s after discovery had it, whatever calls have failed meanwhile. A call is
 // answered or turned away within 2 s: one that is silent is given up in time for a pause and one more.
-constexpr Time kAnswer = std::chrono::milliseconds(2500);
+constexpr Time kResponseTimeout = std::chrono::milliseconds(2500);
 // Guards against a discovery that vanished without a word: a watch brings at least an empty line every 2 s.
-constexpr Time kSilence = std::chrono::milliseconds(3000);
+constexpr Time kSilenceTimeout = std::chrono::milliseconds(3000);
 
 }  // namespace
 
 RegistryWatch::RegistryWatch(event_base* base, EndpointListConsumer& taker, const Address& address)
     : base_(base),
-      taker_(taker),
+      consumer_(taker),
       address_(address),
-      silence_(event_new(
+      silenceTimer_(event_new(
           base, -1, 0,
           [](evutil_socket_t, short, void* self) { static_cast<RegistryWatch*>(self)->fail("silent"); },
           this)) {}
 
-RegistryWatch::~RegistryWatch() { hangUp(); }
+RegistryWatch::~RegistryWatch() { closeConnection(); }
 
 // Guards against a table that clients fill before the next call: the descriptor is kept from one to the
 // other.
-void RegistryWatch::hangUp() {
+void RegistryWatch::closeConnection() {
   if (!connection_) return;
   const evutil_socket_t fd = bufferevent_getfd(connection_.get());
   bufferevent_setfd(connection_.get(), -1);
   connection_.reset();
   if (fd >= 0) evutil_closesocket(fd);
-  event_del(silence_.get());
+  event_del(silenceTimer_.get());
   reserve_.reacquire();
 }
 
 void RegistryWatch::watch(std::uint64_t after) {
-  hangUp();
+  closeConnection();
   response_ = http::Response();
-  stream_ = ListStream();
+  stream_ = EndpointListStream();
   reserve_.release();
   const int fd = systemCalls().socket(address_.v6() ? AF_INET6 : AF_INET);
   connection_.reset(bufferevent_socket_new(base_, fd, 0));
   const std::string target = "/registry/instances?watch=1&after=" + std::to_string(after);
   append(bufferevent_get_output(connection_.get()), http::get(target, address_.text()));
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
-  startTimer(silence_.get(), kAnswer);
+  startTimer(silenceTimer_.get(), kResponseTimeout);
   if (fd < 0 ||
       bufferevent_socket_connect(connection_.get(), address_.data(), static_cast<int>(address_.size())) != 0)
     return fail("no connection");
@@ -62,10 +62,10 @@
 
 // Goes on from the list as it is known. A watch at the old address ends silently: what it has still to tell,
 // the new one tells.
-void RegistryWatch::move(const Address& address) {
+void RegistryWatch::changeAddress(const Address& address) {
   if (address == address_) return;
   address_ = address;
-  watch(taker_.generation());
+  watch(consumer_.generation());
 }
 
 void RegistryWatch::read() {
@@ -86,20 +86,20 @@
   std::vector<std::string> lists;
   const bool fine = stream_.feed(body, lists, alive);
   try {
-    for (const std::string& list : lists) taker_.endpointsListed(parseEndpointList(list));
+    for (const std::string& list : lists) consumer_.endpointsListed(parseEndpointList(list));
   } catch (const BadInput& e) {
     return fail(e.what());
   }
   if (!fine) return fail("something that is no list, or too long");
-  if (alive) startTimer(silence_.get(), kSilence);
+  if (alive) startTimer(silenceTimer_.get(), kSilenceTimeout);
   if (response_.done()) fail("watch ended");
 }
 
 void RegistryWatch::fail(const char* why) {
   if (!connection_) return;  // an end is told once
   logEvent(LogLevel::Warning, "discovery_watch_closed", {{"why", why}});
-  hangUp();
-  taker_.discoveryFailed(why);
+  closeConnection();
+  consumer_.discoveryFailed(why);
 }
 
 }  // namespace sablespur
--- a/src/discovery/registry/watch.hpp
+++ b/src/discovery/registry/watch.hpp
@@ -14,20 +14,20 @@
   RegistryWatch(event_base*, EndpointListConsumer&, const Address&);
   ~RegistryWatch() override;
   void watch(std::uint64_t after) override;  // a watch that is on ends silently
-  void move(const Address&);                 // goes on with the watch at another address
+  void changeAddress(const Address&);        // goes on with the watch at another address
 
  private:
   void read();
-  void hangUp();
+  void closeConnection();
   void fail(const char* why);
 
   event_base* const base_;
-  EndpointListConsumer& taker_;
+  EndpointListConsumer& consumer_;
   Address address_;
   BufferEvent connection_;
-  Event silence_;
+  Event silenceTimer_;
   http::Response response_;
-  ListStream stream_;
+  EndpointListStream stream_;
   ReservedDescriptor reserve_;  // held while there is no connection
 };
 
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -23,24 +23,24 @@
           [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->pass(); }, this)) {}
 
 void EndpointUpdater::found(std::vector<DiscoveredEndpoint> all, bool first) {
-  members_.found(clock_.now(), std::move(all), first);
+  members_.applySnapshot(clock_.now(), std::move(all), first);
   pass();
 }
 
 void EndpointUpdater::endpointsListed(EndpointList list) {
-  members_.changed(clock_.now(), std::move(list));
+  members_.applyUpdate(clock_.now(), std::move(list));
   pass();
 }
 
 void EndpointUpdater::discoveryFailed(const std::string& why) {
   const auto now = clock_.now();
-  members_.failed(now, why);
+  members_.recordFailure(now, why);
   const auto view = members_.view(now);
   if (logged_ == std::chrono::microseconds(0) || now - logged_ >= kLogAgain) {
     logged_ = now;
-    if (view.toldAt)
+    if (view.lastUpdate)
       logEvent(LogLevel::Warning, "discovery_failed",
-               {{"why", why}, {"list_age_s", static_cast<double>((now - *view.toldAt).count()) / 1e6}});
+               {{"why", why}, {"list_age_s", static_cast<double>((now - *view.lastUpdate).count()) / 1e6}});
     else
       logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
   }
@@ -50,7 +50,7 @@
 
 void EndpointUpdater::pass() {
   const auto now = clock_.now();
-  while (auto list = members_.take(now)) {
+  while (auto list = members_.nextUpdate(now)) {
     for (const DiscoveredEndpoint& i : list->instances)
       logEvent(LogLevel::Info, "endpoint_changed",
                {{"name", i.name},
@@ -61,7 +61,7 @@
                 {"started_ms", i.startedMs}});
     to_.endpointsListed(std::move(*list));
   }
-  if (const auto at = members_.next())
+  if (const auto at = members_.nextDeadline())
     startTimer(timer_.get(), *at - now);
   else
     event_del(timer_.get());
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -20,7 +20,7 @@
   void discoveryFailed(const std::string& why) override;
   std::uint64_t generation() const override { return members_.generation(); }
 
-  void policy(const EndpointTablePolicy& p) { members_.policy(p); }
+  void policy(const EndpointTablePolicy& p) { members_.setPolicy(p); }
   EndpointTable::View view() const { return members_.view(clock_.now()); }
 
  private:
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -272,8 +272,8 @@
   all.push_back(all[0]);
   all.back().name = "s-3";
   const Time now = std::chrono::hours(24 * 365 * 60);
-  known.found(now, all);
-  known.take(now);
+  known.applySnapshot(now, all);
+  known.nextUpdate(now);
   const MembersView view{known.view(now), {{"s-4", "TXT: bad"}}, now + std::chrono::milliseconds(1500)};
   const std::string table = membersTable(c, view);
   EXPECT_NE(table.find("s-1   127.0.0.1:6001  rentals  ruwi"), std::string::npos) << table;
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -248,7 +248,7 @@
 
 EndpointList readInPieces(const std::string& text) {
   constexpr std::size_t kPiece = 4096;
-  ListStream stream;
+  EndpointListStream stream;
   std::vector<std::string> whole;
   bool alive = false;
   for (std::size_t at = 0; at < text.size(); at += kPiece)
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -157,33 +157,33 @@
   NameServers s(3);
   Time now = seconds(100);
   const std::vector<bool> none(3);
-  EXPECT_EQ(s.pick(now, none), 0u);
-  s.failed(0, now);
-  EXPECT_EQ(s.pick(now, none), 1u);
-  s.answered(1);
-  EXPECT_EQ(s.pick(now + seconds(60), none), 1u);  // the first has rested, and is not gone back to
-  EXPECT_EQ(s.pick(now, {false, true, false}), 2u);
-  EXPECT_EQ(s.pick(now, {false, true, true}), 0u);  // resting, but there is no other
-  EXPECT_EQ(s.pick(now, {true, true, true}), std::nullopt);
+  EXPECT_EQ(s.select(now, none), 0u);
+  s.recordFailure(0, now);
+  EXPECT_EQ(s.select(now, none), 1u);
+  s.recordAnswer(1);
+  EXPECT_EQ(s.select(now + seconds(60), none), 1u);  // the first has rested, and is not gone back to
+  EXPECT_EQ(s.select(now, {false, true, false}), 2u);
+  EXPECT_EQ(s.select(now, {false, true, true}), 0u);  // resting, but there is no other
+  EXPECT_EQ(s.select(now, {true, true, true}), std::nullopt);
 }
 
 // ---- the directory ------------------------------------------------------------------------------------
 struct DirectoryTest : testing::Test {
   DnsSdSettings settings;
-  std::optional<Directory> d;
+  std::optional<DnsSdDirectory> d;
   Time now = seconds(1000);
   DirectoryTest() {
     settings.domain = kDomain;
     settings.service = kService;
-    settings.refreshLeast = seconds(1);
-    settings.refreshMost = seconds(10);
+    settings.minRefresh = seconds(1);
+    settings.maxRefresh = seconds(10);
     settings.jitter = 0.1;
     settings.defaultGroup = 3;
     d.emplace(settings, std::vector<GroupName>{}, 1);
   }
   std::string asked() {
     std::string all;
-    for (const auto& a : d->due(now)) {
+    for (const auto& a : d->dueQueries(now)) {
       out.push_back(a.question);
       all +=
           (all.empty() ? "" : " ") + std::to_string(static_cast<int>(a.question.type)) + (a.tcp ? "t" : "");
@@ -209,7 +209,7 @@
     if (labels.empty()) m.rcode = dns::Rcode::NxDomain;
     return m;
   }
-  void answer(const dns::Message& m, bool tcp = false) { d->answered(now, *m.question, m, tcp); }
+  void answer(const dns::Message& m, bool tcp = false) { d->handleAnswer(now, *m.question, m, tcp); }
   std::string whole() {
     std::string all;
     for (const DiscoveredEndpoint& i : d->instances()) all += (all.empty() ? "" : " ") + i.name;
@@ -220,16 +220,16 @@
 TEST_F(DirectoryTest, OneQuestionDoesWhereAdditionalsBringTheRest) {
   EXPECT_EQ(asked(), "12");
   EXPECT_EQ(asked(), "");  // one at a time
-  EXPECT_FALSE(d->settled());
+  EXPECT_FALSE(d->isComplete());
   answer(ptr({"s-1", "s-2", "s-3"}, 5));
-  EXPECT_TRUE(d->settled());
+  EXPECT_TRUE(d->isComplete());
   EXPECT_EQ(whole(), "s-1 s-2 s-3");
   EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.1:5432");
   EXPECT_EQ(asked(), "");
   // Every refresh is that one question again, whichever set falls due first.
   for (int k = 0; k < 20; ++k) {
-    ASSERT_TRUE(d->next());
-    now = *d->next();
+    ASSERT_TRUE(d->nextDeadline());
+    now = *d->nextDeadline();
     ASSERT_EQ(asked(), "12") << k;
     answer(ptr({"s-1", "s-2", "s-3"}, 5));
   }
@@ -239,7 +239,7 @@
     d.emplace(settings, std::vector<GroupName>{}, ttl + 1);
     asked();
     answer(ptr({"s-1"}, ttl));
-    const Time wait = *d->next() - now;
+    const Time wait = *d->nextDeadline() - now;
     const Time want = std::clamp<Time>(seconds(ttl), seconds(1), seconds(10));
     EXPECT_LE(wait, want) << ttl;
     EXPECT_GE(wait, want * 9 / 10) << ttl;
@@ -248,7 +248,7 @@
 TEST_F(DirectoryTest, AsksForEachRecordWhereNoAdditionalsCome) {
   asked();
   answer(ptr({"s-1"}, 5, false));
-  EXPECT_FALSE(d->settled());
+  EXPECT_FALSE(d->isComplete());
   EXPECT_EQ(asked(), "16 33");
   const auto n = *dns::instanceName("s-1", kPtr);
   dns::Message txt = reply({n, Type::Txt});
@@ -282,12 +282,12 @@
   EXPECT_EQ(asked(), "12t");
   answer(ptr(many, 5), true);
   EXPECT_EQ(whole(), "s-1 s-2 s-3 s-4 s-5 s-6");
-  now = *d->next();
+  now = *d->nextDeadline();
   EXPECT_EQ(asked(), "12t");
   // TCP fails: the list stands, and the next rounds do without.
-  d->failed(now, {kPtr, Type::Ptr});
+  d->handleFailure(now, {kPtr, Type::Ptr});
   EXPECT_EQ(whole(), "s-1 s-2 s-3 s-4 s-5 s-6");
-  now = *d->next();
+  now = *d->nextDeadline();
   EXPECT_EQ(asked(), "12");
   answer(ptr(many, 5, false));
   const std::string single = asked();  // what is due, each for itself
@@ -303,7 +303,7 @@
     dns::Message m = reply(q);
     m.authoritative = false;
     m.rcode = rcode;
-    EXPECT_EQ(judge(q, m), Verdict::Useless) << static_cast<int>(rcode);
+    EXPECT_EQ(classifyAnswer(q, m), AnswerKind::Unusable) << static_cast<int>(rcode);
     answer(m);
     EXPECT_EQ(whole(), "s-1");
     EXPECT_TRUE(d->failing());
@@ -312,11 +312,11 @@
   no.authoritative = false;
   no.rcode = dns::Rcode::NxDomain;
   no.authorities.push_back({"ruwi.example.org.", Type::Soa, 9, dns::Soa{1, 2}});
-  EXPECT_EQ(judge(q, no), Verdict::NotThere);
+  EXPECT_EQ(classifyAnswer(q, no), AnswerKind::Negative);
   answer(no);
   EXPECT_EQ(whole(), "");
-  EXPECT_LE(*d->next() - now, seconds(2));
-  now = *d->next();
+  EXPECT_LE(*d->nextDeadline() - now, seconds(2));
+  now = *d->nextDeadline();
   EXPECT_EQ(asked(), "12");
   answer(ptr({"s-1", "s-2"}, 5));
   EXPECT_EQ(whole(), "s-1 s-2");
@@ -327,11 +327,11 @@
   Time before = now;
   Time longest{};
   for (int k = 0; k < 12; ++k) {
-    now = *d->next();
+    now = *d->nextDeadline();
     longest = std::max(longest, now - before);
     before = now;
     ASSERT_EQ(asked(), "12") << k;
-    d->failed(now, {kPtr, Type::Ptr});
+    d->handleFailure(now, {kPtr, Type::Ptr});
   }
   EXPECT_GE(longest, seconds(4));
   EXPECT_LE(longest, seconds(10));
@@ -357,7 +357,7 @@
   EXPECT_EQ(whole(), "s-3");
   EXPECT_EQ(d->faults().size(), 2u);
   EXPECT_EQ(d->faults().at(*dns::instanceName("s-1", kPtr)), "TXT: weight=heavy: no number above 0");
-  now = *d->next();
+  now = *d->nextDeadline();
   asked();
   answer(ptr({"s-1", "s-2", "s-3"}, 5));
   EXPECT_EQ(whole(), "s-1 s-2 s-3");
@@ -381,7 +381,7 @@
   lab::NameServer first{base.get(), kDomain, kService}, second{base.get(), kDomain, kService};
   Config config;
   std::unique_ptr<EndpointUpdater> feed;
-  std::unique_ptr<DnsSd> source;
+  std::unique_ptr<DnsSdDiscovery> source;
   std::map<std::string, DiscoveredEndpoint> members;
   std::uint64_t lists = 0, failures = 0;
   std::string why;
@@ -392,15 +392,15 @@
     s.service = kService;
     for (const auto* n : {&first, &second})
       s.servers.push_back(*Address::parse("127.0.0.1:" + std::to_string(n->port())));
-    s.refreshLeast = milliseconds(100);
-    s.refreshMost = milliseconds(200);
-    s.tryTimeout = milliseconds(150);
+    s.minRefresh = milliseconds(100);
+    s.maxRefresh = milliseconds(200);
+    s.attemptTimeout = milliseconds(150);
     s.udpPayload = 1232;
     s.defaultGroup = 3;
     s.flapHalfLife = seconds(15);
-    s.flapMost = seconds(60);
-    s.flapSuppress = 1.5;
-    s.flapReuse = 0.75;
+    s.flapMaxSuppression = seconds(60);
+    s.flapSuppressThreshold = 1.5;
+    s.flapReuseThreshold = 0.75;
     for (int k = 1; k <= 3; ++k) publish("s-" + std::to_string(k), 6000 + k);
   }
   void publish(const std::string& label, int port) {
@@ -426,7 +426,7 @@
   std::uint64_t generation() const override { return 0; }
   void start() {
     feed = std::make_unique<EndpointUpdater>(base.get(), clock, *this, EndpointTablePolicy());
-    source = std::make_unique<DnsSd>(base.get(), clock, *feed, config);
+    source = std::make_unique<DnsSdDiscovery>(base.get(), clock, *feed, config);
   }
   template <typename Done>
   void until(Done done) {  // the watchdog ends a test that has failed
@@ -546,7 +546,7 @@
   config.dnssd.domain = "seeb.example.org";
   config.dnssd.servers = {*Address::parse("127.0.0.1:" + std::to_string(other.port()))};
   const auto before = lists;
-  source->move(config);
+  source->updateSettings(config);
   until([&] { return failures > 0; });
   EXPECT_EQ(members.size(), 3u);
   EXPECT_EQ(lists, before);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -27,7 +27,7 @@
 // "s-1 s-2! s-3~": told now; ! gone, ~ leaving.
 std::string told(EndpointTable& m, Time now) {
   std::string all;
-  while (const auto list = m.take(now))
+  while (const auto list = m.nextUpdate(now))
     for (const DiscoveredEndpoint& i : list->instances)
       all += (all.empty() ? "" : " ") + i.name +
              (i.state == Lifecycle::Gone       ? "!"
@@ -40,19 +40,19 @@
 
 TEST(Membership, TellsTheWholeThenChanges) {
   EndpointTable m;
-  m.found(kStart, {at("s-1", 1), at("s-2", 2)});
-  const auto whole = m.take(kStart);
+  m.applySnapshot(kStart, {at("s-1", 1), at("s-2", 2)});
+  const auto whole = m.nextUpdate(kStart);
   ASSERT_TRUE(whole);
   EXPECT_TRUE(whole->reset);
   EXPECT_EQ(whole->instances.size(), 2u);
   EXPECT_EQ(whole->instances[0].startedMs, 0);  // long ago: all of the first list may be warm
-  EXPECT_FALSE(m.take(kStart));
-  m.found(kStart + seconds(1), {at("s-1", 1), at("s-2", 2)});
-  EXPECT_FALSE(m.take(kStart + seconds(1)));  // nothing new, nothing told
+  EXPECT_FALSE(m.nextUpdate(kStart));
+  m.applySnapshot(kStart + seconds(1), {at("s-1", 1), at("s-2", 2)});
+  EXPECT_FALSE(m.nextUpdate(kStart + seconds(1)));  // nothing new, nothing told
   DiscoveredEndpoint leaving = at("s-2", 2);
   leaving.state = Lifecycle::Draining;
-  m.found(kStart + seconds(2), {leaving, at("s-3", 3)});
-  const auto change = m.take(kStart + seconds(2));
+  m.applySnapshot(kStart + seconds(2), {leaving, at("s-3", 3)});
+  const auto change = m.nextUpdate(kStart + seconds(2));
   ASSERT_TRUE(change);
   EXPECT_FALSE(change->reset);
   EXPECT_GT(change->generation, whole->generation);
@@ -60,29 +60,29 @@
 }
 TEST(Membership, AnEmptiedAndRefilledZoneIsToldInFull) {
   EndpointTable m;
-  m.found(kStart, {at("s-1", 1), at("s-2", 2)});
+  m.applySnapshot(kStart, {at("s-1", 1), at("s-2", 2)});
   told(m, kStart);
-  m.found(kStart + seconds(1), {});
+  m.applySnapshot(kStart + seconds(1), {});
   EXPECT_EQ(told(m, kStart + seconds(1)), "s-1! s-2!");
-  m.found(kStart + seconds(9), {at("s-1", 1), at("s-2", 2)});
+  m.applySnapshot(kStart + seconds(9), {at("s-1", 1), at("s-2", 2)});
   EXPECT_EQ(told(m, kStart + seconds(9)), "s-1 s-2");
 }
 // Guards cold servers: who comes back, or comes new, has started then, unless the record says otherwise.
 TEST(Membership, AReturnCountsAsAStart) {
   EndpointTable m;
-  m.found(kStart, {at("s-1", 1), at("s-2", 2, 77)});
+  m.applySnapshot(kStart, {at("s-1", 1), at("s-2", 2, 77)});
   told(m, kStart);
-  m.found(kStart + seconds(1), {});
+  m.applySnapshot(kStart + seconds(1), {});
   told(m, kStart + seconds(1));
   const Time back = kStart + seconds(5);
-  m.found(back, {at("s-1", 1), at("s-2", 2, 77), at("s-3", 3)});
-  const auto list = m.take(back);
+  m.applySnapshot(back, {at("s-1", 1), at("s-2", 2, 77), at("s-3", 3)});
+  const auto list = m.nextUpdate(back);
   ASSERT_TRUE(list);
   for (const DiscoveredEndpoint& i : list->instances)
     EXPECT_EQ(i.startedMs, i.name == "s-2" ? 77 : back.count() / 1000) << i.name;
   // A start that lies ahead is no start of now plus something.
-  m.found(back + seconds(1), {at("s-1", 1, (back + seconds(900)).count() / 1000)});
-  const auto ahead = m.take(back + seconds(1));
+  m.applySnapshot(back + seconds(1), {at("s-1", 1, (back + seconds(900)).count() / 1000)});
+  const auto ahead = m.nextUpdate(back + seconds(1));
   ASSERT_TRUE(ahead);
   for (const DiscoveredEndpoint& i : ahead->instances)
     if (i.name == "s-1") {
@@ -93,48 +93,48 @@
 TEST(Membership, AStartThatLiesAheadIsToldOnce) {
   EndpointTable m;
   const std::int64_t ahead = (kStart + seconds(3600)).count() / 1000;
-  m.found(kStart, {at("s-1", 1, ahead)});
-  const auto first = m.take(kStart);
+  m.applySnapshot(kStart, {at("s-1", 1, ahead)});
+  const auto first = m.nextUpdate(kStart);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->instances[0].startedMs, kStart.count() / 1000);
   for (const Time later : {seconds(1), seconds(60), seconds(3500), seconds(3700)}) {
-    m.found(kStart + later, {at("s-1", 1, ahead)});
-    EXPECT_FALSE(m.take(kStart + later)) << later.count();
+    m.applySnapshot(kStart + later, {at("s-1", 1, ahead)});
+    EXPECT_FALSE(m.nextUpdate(kStart + later)) << later.count();
   }
-  m.found(kStart + seconds(3800), {at("s-1", 1, ahead + 150000)});
-  const auto anew = m.take(kStart + seconds(3800));
+  m.applySnapshot(kStart + seconds(3800), {at("s-1", 1, ahead + 150000)});
+  const auto anew = m.nextUpdate(kStart + seconds(3800));
   ASSERT_TRUE(anew);
   EXPECT_EQ(anew->instances[0].startedMs, ahead + 150000);
 }
 TEST(Membership, AFlappingNameIsHeldBackAndItsWithdrawalsNever) {
   EndpointTable m;
-  m.found(kStart, {at("s-1", 1), at("s-2", 2)});
+  m.applySnapshot(kStart, {at("s-1", 1), at("s-2", 2)});
   told(m, kStart);
   Time now = kStart;
   int told1 = 0, gone1 = 0;
   for (int k = 0; k < 100; ++k) {
     now += milliseconds(200);
-    m.found(now, {at("s-2", 2)});
+    m.applySnapshot(now, {at("s-2", 2)});
     gone1 += told(m, now) == "s-1!";
     now += milliseconds(200);
-    m.found(now, {at("s-1", 1), at("s-2", 2)});
+    m.applySnapshot(now, {at("s-1", 1), at("s-2", 2)});
     told1 += told(m, now) == "s-1";
   }
   EXPECT_EQ(told1, 1);  // one return is no flap
   EXPECT_EQ(gone1, 2);  // each time it was there
   // In the end it is there for good, and is told within mostHeld by the timer alone.
-  ASSERT_TRUE(m.next());
-  EXPECT_LE(*m.next(), now + seconds(60));
-  EXPECT_GT(*m.next(), now + seconds(10));
-  EXPECT_EQ(told(m, *m.next() - milliseconds(1)), "");
-  EXPECT_EQ(told(m, *m.next()), "s-1");
+  ASSERT_TRUE(m.nextDeadline());
+  EXPECT_LE(*m.nextDeadline(), now + seconds(60));
+  EXPECT_GT(*m.nextDeadline(), now + seconds(10));
+  EXPECT_EQ(told(m, *m.nextDeadline() - milliseconds(1)), "");
+  EXPECT_EQ(told(m, *m.nextDeadline()), "s-1");
 }
 TEST(Membership, TheSameAddressUnderANewNameKeepsItsStart) {
   EndpointTable m;
-  m.found(kStart, {at("s-1", 1), at("s-2", 2)});
+  m.applySnapshot(kStart, {at("s-1", 1), at("s-2", 2)});
   told(m, kStart);
-  m.found(kStart + seconds(1), {at("new-1", 1), at("s-2", 2)});
-  const auto list = m.take(kStart + seconds(1));
+  m.applySnapshot(kStart + seconds(1), {at("new-1", 1), at("s-2", 2)});
+  const auto list = m.nextUpdate(kStart + seconds(1));
   ASSERT_TRUE(list);
   ASSERT_EQ(list->instances.size(), 2u);
   for (const DiscoveredEndpoint& i : list->instances)
@@ -143,47 +143,47 @@
 }
 TEST(Membership, OfTwoAtOneAddressTheFirstStays) {
   EndpointTable m;
-  m.found(kStart, {at("s-5", 1)});
+  m.applySnapshot(kStart, {at("s-5", 1)});
   told(m, kStart);
-  m.found(kStart + seconds(1), {at("s-1", 1), at("s-5", 1)});
+  m.applySnapshot(kStart + seconds(1), {at("s-1", 1), at("s-5", 1)});
   EXPECT_EQ(told(m, kStart + seconds(1)), "");
-  EXPECT_EQ(m.view(kStart + seconds(1)).rows[0].leftOut, "another has its address");
-  m.found(kStart + seconds(2), {at("s-1", 1)});
+  EXPECT_EQ(m.view(kStart + seconds(1)).rows[0].exclusionReason, "another has its address");
+  m.applySnapshot(kStart + seconds(2), {at("s-1", 1)});
   EXPECT_EQ(told(m, kStart + seconds(2)), "s-5! s-1");
 }
 // An id stands for one server: what was out to the old one must not be taken for the new.
 TEST(Membership, ANameAtANewAddressIsAnotherServer) {
   EndpointTable m;
-  m.found(kStart, {at("s-1", 1)});
+  m.applySnapshot(kStart, {at("s-1", 1)});
   told(m, kStart);
-  m.found(kStart + seconds(1), {at("s-1", 2)});
-  const auto list = m.take(kStart + seconds(1));
+  m.applySnapshot(kStart + seconds(1), {at("s-1", 2)});
+  const auto list = m.nextUpdate(kStart + seconds(1));
   ASSERT_TRUE(list);
   ASSERT_EQ(list->instances.size(), 2u);
   EXPECT_EQ(list->instances[0].state, Lifecycle::Gone);
   EXPECT_EQ(list->instances[0].name, "s-1");
   EXPECT_EQ(list->instances[1].name, "s-1#2");
   EXPECT_EQ(list->instances[1].startedMs, (kStart + seconds(1)).count() / 1000);
-  m.found(kStart + seconds(2), {});
+  m.applySnapshot(kStart + seconds(2), {});
   EXPECT_EQ(told(m, kStart + seconds(2)), "s-1#2!");
 }
 TEST(Membership, FailuresWithdrawNothingUntilTheListIsTooOld) {
   EndpointTablePolicy p;
-  p.keepFor = seconds(30);
+  p.maxListAge = seconds(30);
   EndpointTable m(p);
-  m.found(kStart, {at("s-1", 1)});
+  m.applySnapshot(kStart, {at("s-1", 1)});
   told(m, kStart);
-  m.failed(kStart + seconds(1), "silence");
-  m.failed(kStart + seconds(20), "SERVFAIL");
+  m.recordFailure(kStart + seconds(1), "silence");
+  m.recordFailure(kStart + seconds(20), "SERVFAIL");
   EXPECT_EQ(told(m, kStart + seconds(29)), "");
   const auto view = m.view(kStart + seconds(29));
-  EXPECT_EQ(view.why, "SERVFAIL");
+  EXPECT_EQ(view.lastError, "SERVFAIL");
   EXPECT_EQ(view.failingSince, kStart + seconds(1));
-  EXPECT_EQ(view.toldAt, kStart);
-  EXPECT_EQ(m.next(), kStart + seconds(30));
+  EXPECT_EQ(view.lastUpdate, kStart);
+  EXPECT_EQ(m.nextDeadline(), kStart + seconds(30));
   EXPECT_EQ(told(m, kStart + seconds(30)), "s-1!");
-  EXPECT_EQ(m.next(), std::nullopt);  // once
-  m.found(kStart + seconds(90), {at("s-1", 1)});
+  EXPECT_EQ(m.nextDeadline(), std::nullopt);  // once
+  m.applySnapshot(kStart + seconds(90), {at("s-1", 1)});
   EXPECT_EQ(told(m, kStart + seconds(90)), "s-1");
 }
 TEST(Membership, ForgetsNamesThatAreAlwaysNew) {
@@ -191,7 +191,7 @@
   Time now = kStart;
   for (int k = 0; k < 5000; ++k) {
     now += seconds(1);
-    m.found(now, {at("s-" + std::to_string(k), 1 + k % 60000)});
+    m.applySnapshot(now, {at("s-" + std::to_string(k), 1 + k % 60000)});
     told(m, now);
   }
   EXPECT_LT(m.view(now).rows.size(), 200u);
@@ -199,17 +199,17 @@
 TEST(Membership, ARegistrysListsGoOnAsTheyCame) {
   EndpointTable m;
   EndpointList whole{41, true, {at("s-1", 1), at("s-2", 2)}};
-  m.changed(kStart, whole);
+  m.applyUpdate(kStart, whole);
   EndpointList change{42, false, {at("s-3", 3)}};
   change.instances.push_back(at("s-1", 1));
   change.instances.back().state = Lifecycle::Gone;
-  m.changed(kStart, change);
-  m.changed(kStart, {43, false, {}});  // nothing changed, which is word all the same
+  m.applyUpdate(kStart, change);
+  m.applyUpdate(kStart, {43, false, {}});  // nothing changed, which is word all the same
   EXPECT_EQ(m.generation(), 43u);
-  EXPECT_EQ(m.take(kStart)->generation, 41u);
-  EXPECT_EQ(m.take(kStart)->instances.size(), 2u);
-  EXPECT_EQ(m.take(kStart)->generation, 43u);
-  EXPECT_FALSE(m.take(kStart));
+  EXPECT_EQ(m.nextUpdate(kStart)->generation, 41u);
+  EXPECT_EQ(m.nextUpdate(kStart)->instances.size(), 2u);
+  EXPECT_EQ(m.nextUpdate(kStart)->generation, 43u);
+  EXPECT_FALSE(m.nextUpdate(kStart));
   EXPECT_EQ(m.view(kStart).rows.size(), 2u);
 }
 
@@ -217,25 +217,25 @@
 TEST(Membership, AnOlderListBringsNothingBackThatLeaves) {
   EndpointTable m;
   DiscoveredEndpoint one = at("s-1", 1), two = at("s-2", 2);
-  m.changed(kStart, {41, true, {one, two}});
+  m.applyUpdate(kStart, {41, true, {one, two}});
   one.state = Lifecycle::Draining;
-  m.changed(kStart, {43, false, {one}});
-  m.changed(kStart, {42, true, {at("s-1", 1), two}});
-  m.take(kStart);
-  m.take(kStart);
-  const auto older = m.take(kStart);
+  m.applyUpdate(kStart, {43, false, {one}});
+  m.applyUpdate(kStart, {42, true, {at("s-1", 1), two}});
+  m.nextUpdate(kStart);
+  m.nextUpdate(kStart);
+  const auto older = m.nextUpdate(kStart);
   ASSERT_TRUE(older);
   EXPECT_EQ(older->instances[0].state, Lifecycle::Draining);
   EXPECT_EQ(older->instances[1].state, Lifecycle::Ready);
   // A new process of that name has not begun to leave; nor does a newer list have to be doubted.
   DiscoveredEndpoint anew = at("s-1", 1);
   anew.startedMs = 5;
-  m.changed(kStart, {41, true, {anew, two}});
-  EXPECT_EQ(m.take(kStart)->instances[0].state, Lifecycle::Ready);
-  m.changed(kStart, {44, false, {one}});
-  m.changed(kStart, {45, false, {at("s-1", 1)}});
-  m.take(kStart);
-  EXPECT_EQ(m.take(kStart)->instances[0].state, Lifecycle::Ready);
+  m.applyUpdate(kStart, {41, true, {anew, two}});
+  EXPECT_EQ(m.nextUpdate(kStart)->instances[0].state, Lifecycle::Ready);
+  m.applyUpdate(kStart, {44, false, {one}});
+  m.applyUpdate(kStart, {45, false, {at("s-1", 1)}});
+  m.nextUpdate(kStart);
+  EXPECT_EQ(m.nextUpdate(kStart)->instances[0].state, Lifecycle::Ready);
 }
 
 // Whatever a source finds in whatever order: what the engine was told adds up to a list in which every name
@@ -253,10 +253,10 @@
         if (random(3) > 0) found.push_back(at("s-" + std::to_string(k), 1 + static_cast<int>(random(10))));
       const bool fails = random(10) == 0;
       if (fails)
-        m.failed(now, "x");
+        m.recordFailure(now, "x");
       else
-        m.found(now, found, random(20) == 0);
-      while (const auto list = m.take(now)) {
+        m.applySnapshot(now, found, random(20) == 0);
+      while (const auto list = m.nextUpdate(now)) {
         if (list->reset) engine.clear();
         for (const DiscoveredEndpoint& i : list->instances) {
           if (i.state == Lifecycle::Gone)
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -157,7 +157,7 @@
                     two = "{\n  \"generation\": 2\n}";
   const std::string stream = "\n" + one + "\r\n\n" + two;
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
-    ListStream s;
+    EndpointListStream s;
     std::vector<std::string> whole;
     bool alive = false;
     ASSERT_TRUE(s.feed(stream.substr(0, cut), whole, alive)) << cut;
@@ -168,25 +168,25 @@
   }
 }
 TEST(List, OnlyWhatMakesSenseByItselfIsASignOfLife) {
-  const auto alive = [](ListStream& s, const std::string& bytes) {
+  const auto alive = [](EndpointListStream& s, const std::string& bytes) {
     std::vector<std::string> whole;
     bool is = false;
     EXPECT_TRUE(s.feed(bytes, whole, is)) << bytes;
     return is;
   };
-  ListStream s;
+  EndpointListStream s;
   EXPECT_TRUE(alive(s, "\n"));
   EXPECT_FALSE(alive(s, "  \r"));
   EXPECT_TRUE(alive(s, "{"));
   EXPECT_FALSE(alive(s, "\"a\":\n[1,\n\n2"));
   EXPECT_TRUE(alive(s, "]}"));
   for (const std::string bad : {"x", "]", "{} }", "HTTP", "\"a\""}) {
-    ListStream other;
+    EndpointListStream other;
     std::vector<std::string> whole;
     bool is = false;
     EXPECT_FALSE(other.feed(bad, whole, is)) << bad;
   }
-  ListStream endless;
+  EndpointListStream endless;
   std::vector<std::string> whole;
   bool is = false;
   EXPECT_TRUE(endless.feed("{\"a\":\"", whole, is));
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -665,7 +665,7 @@
   const int first = bound(SOCK_DGRAM), second = bound(SOCK_DGRAM);
   DnsSdSettings settings;
   settings.servers = {nameOf(first), nameOf(second)};
-  settings.tryTimeout = 1h;
+  settings.attemptTimeout = 1h;
   const Clock clock;
   Resolver resolver(base.get(), clock, settings, [](const dns::Question&, const Resolver::Reply&) {});
   const auto arrived = [](int fd) {
@@ -681,11 +681,11 @@
     return faults.datagrams == datagrams;
   };
   faults.datagramErrors = 1;
-  resolver.ask(dns::Question{"example.org.", dns::Type::Ptr}, false);
+  resolver.query(dns::Question{"example.org.", dns::Type::Ptr}, false);
   ASSERT_TRUE(asked(2));
   EXPECT_EQ(arrived(first), 0);
   EXPECT_EQ(arrived(second), 1) << "the question goes on to the next";
-  resolver.ask(dns::Question{"example.org.", dns::Type::Ptr}, false);
+  resolver.query(dns::Question{"example.org.", dns::Type::Ptr}, false);
   ASSERT_TRUE(asked(3));
   EXPECT_EQ(arrived(first), 1) << "the next one starts with the first again";
   EXPECT_EQ(arrived(second), 0);
