--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -2,151 +2,228 @@
 
 #include <algorithm>
 #include <sstream>
+#include <utility>
+#include <vector>
 
 namespace sablespur {
 namespace {
 
 constexpr const char* kOthers = "others";
-constexpr std::size_t kAntechamber = 8;
+constexpr const char* kSection = "[admission]";
+// By default an eighth of the connections of clients is for those that are not admitted, and at least this.
+constexpr std::size_t kUnadmittedDivisor = 8;
+constexpr std::size_t kMinUnadmitted = 8;
 
-admission::LimitKind kindOf(const std::string& word) {
-  return word == "fixed"  ? admission::LimitKind::Fixed
-         : word == "aimd" ? admission::LimitKind::Aimd
-                          : admission::LimitKind::Gradient;
+admission::LimitKind limitKind(const std::string& algorithm) {
+  if (algorithm == "fixed") return admission::LimitKind::Fixed;
+  if (algorithm == "aimd") return admission::LimitKind::Aimd;
+  return admission::LimitKind::Gradient;
 }
 
-}  // namespace
-
-std::shared_ptr<const admission::Settings> makeAdmission(const AdmissionDraft& a, const AdmissionContext& c) {
-  auto s = std::make_shared<admission::Settings>();
-  const auto wrong = [&](const std::string& title, const char* key, Wrong w) {
-    c.fault(c.line(title, key), title + (key ? std::string(" ") + key : ""), std::move(w));
-  };
-  const std::string self = "[admission]";
-
-  std::vector<AdmissionGroupDraft> groups = a.groups;
+// `others` comes last: it matches what no other group does.
+std::vector<AdmissionGroupDraft> groupsInOrder(const AdmissionDraft& draft) {
+  std::vector<AdmissionGroupDraft> groups = draft.groups;
   const auto others =
-      std::find_if(groups.begin(), groups.end(), [](const auto& g) { return g.name == kOthers; });
+      std::find_if(groups.begin(), groups.end(), [](const auto& group) { return group.name == kOthers; });
   if (others == groups.end()) {
     groups.emplace_back();
     groups.back().name = kOthers;
   } else {
-    std::rotate(others, others + 1, groups.end());  // everyone else comes last
+    std::rotate(others, others + 1, groups.end());
+  }
+  return groups;
+}
+
+// A line of a networks file without its comment and the blanks around it.
+std::string strippedLine(std::string line) {
+  line.erase(std::min(line.find('#'), line.size()));
+  line.erase(0, line.find_first_not_of(" \t\r"));
+  line.erase(line.find_last_not_of(" \t\r") + 1);
+  return line;
+}
+
+class AdmissionBuilder {
+ public:
+  AdmissionBuilder(const AdmissionDraft& draft, const Config& config, SettingsDocument& document)
+      : draft_(draft), config_(config), document_(document), groups_(groupsInOrder(draft)) {}
+
+  std::shared_ptr<const admission::Settings> build() {
+    addGroups();
+    addClientIdentity();
+    if (!setConnectionLimits()) return settings_;
+    setConnectionTerms();
+    if (draft_.requests.algorithm != "off") setRequestLimit();
+    return settings_;
+  }
+
+ private:
+  void report(const std::string& title, const char* key, Wrong wrong) {
+    document_.report(document_.titleLine(title, key), title + (key ? std::string(" ") + key : ""),
+                     std::move(wrong));
+  }
+
+  void addGroups() {
+    auto networks = std::make_shared<admission::Networks>();
+    for (std::size_t index = 0; index < groups_.size(); ++index) {
+      const AdmissionGroupDraft& group = groups_[index];
+      const std::string title = "[admission_group " + group.name + "]";
+      if (group.name == kOthers &&
+          (!group.networks.empty() || !group.networksFile.empty() || !group.users.empty()))
+        report(title, nullptr, {"it is whoever is in no other group", "leave out its networks and users"});
+      addNetworks(group, index, title, *networks);
+      addUsers(group, index, title);
+      if (group.maxConnections > 0 && group.reservedConnections > group.maxConnections)
+        report(title, "reserve", {"it is more than the group may hold", "make it at most connections"});
+      addGroupLimits(group);
+    }
+    settings_->networks = networks;
+  }
+
+  void addNetworks(const AdmissionGroupDraft& group, std::size_t index, const std::string& title,
+                   admission::Networks& networks) {
+    std::string problem;
+    for (const std::string& network : group.networks)
+      if (!networks.add(network, index, problem))
+        report(title, "networks", {problem, "write networks such as 10.1.0.0/16 or fd00:1::/32"});
+    if (!group.networksFile.empty()) addNetworksFile(group, index, title, networks);
   }
 
-  auto networks = std::make_shared<admission::Networks>();
-  std::size_t reserved = 0;
-  for (std::size_t k = 0; k < groups.size(); ++k) {
-    const AdmissionGroupDraft& g = groups[k];
-    const std::string title = "[admission_group " + g.name + "]";
-    const bool last = g.name == kOthers;
-    if (last && (!g.networks.empty() || !g.networksFile.empty() || !g.users.empty()))
-      wrong(title, nullptr, {"it is whoever is in no other group", "leave out its networks and users"});
-    std::string why;
-    for (const std::string& n : g.networks)
-      if (!networks->add(n, k, why))
-        wrong(title, "networks", {why, "write networks such as 10.1.0.0/16 or fd00:1::/32"});
-    if (!g.networksFile.empty()) {
-      const auto text = c.file(g.networksFile);
-      if (!text)
-        wrong(title, "networks_file", {"'" + g.networksFile + "' cannot be read", "see that it exists"});
-      std::istringstream lines(text.value_or(""));
-      int number = 0;
-      for (std::string line; std::getline(lines, line);) {
-        ++number;
-        line.erase(std::min(line.find('#'), line.size()));
-        line.erase(0, line.find_first_not_of(" \t\r"));
-        line.erase(line.find_last_not_of(" \t\r") + 1);
-        if (!line.empty() && !networks->add(line, k, why)) {
-          wrong(title, "networks_file",
-                {g.networksFile + ":" + std::to_string(number) + ": " + why,
-                 "write a network a line, such as 10.1.0.0/16"});
-          break;  // one fault a file: a file of another form would fill the screen
-        }
-      }
+  void addNetworksFile(const AdmissionGroupDraft& group, std::size_t index, const std::string& title,
+                       admission::Networks& networks) {
+    const auto text = readTextFile(document_.resolvePath(group.networksFile));
+    if (!text)
+      report(title, "networks_file", {"'" + group.networksFile + "' cannot be read", "see that it exists"});
+    std::istringstream lines(text.value_or(""));
+    std::string problem;
+    int number = 0;
+    for (std::string line; std::getline(lines, line);) {
+      ++number;
+      const std::string network = strippedLine(line);
+      if (network.empty() || networks.add(network, index, problem)) continue;
+      report(title, "networks_file",
+             {group.networksFile + ":" + std::to_string(number) + ": " + problem,
+              "write a network a line, such as 10.1.0.0/16"});
+      return;  // one fault a file: a file of another form would fill the screen
     }
-    if (!g.users.empty() && !c.passwords)
-      wrong(
+  }
+
+  void addUsers(const AdmissionGroupDraft& group, std::size_t index, const std::string& title) {
+    if (!group.users.empty() && !wantsPassword(config_))
+      report(
           title, "users",
           {"a name proves nothing without a password", "write [clients] login = scram, or leave users out"});
-    for (const std::string& u : g.users)
-      if (const auto [it, fresh] = s->users.emplace(u, k); !fresh && it->second != k)
-        wrong(title, "users",
-              {"'" + u + "' belongs to [admission_group " + groups[it->second].name + "] already",
-               "keep it in one"});
-    if (g.most > 0 && g.reserve > g.most)
-      wrong(title, "reserve", {"it is more than the group may hold", "make it at most connections"});
-    reserved += g.reserve;
-
-    admission::GroupLimits l;
-    l.name = g.name;
-    l.most = g.most;
-    l.mostByAddress = g.mostByAddress;
-    l.mostByPrefix = g.mostByPrefix;
-    l.perSecond = g.perSecond;
-    l.burst = g.burst;
-    l.reserve = g.reserve;
-    l.weight = g.weight;
-    s->door.groups.push_back(std::move(l));
+    for (const std::string& user : group.users) {
+      const auto [entry, isNew] = settings_->users.emplace(user, index);
+      if (!isNew && entry->second != index)
+        report(title, "users",
+               {"'" + user + "' belongs to [admission_group " + groups_[entry->second].name + "] already",
+                "keep it in one"});
+    }
+  }
+
+  void addGroupLimits(const AdmissionGroupDraft& group) {
+    admission::GroupLimits limits;
+    limits.name = group.name;
+    limits.most = group.maxConnections;
+    limits.mostByAddress = group.maxConnectionsPerAddress;
+    limits.mostByPrefix = group.maxConnectionsPerNetwork;
+    limits.perSecond = group.connectionsPerSecond;
+    limits.burst = group.connectionBurst;
+    limits.reserve = group.reservedConnections;
+    limits.weight = group.weight;
+    settings_->door.groups.push_back(std::move(limits));
   }
-  s->networks = networks;
-
-  std::string why;
-  for (const std::string& n : a.fronts)
-    if (!s->fronts.add(n, 0, why))
-      wrong(self, "fronts", {why, "write networks such as 10.0.0.7 or fd00:1::/64"});
-  if (!a.servedBefore.empty()) {
-    const auto it =
-        std::find_if(groups.begin(), groups.end(), [&](const auto& g) { return g.name == a.servedBefore; });
-    if (it == groups.end())
-      wrong(self, "served_before",
-            {"there is no [admission_group " + a.servedBefore + "]", "name a group that has a section"});
+
+  void addClientIdentity() {
+    std::string problem;
+    for (const std::string& network : draft_.clients.proxyProtocolNetworks)
+      if (!settings_->fronts.add(network, 0, problem))
+        report(kSection, "fronts", {problem, "write networks such as 10.0.0.7 or fd00:1::/64"});
+    const std::string& name = draft_.clients.recentClientsGroup;
+    if (name.empty()) return;
+    const auto group = std::find_if(groups_.begin(), groups_.end(),
+                                    [&](const auto& candidate) { return candidate.name == name; });
+    if (group == groups_.end())
+      report(kSection, "served_before",
+             {"there is no [admission_group " + name + "]", "name a group that has a section"});
     else
-      s->servedBefore = static_cast<std::size_t>(it - groups.begin());
+      settings_->servedBefore = static_cast<std::size_t>(group - groups_.begin());
   }
 
-  s->antechamber = a.antechamber > 0 ? a.antechamber : std::max(c.clients / 8, kAntechamber);
-  if (s->antechamber >= c.clients) {
-    wrong(self, "antechamber",
-          {"it leaves no room: the limits have " + std::to_string(c.clients) + " places for clients",
-           "make it smaller, or raise [limits] descriptors and memory"});
-    return s;
+  // False where no connection is left for admitted clients.
+  bool setConnectionLimits() {
+    const std::size_t clients = config_.clientConnections;
+    const std::size_t unadmitted = draft_.connections.maxUnadmitted;
+    settings_->antechamber =
+        unadmitted > 0 ? unadmitted : std::max(clients / kUnadmittedDivisor, kMinUnadmitted);
+    if (settings_->antechamber >= clients) {
+      report(kSection, "antechamber",
+             {"it leaves no room: the limits have " + std::to_string(clients) + " places for clients",
+              "make it smaller, or raise [limits] descriptors and memory"});
+      return false;
+    }
+    const std::size_t available = clients - settings_->antechamber;
+    const std::size_t wanted = draft_.connections.maxConnections;
+    settings_->door.most = wanted > 0 ? std::min(wanted, available) : available;
+    std::size_t reserved = 0;
+    for (const AdmissionGroupDraft& group : groups_) reserved += group.reservedConnections;
+    if (reserved > settings_->door.most)
+      report(kSection, "connections",
+             {"the groups' reserves come to " + std::to_string(reserved) + ", and there are " +
+                  std::to_string(settings_->door.most) + " places",
+              "make reserves smaller, or raise connections and [limits] descriptors"});
+    return true;
   }
-  const std::size_t room = c.clients - s->antechamber;
-  s->door.most = a.most > 0 ? std::min(a.most, room) : room;
-  if (reserved > s->door.most)
-    wrong(self, "connections",
-          {"the groups' reserves come to " + std::to_string(reserved) + ", and there are " +
-               std::to_string(s->door.most) + " places",
-           "make reserves smaller, or raise connections and [limits] descriptors"});
-  s->door.prefix4 = s->known.prefix4 = a.prefix4;
-  s->door.prefix6 = s->known.prefix6 = a.prefix6;
-  s->door.comeBackLeast = a.comeBackLeast;
-  s->door.comeBackMost = a.comeBackMost;
-  s->door.idleLeast = a.idleLeast;
-  s->known.most = a.knownMost;
-  if (a.comeBackMost < a.comeBackLeast)
-    wrong(self, "come_back_most", {"it is shorter than come_back_least", "make it at least that"});
-  if (a.requestBackMost < a.requestBackLeast)
-    wrong(self, "request_back_most", {"it is shorter than request_back_least", "make it at least that"});
-
-  if (a.requests == "off") return s;
-  if (a.requests != "fixed" && a.limitMost < a.limitLeast)
-    wrong(self, "limit_most", {"it is less than limit_least", "make it at least that"});
-  admission::RequestLimiterSettings r;
-  r.limit.kind = kindOf(a.requests);
-  r.limit.first = static_cast<double>(a.limit);
-  const bool fixed = r.limit.kind == admission::LimitKind::Fixed;
-  r.limit.least = static_cast<double>(fixed ? a.limit : a.limitLeast);
-  r.limit.most = static_cast<double>(fixed ? a.limit : std::max(a.limitMost, a.limitLeast));
-  r.limit.bound = a.bound;
-  r.limit.tolerance = a.tolerance;
-  r.mostWaiting = a.waiting;
-  r.comeBackLeast = a.requestBackLeast;
-  r.comeBackMost = a.requestBackMost;
-  for (const AdmissionGroupDraft& g : groups) r.groups.push_back({g.weight, g.mostOpen});
-  s->requests = std::move(r);
-  return s;
+
+  void setConnectionTerms() {
+    const ConnectionAdmissionDraft& connections = draft_.connections;
+    settings_->door.prefix4 = connections.networkBitsV4;
+    settings_->door.prefix6 = connections.networkBitsV6;
+    settings_->known.prefix4 = connections.networkBitsV4;
+    settings_->known.prefix6 = connections.networkBitsV6;
+    settings_->door.comeBackLeast = connections.minRetryAfter;
+    settings_->door.comeBackMost = connections.maxRetryAfter;
+    settings_->door.idleLeast = connections.minIdle;
+    settings_->known.most = draft_.clients.maxRecentClients;
+    if (connections.maxRetryAfter < connections.minRetryAfter)
+      report(kSection, "come_back_most", {"it is shorter than come_back_least", "make it at least that"});
+    if (draft_.requests.maxRetryAfter < draft_.requests.minRetryAfter)
+      report(kSection, "request_back_most",
+             {"it is shorter than request_back_least", "make it at least that"});
+  }
+
+  void setRequestLimit() {
+    const RequestLimitDraft& draft = draft_.requests;
+    admission::RequestLimiterSettings requests;
+    requests.limit.kind = limitKind(draft.algorithm);
+    const bool fixed = requests.limit.kind == admission::LimitKind::Fixed;
+    if (!fixed && draft.max < draft.min)
+      report(kSection, "limit_most", {"it is less than limit_least", "make it at least that"});
+    requests.limit.first = static_cast<double>(draft.initial);
+    requests.limit.least = static_cast<double>(fixed ? draft.initial : draft.min);
+    requests.limit.most = static_cast<double>(fixed ? draft.initial : std::max(draft.max, draft.min));
+    requests.limit.bound = draft.latencyBound;
+    requests.limit.tolerance = draft.tolerance;
+    requests.mostWaiting = draft.maxWaiting;
+    requests.comeBackLeast = draft.minRetryAfter;
+    requests.comeBackMost = draft.maxRetryAfter;
+    for (const AdmissionGroupDraft& group : groups_)
+      requests.groups.push_back({group.weight, group.maxRequests});
+    settings_->requests = std::move(requests);
+  }
+
+  const AdmissionDraft& draft_;
+  const Config& config_;
+  SettingsDocument& document_;
+  const std::vector<AdmissionGroupDraft> groups_;
+  const std::shared_ptr<admission::Settings> settings_ = std::make_shared<admission::Settings>();
+};
+
+}  // namespace
+
+std::shared_ptr<const admission::Settings> makeAdmission(const AdmissionDraft& draft, const Config& config,
+                                                         SettingsDocument& document) {
+  return AdmissionBuilder(draft, config, document).build();
 }
 
 }  // namespace sablespur
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -1,28 +1,30 @@
-// The table of all INI keys: section, kind and unit, default, bounds, meaning, and where the value goes. The
-// reader, `sablespur check` and the operators' page all come from it.
+// The table of all INI keys: section, kind and unit, default, bounds, description, and where the value goes.
+// The reader, `sablespur check` and the operators' page are all driven by it.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <variant>
 #include <vector>
 
-#include "config/config.hpp"
+#include "config/settings_draft.hpp"
 #include "support/units.hpp"
 
 namespace sablespur {
 
-enum class Kind {
+// How the text of a value is read, and what it becomes in KeyValue.
+enum class KeyKind {
   Text,
   Address,
   Addresses,
   Duration,
-  Size,
+  Size,  // bytes
   Count,
   Number,
-  Share,
+  Share,  // a fraction, written as 21% or 0.21
   Flag,
   Choice,
-  Words,
+  Words,  // comma-separated
   Hex,
   Domain
 };
@@ -30,66 +32,34 @@
 using KeyValue = std::variant<std::string, Address, std::vector<Address>, Time, std::uint64_t, std::int64_t,
                               double, bool, std::vector<std::string>>;
 
-// [admission] and [admission_group NAME] as they stand; admission.cpp makes the settings of it.
-struct AdmissionGroupDraft {
-  std::string name;
-  int line = 0;
-  std::vector<std::string> networks, users;
-  std::string networksFile;
-  std::size_t most = 0, mostByAddress = 0, mostByPrefix = 0, reserve = 0, mostOpen = 0;
-  double perSecond = 0, burst = 1, weight = 1;
-};
-struct AdmissionDraft {
-  bool door = false;
-  std::size_t most = 0, antechamber = 0;
-  int prefix4 = 24, prefix6 = 64;
-  Time comeBackLeast{}, comeBackMost{}, idleLeast{};
-  std::vector<std::string> fronts;
-  std::string servedBefore;
-  std::size_t knownMost = 0;
-  std::string requests;  // off, fixed, aimd, gradient
-  std::size_t limit = 0, limitLeast = 0, limitMost = 0, waiting = 0;
-  double tolerance = 2;
-  Time bound{}, requestBackLeast{}, requestBackMost{};
-  std::vector<AdmissionGroupDraft> groups;
-};
-
-// What a section's keys are set on.
-struct Draft {
-  Config& config;
-  std::uint64_t memory = 0;
-  std::size_t descriptors = 0;
-  balancer::ClassSettings cls;  // of the [class] at hand
-  DiscoveredEndpoint member;    // of the [member] at hand
-  std::string memberGroup;      // a name or a number
-  GroupName group;              // of the [group] at hand
-  std::string usersFile, passwordFile;
-  AdmissionDraft admission;
-  StoreConfig store;
-  AdmissionGroupDraft door;  // of the [admission_group] at hand
-};
-
+// One key of a section. All text has static storage duration.
 struct Key {
   const char* section;
   const char* name;
-  Kind kind;
-  const char* fallback;  // as a file would have it; null: it must be given
-  double least, most;    // in microseconds, bytes or as it is; equal: no bounds
-  const char* choices;   // Choice: its words, with blanks between
-  void (*set)(Draft&, const KeyValue&);
-  const char* meaning;
+  KeyKind kind;
+  const char* defaultText;  // as a file would have it; null: the key is required
+  double min;               // in microseconds, bytes or the plain number; min == max: unbounded
+  double max;
+  const char* choices;  // KeyKind::Choice: the allowed words, separated by blanks
+  void (*set)(SettingsDraft&, const KeyValue&);
+  const char* description;
 };
 
 struct SectionInfo {
   const char* type;
   bool named;  // [class NAME], any number of them
-  const char* meaning;
+  const char* description;
 };
 
+// All section types, in the order in which they are read and documented.
 const std::vector<SectionInfo>& sectionTable();
+// All keys, grouped by section.
 const std::vector<Key>& keyTable();
 
-// The value of a key as its kind reads it, within its bounds.
+// Reads a value by its key's kind and checks its bounds; else says what is wrong and how to write it.
 Read<KeyValue> readValue(const Key&, const std::string& text);
 
+// A bound of a key as settings write it, with its unit.
+std::string writeBound(KeyKind, double bound);
+
 }  // namespace sablespur
--- /dev/null
+++ b/src/config/state_checks.cpp
@@ -0,0 +1,60 @@
+// Checks of [peers], [peer NAME] and [store].
+#include <algorithm>
+#include <cstddef>
+#include <memory>
+
+#include "config/settings_checks.hpp"
+
+namespace sablespur {
+
+void checkPeers(SettingsDocument& document, const Config& config) {
+  const bool listed =
+      std::find(config.peers.begin(), config.peers.end(), config.peerListen) != config.peers.end();
+  if (!config.peerListen.none() && !listed)
+    document.reportKey(
+        "peers", "listen",
+        {"no [peer] has this address", "add a [peer] for this proxy; the list is the same at each"});
+  if (config.peerListen.none() && !config.peers.empty())
+    document.report(0, "[peers] listen",
+                    {"there are [peer]s and this proxy hears none", "write where it listens"});
+}
+
+#ifdef SABLESPUR_STORE
+namespace {
+
+// A key that is forgotten while its client may still retry would let a write run twice.
+void checkKeyRetention(SettingsDocument& document, const Config& config, Time retention) {
+  for (std::size_t index = 0; index < config.classes.size(); ++index) {
+    const balancer::ClassSettings& requestClass = config.settings.classes[index];
+    if (requestClass.idempotency != balancer::Idempotency::WithKey) continue;
+    if (retention >= requestClass.deadline + requestClass.deduplicationWindow) continue;
+    document.reportKey("store", "keep",
+                       {"class " + config.classes[index] + " may be asked for again after that",
+                        "at least its give_up and repeats_dropped_for together"});
+  }
+}
+
+}  // namespace
+#endif
+
+void completeStore(SettingsDocument& document, SettingsDraft& draft) {
+  StoreConfig& store = draft.store;
+  if (store.directory.empty()) return;
+#ifdef SABLESPUR_STORE
+  store.directory = document.resolvePath(store.directory);
+  while (store.directory.size() > 1 && store.directory.back() == '/') store.directory.pop_back();
+  if (store.comeBackMost < store.comeBackLeast)
+    document.reportKey("store", "come_back_most",
+                       {"it is below come_back_least", "raise it, or lower the other"});
+  checkKeyRetention(document, draft.config, store.keep);
+  if (draft.limits.descriptors < leastDescriptors(true))
+    document.reportKey("limits", "descriptors",
+                       {std::to_string(draft.limits.descriptors) + " are too few beside a store",
+                        "write at least " + std::to_string(leastDescriptors(true))});
+  draft.config.store = std::make_shared<const StoreConfig>(store);
+#else
+  document.reportKey("store", "directory", {"this build has no store", "build with SABLESPUR_STORE"});
+#endif
+}
+
+}  // namespace sablespur
