--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <set>
+#include <string_view>
 #include <utility>
 
 namespace sablespur {
@@ -66,12 +67,10 @@
 
   std::set<std::string> names;
   for (const DiscoveredEndpoint& i : all) names.insert(i.name);
-  std::vector<DiscoveredEndpoint> leaving;
-  std::vector<std::int64_t> leavingStarts;
+  std::map<std::pair<std::string, balancer::GroupId>, std::int64_t> leavingStarts;
   for (auto& [name, e] : entries_)
     if (e.present && names.count(name) == 0) {
-      leaving.push_back(e.endpoint);
-      leavingStarts.push_back(e.inferredStartMs);
+      leavingStarts[{e.endpoint.address.text(), e.endpoint.group}] = e.inferredStartMs;
       recordWithdrawal(e, now);
     }
   for (DiscoveredEndpoint& i : all) {
@@ -79,9 +78,8 @@
     if (!e.present) {
       recordAppearance(e, now, first);
       // Renamed: guards against a fleet that all counts as cold since its zone was published anew.
-      for (std::size_t k = 0; k < leaving.size(); ++k)
-        if (leaving[k].address == i.address && leaving[k].group == i.group)
-          e.inferredStartMs = leavingStarts[k];
+      const auto renamed = leavingStarts.find({i.address.text(), i.group});
+      if (renamed != leavingStarts.end()) e.inferredStartMs = renamed->second;
     } else if (e.endpoint.address != i.address || e.endpoint.group != i.group) {
       e.presenceChangedAt = now;  // another server under the old name
       e.inferredStartMs = first ? 0 : unixMs(now);
@@ -105,12 +103,12 @@
       i.state = Lifecycle::Draining;
   }
   generation_ = list.generation;
-  if (list.reset)
-    for (auto it = entries_.begin(); it != entries_.end();) {
-      const bool stays = std::any_of(list.instances.begin(), list.instances.end(),
-                                     [&](const DiscoveredEndpoint& i) { return i.name == it->first; });
-      it = stays ? std::next(it) : entries_.erase(it);
-    }
+  if (list.reset) {
+    std::set<std::string_view> names;
+    for (const DiscoveredEndpoint& i : list.instances) names.insert(i.name);
+    for (auto it = entries_.begin(); it != entries_.end();)
+      it = names.count(it->first) > 0 ? std::next(it) : entries_.erase(it);
+  }
   for (const DiscoveredEndpoint& i : list.instances) {
     if (i.state == Lifecycle::Gone) {
       entries_.erase(i.name);
@@ -170,7 +168,7 @@
     if (a.second->published != b.second->published) return a.second->published;
     return a.second->presenceChangedAt < b.second->presenceChangedAt;
   });
-  std::vector<Address> taken;
+  std::set<std::string> taken;  // addresses
   EndpointList list;
   for (auto& [name, e] : order) {
     e->exclusionReason = nullptr;
@@ -180,10 +178,8 @@
       e->exclusionReason = "the list is too old";
     else if (e->suppressed)
       e->exclusionReason = "it flaps";
-    else if (std::find(taken.begin(), taken.end(), e->endpoint.address) != taken.end())
+    else if (!taken.insert(e->endpoint.address.text()).second)
       e->exclusionReason = "another has its address";
-    else
-      taken.push_back(e->endpoint.address);
   }
   for (auto& [name, e] : order) {
     const bool wanted = e->present && !e->exclusionReason;
