--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -4,7 +4,6 @@
 #include <cmath>
 #include <set>
 #include <string_view>
-#include <utility>
 
 namespace sablespur {
 
@@ -12,139 +11,160 @@
 
 namespace {
 
-// What is left of a name that has gone for good: its penalty has all but worn off.
-constexpr double kNoPenalty = 0.02;
+// A withdrawn name whose penalty has decayed to this is forgotten.
+constexpr double kNegligiblePenalty = 0.02;
 
-std::int64_t unixMs(EndpointTable::Time t) { return t.count() / 1000; }
+std::int64_t unixMs(EndpointTable::Time time) { return time.count() / 1000; }
 
-DiscoveredEndpoint gone(DiscoveredEndpoint i) {
-  i.state = Lifecycle::Gone;
-  return i;
+DiscoveredEndpoint asGone(DiscoveredEndpoint endpoint) {
+  endpoint.state = Lifecycle::Gone;
+  return endpoint;
+}
+
+double halfLives(EndpointTable::Time span, const EndpointTablePolicy& policy) {
+  return static_cast<double>(span.count()) /
+         static_cast<double>(std::max<std::int64_t>(policy.halfLife.count(), 1));
 }
 
 }  // namespace
 
-double EndpointTable::currentPenalty(const Entry& e, Time now) const {
-  if (e.penalty == 0) return 0;
-  const double halves = static_cast<double>((now - e.penaltyUpdatedAt).count()) /
-                        static_cast<double>(std::max<std::int64_t>(policy_.halfLife.count(), 1));
-  return e.penalty * std::exp2(-halves);
-}
-
-void EndpointTable::recordAppearance(Entry& e, Time now, bool first) {
-  e.present = true;
-  e.presenceChangedAt = now;
-  e.inferredStartMs = first && e.withdrawals == 0 ? 0 : unixMs(now);
-  const double p = currentPenalty(e, now);
-  e.suppressed = policy_.flapDamping && p >= policy_.suppressThreshold;
-  if (!e.suppressed) return;
-  const double halves = std::log2(p / policy_.reuseThreshold);
-  const Time wait(static_cast<std::int64_t>(static_cast<double>(policy_.halfLife.count()) * halves));
-  e.suppressedUntil = now + std::clamp(wait, Time(0), policy_.maxSuppression);
-}
-
-void EndpointTable::recordWithdrawal(Entry& e, Time now) {
-  // No higher than what lets it back after mostHeld: guards against a flap of hours that shuts a server out
-  // for hours.
-  const double most = policy_.reuseThreshold *
-                      std::exp2(static_cast<double>(policy_.maxSuppression.count()) /
-                                static_cast<double>(std::max<std::int64_t>(policy_.halfLife.count(), 1)));
-  e.penalty = std::min(currentPenalty(e, now) + 1, std::max(most, 1.0));
-  e.penaltyUpdatedAt = now;
-  e.present = false;
-  e.suppressed = false;
-  e.presenceChangedAt = now;
-  ++e.withdrawals;
+double EndpointTable::currentPenalty(const Entry& entry, Time now) const {
+  if (entry.flaps.penalty == 0) return 0;
+  return entry.flaps.penalty * std::exp2(-halfLives(now - entry.flaps.penaltyUpdatedAt, policy_));
+}
+
+void EndpointTable::recordAppearance(Entry& entry, Time now, bool first) {
+  entry.present = true;
+  entry.presenceChangedAt = now;
+  entry.inferredStartMs = first && entry.flaps.withdrawals == 0 ? 0 : unixMs(now);
+  entry.flaps.suppressedUntil.reset();
+  const double penalty = currentPenalty(entry, now);
+  if (!policy_.flapDamping || penalty < policy_.suppressThreshold) return;
+  const double decay = std::log2(penalty / policy_.reuseThreshold);
+  const Time wait(static_cast<std::int64_t>(static_cast<double>(policy_.halfLife.count()) * decay));
+  entry.flaps.suppressedUntil = now + std::clamp(wait, Time(0), policy_.maxSuppression);
+}
+
+void EndpointTable::recordWithdrawal(Entry& entry, Time now) {
+  // RFC 2439 section 4.2: a ceiling, from which the penalty decays to reuseThreshold within maxSuppression.
+  // Else hours of flapping would exclude a server for hours.
+  const double ceiling = policy_.reuseThreshold * std::exp2(halfLives(policy_.maxSuppression, policy_));
+  entry.flaps.penalty = std::min(currentPenalty(entry, now) + 1, std::max(ceiling, 1.0));
+  entry.flaps.penaltyUpdatedAt = now;
+  entry.flaps.suppressedUntil.reset();
+  ++entry.flaps.withdrawals;
+  entry.present = false;
+  entry.presenceChangedAt = now;
+}
+
+void EndpointTable::recordList(Time now) {
+  hasList_ = true;
+  expired_ = false;
+  lastUpdate_ = now;
+  failingSince_.reset();
 }
 
 void EndpointTable::applySnapshot(Time now, std::vector<DiscoveredEndpoint> all, bool first) {
   first = first || !hasList_;
   publishWholeList_ = publishWholeList_ || !hasList_;
-  hasList_ = changed_ = true;
-  fromRegistry_ = expired_ = false;
-  lastUpdate_ = now;
-  failingSince_.reset();
+  recordList(now);
+  fromRegistry_ = false;
+  changed_ = true;
 
-  std::set<std::string> names;
-  for (const DiscoveredEndpoint& i : all) names.insert(i.name);
-  std::map<std::pair<std::string, balancer::GroupId>, std::int64_t> leavingStarts;
-  for (auto& [name, e] : entries_)
-    if (e.present && names.count(name) == 0) {
-      leavingStarts[{e.endpoint.address.text(), e.endpoint.group}] = e.inferredStartMs;
-      recordWithdrawal(e, now);
-    }
-  for (DiscoveredEndpoint& i : all) {
-    Entry& e = entries_[i.name];
-    if (!e.present) {
-      recordAppearance(e, now, first);
-      // Renamed: guards against a fleet that all counts as cold since its zone was published anew.
-      const auto renamed = leavingStarts.find({i.address.text(), i.group});
-      if (renamed != leavingStarts.end()) e.inferredStartMs = renamed->second;
-    } else if (e.endpoint.address != i.address || e.endpoint.group != i.group) {
-      e.presenceChangedAt = now;  // another server under the old name
-      e.inferredStartMs = first ? 0 : unixMs(now);
+  std::set<std::string_view> listed;
+  for (const DiscoveredEndpoint& endpoint : all) listed.insert(endpoint.name);
+  // Starts of the servers whose names are withdrawn, by what a renamed server keeps.
+  std::map<std::pair<std::string, balancer::GroupId>, std::int64_t> withdrawnStarts;
+  for (auto& [name, entry] : entries_) {
+    if (!entry.present || listed.count(name) > 0) continue;
+    withdrawnStarts[{entry.endpoint.address.text(), entry.endpoint.group}] = entry.inferredStartMs;
+    recordWithdrawal(entry, now);
+  }
+  for (DiscoveredEndpoint& endpoint : all) {
+    Entry& entry = entries_[endpoint.name];
+    if (!entry.present) {
+      recordAppearance(entry, now, first);
+      // Renamed. Else a fleet would count as cold because its zone was published anew.
+      const auto renamed = withdrawnStarts.find({endpoint.address.text(), endpoint.group});
+      if (renamed != withdrawnStarts.end()) entry.inferredStartMs = renamed->second;
+    } else if (entry.endpoint.address != endpoint.address || entry.endpoint.group != endpoint.group) {
+      entry.presenceChangedAt = now;  // another server under the old name
+      entry.inferredStartMs = first ? 0 : unixMs(now);
     }
-    e.endpoint = std::move(i);
+    entry.endpoint = std::move(endpoint);
   }
   removeExpired(now);
 }
 
 void EndpointTable::applyUpdate(Time now, EndpointList list) {
-  fromRegistry_ = hasList_ = true;
-  expired_ = false;
-  lastUpdate_ = now;
-  failingSince_.reset();
-  // Guards against a list that is older than what was told, as after a move or a return of discovery: what
-  // has begun to leave does not come back by it, unless it has started anew.
-  for (DiscoveredEndpoint& i : list.instances) {
-    const auto known = list.generation < generation_ ? entries_.find(i.name) : entries_.end();
-    if (known != entries_.end() && known->second.endpoint.state == Lifecycle::Draining &&
-        i.state == Lifecycle::Ready && i.startedMs <= known->second.endpoint.startedMs)
-      i.state = Lifecycle::Draining;
-  }
+  recordList(now);
+  fromRegistry_ = true;
+  if (list.generation < generation_) keepDraining(list);
   generation_ = list.generation;
-  if (list.reset) {
-    std::set<std::string_view> names;
-    for (const DiscoveredEndpoint& i : list.instances) names.insert(i.name);
-    for (auto it = entries_.begin(); it != entries_.end();)
-      it = names.count(it->first) > 0 ? std::next(it) : entries_.erase(it);
-  }
-  for (const DiscoveredEndpoint& i : list.instances) {
-    if (i.state == Lifecycle::Gone) {
-      entries_.erase(i.name);
+  if (list.reset) removeUnlisted(list);
+  for (const DiscoveredEndpoint& endpoint : list.instances) {
+    if (endpoint.state == Lifecycle::Gone) {
+      entries_.erase(endpoint.name);
       continue;
     }
-    Entry& e = entries_[i.name];
-    if (!e.present) e.presenceChangedAt = now;
-    e.present = e.published = true;
-    e.endpoint = e.lastPublished = i;
+    Entry& entry = entries_[endpoint.name];
+    if (!entry.present) entry.presenceChangedAt = now;
+    entry.present = true;
+    entry.published = true;
+    entry.endpoint = endpoint;
+    entry.lastPublished = endpoint;
   }
   registryUpdates_.push_back(std::move(list));
 }
 
+// A list may be older than what is known, as after a change of address or an outage of discovery. An endpoint
+// that has begun to drain does not become ready by it, unless it has started anew.
+void EndpointTable::keepDraining(EndpointList& list) const {
+  for (DiscoveredEndpoint& endpoint : list.instances) {
+    const auto known = entries_.find(endpoint.name);
+    if (known == entries_.end()) continue;
+    const DiscoveredEndpoint& before = known->second.endpoint;
+    if (before.state == Lifecycle::Draining && endpoint.state == Lifecycle::Ready &&
+        endpoint.startedMs <= before.startedMs)
+      endpoint.state = Lifecycle::Draining;
+  }
+}
+
+void EndpointTable::removeUnlisted(const EndpointList& list) {
+  std::set<std::string_view> listed;
+  for (const DiscoveredEndpoint& endpoint : list.instances) listed.insert(endpoint.name);
+  for (auto entry = entries_.begin(); entry != entries_.end();)
+    entry = listed.count(entry->first) > 0 ? std::next(entry) : entries_.erase(entry);
+}
+
 void EndpointTable::recordFailure(Time now, std::string why) {
   if (!failingSince_) failingSince_ = now;
   lastError_ = std::move(why);
 }
 
+std::optional<EndpointTable::Time> EndpointTable::listExpiry() const {
+  if (!failingSince_ || !lastUpdate_ || policy_.maxListAge <= Time(0)) return std::nullopt;
+  return *lastUpdate_ + policy_.maxListAge;
+}
+
 std::optional<EndpointTable::Time> EndpointTable::nextDeadline() const {
-  std::optional<Time> at;
-  const auto sooner = [&](Time t) { at = at ? std::min(*at, t) : t; };
-  for (const auto& [name, e] : entries_)
-    if (e.present && e.suppressed) sooner(e.suppressedUntil);
-  if (failingSince_ && lastUpdate_ && policy_.maxListAge > Time(0) && !expired_)
-    sooner(*lastUpdate_ + policy_.maxListAge);
-  return at;
+  std::optional<Time> earliest;
+  const auto consider = [&](Time time) { earliest = earliest ? std::min(*earliest, time) : time; };
+  for (const auto& [name, entry] : entries_)
+    if (entry.present && entry.flaps.suppressedUntil) consider(*entry.flaps.suppressedUntil);
+  const auto expiry = listExpiry();
+  if (expiry && !expired_) consider(*expiry);
+  return earliest;
 }
 
-// Clamped once and then kept: told as a later now each time, the same start would be a new one each time.
-std::int64_t EndpointTable::clampedStart(Entry& e, Time now) {
-  const std::int64_t stamp = e.endpoint.startedMs;
-  if (stamp == e.futureStartMs) return e.clampedStartMs;
-  if (stamp <= unixMs(now)) return stamp;
-  e.futureStartMs = stamp;
-  e.clampedStartMs = unixMs(now);
-  return e.clampedStartMs;
+// Clamped once and then kept: clamped to the present each time, the same start would be a new one each time.
+std::int64_t EndpointTable::startNoLaterThan(Entry& entry, Time now) {
+  const std::int64_t reported = entry.endpoint.startedMs;
+  if (entry.clampedStart && entry.clampedStart->reportedMs == reported)
+    return entry.clampedStart->publishedMs;
+  if (reported <= unixMs(now)) return reported;
+  entry.clampedStart = ClampedStart{reported, unixMs(now)};
+  return entry.clampedStart->publishedMs;
 }
 
 std::optional<EndpointList> EndpointTable::nextUpdate(Time now) {
@@ -154,83 +174,102 @@
     return list;
   }
   if (fromRegistry_) return std::nullopt;
-  const auto due = nextDeadline();
-  if (!changed_ && !(due && *due <= now)) return std::nullopt;
-  if (failingSince_ && lastUpdate_ && policy_.maxListAge > Time(0) &&
-      now >= *lastUpdate_ + policy_.maxListAge)
-    expired_ = true;
+  const auto deadline = nextDeadline();
+  if (!changed_ && !(deadline && *deadline <= now)) return std::nullopt;
+  const auto expiry = listExpiry();
+  if (expiry && now >= *expiry) expired_ = true;
   changed_ = false;
 
-  // Who comes first at an address: the one that is there longest, by name among equals.
-  std::vector<std::pair<const std::string*, Entry*>> order;
-  for (auto& [name, e] : entries_) order.emplace_back(&name, &e);
-  std::stable_sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
+  const std::vector<NamedEntry> order = entriesBySeniority();
+  exclude(order, now);
+  EndpointList list;
+  for (const auto& [name, entry] : order) publish(*name, *entry, now, list.instances);
+  if (list.instances.empty() && !publishWholeList_) return std::nullopt;
+  list.reset = publishWholeList_;
+  publishWholeList_ = false;
+  list.generation = ++generation_;
+  return list;
+}
+
+// Which name comes first at an address: those that the engine has, then the one that is there longest, by
+// name among equals.
+std::vector<EndpointTable::NamedEntry> EndpointTable::entriesBySeniority() {
+  std::vector<NamedEntry> order;
+  order.reserve(entries_.size());
+  for (auto& [name, entry] : entries_) order.emplace_back(&name, &entry);
+  std::stable_sort(order.begin(), order.end(), [](const NamedEntry& a, const NamedEntry& b) {
     if (a.second->published != b.second->published) return a.second->published;
     return a.second->presenceChangedAt < b.second->presenceChangedAt;
   });
-  std::set<std::string> taken;  // addresses
-  EndpointList list;
-  for (auto& [name, e] : order) {
-    e->exclusionReason = nullptr;
-    if (e->suppressed && now >= e->suppressedUntil) e->suppressed = false;
-    if (!e->present) continue;
+  return order;
+}
+
+// Settles for each entry whether it may be published.
+void EndpointTable::exclude(const std::vector<NamedEntry>& order, Time now) const {
+  std::set<std::string> takenAddresses;
+  for (const auto& [name, entry] : order) {
+    entry->exclusionReason = nullptr;
+    auto& suppressedUntil = entry->flaps.suppressedUntil;
+    if (suppressedUntil && now >= *suppressedUntil) suppressedUntil.reset();
+    if (!entry->present) continue;
     if (expired_)
-      e->exclusionReason = "the list is too old";
-    else if (e->suppressed)
-      e->exclusionReason = "it flaps";
-    else if (!taken.insert(e->endpoint.address.text()).second)
-      e->exclusionReason = "another has its address";
+      entry->exclusionReason = "the list is too old";
+    else if (suppressedUntil)
+      entry->exclusionReason = "it flaps";
+    else if (!takenAddresses.insert(entry->endpoint.address.text()).second)
+      entry->exclusionReason = "another has its address";
   }
-  for (auto& [name, e] : order) {
-    const bool wanted = e->present && !e->exclusionReason;
-    DiscoveredEndpoint next = e->endpoint;
-    next.startedMs = next.startedMs > 0 ? clampedStart(*e, now) : e->inferredStartMs;
-    // An id stands for one server: with another address or group it is another server, under a name of its
-    // own.
-    const bool other = !e->lastPublished.name.empty() &&
-                       (next.address != e->lastPublished.address || next.group != e->lastPublished.group);
-    if (e->published && (!wanted || other)) {
-      list.instances.push_back(gone(e->lastPublished));
-      e->published = false;
-    }
-    if (!wanted) continue;
-    if (other) ++e->incarnation;
-    next.name = e->incarnation > 1 ? *name + "#" + std::to_string(e->incarnation) : *name;
-    if (e->published && next == e->lastPublished) continue;
-    e->lastPublished = next;
-    e->published = true;
-    list.instances.push_back(std::move(next));
+}
+
+// Appends what the engine has to be given of this entry: that it has gone, that it is there, or both.
+void EndpointTable::publish(const std::string& name, Entry& entry, Time now,
+                            std::vector<DiscoveredEndpoint>& changes) {
+  const bool wanted = entry.present && !entry.exclusionReason;
+  DiscoveredEndpoint endpoint = entry.endpoint;
+  endpoint.startedMs = endpoint.startedMs > 0 ? startNoLaterThan(entry, now) : entry.inferredStartMs;
+  // A published name stands for one server: with another address or group it is another server, under a name
+  // of its own.
+  const bool otherServer =
+      !entry.lastPublished.name.empty() &&
+      (endpoint.address != entry.lastPublished.address || endpoint.group != entry.lastPublished.group);
+  if (entry.published && (!wanted || otherServer)) {
+    changes.push_back(asGone(entry.lastPublished));
+    entry.published = false;
   }
-  list.reset = publishWholeList_;
-  if (list.instances.empty() && !publishWholeList_) return std::nullopt;
-  publishWholeList_ = false;
-  list.generation = ++generation_;
-  return list;
+  if (!wanted) return;
+  if (otherServer) ++entry.incarnation;
+  endpoint.name = entry.incarnation > 1 ? name + "#" + std::to_string(entry.incarnation) : name;
+  if (entry.published && endpoint == entry.lastPublished) return;
+  entry.lastPublished = endpoint;
+  entry.published = true;
+  changes.push_back(std::move(endpoint));
 }
 
-// Guards against growth where instances come under names that are always new.
+bool EndpointTable::isExpired(const Entry& entry, Time now) const {
+  return !entry.present && !entry.published && currentPenalty(entry, now) < kNegligiblePenalty;
+}
+
+// Bounds the table where a source names its endpoints anew again and again.
 void EndpointTable::removeExpired(Time now) {
-  for (auto it = entries_.begin(); it != entries_.end();) {
-    const Entry& e = it->second;
-    const bool old = !e.present && !e.published && currentPenalty(e, now) < kNoPenalty;
-    it = old ? entries_.erase(it) : std::next(it);
-  }
+  for (auto entry = entries_.begin(); entry != entries_.end();)
+    entry = isExpired(entry->second, now) ? entries_.erase(entry) : std::next(entry);
 }
 
 EndpointTable::View EndpointTable::view(Time now) const {
-  View v{{}, lastUpdate_, failingSince_, failingSince_ ? lastError_ : std::string()};
-  for (const auto& [name, e] : entries_) {
-    if (!e.present && !e.published && currentPenalty(e, now) < kNoPenalty) continue;
-    Row row{e.endpoint, e.exclusionReason ? e.exclusionReason : "", currentPenalty(e, now), e.withdrawals};
-    if (!e.present) {
+  View view{{}, lastUpdate_, failingSince_, failingSince_ ? lastError_ : std::string()};
+  for (const auto& [name, entry] : entries_) {
+    if (isExpired(entry, now)) continue;
+    Row row{entry.endpoint, entry.exclusionReason ? entry.exclusionReason : "", currentPenalty(entry, now),
+            entry.flaps.withdrawals};
+    if (!entry.present) {
       row.endpoint.state = Lifecycle::Gone;
       row.exclusionReason = "withdrawn";
     } else if (row.endpoint.startedMs == 0) {
-      row.endpoint.startedMs = e.inferredStartMs;
+      row.endpoint.startedMs = entry.inferredStartMs;
     }
-    v.rows.push_back(std::move(row));
+    view.rows.push_back(std::move(row));
   }
-  return v;
+  return view;
 }
 
 }  // namespace sablespur
--- a/src/discovery/endpoint_table.hpp
+++ b/src/discovery/endpoint_table.hpp
@@ -1,27 +1,29 @@
-// What is a member since when. Every source of the list goes through here: the HTTP registry tells a whole
-// list or changes, with generations; DNS-SD tells all that it finds, each time. What comes out is what the
-// engine is told. Pure: no I/O, no clock.
+// Which data servers there are, and since when. Every discovery source feeds this table: the HTTP registry
+// sends a whole list or changes, with generations; DNS-SD gives all that it finds, each time. The engine is
+// fed from it. Pure: no I/O, no clock.
 //
-// - Told: a withdrawal goes on in the same call that brings it, never later. What holds back is only a
-// return.
+// - A withdrawal is published in the same call that brings it. Only a return may be delayed.
 // - Flap damping after RFC 2439: each withdrawal of a name adds a penalty of 1, which halves every
-// `halfLife`. A
-//   name that comes back while its penalty is at `suppressAt` or above is left out until it has fallen to
-//   `reuseAt`, and no longer than `mostHeld`.
-// - A return: an instance that appears after the first whole list, and whose source tells no start, has
-// started
-//   when it appeared; the balancer then takes it for cold. Those of the first list started long ago.
-// - The same address under a new name, old name gone in the same list: it is the same server, and keeps its
-// start.
-// - Two names at one address: the one that was there first stays, the other is left out until that one goes.
-// - Failures withdraw nothing until the list is older than `keepFor`.
+// `halfLife`.
+//   A name that returns while its penalty is at `suppressThreshold` or above is left out until the penalty
+//   has fallen to `reuseThreshold`, and for `maxSuppression` at most.
+// - An endpoint that appears after the first whole list, and whose source gives no start, has started when it
+//   appeared; the balancer then warms it up. Those of the first list started long ago.
+// - An address that appears under a new name while its old name is withdrawn by the same list is the same
+//   server, and keeps its start.
+// - Of two names at one address the one that was there first is published, the other left out until that one
+// is
+//   withdrawn.
+// - Failures withdraw nothing until the list is older than `maxListAge`.
 #pragma once
 
 #include <chrono>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "discovery/endpoint_list.hpp"
@@ -30,10 +32,12 @@
 
 struct EndpointTablePolicy {
   using Time = std::chrono::microseconds;
-  double suppressThreshold = 1.5, reuseThreshold = 0.75;
-  Time halfLife = std::chrono::seconds(15), maxSuppression = std::chrono::seconds(60);
-  Time maxListAge{};  // 0: the last list stands for ever
   bool flapDamping = true;
+  double suppressThreshold = 1.5;
+  double reuseThreshold = 0.75;
+  Time halfLife = std::chrono::seconds(15);
+  Time maxSuppression = std::chrono::seconds(60);
+  Time maxListAge{};  // 0: the last list is used for ever
 };
 
 class EndpointTable {
@@ -41,70 +45,90 @@
   using Time = std::chrono::microseconds;
   explicit EndpointTable(const EndpointTablePolicy& policy = {}) : policy_(policy) {}
 
-  // A source that tells everything each time. `first`: what was not there before has not just come, as after
-  // a change of domain; the very first list is always so.
+  // All endpoints that a source without generations has. `first`: what is new in it has not just started, as
+  // after a change of domain; the very first list is always taken so.
   void applySnapshot(Time now, std::vector<DiscoveredEndpoint> all, bool first = false);
-  // A source with generations. It counts returns and starts itself: no damping, no starts given here.
+  // A list of a source with generations. Such a source counts returns and starts itself: no damping, no
+  // inferred starts.
   void applyUpdate(Time now, EndpointList);
   void recordFailure(Time now, std::string why);
 
-  // What the engine has to be told now, one list a call until there is none. To be called after each of the
-  // above and when next() is due.
+  // What the engine has to be given now, one list a call until there is none. To be called after each of the
+  // above and when nextDeadline() is due.
   std::optional<EndpointList> nextUpdate(Time now);
-  std::optional<Time> nextDeadline() const;  // when something changes though nothing comes
+  // When something has to be published though no source reports anything.
+  std::optional<Time> nextDeadline() const;
 
   std::uint64_t generation() const { return generation_; }
-  void setPolicy(const EndpointTablePolicy& p) { policy_ = p; }
+  void setPolicy(const EndpointTablePolicy& policy) { policy_ = policy; }
 
-  // For staff.
+  // For `sablespur members`.
   struct Row {
     DiscoveredEndpoint endpoint;
-    std::string exclusionReason;  // why the engine is not told of it; empty: it is
+    std::string exclusionReason;  // why it is not published; empty: it is
     double penalty = 0;
     unsigned withdrawals = 0;
   };
   struct View {
     std::vector<Row> rows;             // by name
-    std::optional<Time> lastUpdate;    // when a source last told anything
-    std::optional<Time> failingSince;  // no word since then
-    std::string lastError;             // of the last failure
+    std::optional<Time> lastUpdate;    // when a source last reported anything
+    std::optional<Time> failingSince;  // nothing but failures since then
+    std::string lastError;             // empty unless failing
   };
   View view(Time now) const;
 
  private:
+  // A start that lay in the future when it came, and the time that was published in its place.
+  struct ClampedStart {
+    std::int64_t reportedMs = 0;
+    std::int64_t publishedMs = 0;
+  };
+  struct FlapHistory {
+    double penalty = 0;  // as of penaltyUpdatedAt
+    Time penaltyUpdatedAt{};
+    unsigned withdrawals = 0;
+    std::optional<Time> suppressedUntil;
+  };
   struct Entry {
     DiscoveredEndpoint endpoint;  // as the source has it
-    bool present = false;
-    bool published = false;
-    DiscoveredEndpoint lastPublished;  // as the engine has it
-    Time presenceChangedAt{};          // of the present presence, or of the absence
-    std::int64_t inferredStartMs = 0;  // where the source tells none
-    std::int64_t futureStartMs = 0,
-                 clampedStartMs = 0;  // a start that lay ahead when it came, and what was told
-    double penalty = 0;
-    Time penaltyUpdatedAt{};
-    unsigned withdrawals = 0, incarnation = 1;
-    bool suppressed = false;
-    Time suppressedUntil{};
+    bool present = false;         // in the source's list
+    Time presenceChangedAt{};
+    std::int64_t inferredStartMs = 0;  // used where the source gives none
+    std::optional<ClampedStart> clampedStart;
+    FlapHistory flaps;
+    bool published = false;            // the engine has it
+    DiscoveredEndpoint lastPublished;  // as the engine has or last had it
+    unsigned incarnation = 1;          // above 1: part of the published name
     const char* exclusionReason = nullptr;
   };
+  using NamedEntry = std::pair<const std::string*, Entry*>;
+
+  void recordList(Time now);
   double currentPenalty(const Entry&, Time now) const;
   void recordAppearance(Entry&, Time now, bool first);
   void recordWithdrawal(Entry&, Time now);
   void removeExpired(Time now);
-  static std::int64_t clampedStart(Entry&, Time now);
+  bool isExpired(const Entry&, Time now) const;
+  void keepDraining(EndpointList&) const;
+  void removeUnlisted(const EndpointList&);
+  std::optional<Time> listExpiry() const;
+  std::vector<NamedEntry> entriesBySeniority();
+  void exclude(const std::vector<NamedEntry>&, Time now) const;
+  static void publish(const std::string& name, Entry&, Time now, std::vector<DiscoveredEndpoint>& changes);
+  static std::int64_t startNoLaterThan(Entry&, Time now);
 
   EndpointTablePolicy policy_;
   std::map<std::string, Entry> entries_;
   std::uint64_t generation_ = 0;
-  bool hasList_ = false;           // a first whole list has come
-  bool publishWholeList_ = false;  // the next one told is whole
-  bool fromRegistry_ = false;
-  std::deque<EndpointList> registryUpdates_;  // of the registry, waiting for take
-  bool changed_ = false;
-  std::optional<Time> lastUpdate_, failingSince_;
+  bool hasList_ = false;                      // a first whole list has come
+  bool fromRegistry_ = false;                 // the last list came with a generation
+  std::deque<EndpointList> registryUpdates_;  // passed on as they came
+  bool changed_ = false;                      // a snapshot has come since the last nextUpdate
+  bool publishWholeList_ = false;             // the next update is a whole list
+  bool expired_ = false;                      // the list is older than maxListAge
+  std::optional<Time> lastUpdate_;
+  std::optional<Time> failingSince_;
   std::string lastError_;
-  bool expired_ = false;
 };
 
 }  // namespace sablespur
