--- a/src/discovery/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "discovery/dnssd/records.hpp"
+#include "discovery/dnssd/answer_kind.hpp"
 
 namespace sablespur {
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Guards against an answer that names instances without end.
+// Bounds what one answer can make the directory keep.
 constexpr std::size_t kMaxInstances = 4096;
 constexpr std::size_t kMaxRecordQueriesInFlight = 16;  // questions for single records
 // So many instances without their records in a PTR answer are worth a connection.
@@ -29,24 +29,8 @@
   return *n;
 }
 
-const dns::Soa* soaOf(const Message& m) {
-  for (const Record& r : m.authorities)
-    if (r.type == Type::Soa) return std::get_if<dns::Soa>(&r.data);
-  return nullptr;
-}
-
 }  // namespace
 
-// RFC 2308 section 2: a negative answer bears the zone's SOA, or comes from the zone's own server. An empty
-// answer without either is a referral, or from one that does not serve the zone.
-AnswerKind classifyAnswer(const Question& q, const Message& m) {
-  if (m.rcode != dns::Rcode::NoError && m.rcode != dns::Rcode::NxDomain) return AnswerKind::Unusable;
-  for (const Record& r : m.answers)
-    if (r.type == q.type && r.name == q.name) return AnswerKind::Records;
-  if (m.rcode == dns::Rcode::NoError && !m.answers.empty()) return AnswerKind::Unusable;
-  return m.authoritative || soaOf(m) ? AnswerKind::Negative : AnswerKind::Unusable;
-}
-
 DnsSdDirectory::DnsSdDirectory(const DnsSdSettings& settings, const std::vector<GroupName>& groups,
                                std::uint64_t seed)
     : settings_(settings),
@@ -99,6 +83,11 @@
     return asks;
   }
   if (ptrFailures_ > 0) return asks;  // the same servers would be asked in vain
+  return dueRecordQueries(now);
+}
+
+std::vector<DnsSdDirectory::Query> DnsSdDirectory::dueRecordQueries(Time now) {
+  std::vector<Query> asks;
   // The longest due first; what describes an instance before addresses, which its answer may bring along.
   std::vector<std::pair<const Question*, RecordSet*>> all;
   for (auto& [q, s] : sets_)
@@ -189,27 +178,33 @@
     storeRecords(now, q, std::move(set.first), set.second);
     taken.push_back(q);
   }
-  if (!additional) return taken;
-  // Additionals bring all addresses of a target (RFC 6763 section 12.2): where they are of the newer kind
-  // alone, it has no older one.
-  std::map<Name, std::pair<std::vector<Data>, std::uint32_t>> newer;
-  for (const Record& r : records) {
-    if (r.type != Type::Aaaa || !dns::within(r.name, domain_)) continue;
-    if (sets_.count({r.name, Type::A}) == 0 || found.count({r.name, Type::A}) > 0) continue;
-    auto& entry = newer.try_emplace(r.name, std::vector<Data>(), r.ttl).first->second;
-    entry.first.push_back(r.data);
-    entry.second = std::min(entry.second, r.ttl);
+  if (additional) storeIpv6OnlyTargets(now, records, taken);
+  return taken;
+}
+
+// Additionals bring all addresses of a target (RFC 6763 section 12.2): where they are IPv6 alone, it has no
+// IPv4 address.
+void DnsSdDirectory::storeIpv6OnlyTargets(Time now, const std::vector<Record>& records,
+                                          std::vector<Question>& stored) {
+  const std::set<Question> known(stored.begin(), stored.end());
+  std::map<Name, std::pair<std::vector<Data>, std::uint32_t>> ipv6Only;
+  for (const Record& record : records) {
+    if (record.type != Type::Aaaa || !dns::within(record.name, domain_)) continue;
+    const Question ipv4{record.name, Type::A};
+    if (sets_.count(ipv4) == 0 || known.count(ipv4) > 0) continue;
+    auto& [data, ttl] = ipv6Only.try_emplace(record.name, std::vector<Data>(), record.ttl).first->second;
+    data.push_back(record.data);
+    ttl = std::min(ttl, record.ttl);
   }
-  for (auto& [name, set] : newer) {
-    RecordSet& a = sets_[{name, Type::A}];
-    a.state = RecordSet::State::Absent;
-    a.data.clear();
-    a.refreshAt = refreshTime(now, set.second);
-    a.attempted = true;
+  for (auto& [name, set] : ipv6Only) {
+    RecordSet& ipv4 = sets_[{name, Type::A}];
+    ipv4.state = RecordSet::State::Absent;
+    ipv4.data.clear();
+    ipv4.refreshAt = refreshTime(now, set.second);
+    ipv4.attempted = true;
     storeRecords(now, {name, Type::Aaaa}, std::move(set.first), set.second);
-    taken.push_back({name, Type::Aaaa});
+    stored.push_back({name, Type::Aaaa});
   }
-  return taken;
 }
 
 void DnsSdDirectory::handleAnswer(Time now, const Question& q, const Message& m, bool tcp) {
@@ -236,46 +231,55 @@
   for (const Question& other : storeKnownRecords(now, m.additionals, true)) resolve(other);
 }
 
-void DnsSdDirectory::handlePtrAnswer(Time now, const Message& m, bool tcp) {
-  const AnswerKind verdict = classifyAnswer(ptr_, m);
-  ptrFailures_ = 0;
-  lastPtrAnswer_ = now;
+std::vector<Name> DnsSdDirectory::storePtrRecords(Time now, const Message& message) {
   std::vector<Data> names;
   std::set<Name> seen;
   std::uint32_t ttl = 0;
   faults_.clear();
-  for (const Record& r : m.answers) {
-    const Name* const name =
-        r.type == Type::Ptr && r.name == ptr_.name ? std::get_if<Name>(&r.data) : nullptr;
+  for (const Record& record : message.answers) {
+    const bool ofService = record.type == Type::Ptr && record.name == ptr_.name;
+    const Name* const name = ofService ? std::get_if<Name>(&record.data) : nullptr;
     if (!name) continue;
-    ttl = names.empty() ? r.ttl : std::min(ttl, r.ttl);
+    ttl = names.empty() ? record.ttl : std::min(ttl, record.ttl);
     if (!dns::within(*name, ptr_.name) || *name == ptr_.name)
       faults_[*name] = "named by PTR, and no instance of the service";
     else if (names.size() < kMaxInstances && seen.insert(*name).second)
       names.push_back(*name);
   }
-  if (verdict == AnswerKind::Records)
+  if (classifyAnswer(ptr_, message) == AnswerKind::Records)
     storeRecords(now, ptr_, std::move(names), ttl);
   else
-    storeNegativeAnswer(now, ptr_, m);
-  for (const Name& n : seen)
-    for (const Type t : {Type::Srv, Type::Txt}) sets_[{n, t}];
-  storeKnownRecords(now, m.additionals, true);
+    storeNegativeAnswer(now, ptr_, message);
+  return {seen.begin(), seen.end()};
+}
+
+void DnsSdDirectory::handlePtrAnswer(Time now, const Message& message, bool tcp) {
+  ptrFailures_ = 0;
+  lastPtrAnswer_ = now;
+  for (const Name& name : storePtrRecords(now, message))
+    for (const Type type : {Type::Srv, Type::Txt}) sets_[{name, type}];
+  storeKnownRecords(now, message.additionals, true);
   resolveInstances();
   // Targets have become known: their addresses may stand in the same answer.
-  storeKnownRecords(now, m.additionals, true);
+  storeKnownRecords(now, message.additionals, true);
   resolveInstances();
   removeUnlisted();
+  lastAnswerComplete_ = classifyAnswer(ptr_, message) == AnswerKind::Records && additionalsComplete();
+  chooseTransport(now, tcp);
+}
+
+void DnsSdDirectory::chooseTransport(Time now, bool answeredOverTcp) {
   if (roundsWithoutTcp_ > 0) --roundsWithoutTcp_;
-  std::size_t lacking = 0;
-  for (const auto& [other, s] : sets_) lacking += other.type == Type::Srv && s.refreshAt <= now;
-  lastAnswerComplete_ = verdict == AnswerKind::Records && additionalsComplete();
-  if (tcp && lacking > kMaxMissingRecordsOverUdp) {  // it brings no more than a datagram
+  const auto missing = std::count_if(sets_.begin(), sets_.end(), [&](const auto& set) {
+    return set.first.type == Type::Srv && set.second.refreshAt <= now;
+  });
+  const bool manyMissing = static_cast<std::size_t>(missing) > kMaxMissingRecordsOverUdp;
+  if (answeredOverTcp && manyMissing) {  // TCP brings no more than a datagram
     ptrOverTcp_ = false;
     roundsWithoutTcp_ = kRoundsWithoutTcp;
-  } else if (tcp) {
+  } else if (answeredOverTcp) {
     ptrOverTcp_ = true;
-  } else if (lacking > kMaxMissingRecordsOverUdp && roundsWithoutTcp_ == 0) {
+  } else if (manyMissing && roundsWithoutTcp_ == 0) {
     ptrOverTcp_ = true;
     sets_[ptr_].refreshAt = now;  // again, over TCP
   }
@@ -304,126 +308,10 @@
   }
 }
 
-// What an instance is by its records: whole, at fault, or neither as yet.
-void DnsSdDirectory::describeInstance(const Name& name, std::optional<DiscoveredEndpoint>& whole,
-                                      std::string& fault) {
-  const RecordSet &srv = sets_[{name, Type::Srv}], &txt = sets_[{name, Type::Txt}];
-  // The lowest priority, then the greatest weight (RFC 2782): one target, the same at every proxy.
-  const dns::Srv* best = nullptr;
-  for (const Data& d : srv.data) {
-    const auto& s = std::get<dns::Srv>(d);
-    const auto rank = [](const dns::Srv& r) {
-      return std::make_tuple(r.priority, 65535 - r.weight, r.target, r.port);
-    };
-    if (!best || rank(s) < rank(*best)) best = &s;
-  }
-  const bool had = best && best->target != "." && best->port != 0;
-  const Name target = had ? best->target : Name();
-  Name& was = targetByInstance_[name];
-  if (was != target) {
-    if (!was.empty() && instancesByTarget_[was].erase(name) > 0 && instancesByTarget_[was].empty())
-      instancesByTarget_.erase(was);
-    if (!target.empty()) instancesByTarget_[target].insert(name);
-    was = target;
-  }
-  if (srv.state == RecordSet::State::Absent) fault = "it has no SRV record";
-  if (srv.state == RecordSet::State::Known && !had) fault = "its SRV record says that it is not to be had";
-  if (!had) return;
-  const RecordSet& a = sets_[{target, Type::A}];
-  const RecordSet* const addresses = a.state == RecordSet::State::Absent ? &sets_[{target, Type::Aaaa}] : &a;
-  if (addresses->state == RecordSet::State::Absent) fault = "its target " + target + " has no address";
-  if (addresses->state != RecordSet::State::Known) return;
-  std::vector<std::string> bytes;
-  for (const Data& d : addresses->data) bytes.push_back(std::get<dns::Bytes>(d).bytes);
-  std::sort(bytes.begin(), bytes.end());
-  // Of several addresses one is taken, and kept while it is there: the others are ways to the same server.
-  Address& chosen = chosenAddresses_[name];
-  const bool stays = std::any_of(bytes.begin(), bytes.end(), [&](const std::string& b) {
-    return Address::fromBytes(b, best->port) == chosen;
-  });
-  if (!stays) chosen = Address::fromBytes(bytes.front(), best->port);
-  if (txt.state == RecordSet::State::Unknown) return;
-  DiscoveredEndpoint i;
-  i.name = dns::firstLabel(name);
-  i.address = chosen;
-  std::vector<std::string> strings;
-  for (const Data& d : txt.data)
-    for (const std::string& s : std::get<dns::Strings>(d)) strings.push_back(s);
-  if (const auto wrong = readTxt(strings, groups_, settings_.defaultGroup, i))
-    fault = "TXT: " + *wrong;
-  else
-    whole = std::move(i);
-}
-
-void DnsSdDirectory::resolve(const Name& name) {
-  std::optional<DiscoveredEndpoint> now;
-  std::string fault;
-  describeInstance(name, now, fault);
-  const auto was = endpoints_.find(name);
-  // Neither whole nor at fault: something has still to be asked, as after a change of target. It stands as it
-  // was.
-  const bool pending = !now && fault.empty();
-  const bool same =
-      pending || (now ? was != endpoints_.end() && was->second == *now : was == endpoints_.end());
-  if (!same && now) endpoints_[name] = std::move(*now);
-  if (!same && !now) endpoints_.erase(was);
-  const auto wrong = faults_.find(name);
-  const bool sameFault = wrong == faults_.end() ? fault.empty() : wrong->second == fault;
-  if (!sameFault && fault.empty()) faults_.erase(wrong);
-  if (!sameFault && !fault.empty()) faults_[name] = fault;
-  version_ += !same || !sameFault;
-}
-
-void DnsSdDirectory::resolve(const Question& q) {
-  if (q.type == Type::Srv || q.type == Type::Txt) return resolve(q.name);
-  const auto it = instancesByTarget_.find(q.name);
-  if (it == instancesByTarget_.end()) return;
-  const std::set<Name> all = it->second;
-  for (const Name& n : all) resolve(n);
-}
-
-void DnsSdDirectory::resolveInstances() {
-  ++version_;
-  const std::vector<Name> all = listedInstances();
-  const std::set<Name> listed(all.begin(), all.end());
-  for (auto it = endpoints_.begin(); it != endpoints_.end();)
-    it = listed.count(it->first) > 0 ? std::next(it) : endpoints_.erase(it);
-  for (const Name& n : all) resolve(n);
-}
-
-// Drops what belongs to instances that are no longer named.
-void DnsSdDirectory::removeUnlisted() {
-  const std::vector<Name> all = listedInstances();
-  const std::set<Name> listed(all.begin(), all.end());
-  for (auto it = targetByInstance_.begin(); it != targetByInstance_.end();) {
-    if (listed.count(it->first) > 0) {
-      ++it;
-      continue;
-    }
-    const auto host = instancesByTarget_.find(it->second);
-    if (host != instancesByTarget_.end() && host->second.erase(it->first) > 0 && host->second.empty())
-      instancesByTarget_.erase(host);
-    it = targetByInstance_.erase(it);
-  }
-  for (auto it = chosenAddresses_.begin(); it != chosenAddresses_.end();)
-    it = listed.count(it->first) == 0 ? chosenAddresses_.erase(it) : std::next(it);
-  for (auto it = sets_.begin(); it != sets_.end();) {
-    const Question& q = it->first;
-    const bool address = q.type == Type::A || q.type == Type::Aaaa;
-    bool used = q == ptr_ || (address ? instancesByTarget_.count(q.name) > 0 : listed.count(q.name) > 0);
-    if (used && q.type == Type::Aaaa) {  // asked for only where there is no older address
-      const RecordSet* const a = find(q.name, Type::A);
-      used = a && a->state == RecordSet::State::Absent;
-    }
-    if (!used) recordQueriesInFlight_ -= it->second.inFlight;
-    it = used ? std::next(it) : sets_.erase(it);
-  }
-}
-
 bool DnsSdDirectory::isComplete() {
-  complete_ =
-      complete_ || (sets_.at(ptr_).state != RecordSet::State::Unknown &&
-                    std::all_of(sets_.begin(), sets_.end(), [](const auto& s) { return s.second.attempted; }));
+  complete_ = complete_ ||
+              (sets_.at(ptr_).state != RecordSet::State::Unknown &&
+               std::all_of(sets_.begin(), sets_.end(), [](const auto& s) { return s.second.attempted; }));
   return complete_;
 }
 
--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -1,5 +1,5 @@
-// What DNS-SD has told of one service in one domain, and what has to be asked next. Pure: no sockets, no
-// clock.
+// The records of one DNS-SD service in one domain, the endpoints that they describe, and the queries that are
+// due. Pure: no sockets, no clock.
 //
 // PTR names the instances, SRV and TXT describe each, A or AAAA give the target's address (RFC 6763 sections
 // 4 to 6). Records come as answers or as additionals; where the PTR answer brings all of them along, it is
@@ -29,14 +29,6 @@
 
 namespace sablespur {
 
-// What an answer is good for.
-enum class AnswerKind {
-  Records,   // it holds what was asked for
-  Negative,  // it says with authority that there is none
-  Unusable   // an error, or an empty answer from one that knows nothing of the name: ask another
-};
-AnswerKind classifyAnswer(const dns::Question&, const dns::Message&);
-
 class DnsSdDirectory {
  public:
   DnsSdDirectory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
@@ -45,41 +37,68 @@
     dns::Question question;
     bool tcp = false;
   };
-  std::vector<Query> dueQueries(Time now);  // each then ends in one of the next two
+  // The queries to send now. Each ends in one call of handleAnswer or handleFailure.
+  std::vector<Query> dueQueries(Time now);
   void handleAnswer(Time now, const dns::Question&, const dns::Message&, bool tcp);
   void handleFailure(Time now, const dns::Question&);
-  std::optional<Time> nextDeadline() const;  // when due has something, if nothing is out
+  // When dueQueries has something, unless a PTR query is in flight.
+  std::optional<Time> nextDeadline() const;
 
-  bool isComplete();                                  // everything has been asked for at least once
-  std::uint64_t version() const { return version_; }  // another one where instances() or faults() may differ
-  std::vector<DiscoveredEndpoint> instances() const;  // those that are whole
-  // Those that are not, by name, and why; for the log and for staff.
+  // Whether everything has been queried at least once, with or without success.
+  bool isComplete();
+  // Changes whenever instances() or faults() may have.
+  std::uint64_t version() const { return version_; }
+  // The instances whose records are all known and valid.
+  std::vector<DiscoveredEndpoint> instances() const;
+  // The instances that are left out, by name, and why.
   const std::map<std::string, std::string>& faults() const { return faults_; }
   bool failing() const { return ptrFailures_ > 0; }
 
  private:
-  struct RecordSet {  // the records of a name and type
+  // The records of a name and type.
+  struct RecordSet {
     enum class State { Unknown, Known, Absent } state = State::Unknown;
     std::vector<dns::Data> data;
     Time refreshAt{};
-    bool inFlight = false, attempted = false;
-    int failures = 0;
+    bool inFlight = false;
+    bool attempted = false;
+    int failures = 0;  // in a row
+  };
+  // What the records of an instance amount to. Neither: some are not known yet.
+  struct Description {
+    std::optional<DiscoveredEndpoint> endpoint;
+    std::string fault;
   };
+
+  // Queries: what is due when.
+  std::vector<Query> dueRecordQueries(Time now);
+  bool spendQueryBudget(Time now);
+  Time refreshTime(Time now, std::uint32_t ttl);
+  Time backoff(int failures);
+
+  // Answers: what is stored.
   void storeRecords(Time now, const dns::Question&, std::vector<dns::Data>, std::uint32_t ttl);
   void storeNegativeAnswer(Time now, const dns::Question&, const dns::Message&);
   std::vector<dns::Question> storeKnownRecords(Time now, const std::vector<dns::Record>&, bool additional);
+  void storeIpv6OnlyTargets(Time now, const std::vector<dns::Record>&, std::vector<dns::Question>& stored);
+  std::vector<dns::Name> storePtrRecords(Time now, const dns::Message&);
   void handlePtrAnswer(Time now, const dns::Message&, bool tcp);
+  void chooseTransport(Time now, bool answeredOverTcp);
+  bool additionalsComplete() const;
+  const RecordSet* find(const dns::Name&, dns::Type) const;
+  std::vector<dns::Name> listedInstances() const;
+
+  // Endpoints: what the records amount to.
   void resolveInstances();
   void resolve(const dns::Name& instance);
-  void resolve(const dns::Question&);  // the instances that it is of
-  void describeInstance(const dns::Name& instance, std::optional<DiscoveredEndpoint>&, std::string& fault);
+  void resolve(const dns::Question&);  // the instances that it concerns
+  Description describeInstance(const dns::Name&);
+  Address chooseAddress(const dns::Name& instance, const std::vector<dns::Data>& records, std::uint16_t port);
+  void setTarget(const dns::Name& instance, const dns::Name& target);
+  void removeFromTarget(const dns::Name& target, const dns::Name& instance);
+  // Drops what belongs to instances that are no longer listed.
   void removeUnlisted();
-  bool spendQueryBudget(Time now);
-  std::vector<dns::Name> listedInstances() const;
-  const RecordSet* find(const dns::Name&, dns::Type) const;
-  Time refreshTime(Time now, std::uint32_t ttl);
-  Time backoff(int failures);
-  bool additionalsComplete() const;
+  bool isNeeded(const dns::Question&, const std::set<dns::Name>& listed) const;
 
   const DnsSdSettings settings_;
   const std::vector<GroupName> groups_;
@@ -89,19 +108,19 @@
   std::map<dns::Question, RecordSet> sets_;
   std::map<dns::Name, DiscoveredEndpoint> endpoints_;
   std::map<dns::Name, Address> chosenAddresses_;  // of each instance: kept while it is still listed
-  std::map<dns::Name, std::set<dns::Name>> instancesByTarget_;  // instances by target
-  std::map<dns::Name, dns::Name> targetByInstance_;             // and the other way
+  std::map<dns::Name, std::set<dns::Name>> instancesByTarget_;
+  std::map<dns::Name, dns::Name> targetByInstance_;
   std::map<std::string, std::string> faults_;
   std::uint64_t version_ = 0;
   bool complete_ = false;
-  double queryBudget_ = 0;  // of questions for single records
+  double queryBudget_ = 0;  // of queries for single records
   Time queryBudgetUpdatedAt_{};
   std::size_t recordQueriesInFlight_ = 0;
   int ptrFailures_ = 0;
   bool lastAnswerComplete_ = false;  // the last PTR answer brought all else along
-  bool ptrOverTcp_ = false;          // PTR is asked over TCP
-  int roundsWithoutTcp_ = 0;         // rounds until TCP is tried again for what a datagram has no room for
-  Time lastPtrAnswer_{};             // of the last PTR answer
+  bool ptrOverTcp_ = false;          // the next PTR query goes over TCP
+  int roundsWithoutTcp_ = 0;         // PTR refreshes until TCP is tried again
+  Time lastPtrAnswer_{};
 };
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/name_servers.hpp
+++ b/src/discovery/dnssd/name_servers.hpp
@@ -1,8 +1,8 @@
-// Which of several name servers is asked. Pure.
+// Selects one of several name servers for a query. Pure.
 //
-// The one that answered last is asked again, since servers of one zone may hold different versions of it and
-// going from one to the other would make records flap. One that failed rests for a time that doubles with
-// each failure; when all rest, the one that has rested longest goes first.
+// The one that answered last is preferred: servers of one zone may hold different versions of it, and
+// alternating between them would make records flap. A server that failed backs off for a time that doubles
+// with each failure; when all do, the one whose backoff ends first is selected.
 #pragma once
 
 #include <chrono>
@@ -15,9 +15,9 @@
 class NameServers {
  public:
   using Time = std::chrono::microseconds;
-  explicit NameServers(std::size_t n) : servers_(n) {}
+  explicit NameServers(std::size_t count) : servers_(count) {}
 
-  // Of those not in `tried`; nothing when all are.
+  // The index of a server that is not in `tried`; nothing when all are.
   std::optional<std::size_t> select(Time now, const std::vector<bool>& tried) const;
   void recordFailure(std::size_t, Time now);
   void recordAnswer(std::size_t);
--- a/src/discovery/dnssd/resolver.cpp
+++ b/src/discovery/dnssd/resolver.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <utility>
 
-#include "discovery/dnssd/directory.hpp"
+#include "discovery/dnssd/answer_kind.hpp"
 #include "engine/system_calls.hpp"
 #include "logging/log.hpp"
 
@@ -15,9 +15,10 @@
 namespace {
 
 constexpr std::size_t kMaxDatagramSize = 65535;
-// Guards against one that floods the port with forged answers: so many are looked at in one go.
+// Bounds the time that a flood of forged answers takes from the loop.
 constexpr int kMaxDatagramsPerRead = 64;
 
+// Owns a socket; -1: none.
 struct Socket {
   int fd = -1;
   ~Socket() { reset(); }
@@ -47,7 +48,7 @@
 
 }  // namespace
 
-// One question, from one server to the next until one answers.
+// One query, from one server to the next until one answers.
 class Resolver::Lookup {
  public:
   Lookup(Resolver& owner, dns::Question q, bool tcp)
@@ -84,12 +85,12 @@
     tried_[serverIndex_] = true;
     startsWithTcp_ ? sendOverTcp() : sendOverUdp();
   }
-  // This server has failed for this question.
+  // The server has failed for this query.
   void serverFailed(const std::string& why) {
     owner_.servers_.recordFailure(serverIndex_, owner_.clock_.now());
     leaveServer(why);
   }
-  // It is not held against the server where this machine had no socket or no way to it.
+  // Not counted against the server where this machine had no socket or no route to it.
   void socketCallFailed(SocketFault fault, int error) {
     if (fault == SocketFault::Peer) return serverFailed(std::strerror(error));
     leaveServer(std::strerror(error));
@@ -130,7 +131,8 @@
     event_add(event_.get(), nullptr);
     startTimer(timer_.get(), owner_.settings_.attemptTimeout);
   }
-  // Not within the call that brought it about: all servers may fail like this.
+  // Reports the failure from the loop, not within the call: all servers may fail like this, one within the
+  // other.
   void deferSocketFailure(SocketCall call, int error) {
     pendingFault_ = classify(call, error);
     pendingErrno_ = error;
@@ -163,7 +165,7 @@
   bool matchesQuery(const dns::Message& m) const {
     if (!m.response || m.id != id_) return false;
     if (m.question) return *m.question == question_;
-    return m.rcode == dns::Rcode::FormErr;  // one that could not read the question need not repeat it
+    return m.rcode == dns::Rcode::FormErr;  // a server that cannot read the question need not repeat it
   }
 
   void acceptResponse(dns::Message m, bool tcp) {
@@ -201,7 +203,7 @@
         this);
     bufferevent_enable(tcp_.get(), EV_READ | EV_WRITE);
     startTimer(timer_.get(), owner_.settings_.attemptTimeout);
-    bufferevent_socket_connect(tcp_.get(), nullptr, 0);  // it is under way: this waits for its end
+    bufferevent_socket_connect(tcp_.get(), nullptr, 0);  // already started: this waits for its end
   }
   void readTcp() {
     evbuffer* const in = bufferevent_get_input(tcp_.get());
@@ -230,7 +232,7 @@
   std::uint16_t id_ = 0;
   bool started_ = false;
   std::string lastError_ = "no name server";
-  SocketFault pendingFault_ = SocketFault::None;  // of a call that failed, until the loop's next pass
+  SocketFault pendingFault_ = SocketFault::None;  // of deferSocketFailure
   int pendingErrno_ = 0;
 };
 
@@ -250,7 +252,7 @@
 
 void Resolver::finish(Lookup& l, Reply reply) {
   const auto it = lookups_.find(&l);
-  const std::unique_ptr<Lookup> keep = std::move(it->second);  // until this call, which is its own, is over
+  const std::unique_ptr<Lookup> keep = std::move(it->second);  // the call comes from it
   lookups_.erase(it);
   const dns::Question q = keep->question();
   callback_(q, reply);
--- a/src/discovery/dnssd/resolver.hpp
+++ b/src/discovery/dnssd/resolver.hpp
@@ -1,6 +1,6 @@
-// Questions to name servers over UDP and, after truncation or on demand, TCP (RFC 1035, 5452, 6891, 7766).
-// Each question has a random id and a socket of its own, hence a port of the system's choice; what comes from
-// elsewhere, or with another id or question, is counted and passed over, and the wait for the answer goes on.
+// Queries to name servers over UDP and, after truncation or on request, TCP (RFC 1035, 5452, 6891, 7766).
+// Each query has a random id and a socket of its own, hence a random port; a message from elsewhere, or with
+// another id or question, is counted and discarded, and the wait for the answer goes on.
 #pragma once
 
 #include <functional>
@@ -21,10 +21,10 @@
 class Resolver {
  public:
   struct Reply {
-    bool ok = false;  // some server gave an answer that is one (Directory's judge)
+    bool ok = false;  // some server gave an answer that is usable (classifyAnswer)
     dns::Message message;
     bool tcp = false;
-    std::string error;  // not ok: what the last server did
+    std::string error;  // not ok: how the last server failed
   };
   using Callback = std::function<void(const dns::Question&, const Reply&)>;
 
@@ -33,11 +33,16 @@
   Resolver(const Resolver&) = delete;
   Resolver& operator=(const Resolver&) = delete;
 
-  // Ends in one call of `done`, from the loop and never within this call. All end silently with the Resolver.
+  // Ends in one call of the callback, from the loop and never within this call. With the Resolver all queries
+  // end without one.
   void query(const dns::Question&, bool tcp);
 
   struct Counts {
-    std::uint64_t udp = 0, tcp = 0, discarded = 0, failovers = 0, failed = 0;
+    std::uint64_t udp = 0;
+    std::uint64_t tcp = 0;
+    std::uint64_t discarded = 0;
+    std::uint64_t failovers = 0;
+    std::uint64_t failed = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -50,7 +55,7 @@
   const DnsSdSettings settings_;
   const Callback callback_;
   NameServers servers_;
-  std::vector<bool> withoutEdns_;  // servers that turned EDNS0 down
+  std::vector<bool> withoutEdns_;  // servers that rejected EDNS0
   std::random_device random_;
   Counts counts_;
   std::unordered_map<Lookup*, std::unique_ptr<Lookup>> lookups_;
--- a/src/discovery/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -18,7 +18,7 @@
 
 void DnsSdDiscovery::open(const Config& config) {
   auto directory = std::make_unique<DnsSdDirectory>(config.dnssd, config.groups, config.seed);
-  resolver_.reset();  // with all that is out
+  resolver_.reset();  // with its queries
   directory_ = std::move(directory);
   settings_ = config.dnssd;
   resolver_ = std::make_unique<Resolver>(
@@ -39,7 +39,7 @@
   if (const auto at = directory_->nextDeadline())
     startTimer(timer_.get(), *at - now);
   else
-    event_del(timer_.get());  // the next answer starts it
+    event_del(timer_.get());  // the next reply starts it
 }
 
 void DnsSdDiscovery::handleReply(const dns::Question& q, const Resolver::Reply& r) {
@@ -52,13 +52,14 @@
   if (!r.ok && q.type != dns::Type::Ptr)
     logEvent(LogLevel::Warning, "record_failed",
              {{"name", q.name}, {"type", static_cast<int>(q.type)}, {"why", r.error}});
-  // What only confirms a single record tells nothing new; the PTR answer is the word that the list stands.
+  // An answer that only confirms a single record changes nothing; the PTR answer confirms the list as a
+  // whole.
   if (r.ok && (q.type == dns::Type::Ptr || directory_->version() != publishedVersion_ || !hasPublished_))
     publish();
   sendDueQueries();
 }
 
-// Not before the first list is whole: what came after it would count as just started.
+// Not before the first list is complete: endpoints that followed it would count as just started.
 void DnsSdDiscovery::publish() {
   if (!hasPublished_ && !directory_->isComplete()) return;
   publishedVersion_ = directory_->version();
--- a/src/discovery/dnssd/source.hpp
+++ b/src/discovery/dnssd/source.hpp
@@ -1,5 +1,5 @@
-// The list from DNS-SD: asks what the Directory finds due, and gives the MemberFeed what it makes of the
-// answers.
+// Discovery by DNS-SD: sends the queries that the directory finds due, and publishes the endpoints that the
+// answers describe.
 #pragma once
 
 #include <map>
@@ -16,12 +16,13 @@
 
 class DnsSdDiscovery {
  public:
-  // Throws BadInput where the settings name no domain. Asks from the loop's next pass on.
+  // Throws BadInput where the settings name no domain. Queries start with the loop's next pass.
   DnsSdDiscovery(event_base*, const Clock&, EndpointUpdater&, const Config&);
-  // New settings: the members stand until the new ones have told a whole list. The same ones change nothing.
+  // The published endpoints stay until the new settings have given a whole list. Equal settings change
+  // nothing.
   void updateSettings(const Config&);
 
-  // A whole list has been told since the start, or since the last move.
+  // Whether a whole list has been published since the start or the last change of settings.
   bool hasPublished() const { return hasPublished_; }
   const std::map<std::string, std::string>& faults() const { return directory_->faults(); }
   const Resolver::Counts& counts() const { return resolver_->counts(); }
@@ -40,8 +41,8 @@
   std::unique_ptr<Resolver> resolver_;
   Event timer_;
   bool hasPublished_ = false;
-  std::uint64_t publishedVersion_ = 0;               // of the directory, when it was last told
-  std::map<std::string, std::string> loggedFaults_;  // faults that the log has
+  std::uint64_t publishedVersion_ = 0;               // of the directory, when it was last published
+  std::map<std::string, std::string> loggedFaults_;  // faults that have been logged
 };
 
 }  // namespace sablespur
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -5,6 +5,7 @@
 
 #include <pcg_random.hpp>
 
+#include "discovery/dnssd/answer_kind.hpp"
 #include "discovery/dnssd/directory.hpp"
 #include "discovery/dnssd/name_servers.hpp"
 #include "discovery/dnssd/records.hpp"
