--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The list of data servers in discovery's form.
+// A list of data servers as a discovery source gives it, and its JSON form.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +12,50 @@
 
 namespace sablespur {
 
+// A data server as its source describes it.
 struct DiscoveredEndpoint {
   std::string name;
-  Address address;  // none: not told, as it may be for one that has left
+  Address address;  // none: not given, as it may be for one that has left
   std::string zone;
-  std::string kind;  // of machine; empty: not told
+  std::string kind;  // of machine; empty: not given
   balancer::GroupId group = 0;
   balancer::Lifecycle state = balancer::Lifecycle::Ready;
   double weight = 1;
-  std::int64_t startedMs = 0;  // Unix time; 0: long ago
+  std::int64_t startedMs = 0;  // Unix time in milliseconds; 0: long ago
 };
 bool operator==(const DiscoveredEndpoint&, const DiscoveredEndpoint&);
 inline bool operator!=(const DiscoveredEndpoint& a, const DiscoveredEndpoint& b) { return !(a == b); }
+
+// A whole list, or what has changed since the last one.
 struct EndpointList {
   std::uint64_t generation = 0;
-  bool reset = false;  // the whole list: what is absent is gone
+  bool reset = false;  // a whole list: what is absent is gone
   std::vector<DiscoveredEndpoint> instances;
 };
 
-// Whoever takes the list from its source: the whole list first, then changes, or the source's failure.
+// Receives lists from a discovery source: a whole list first, then changes; and the source's failures.
 class EndpointListConsumer {
  public:
   virtual ~EndpointListConsumer() = default;
   virtual void endpointsListed(EndpointList) = 0;
   virtual void discoveryFailed(const std::string& why) = 0;
-  virtual std::uint64_t generation() const = 0;  // of the list as it is known
+  // Of the list that was last received.
+  virtual std::uint64_t generation() const = 0;
 };
 
-// What cannot be read; the message names the key.
+// Input that cannot be read. The message names the key.
 struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Finds the lists in the bytes of a watch: JSON objects, each in one line or indented over many. What ends a
-// list is its last brace, so one that was cut off never counts. Bounded; a feed after a false one is not
-// allowed.
+// Splits the bytes of a watch into lists: JSON objects, each on one line or indented over many. A list ends
+// with its last brace, so one that was cut off is never given out. Its size is bounded.
 class EndpointListStream {
  public:
-  // Whole ones come out at the back of `whole`, as text. `alive`: a list began or ended, or a line ended
-  // between two, as a quiet watch sends it. False: something stands there that is no object, or a list is too
-  // long.
-  bool feed(std::string_view bytes, std::vector<std::string>& whole, bool& alive);
+  // Appends the text of lists that have ended to `complete`. Sets `alive` if a list began or ended, or a line
+  // ended between two, as an idle watch sends it. False if there is something that is no object, or a list is
+  // too long; the stream must not be fed again then.
+  bool feed(std::string_view bytes, std::vector<std::string>& complete, bool& alive);
 
  private:
   std::string list_;  // of the list that has begun
@@ -60,7 +63,9 @@
   bool inString_ = false, afterBackslash_ = false;
 };
 
-Address parseAddress(std::string_view text, const std::string& key);  // Address::parse, or BadInput
+// Address::parse. Throws BadInput naming the key.
+Address parseAddress(std::string_view text, const std::string& key);
+// The registry's JSON form. Throws BadInput naming the key.
 EndpointList parseEndpointList(std::string_view json);
 
 }  // namespace sablespur
--- a/src/discovery/json.hpp
+++ b/src/discovery/json.hpp
@@ -1,4 +1,4 @@
-// Checked reading of simdjson's elements: a value that is missing or of another kind is named by its key.
+// Checked access to the fields of simdjson elements.
 #pragma once
 
 #include <simdjson.h>
@@ -9,6 +9,7 @@
 
 namespace sablespur {
 
+// Throws BadInput naming the key (after `path`) where the field is missing or of another type.
 template <typename T>
 T jsonField(const simdjson::dom::element& of, const char* key, const std::string& path) {
   T value;
@@ -18,6 +19,7 @@
   return value;
 }
 
+// A list from its parsed JSON form; `path` is its place in error messages. Throws BadInput naming the key.
 EndpointList readEndpointList(const simdjson::dom::element& object, const std::string& path);
 
 }  // namespace sablespur
--- a/src/discovery/registry/watch.cpp
+++ b/src/discovery/registry/watch.cpp
@@ -6,10 +6,10 @@
 namespace sablespur {
 namespace {
 
-// A change counts as told 6 s after discovery had it, whatever calls have failed meanwhile. A call is
-// answered or turned away within 2 s: one that is silent is given up in time for a pause and one more.
+// A change counts as notified 6 s after discovery had it, whatever calls have failed meanwhile. A call is
+// answered or rejected within 2 s: a silent one is abandoned in time for a backoff and another call.
 constexpr Time kResponseTimeout = std::chrono::milliseconds(2500);
-// Guards against a discovery that vanished without a word: a watch brings at least an empty line every 2 s.
+// A registry that has vanished closes nothing; an open watch sends at least an empty line every 2 s.
 constexpr Time kSilenceTimeout = std::chrono::milliseconds(3000);
 
 }  // namespace
@@ -25,8 +25,7 @@
 
 RegistryWatch::~RegistryWatch() { closeConnection(); }
 
-// Guards against a table that clients fill before the next call: the descriptor is kept from one to the
-// other.
+// The descriptor is kept for the next connection: clients might have taken the last one by then.
 void RegistryWatch::closeConnection() {
   if (!connection_) return;
   const evutil_socket_t fd = bufferevent_getfd(connection_.get());
@@ -60,8 +59,8 @@
       this);
 }
 
-// Goes on from the list as it is known. A watch at the old address ends silently: what it has still to tell,
-// the new one tells.
+// Continues from the known generation. The watch at the old address ends without a report: what it had still
+// to send, the new one sends.
 void RegistryWatch::changeAddress(const Address& address) {
   if (address == address_) return;
   address_ = address;
@@ -80,8 +79,7 @@
   }
   if (response_.status() != 0 && response_.status() != 200)
     return fail(("status " + std::to_string(response_.status())).c_str());
-  // Guards against bytes that trickle in and say nothing: only what makes sense by itself shows that it is
-  // there.
+  // Bytes that trickle in and amount to nothing are no sign of life.
   bool alive = !begun && response_.status() == 200;
   std::vector<std::string> lists;
   const bool fine = stream_.feed(body, lists, alive);
@@ -96,7 +94,7 @@
 }
 
 void RegistryWatch::fail(const char* why) {
-  if (!connection_) return;  // an end is told once
+  if (!connection_) return;  // already reported
   logEvent(LogLevel::Warning, "discovery_watch_closed", {{"why", why}});
   closeConnection();
   consumer_.discoveryFailed(why);
--- a/src/discovery/registry/watch.hpp
+++ b/src/discovery/registry/watch.hpp
@@ -1,4 +1,4 @@
-// Discovery's watch: one connection at a time, from the call to its end.
+// The watch of the HTTP registry: one connection at a time, from the request to the end of its response.
 #pragma once
 
 #include "discovery/endpoint_list.hpp"
@@ -13,8 +13,9 @@
  public:
   RegistryWatch(event_base*, EndpointListConsumer&, const Address&);
   ~RegistryWatch() override;
-  void watch(std::uint64_t after) override;  // a watch that is on ends silently
-  void changeAddress(const Address&);        // goes on with the watch at another address
+  // Begins a watch of changes after this generation. One that is open ends without a report.
+  void watch(std::uint64_t after) override;
+  void changeAddress(const Address&);  // continues the watch there; without effect for the same one
 
  private:
   void read();
@@ -28,7 +29,7 @@
   Event silenceTimer_;
   http::Response response_;
   EndpointListStream stream_;
-  ReservedDescriptor reserve_;  // held while there is no connection
+  ReservedDescriptor reserve_;  // held while there is no connection, so that the next one finds a descriptor
 };
 
 }  // namespace sablespur
