--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,10 +9,12 @@
 
 // The process itself: code, the loop, the listener, discovery, standard streams, connections about to be
 // closed.
-constexpr std::size_t kOwnDescriptors = 24, kOwnMemory = std::size_t{12} << 20;
-constexpr std::size_t kStoreMemory = std::size_t{6} << 20;  // as measured, and as much again
-// A client that asks nothing large: what is read ahead and an answer that it has not read yet.
+constexpr std::size_t kOwnDescriptors = 24;
+constexpr std::size_t kOwnMemory = std::size_t{12} << 20;
+constexpr std::size_t kStoreMemory = std::size_t{6} << 20;  // twice the measured figure
+// A client without large statements: what is read ahead, and an answer that it has not read yet.
 constexpr std::size_t kClientMemory = 96 << 10;
+constexpr std::size_t kClientShareOfDescriptors = 45;  // percent
 
 std::string summary(const std::vector<Fault>& faults) {
   if (faults.empty()) return "no fault";
@@ -22,20 +24,20 @@
 
 }  // namespace
 
-// A client has one request out at most, so with fewer clients than server connections every attempt finds
-// room. Of the memory beyond the process itself a quarter is for large statements, whoever sends them, a
-// half for what each client may hold at any time, the rest for answers on their way.
+// A client has one request in flight at most, so with fewer clients than server connections every attempt
+// finds a connection. Of the memory beyond the process itself a quarter is for large statements of all
+// clients, a half for what each client may hold at any time, the rest for answers on their way.
 void deriveBounds(Config& c, std::size_t descriptors, std::uint64_t memory) {
   c.descriptors = descriptors;
   c.memory = memory;
   const std::size_t free = static_cast<std::size_t>(memory) - kOwnMemory - (c.store ? kStoreMemory : 0);
   const std::size_t connections = descriptors - kOwnDescriptors - (c.store ? kStoreDescriptors : 0);
-  c.clientConnections = std::min(connections * 45 / 100, free / 2 / kClientMemory);
-  // The side of the clients holds a third of the descriptors at most. Below that, so that room is made here
-  // before it has none left to ask on.
+  c.clientConnections = std::min(connections * kClientShareOfDescriptors / 100, free / 2 / kClientMemory);
+  // Clients together hold a third of the descriptors at most. Idle ones are evicted below that, while a new
+  // client can still be accepted.
   c.askingClients = std::min(c.clientConnections, descriptors / 4);
   c.largeStatements = free / 4;
-  c.serverConnections = connections - connections * 45 / 100;
+  c.serverConnections = connections - connections * kClientShareOfDescriptors / 100;
 }
 
 bool operator==(const DnsSdSettings& a, const DnsSdSettings& b) {
@@ -47,6 +49,6 @@
   return all(a) == all(b);
 }
 
-BadSettings::BadSettings(std::vector<Fault> all) : BadInput(summary(all)), faults(std::move(all)) {}
+BadSettings::BadSettings(std::vector<Fault> found) : BadInput(summary(found)), faults(std::move(found)) {}
 
 }  // namespace sablespur
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -1,3 +1,4 @@
+// The platform's form of the settings: JSON, whose `settings` the simulator's wire carries too.
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
@@ -14,6 +15,7 @@
 using simdjson::dom::element;
 using simdjson::dom::element_type;
 
+// The text of a plain value; the wire separates by blanks, commas and line ends.
 std::string plain(const element& e) {
   switch (e.type()) {
     case element_type::BOOL:
@@ -64,9 +66,9 @@
   lines += objects ? under + "count=" + std::to_string(n) + "\n" : path + "=" + joined + "\n";
 }
 
-std::vector<std::string> names(const element& array, const std::string& path, const char* key) {
+std::vector<std::string> strings(const element& object, const std::string& path, const char* key) {
   std::vector<std::string> v;
-  for (const element e : jsonField<simdjson::dom::array>(array, key, path)) {
+  for (const element e : jsonField<simdjson::dom::array>(object, key, path)) {
     std::string_view text;
     if (e.get(text)) throw BadInput("key " + path + key + ": not all are strings");
     v.emplace_back(text);
@@ -74,77 +76,105 @@
   return v;
 }
 
-int whole(const element& of, const char* key, const std::string& path, std::int64_t least,
-          std::int64_t most) {
-  const auto v = jsonField<std::int64_t>(of, key, path);
-  if (v < least || v > most)
-    throw BadInput("key " + path + key + ": " + std::to_string(v) + " is not in " + std::to_string(least) +
-                   " to " + std::to_string(most));
-  return static_cast<int>(v);
+int integer(const element& object, const char* key, const std::string& path, std::int64_t min,
+            std::int64_t max) {
+  const auto value = jsonField<std::int64_t>(object, key, path);
+  if (value < min || value > max)
+    throw BadInput("key " + path + key + ": " + std::to_string(value) + " is not in " + std::to_string(min) +
+                   " to " + std::to_string(max));
+  return static_cast<int>(value);
 }
 
-}  // namespace
-
-Config parseConfig(const std::string& json) {
-  simdjson::dom::parser parser;
-  element root;
-  if (const auto error = parser.parse(json).get(root))
-    throw BadInput(std::string("no JSON: ") + simdjson::error_message(error));
-  Config c;
-  c.name = std::string(jsonField<std::string_view>(root, "name", ""));
-  c.listen = parseAddress(jsonField<std::string_view>(root, "listen", ""), "listen");
-  c.discovery = parseAddress(jsonField<std::string_view>(root, "discovery", ""), "discovery");
+void readProcess(const element& root, Config& config) {
+  config.name = std::string(jsonField<std::string_view>(root, "name", ""));
+  config.listen = parseAddress(jsonField<std::string_view>(root, "listen", ""), "listen");
+  config.discovery = parseAddress(jsonField<std::string_view>(root, "discovery", ""), "discovery");
   const auto seed = jsonField<std::string_view>(root, "seed", "");
-  const auto [stop, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
+  const auto [stop, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (error != std::errc() || stop != seed.data() + seed.size())
     throw BadInput("key seed: '" + std::string(seed) + "' is no hexadecimal number");
+}
+
+void readLimits(const element& root, Config& config) {
   const auto limits = jsonField<element>(root, "limits", "");
-  const auto sockets =
-      static_cast<std::size_t>(whole(limits, "sockets", "limits.", kLeastDescriptors, kMostDescriptors));
-  const auto memory =
-      static_cast<std::uint64_t>(whole(limits, "memory_mb", "limits.", kLeastMemory >> 20, kMostMemory >> 20))
-      << 20;
-  deriveBounds(c, sockets, memory);
-  c.known = readEndpointList(jsonField<element>(root, "known", ""), "known.");
+  const int sockets = integer(limits, "sockets", "limits.", kLeastDescriptors, kMostDescriptors);
+  const int megabytes = integer(limits, "memory_mb", "limits.", kLeastMemory >> 20, kMostMemory >> 20);
+  deriveBounds(config, static_cast<std::size_t>(sockets), static_cast<std::uint64_t>(megabytes) << 20);
+}
 
-  const auto settings = jsonField<element>(root, "settings", "");
+void readBalancerSettings(const element& settings, Config& config) {
   std::string lines;
   flatten(settings, "", lines);
   try {
-    c.settings = sablespur::simulator::parseSettings(lines);
-  } catch (const sablespur::simulator::BadSetting& e) {
+    config.settings = simulator::parseSettings(lines);
+  } catch (const simulator::BadSetting& e) {
     throw BadInput(std::string("key settings: ") + e.what());
   }
-  std::size_t n = 0;
-  for (const element e : jsonField<simdjson::dom::array>(settings, "classes", "settings."))
-    c.classes.emplace_back(
-        jsonField<std::string_view>(e, "name", "settings.classes[" + std::to_string(n++) + "]."));
-  c.zones = names(settings, "settings.", "zones");
-  if (c.settings.loadReportMode != balancer::LoadReportMode::None)
-    c.reportNames = names(jsonField<element>(settings, "report", "settings."), "settings.report.", "names");
-  const auto allowed = jsonField<element>(settings, "allowed", "settings.");
-  const std::string path = "settings.allowed.";
-  c.dialTimeout = Time(whole(allowed, "dialTimeoutUs", path, 1000, 60000000));
-  c.idleClose = Time(whole(allowed, "idleCloseUs", path, 1000000, 2000000000));
-  // Proxies talk where that is allowed and there is an address for it.
-  bool talk = false;
-  std::string_view text;
-  if (allowed["peers"].get(talk) == simdjson::SUCCESS && talk &&
-      root["peer_listen"].get(text) == simdjson::SUCCESS) {
-    c.peerListen = parseAddress(text, "peer_listen");
-    for (const std::string& peer : names(root, "", "peers")) c.peers.push_back(parseAddress(peer, "peers"));
-    if (root["peers_all"].get(text) == simdjson::SUCCESS) c.peersAll = parseAddress(text, "peers_all");
+}
+
+void readNames(const element& settings, Config& config) {
+  std::size_t index = 0;
+  for (const element requestClass : jsonField<simdjson::dom::array>(settings, "classes", "settings.")) {
+    const std::string path = "settings.classes[" + std::to_string(index++) + "].";
+    config.classes.emplace_back(jsonField<std::string_view>(requestClass, "name", path));
   }
-  if (root["control"].get(text) == simdjson::SUCCESS) c.control = parseAddress(text, "control");
-  for (std::size_t k = 0; k < c.settings.classes.size(); ++k) {
-    const auto& cls = c.settings.classes[k];
-    c.sessions = c.sessions || cls.requirement == balancer::Requirement::Session;
-    if (cls.latencyObjective <= Time(0) || cls.deadline < cls.latencyObjective)
-      throw BadInput("key settings.classes[" + std::to_string(k) + "].promiseUs: 0 or past deadlineUs");
+  config.zones = strings(settings, "settings.", "zones");
+  if (config.settings.loadReportMode != balancer::LoadReportMode::None)
+    config.reportNames =
+        strings(jsonField<element>(settings, "report", "settings."), "settings.report.", "names");
+}
+
+void readTimeouts(const element& allowed, Config& config) {
+  const std::string path = "settings.allowed.";
+  config.dialTimeout = Time(integer(allowed, "dialTimeoutUs", path, 1000, 60000000));
+  config.idleClose = Time(integer(allowed, "idleCloseUs", path, 1000000, 2000000000));
+}
+
+// Proxies gossip where that is allowed and there is an address for it.
+void readGossip(const element& root, const element& allowed, Config& config) {
+  bool gossips = false;
+  if (allowed["peers"].get(gossips) != simdjson::SUCCESS || !gossips) return;
+  std::string_view address;
+  if (root["peer_listen"].get(address) != simdjson::SUCCESS) return;
+  config.peerListen = parseAddress(address, "peer_listen");
+  for (const std::string& peer : strings(root, "", "peers"))
+    config.peers.push_back(parseAddress(peer, "peers"));
+  if (root["peers_all"].get(address) == simdjson::SUCCESS)
+    config.peersAll = parseAddress(address, "peers_all");
+}
+
+void checkClasses(Config& config) {
+  for (std::size_t index = 0; index < config.settings.classes.size(); ++index) {
+    const balancer::ClassSettings& requestClass = config.settings.classes[index];
+    config.sessions = config.sessions || requestClass.requirement == balancer::Requirement::Session;
+    if (requestClass.latencyObjective <= Time(0) || requestClass.deadline < requestClass.latencyObjective)
+      throw BadInput("key settings.classes[" + std::to_string(index) + "].promiseUs: 0 or past deadlineUs");
   }
-  if (c.settings.warmUpStartCapacity <= 0 || c.settings.warmUpStartCapacity > 1)
+}
+
+}  // namespace
+
+Config parseConfig(const std::string& json) {
+  simdjson::dom::parser parser;
+  element root;
+  if (const auto error = parser.parse(json).get(root))
+    throw BadInput(std::string("no JSON: ") + simdjson::error_message(error));
+  Config config;
+  readProcess(root, config);
+  readLimits(root, config);
+  config.known = readEndpointList(jsonField<element>(root, "known", ""), "known.");
+  const auto settings = jsonField<element>(root, "settings", "");
+  readBalancerSettings(settings, config);
+  readNames(settings, config);
+  const auto allowed = jsonField<element>(settings, "allowed", "settings.");
+  readTimeouts(allowed, config);
+  readGossip(root, allowed, config);
+  std::string_view control;
+  if (root["control"].get(control) == simdjson::SUCCESS) config.control = parseAddress(control, "control");
+  checkClasses(config);
+  if (config.settings.warmUpStartCapacity <= 0 || config.settings.warmUpStartCapacity > 1)
     throw BadInput("key settings.obligations.startCapacity: not above 0 and at most 1");
-  return c;
+  return config;
 }
 
 Config readConfig(const char* path) {
