--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -1,5 +1,5 @@
-// What DNS-SD has told of one service in one domain, and what has to be asked next. Pure: no sockets, no
-// clock.
+// The records of one DNS-SD service in one domain, the endpoints that they describe, and the queries that are
+// due. Pure: no sockets, no clock.
 //
 // PTR names the instances, SRV and TXT describe each, A or AAAA give the target's address (RFC 6763 sections
 // 4 to 6). Records come as answers or as additionals; where the PTR answer brings all of them along, it is
@@ -29,79 +29,98 @@
 
 namespace sablespur {
 
-// What an answer is good for.
-enum class Verdict {
-  Records,   // it holds what was asked for
-  NotThere,  // it says with authority that there is none
-  Useless    // an error, or an empty answer from one that knows nothing of the name: ask another
-};
-Verdict judge(const dns::Question&, const dns::Message&);
-
-class Directory {
+class DnsSdDirectory {
  public:
-  Directory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
+  DnsSdDirectory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
 
-  struct Ask {
+  struct Query {
     dns::Question question;
     bool tcp = false;
   };
-  std::vector<Ask> due(Time now);  // each then ends in one of the next two
-  void answered(Time now, const dns::Question&, const dns::Message&, bool tcp);
-  void failed(Time now, const dns::Question&);
-  std::optional<Time> next() const;  // when due has something, if nothing is out
+  // The queries to send now. Each ends in one call of handleAnswer or handleFailure.
+  std::vector<Query> dueQueries(Time now);
+  void handleAnswer(Time now, const dns::Question&, const dns::Message&, bool tcp);
+  void handleFailure(Time now, const dns::Question&);
+  // When dueQueries has something, unless a PTR query is in flight.
+  std::optional<Time> nextDeadline() const;
 
-  bool settled();                                     // everything has been asked for at least once
-  std::uint64_t version() const { return version_; }  // another one where instances() or faults() may differ
-  std::vector<DiscoveredEndpoint> instances() const;  // those that are whole
-  // Those that are not, by name, and why; for the log and for staff.
+  // Whether everything has been queried at least once, with or without success.
+  bool isComplete();
+  // Changes whenever instances() or faults() may have.
+  std::uint64_t version() const { return version_; }
+  // The instances whose records are all known and valid.
+  std::vector<DiscoveredEndpoint> instances() const;
+  // The instances that are left out, by name, and why.
   const std::map<std::string, std::string>& faults() const { return faults_; }
   bool failing() const { return ptrFailures_ > 0; }
 
  private:
-  struct Set {  // the records of a name and type
+  // The records of a name and type.
+  struct RecordSet {
     enum class State { Unknown, Known, Absent } state = State::Unknown;
     std::vector<dns::Data> data;
     Time refreshAt{};
-    bool out = false, tried = false;
-    int failures = 0;
+    bool inFlight = false;
+    bool attempted = false;
+    int failures = 0;  // in a row
   };
-  void put(Time now, const dns::Question&, std::vector<dns::Data>, std::uint32_t ttl);
-  void absent(Time now, const dns::Question&, const dns::Message&);
-  std::vector<dns::Question> take(Time now, const std::vector<dns::Record>&, bool additional);
-  void answeredPtr(Time now, const dns::Message&, bool tcp);
-  void resolveAll();
-  void resolve(const dns::Name& instance);
-  void resolve(const dns::Question&);  // the instances that it is of
-  void describe(const dns::Name& instance, std::optional<DiscoveredEndpoint>&, std::string& fault);
-  void collect();
-  bool spend(Time now);
-  std::vector<dns::Name> names() const;
-  const Set* find(const dns::Name&, dns::Type) const;
-  Time after(Time now, std::uint32_t ttl);
+  // What the records of an instance amount to. Neither: some are not known yet.
+  struct Description {
+    std::optional<DiscoveredEndpoint> endpoint;
+    std::string fault;
+  };
+
+  // Queries: what is due when.
+  std::vector<Query> dueRecordQueries(Time now);
+  bool spendQueryBudget(Time now);
+  Time refreshTime(Time now, std::uint32_t ttl);
   Time backoff(int failures);
-  bool covered() const;
+
+  // Answers: what is stored.
+  void storeRecords(Time now, const dns::Question&, std::vector<dns::Data>, std::uint32_t ttl);
+  void storeNegativeAnswer(Time now, const dns::Question&, const dns::Message&);
+  std::vector<dns::Question> storeKnownRecords(Time now, const std::vector<dns::Record>&, bool additional);
+  void storeIpv6OnlyTargets(Time now, const std::vector<dns::Record>&, std::vector<dns::Question>& stored);
+  std::vector<dns::Name> storePtrRecords(Time now, const dns::Message&);
+  void handlePtrAnswer(Time now, const dns::Message&, bool tcp);
+  void chooseTransport(Time now, bool answeredOverTcp);
+  bool additionalsComplete() const;
+  const RecordSet* find(const dns::Name&, dns::Type) const;
+  std::vector<dns::Name> listedInstances() const;
+
+  // Endpoints: what the records amount to.
+  void resolveInstances();
+  void resolve(const dns::Name& instance);
+  void resolve(const dns::Question&);  // the instances that it concerns
+  Description describeInstance(const dns::Name&);
+  Address chooseAddress(const dns::Name& instance, const std::vector<dns::Data>& records, std::uint16_t port);
+  void setTarget(const dns::Name& instance, const dns::Name& target);
+  void removeFromTarget(const dns::Name& target, const dns::Name& instance);
+  // Drops what belongs to instances that are no longer listed.
+  void removeUnlisted();
+  bool isNeeded(const dns::Question&, const std::set<dns::Name>& listed) const;
 
   const DnsSdSettings settings_;
   const std::vector<GroupName> groups_;
   const dns::Question ptr_;
   const dns::Name domain_;
   pcg32 random_;
-  std::map<dns::Question, Set> sets_;
-  std::map<dns::Name, DiscoveredEndpoint> whole_;
-  std::map<dns::Name, Address> chosen_;             // of each instance: kept while it is still listed
-  std::map<dns::Name, std::set<dns::Name>> hosts_;  // instances by target
-  std::map<dns::Name, dns::Name> targets_;          // and the other way
+  std::map<dns::Question, RecordSet> sets_;
+  std::map<dns::Name, DiscoveredEndpoint> endpoints_;
+  std::map<dns::Name, Address> chosenAddresses_;  // of each instance: kept while it is still listed
+  std::map<dns::Name, std::set<dns::Name>> instancesByTarget_;
+  std::map<dns::Name, dns::Name> targetByInstance_;
   std::map<std::string, std::string> faults_;
   std::uint64_t version_ = 0;
-  bool settled_ = false;
-  double budget_ = 0;  // of questions for single records
-  Time budgetAt_{};
-  std::size_t out_ = 0;
+  bool complete_ = false;
+  double queryBudget_ = 0;  // of queries for single records
+  Time queryBudgetUpdatedAt_{};
+  std::size_t recordQueriesInFlight_ = 0;
   int ptrFailures_ = 0;
-  bool bundled_ = false;  // the last PTR answer brought all else along
-  bool tcp_ = false;      // PTR is asked over TCP
-  int tcpInVain_ = 0;     // rounds until TCP is tried again for what a datagram has no room for
-  Time ptrAt_{};          // of the last PTR answer
+  bool lastAnswerComplete_ = false;  // the last PTR answer brought all else along
+  bool ptrOverTcp_ = false;          // the next PTR query goes over TCP
+  int roundsWithoutTcp_ = 0;         // PTR refreshes until TCP is tried again
+  Time lastPtrAnswer_{};
 };
 
 }  // namespace sablespur
--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <set>
-#include <utility>
+#include <string_view>
 
 namespace sablespur {
 
@@ -11,227 +11,265 @@
 
 namespace {
 
-// What is left of a name that has gone for good: its penalty has all but worn off.
-constexpr double kNoPenalty = 0.02;
+// A withdrawn name whose penalty has decayed to this is forgotten.
+constexpr double kNegligiblePenalty = 0.02;
 
-std::int64_t unixMs(EndpointTable::Time t) { return t.count() / 1000; }
+std::int64_t unixMs(EndpointTable::Time time) { return time.count() / 1000; }
 
-DiscoveredEndpoint gone(DiscoveredEndpoint i) {
-  i.state = Lifecycle::Gone;
-  return i;
+DiscoveredEndpoint asGone(DiscoveredEndpoint endpoint) {
+  endpoint.state = Lifecycle::Gone;
+  return endpoint;
+}
+
+double halfLives(EndpointTable::Time span, const EndpointTablePolicy& policy) {
+  return static_cast<double>(span.count()) /
+         static_cast<double>(std::max<std::int64_t>(policy.halfLife.count(), 1));
 }
 
 }  // namespace
 
-double EndpointTable::penalty(const Entry& e, Time now) const {
-  if (e.penalty == 0) return 0;
-  const double halves = static_cast<double>((now - e.penaltyAt).count()) /
-                        static_cast<double>(std::max<std::int64_t>(policy_.halfLife.count(), 1));
-  return e.penalty * std::exp2(-halves);
-}
-
-void EndpointTable::appear(Entry& e, Time now, bool first) {
-  e.present = true;
-  e.since = now;
-  e.startedMs = first && e.withdrawals == 0 ? 0 : unixMs(now);
-  const double p = penalty(e, now);
-  e.held = policy_.dampens && p >= policy_.suppressAt;
-  if (!e.held) return;
-  const double halves = std::log2(p / policy_.reuseAt);
-  const Time wait(static_cast<std::int64_t>(static_cast<double>(policy_.halfLife.count()) * halves));
-  e.heldUntil = now + std::clamp(wait, Time(0), policy_.mostHeld);
-}
-
-void EndpointTable::withdraw(Entry& e, Time now) {
-  // No higher than what lets it back after mostHeld: guards against a flap of hours that shuts a server out
-  // for hours.
-  const double most =
-      policy_.reuseAt * std::exp2(static_cast<double>(policy_.mostHeld.count()) /
-                                  static_cast<double>(std::max<std::int64_t>(policy_.halfLife.count(), 1)));
-  e.penalty = std::min(penalty(e, now) + 1, std::max(most, 1.0));
-  e.penaltyAt = now;
-  e.present = false;
-  e.held = false;
-  e.since = now;
-  ++e.withdrawals;
-}
-
-void EndpointTable::found(Time now, std::vector<DiscoveredEndpoint> all, bool first) {
-  first = first || !listed_;
-  whole_ = whole_ || !listed_;
-  listed_ = dirty_ = true;
-  registry_ = expired_ = false;
-  toldAt_ = now;
-  failingSince_.reset();
+double EndpointTable::currentPenalty(const Entry& entry, Time now) const {
+  if (entry.flaps.penalty == 0) return 0;
+  return entry.flaps.penalty * std::exp2(-halfLives(now - entry.flaps.penaltyUpdatedAt, policy_));
+}
 
-  std::set<std::string> names;
-  for (const DiscoveredEndpoint& i : all) names.insert(i.name);
-  std::vector<DiscoveredEndpoint> leaving;
-  std::vector<std::int64_t> leavingStarts;
-  for (auto& [name, e] : entries_)
-    if (e.present && names.count(name) == 0) {
-      leaving.push_back(e.instance);
-      leavingStarts.push_back(e.startedMs);
-      withdraw(e, now);
-    }
-  for (DiscoveredEndpoint& i : all) {
-    Entry& e = entries_[i.name];
-    if (!e.present) {
-      appear(e, now, first);
-      // Renamed: guards against a fleet that all counts as cold since its zone was published anew.
-      for (std::size_t k = 0; k < leaving.size(); ++k)
-        if (leaving[k].address == i.address && leaving[k].group == i.group) e.startedMs = leavingStarts[k];
-    } else if (e.instance.address != i.address || e.instance.group != i.group) {
-      e.since = now;  // another server under the old name
-      e.startedMs = first ? 0 : unixMs(now);
-    }
-    e.instance = std::move(i);
-  }
-  forget(now);
+void EndpointTable::recordAppearance(Entry& entry, Time now, bool first) {
+  entry.present = true;
+  entry.presenceChangedAt = now;
+  entry.inferredStartMs = first && entry.flaps.withdrawals == 0 ? 0 : unixMs(now);
+  entry.flaps.suppressedUntil.reset();
+  const double penalty = currentPenalty(entry, now);
+  if (!policy_.flapDamping || penalty < policy_.suppressThreshold) return;
+  const double decay = std::log2(penalty / policy_.reuseThreshold);
+  const Time wait(static_cast<std::int64_t>(static_cast<double>(policy_.halfLife.count()) * decay));
+  entry.flaps.suppressedUntil = now + std::clamp(wait, Time(0), policy_.maxSuppression);
+}
+
+void EndpointTable::recordWithdrawal(Entry& entry, Time now) {
+  // RFC 2439 section 4.2: a ceiling, from which the penalty decays to reuseThreshold within maxSuppression.
+  // Else hours of flapping would exclude a server for hours.
+  const double ceiling = policy_.reuseThreshold * std::exp2(halfLives(policy_.maxSuppression, policy_));
+  entry.flaps.penalty = std::min(currentPenalty(entry, now) + 1, std::max(ceiling, 1.0));
+  entry.flaps.penaltyUpdatedAt = now;
+  entry.flaps.suppressedUntil.reset();
+  ++entry.flaps.withdrawals;
+  entry.present = false;
+  entry.presenceChangedAt = now;
 }
 
-void EndpointTable::changed(Time now, EndpointList list) {
-  registry_ = listed_ = true;
+void EndpointTable::recordList(Time now) {
+  hasList_ = true;
   expired_ = false;
-  toldAt_ = now;
+  lastUpdate_ = now;
   failingSince_.reset();
-  // Guards against a list that is older than what was told, as after a move or a return of discovery: what
-  // has begun to leave does not come back by it, unless it has started anew.
-  for (DiscoveredEndpoint& i : list.instances) {
-    const auto known = list.generation < generation_ ? entries_.find(i.name) : entries_.end();
-    if (known != entries_.end() && known->second.instance.state == Lifecycle::Draining &&
-        i.state == Lifecycle::Ready && i.startedMs <= known->second.instance.startedMs)
-      i.state = Lifecycle::Draining;
+}
+
+void EndpointTable::applySnapshot(Time now, std::vector<DiscoveredEndpoint> all, bool first) {
+  first = first || !hasList_;
+  publishWholeList_ = publishWholeList_ || !hasList_;
+  recordList(now);
+  fromRegistry_ = false;
+  changed_ = true;
+
+  std::set<std::string_view> listed;
+  for (const DiscoveredEndpoint& endpoint : all) listed.insert(endpoint.name);
+  // Starts of the servers whose names are withdrawn, by what a renamed server keeps.
+  std::map<std::pair<std::string, balancer::GroupId>, std::int64_t> withdrawnStarts;
+  for (auto& [name, entry] : entries_) {
+    if (!entry.present || listed.count(name) > 0) continue;
+    withdrawnStarts[{entry.endpoint.address.text(), entry.endpoint.group}] = entry.inferredStartMs;
+    recordWithdrawal(entry, now);
   }
-  generation_ = list.generation;
-  if (list.reset)
-    for (auto it = entries_.begin(); it != entries_.end();) {
-      const bool stays = std::any_of(list.instances.begin(), list.instances.end(),
-                                     [&](const DiscoveredEndpoint& i) { return i.name == it->first; });
-      it = stays ? std::next(it) : entries_.erase(it);
+  for (DiscoveredEndpoint& endpoint : all) {
+    Entry& entry = entries_[endpoint.name];
+    if (!entry.present) {
+      recordAppearance(entry, now, first);
+      // Renamed. Else a fleet would count as cold because its zone was published anew.
+      const auto renamed = withdrawnStarts.find({endpoint.address.text(), endpoint.group});
+      if (renamed != withdrawnStarts.end()) entry.inferredStartMs = renamed->second;
+    } else if (entry.endpoint.address != endpoint.address || entry.endpoint.group != endpoint.group) {
+      entry.presenceChangedAt = now;  // another server under the old name
+      entry.inferredStartMs = first ? 0 : unixMs(now);
     }
-  for (const DiscoveredEndpoint& i : list.instances) {
-    if (i.state == Lifecycle::Gone) {
-      entries_.erase(i.name);
+    entry.endpoint = std::move(endpoint);
+  }
+  removeExpired(now);
+}
+
+void EndpointTable::applyUpdate(Time now, EndpointList list) {
+  recordList(now);
+  fromRegistry_ = true;
+  if (list.generation < generation_) keepDraining(list);
+  generation_ = list.generation;
+  if (list.reset) removeUnlisted(list);
+  for (const DiscoveredEndpoint& endpoint : list.instances) {
+    if (endpoint.state == Lifecycle::Gone) {
+      entries_.erase(endpoint.name);
       continue;
     }
-    Entry& e = entries_[i.name];
-    if (!e.present) e.since = now;
-    e.present = e.toldEngine = true;
-    e.instance = e.told = i;
+    Entry& entry = entries_[endpoint.name];
+    if (!entry.present) entry.presenceChangedAt = now;
+    entry.present = true;
+    entry.published = true;
+    entry.endpoint = endpoint;
+    entry.lastPublished = endpoint;
   }
-  raw_.push_back(std::move(list));
+  registryUpdates_.push_back(std::move(list));
 }
 
-void EndpointTable::failed(Time now, std::string why) {
+// A list may be older than what is known, as after a change of address or an outage of discovery. An endpoint
+// that has begun to drain does not become ready by it, unless it has started anew.
+void EndpointTable::keepDraining(EndpointList& list) const {
+  for (DiscoveredEndpoint& endpoint : list.instances) {
+    const auto known = entries_.find(endpoint.name);
+    if (known == entries_.end()) continue;
+    const DiscoveredEndpoint& before = known->second.endpoint;
+    if (before.state == Lifecycle::Draining && endpoint.state == Lifecycle::Ready &&
+        endpoint.startedMs <= before.startedMs)
+      endpoint.state = Lifecycle::Draining;
+  }
+}
+
+void EndpointTable::removeUnlisted(const EndpointList& list) {
+  std::set<std::string_view> listed;
+  for (const DiscoveredEndpoint& endpoint : list.instances) listed.insert(endpoint.name);
+  for (auto entry = entries_.begin(); entry != entries_.end();)
+    entry = listed.count(entry->first) > 0 ? std::next(entry) : entries_.erase(entry);
+}
+
+void EndpointTable::recordFailure(Time now, std::string why) {
   if (!failingSince_) failingSince_ = now;
-  why_ = std::move(why);
+  lastError_ = std::move(why);
+}
+
+std::optional<EndpointTable::Time> EndpointTable::listExpiry() const {
+  if (!failingSince_ || !lastUpdate_ || policy_.maxListAge <= Time(0)) return std::nullopt;
+  return *lastUpdate_ + policy_.maxListAge;
 }
 
-std::optional<EndpointTable::Time> EndpointTable::next() const {
-  std::optional<Time> at;
-  const auto sooner = [&](Time t) { at = at ? std::min(*at, t) : t; };
-  for (const auto& [name, e] : entries_)
-    if (e.present && e.held) sooner(e.heldUntil);
-  if (failingSince_ && toldAt_ && policy_.keepFor > Time(0) && !expired_) sooner(*toldAt_ + policy_.keepFor);
-  return at;
+std::optional<EndpointTable::Time> EndpointTable::nextDeadline() const {
+  std::optional<Time> earliest;
+  const auto consider = [&](Time time) { earliest = earliest ? std::min(*earliest, time) : time; };
+  for (const auto& [name, entry] : entries_)
+    if (entry.present && entry.flaps.suppressedUntil) consider(*entry.flaps.suppressedUntil);
+  const auto expiry = listExpiry();
+  if (expiry && !expired_) consider(*expiry);
+  return earliest;
 }
 
-// Clamped once and then kept: told as a later now each time, the same start would be a new one each time.
-std::int64_t EndpointTable::startedNoLaterThan(Entry& e, Time now) {
-  const std::int64_t stamp = e.instance.startedMs;
-  if (stamp == e.aheadStampMs) return e.aheadToldMs;
-  if (stamp <= unixMs(now)) return stamp;
-  e.aheadStampMs = stamp;
-  e.aheadToldMs = unixMs(now);
-  return e.aheadToldMs;
+// Clamped once and then kept: clamped to the present each time, the same start would be a new one each time.
+std::int64_t EndpointTable::startNoLaterThan(Entry& entry, Time now) {
+  const std::int64_t reported = entry.endpoint.startedMs;
+  if (entry.clampedStart && entry.clampedStart->reportedMs == reported)
+    return entry.clampedStart->publishedMs;
+  if (reported <= unixMs(now)) return reported;
+  entry.clampedStart = ClampedStart{reported, unixMs(now)};
+  return entry.clampedStart->publishedMs;
 }
 
-std::optional<EndpointList> EndpointTable::take(Time now) {
-  if (!raw_.empty()) {
-    EndpointList list = std::move(raw_.front());
-    raw_.pop_front();
+std::optional<EndpointList> EndpointTable::nextUpdate(Time now) {
+  if (!registryUpdates_.empty()) {
+    EndpointList list = std::move(registryUpdates_.front());
+    registryUpdates_.pop_front();
     return list;
   }
-  if (registry_) return std::nullopt;
-  const auto due = next();
-  if (!dirty_ && !(due && *due <= now)) return std::nullopt;
-  if (failingSince_ && toldAt_ && policy_.keepFor > Time(0) && now >= *toldAt_ + policy_.keepFor)
-    expired_ = true;
-  dirty_ = false;
-
-  // Who comes first at an address: the one that is there longest, by name among equals.
-  std::vector<std::pair<const std::string*, Entry*>> order;
-  for (auto& [name, e] : entries_) order.emplace_back(&name, &e);
-  std::stable_sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
-    if (a.second->toldEngine != b.second->toldEngine) return a.second->toldEngine;
-    return a.second->since < b.second->since;
-  });
-  std::vector<Address> taken;
+  if (fromRegistry_) return std::nullopt;
+  const auto deadline = nextDeadline();
+  if (!changed_ && !(deadline && *deadline <= now)) return std::nullopt;
+  const auto expiry = listExpiry();
+  if (expiry && now >= *expiry) expired_ = true;
+  changed_ = false;
+
+  const std::vector<NamedEntry> order = entriesBySeniority();
+  exclude(order, now);
   EndpointList list;
-  for (auto& [name, e] : order) {
-    e->leftOut = nullptr;
-    if (e->held && now >= e->heldUntil) e->held = false;
-    if (!e->present) continue;
-    if (expired_)
-      e->leftOut = "the list is too old";
-    else if (e->held)
-      e->leftOut = "it flaps";
-    else if (std::find(taken.begin(), taken.end(), e->instance.address) != taken.end())
-      e->leftOut = "another has its address";
-    else
-      taken.push_back(e->instance.address);
-  }
-  for (auto& [name, e] : order) {
-    const bool wanted = e->present && !e->leftOut;
-    DiscoveredEndpoint next = e->instance;
-    next.startedMs = next.startedMs > 0 ? startedNoLaterThan(*e, now) : e->startedMs;
-    // An id stands for one server: with another address or group it is another server, under a name of its
-    // own.
-    const bool other =
-        !e->told.name.empty() && (next.address != e->told.address || next.group != e->told.group);
-    if (e->toldEngine && (!wanted || other)) {
-      list.instances.push_back(gone(e->told));
-      e->toldEngine = false;
-    }
-    if (!wanted) continue;
-    if (other) ++e->incarnation;
-    next.name = e->incarnation > 1 ? *name + "#" + std::to_string(e->incarnation) : *name;
-    if (e->toldEngine && next == e->told) continue;
-    e->told = next;
-    e->toldEngine = true;
-    list.instances.push_back(std::move(next));
-  }
-  list.reset = whole_;
-  if (list.instances.empty() && !whole_) return std::nullopt;
-  whole_ = false;
+  for (const auto& [name, entry] : order) publish(*name, *entry, now, list.instances);
+  if (list.instances.empty() && !publishWholeList_) return std::nullopt;
+  list.reset = publishWholeList_;
+  publishWholeList_ = false;
   list.generation = ++generation_;
   return list;
 }
 
-// Guards against growth where instances come under names that are always new.
-void EndpointTable::forget(Time now) {
-  for (auto it = entries_.begin(); it != entries_.end();) {
-    const Entry& e = it->second;
-    const bool old = !e.present && !e.toldEngine && penalty(e, now) < kNoPenalty;
-    it = old ? entries_.erase(it) : std::next(it);
+// Which name comes first at an address: those that the engine has, then the one that is there longest, by
+// name among equals.
+std::vector<EndpointTable::NamedEntry> EndpointTable::entriesBySeniority() {
+  std::vector<NamedEntry> order;
+  order.reserve(entries_.size());
+  for (auto& [name, entry] : entries_) order.emplace_back(&name, &entry);
+  std::stable_sort(order.begin(), order.end(), [](const NamedEntry& a, const NamedEntry& b) {
+    if (a.second->published != b.second->published) return a.second->published;
+    return a.second->presenceChangedAt < b.second->presenceChangedAt;
+  });
+  return order;
+}
+
+// Settles for each entry whether it may be published.
+void EndpointTable::exclude(const std::vector<NamedEntry>& order, Time now) const {
+  std::set<std::string> takenAddresses;
+  for (const auto& [name, entry] : order) {
+    entry->exclusionReason = nullptr;
+    auto& suppressedUntil = entry->flaps.suppressedUntil;
+    if (suppressedUntil && now >= *suppressedUntil) suppressedUntil.reset();
+    if (!entry->present) continue;
+    if (expired_)
+      entry->exclusionReason = "the list is too old";
+    else if (suppressedUntil)
+      entry->exclusionReason = "it flaps";
+    else if (!takenAddresses.insert(entry->endpoint.address.text()).second)
+      entry->exclusionReason = "another has its address";
+  }
+}
+
+// Appends what the engine has to be given of this entry: that it has gone, that it is there, or both.
+void EndpointTable::publish(const std::string& name, Entry& entry, Time now,
+                            std::vector<DiscoveredEndpoint>& changes) {
+  const bool wanted = entry.present && !entry.exclusionReason;
+  DiscoveredEndpoint endpoint = entry.endpoint;
+  endpoint.startedMs = endpoint.startedMs > 0 ? startNoLaterThan(entry, now) : entry.inferredStartMs;
+  // A published name stands for one server: with another address or group it is another server, under a name
+  // of its own.
+  const bool otherServer =
+      !entry.lastPublished.name.empty() &&
+      (endpoint.address != entry.lastPublished.address || endpoint.group != entry.lastPublished.group);
+  if (entry.published && (!wanted || otherServer)) {
+    changes.push_back(asGone(entry.lastPublished));
+    entry.published = false;
   }
+  if (!wanted) return;
+  if (otherServer) ++entry.incarnation;
+  endpoint.name = entry.incarnation > 1 ? name + "#" + std::to_string(entry.incarnation) : name;
+  if (entry.published && endpoint == entry.lastPublished) return;
+  entry.lastPublished = endpoint;
+  entry.published = true;
+  changes.push_back(std::move(endpoint));
+}
+
+bool EndpointTable::isExpired(const Entry& entry, Time now) const {
+  return !entry.present && !entry.published && currentPenalty(entry, now) < kNegligiblePenalty;
+}
+
+// Bounds the table where a source names its endpoints anew again and again.
+void EndpointTable::removeExpired(Time now) {
+  for (auto entry = entries_.begin(); entry != entries_.end();)
+    entry = isExpired(entry->second, now) ? entries_.erase(entry) : std::next(entry);
 }
 
 EndpointTable::View EndpointTable::view(Time now) const {
-  View v{{}, toldAt_, failingSince_, failingSince_ ? why_ : std::string()};
-  for (const auto& [name, e] : entries_) {
-    if (!e.present && !e.toldEngine && penalty(e, now) < kNoPenalty) continue;
-    Row row{e.instance, e.leftOut ? e.leftOut : "", penalty(e, now), e.withdrawals};
-    if (!e.present) {
-      row.instance.state = Lifecycle::Gone;
-      row.leftOut = "withdrawn";
-    } else if (row.instance.startedMs == 0) {
-      row.instance.startedMs = e.startedMs;
+  View view{{}, lastUpdate_, failingSince_, failingSince_ ? lastError_ : std::string()};
+  for (const auto& [name, entry] : entries_) {
+    if (isExpired(entry, now)) continue;
+    Row row{entry.endpoint, entry.exclusionReason ? entry.exclusionReason : "", currentPenalty(entry, now),
+            entry.flaps.withdrawals};
+    if (!entry.present) {
+      row.endpoint.state = Lifecycle::Gone;
+      row.exclusionReason = "withdrawn";
+    } else if (row.endpoint.startedMs == 0) {
+      row.endpoint.startedMs = entry.inferredStartMs;
     }
-    v.rows.push_back(std::move(row));
+    view.rows.push_back(std::move(row));
   }
-  return v;
+  return view;
 }
 
 }  // namespace sablespur
--- a/src/discovery/registry/watch.hpp
+++ b/src/discovery/registry/watch.hpp
@@ -1,4 +1,4 @@
-// Discovery's watch: one connection at a time, from the call to its end.
+// The watch of the HTTP registry: one connection at a time, from the request to the end of its response.
 #pragma once
 
 #include "discovery/endpoint_list.hpp"
@@ -13,22 +13,23 @@
  public:
   RegistryWatch(event_base*, EndpointListConsumer&, const Address&);
   ~RegistryWatch() override;
-  void watch(std::uint64_t after) override;  // a watch that is on ends silently
-  void move(const Address&);                 // goes on with the watch at another address
+  // Begins a watch of changes after this generation. One that is open ends without a report.
+  void watch(std::uint64_t after) override;
+  void changeAddress(const Address&);  // continues the watch there; without effect for the same one
 
  private:
   void read();
-  void hangUp();
+  void closeConnection();
   void fail(const char* why);
 
   event_base* const base_;
-  EndpointListConsumer& taker_;
+  EndpointListConsumer& consumer_;
   Address address_;
   BufferEvent connection_;
-  Event silence_;
+  Event silenceTimer_;
   http::Response response_;
-  ListStream stream_;
-  ReservedDescriptor reserve_;  // held while there is no connection
+  EndpointListStream stream_;
+  ReservedDescriptor reserve_;  // held while there is no connection, so that the next one finds a descriptor
 };
 
 }  // namespace sablespur
