--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -49,7 +49,7 @@
   if (!recoverer) return nullptr;
   if (link)
     link->onHead([to = recoverer.get()](std::size_t from, std::string_view d) { to->heard(from, d); });
-  upstream.dialTurns(
+  upstream.setDialDelay(
       [&engine, of = recoverer.get()](EndpointId id) { return of->dialTurn(engine.endpointName(id)); });
   return recoverer;
 #else
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -70,19 +70,20 @@
 }  // namespace
 
 // One attempt or one probe.
-struct BackendPool::Job {
-  RequestId id = 0;  // 0: a probe
-  int attempt = 0;
-  EndpointId member = 0;
-  Time until{};
+struct BackendPool::Operation {
+  RequestId requestId = 0;  // 0: a probe
+  int attemptNumber = 0;
+  EndpointId endpoint = 0;
+  Time deadline{};
   std::shared_ptr<const Message> message;
-  Connection* on = nullptr;              // null: it waits for a connection
-  bool written = false;                  // a byte of it may have gone out
-  std::optional<AttemptResult> givenUp;  // a CancelRequest is out for it; how it ends unless it is answered
-  int broken = 0;                        // probes: connections that ended under it
+  Connection* connection = nullptr;  // null: it waits for a connection
+  bool written = false;              // a byte of it may have gone out
+  std::optional<AttemptResult>
+      cancelledAs;          // a CancelRequest is out for it; how it ends unless it is answered
+  int connectionsLost = 0;  // probes: connections that ended under it
   BackendPool* owner = nullptr;
   Event timer;
-  bool probe() const { return id == 0; }
+  bool isHealthCheck() const { return requestId == 0; }
 };
 
 // A connection belongs to its Upstream, which frees it; a job on it is only pointed at.
@@ -91,14 +92,14 @@
   // `fd`: a socket with a connect under way; -1: the endpoint has turned it away already.
   Connection(BackendPool& owner, EndpointId to, const Address& address, int minor, evutil_socket_t fd)
       : owner_(owner),
-        descriptor_(owner.account_, DescriptorHolder::Servers),
+        descriptor_(owner.resources_, DescriptorHolder::Servers),
         address_(address),
-        member(to),
+        endpoint(to),
         minor_(minor),
         login_(openServerLogin(owner.config_)),
         timer(event_new(
             owner.base_, -1, 0,
-            [](evutil_socket_t, short, void* self) { static_cast<Connection*>(self)->late(); }, this)) {
+            [](evutil_socket_t, short, void* self) { static_cast<Connection*>(self)->timedOut(); }, this)) {
     bev_.reset(bufferevent_socket_new(owner.base_, fd, BEV_OPT_CLOSE_ON_FREE));
     postgres::Startup hello;
     hello.minor = minor;
@@ -109,7 +110,7 @@
     startTimer(timer.get(), fd < 0 ? Time(0) : owner.config_.dialTimeout);
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); },
-        [](bufferevent*, void* self) { static_cast<Connection*>(self)->drained(); },
+        [](bufferevent*, void* self) { static_cast<Connection*>(self)->outputDrained(); },
         [](bufferevent*, short what, void* self) { static_cast<Connection*>(self)->event(what); }, this);
     if (fd < 0) return;
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
@@ -128,7 +129,7 @@
   bool flushed() { return evbuffer_get_length(output()) == 0; }
   // Nothing has come that nobody asked for. Guards against taking what stands behind an answer (a second
   // copy, noise) for the next one; the peek sees what libevent has not read yet, and an end as well.
-  bool clean() {
+  bool quiet() {
     char byte;
     return evbuffer_get_length(bufferevent_get_input(bev_.get())) == 0 &&
            recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
@@ -146,10 +147,10 @@
       bufferevent_disable(bev_.get(), EV_WRITE);  // nothing more of it, in this pass either
     startTimer(timer.get(), left);
   }
-  bool badStatement() const { return job && badStatement_; }
-  void begin(Job& j) {
-    job = &j;
-    j.on = this;
+  bool badStatement() const { return operation && badStatement_; }
+  void start(Operation& j) {
+    operation = &j;
+    j.connection = this;
     event_del(timer.get());
     answer_ = newBuffer();
     result_ = AttemptResult::Reset;
@@ -164,21 +165,21 @@
   int minor() const { return minor_; }
   const Address& address() const { return address_; }
   // A CancelRequest for what runs here. False: the server has told no key.
-  bool callOff() {
-    if (!key_ || call_) return false;
-    callDescriptor_ = ResourceBudget::DescriptorPermit(owner_.account_, DescriptorHolder::Servers);
-    call_ = std::make_unique<CancelCall>(owner_.base_, address_, postgres::cancel(*key_),
-                                         owner_.config_.giveUpWait, [this](bool taken) {
-                                           const auto ended = std::move(call_);
-                                           callDescriptor_ = ResourceBudget::DescriptorPermit();
-                                           owner_.giveUpEnded(*this, taken);
-                                         });
+  bool sendCancelRequest() {
+    if (!key_ || cancelRequest_) return false;
+    cancelDescriptor_ = ResourceBudget::DescriptorPermit(owner_.resources_, DescriptorHolder::Servers);
+    cancelRequest_ = std::make_unique<CancelRequest>(owner_.base_, address_, postgres::cancel(*key_),
+                                                     owner_.config_.giveUpWait, [this](bool taken) {
+                                                       const auto ended = std::move(cancelRequest_);
+                                                       cancelDescriptor_ = ResourceBudget::DescriptorPermit();
+                                                       owner_.cancelRequestEnded(*this, taken);
+                                                     });
     return true;
   }
   // The password is salted for a challenge; if it is this one's, the login goes on.
   void salted(const std::string& challenge, const std::string& result) {
     if (login_ && dialing && login_->challenge() == challenge)
-      append(output(), login_->salted(result).messages);
+      append(output(), login_->keyDerived(result).messages);
   }
 
  private:
@@ -190,41 +191,41 @@
       setsockopt(bufferevent_getfd(bev_.get()), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
     const SocketCall call = connected_ ? SocketCall::Transfer : SocketCall::Connecting;
-    if (classify(call, error) == SocketFault::OwnResource) return owner_.ranOut(*this, error);
-    if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) owner_.lost(*this, failure_);
+    if (classify(call, error) == SocketFault::OwnResource) return owner_.resourceExhausted(*this, error);
+    if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) owner_.connectionLost(*this, failure_);
   }
-  void drained() {
+  void outputDrained() {
     if (!flushing_) return;
     flushing_ = false;
     event_del(timer.get());
   }
-  void
-  late() {  // dialing, idle for long enough, amid a query that the server does not take, or amid an answer
-    if (job && flushing_) return owner_.lost(*this, AttemptResult::Reset);
-    if (job) return owner_.spoilt(*this, "an answer that does not end");
-    owner_.lost(*this, failure_);
+  void timedOut() {  // dialing, idle for long enough, amid a query that the server does not take, or amid an
+                     // answer
+    if (operation && flushing_) return owner_.connectionLost(*this, AttemptResult::Reset);
+    if (operation) return owner_.protocolError(*this, "an answer that does not end");
+    owner_.connectionLost(*this, failure_);
   }
 
   void read() {
     evbuffer* const in = bufferevent_get_input(bev_.get());
     while (evbuffer_get_length(in) > 0) {
-      if (!dialing && !(job && job->written && flushed()))
-        return owner_.spoilt(*this, "what nobody asked for");
+      if (!dialing && !(operation && operation->written && flushed()))
+        return owner_.protocolError(*this, "what nobody asked for");
       char bytes[postgres::kHead];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) break;
       const auto head = postgres::parseHead(bytes);
       // Judged by its head, before the rest is read: it may promise gigabytes.
-      if (!head || !due(head->type) || head->body > longest(head->type))
-        return owner_.spoilt(*this, "a message that is none");
+      if (!head || !expects(head->type) || head->body > longest(head->type))
+        return owner_.protocolError(*this, "a message that is none");
       const std::size_t whole = sizeof bytes + head->body;
       if (!dialing && evbuffer_get_length(answer_.get()) + whole > kLongestAnswer)
-        return owner_.tooLong(*this);
+        return owner_.answerTooLong(*this);
       if (evbuffer_get_length(in) < whole) break;
       // Only the answer's own messages go on to the client. A row is moved, its value unread, but for a
       // probe's.
-      if (head->type == 'D' && !job->probe()) {
+      if (head->type == 'D' && !operation->isHealthCheck()) {
         if (!(strict() ? isValue(in, head->body) : isRow(in, head->body)))
-          return owner_.spoilt(*this, "a malformed row");
+          return owner_.protocolError(*this, "a malformed row");
         stage_ = Stage::Row;
         evbuffer_remove_buffer(in, answer_.get(), whole);
         continue;
@@ -232,24 +233,24 @@
       const char* const at =
           reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(whole)));
       const std::string_view body(at + sizeof bytes, head->body);
-      if (!take(head->type, body)) return;  // this connection is no more
+      if (!handleMessage(head->type, body)) return;  // this connection is no more
       if (head->type == 'T' || head->type == 'C')
         evbuffer_remove_buffer(in, answer_.get(), whole);
       else
         evbuffer_drain(in, whole);
       if (head->type != 'Z') continue;
-      if (call_ && !dialing) continue;  // until the server is done with the CancelRequest
-      if (!clean() && !dialing)
+      if (cancelRequest_ && !dialing) continue;  // until the server is done with the CancelRequest
+      if (!quiet() && !dialing)
         return owner_.drop(*this);  // the answer is good; its connection is of no more use
-      if (!owner_.stands(*this)) return;
+      if (!owner_.connectionReady(*this)) return;
     }
-    if (job && job->written && (stage_ != Stage::Start || evbuffer_get_length(in) > 0) &&
+    if (operation && operation->written && (stage_ != Stage::Start || evbuffer_get_length(in) > 0) &&
         !event_pending(timer.get(), EV_TIMEOUT, nullptr))
       startTimer(timer.get(), kWhole);
   }
 
   // One row of one column, no more and no less.
-  bool strict() const { return job->probe() || !owner_.config_.anyRows; }
+  bool strict() const { return operation->isHealthCheck() || !owner_.config_.anyRows; }
   std::size_t longest(char type) const {
     const bool any = !dialing && !strict();
     if (type == 'D') return any ? postgres::kLongestMessage : postgres::kRowHead + postgres::kLongestValue;
@@ -288,7 +289,7 @@
 
   // Whether a message of this type may come now: an answer is a description, a row, its completion, or an
   // error instead, and then ReadyForQuery.
-  bool due(char type) const {
+  bool expects(char type) const {
     switch (type) {
       case 'S':
       case 'N':
@@ -313,12 +314,12 @@
     }
   }
   bool malformed(const char* what) {
-    owner_.spoilt(*this, what);
+    owner_.protocolError(*this, what);
     return false;
   }
 
   // False: the connection has ended.
-  bool take(char type, std::string_view body) {
+  bool handleMessage(char type, std::string_view body) {
     switch (type) {
       case 'E': {
         const postgres::ErrorFields e = postgres::parseError(body);
@@ -331,12 +332,12 @@
                   : dialing                                ? AttemptResult::ConnectFailed
                   : e.code == "25006" || e.code == "72000" ? AttemptResult::TooStale
                                                            : AttemptResult::Error;
-        if (result_ == AttemptResult::Error && e.code != "XX000" && !(job && job->givenUp))
+        if (result_ == AttemptResult::Error && e.code != "XX000" && !(operation && operation->cancelledAs))
           logEvent(LogLevel::Warning, "server_error", {{"code", e.code}, {"text", e.text}});
         failure_ = result_;
         // A server from before versions were negotiated: it is spoken to in 3.0 from now on.
         if (dialing && minor_ > 0 && e.code == "0A000") {
-          owner_.dialOlder(*this);
+          owner_.dialOlderVersion(*this);
           return false;
         }
         if (!dialing && badStatement_ && owner_.config_.tellStatementErrors) {
@@ -344,7 +345,7 @@
           append(answer_.get(), postgres::message('E', body));
         }
         if (!dialing && e.severity != "FATAL") return true;
-        owner_.lost(*this, result_);
+        owner_.connectionLost(*this, result_);
         return false;
       }
       case 'S': {
@@ -376,13 +377,14 @@
         stage_ = Stage::Row;
         return true;
       case 'C':
-        if (!postgres::isTag(body, strict() && !job->probe())) return malformed("a malformed completion");
+        if (!postgres::isTag(body, strict() && !operation->isHealthCheck()))
+          return malformed("a malformed completion");
         stage_ = Stage::Complete;
         return true;
       case 'v': {
         const auto spoken = postgres::parseNegotiate(body);
         if (!spoken || *spoken > minor_) return malformed("a malformed negotiation");
-        owner_.endpoints_[member].minor = minor_ = *spoken;
+        owner_.endpoints_[endpoint].minorVersion = minor_ = *spoken;
         return true;
       }
       case 'Z':
@@ -400,25 +402,26 @@
   bool authenticate(std::uint32_t code, std::string_view data) {
     const auto out = [&](const std::string& why) {
       logEvent(LogLevel::Warning, "server_login_failed", {{"why", why}});
-      owner_.lost(*this, AttemptResult::ConnectFailed);
+      owner_.connectionLost(*this, AttemptResult::ConnectFailed);
       return false;
     };
     if (code == postgres::kAuthOk) {
-      if (login_ && !login_->mayEnter()) return out("it lets us in without having proved itself");
+      if (login_ && !login_->acceptsAuthenticationOk())
+        return out("it lets us in without having proved itself");
       login_.reset();
       return true;
     }
     if (!login_) return out("it wants a password, and there is none in the settings");
-    const ServerLogin::Said s = login_->request(code, data);
-    if (s.next == ServerLogin::Next::Out) return out(s.why);
+    const ServerLogin::Step s = login_->request(code, data);
+    if (s.action == ServerLogin::Action::Fail) return out(s.reason);
     append(output(), s.messages);
-    if (s.next != ServerLogin::Next::Salt) return true;
+    if (s.action != ServerLogin::Action::DeriveKey) return true;
     // The same password with the same salt is the same at each dial.
     if (const auto known = owner_.salted_.find(login_->challenge()); known != owner_.salted_.end()) {
-      append(output(), login_->salted(known->second).messages);
+      append(output(), login_->keyDerived(known->second).messages);
       return true;
     }
-    return owner_.salt(login_->challenge(), login_->slow()) ? true : out("too many logins at once");
+    return owner_.salt(login_->challenge(), login_->keyDerivation()) ? true : out("too many logins at once");
   }
   bool described(std::string_view body) {
     std::vector<translation::Column> columns;
@@ -428,14 +431,15 @@
   }
 
   void conclude() {
-    Job& j = *job;
-    job = nullptr;
-    j.on = nullptr;
+    Operation& j = *operation;
+    operation = nullptr;
+    j.connection = nullptr;
     event_del(timer.get());
-    if (j.probe()) return owner_.finishProbe(j, report_.has_value(), report_.value_or(""));
+    if (j.isHealthCheck()) return owner_.finishHealthCheck(j, report_.has_value(), report_.value_or(""));
     AttemptEnd e;
     e.result = stage_ == Stage::Failed ? result_ : AttemptResult::Ok;
-    if (j.givenUp && cancelled_) e.result = *j.givenUp;  // the answer that crossed the cancel counts as it is
+    if (j.cancelledAs && cancelled_)
+      e.result = *j.cancelledAs;  // the answer that crossed the cancel counts as it is
     e.invalidStatement = badStatement_;
     e.role = role_;
     e.positionMs = positionMs_;
@@ -462,18 +466,18 @@
   bool backslashes_ = false;  // by its own word
 
  public:
-  const EndpointId member;
+  const EndpointId endpoint;
 
  private:
   int minor_;                           // of version 3, as asked for, then as agreed
   std::unique_ptr<ServerLogin> login_;  // until it lets us in
   std::optional<postgres::Key> key_;
-  ResourceBudget::DescriptorPermit callDescriptor_;
-  std::unique_ptr<CancelCall> call_;
+  ResourceBudget::DescriptorPermit cancelDescriptor_;
+  std::unique_ptr<CancelRequest> cancelRequest_;
 
  public:
   bool dialing = true;  // no ReadyForQuery has come yet
-  Job* job = nullptr;
+  Operation* operation = nullptr;
   Event timer;  // of the dial, then of idleness
 };
 
@@ -483,14 +487,18 @@
       engine_(engine),
       workers_(workers),
       config_(config),
-      account_(account),
-      upkeep_(event_new(
+      resources_(account),
+      maintenanceTimer_(event_new(
           base, -1, EV_PERSIST,
-          [](evutil_socket_t, short, void* self) { static_cast<BackendPool*>(self)->keepWarm(); }, this)),
-      again_(event_new(
+          [](evutil_socket_t, short, void* self) {
+            static_cast<BackendPool*>(self)->maintainWarmConnections();
+          },
+          this)),
+      retryTimer_(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void* self) { static_cast<BackendPool*>(self)->dialWaiting(); }, this)) {
-  startTimer(upkeep_.get(), kUpkeep);
+          [](evutil_socket_t, short, void* self) { static_cast<BackendPool*>(self)->dialForWaiting(); },
+          this)) {
+  startTimer(maintenanceTimer_.get(), kUpkeep);
 }
 BackendPool::~BackendPool() = default;
 
@@ -500,47 +508,47 @@
   const bool restarted = warmAt > e.warmAt;
   e.warmAt = warmAt;
   const bool moved = !address.none() && address != e.address;
-  if (moved) e.dialAgain = engine_.now() + turnOf(id);
+  if (moved) e.nextDial = engine_.now() + dialDelayOf(id);
   if (moved) e.address = address;
   e.ready = ready;
   if (moved || restarted || !ready) dropIdle(e);
   if (moved) {  // what is still being dialed would lead to where it was
     std::vector<Connection*> dialing;
     for (const auto& [c, owned] : connections_)
-      if (c->member == id && c->dialing) dialing.push_back(c);
+      if (c->endpoint == id && c->dialing) dialing.push_back(c);
     for (Connection* c : dialing) drop(*c);
     while (static_cast<std::size_t>(e.dialing) < e.waiting.size())
       if (!dial(id, e)) break;
   }
-  keepWarm();
+  maintainWarmConnections();
 }
 
 // Another number for each member and each start of a proxy (splitmix64).
-std::uint64_t BackendPool::pickAt(EndpointId id) const {
+std::uint64_t BackendPool::dialHash(EndpointId id) const {
   std::uint64_t x = config_.seed + 0x9e3779b97f4a7c15ull * (id + 1);
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ x >> 27) * 0x94d049bb133111ebull;
   return x ^ x >> 31;
 }
 
-Time BackendPool::turnOf(EndpointId id) const {
-  if (dialTurn_) return dialTurn_(id);
+Time BackendPool::dialDelayOf(EndpointId id) const {
+  if (dialDelay_) return dialDelay_(id);
   if (config_.settings.proxyCount <= kFewProxies) return Time(0);
-  return config_.settings.proxyCount * kStagger * (pickAt(id) % 1000) / 1000;
+  return config_.settings.proxyCount * kStagger * (dialHash(id) % 1000) / 1000;
 }
 
-void BackendPool::keepWarm() {
+void BackendPool::maintainWarmConnections() {
   const Time now = engine_.now();
   const bool large = config_.settings.proxyCount > kFewProxies;
   for (auto& [id, e] : endpoints_) {
-    if (!e.ready || now < e.dialAgain) continue;
-    const std::size_t ahead = !large ? kWarm : now < e.warmAt && !dialTurn_ ? 0 : 1;
+    if (!e.ready || now < e.nextDial) continue;
+    const std::size_t ahead = !large ? kWarm : now < e.warmAt && !dialDelay_ ? 0 : 1;
     while (e.idle.size() + static_cast<std::size_t>(e.dialing) < ahead + e.waiting.size() &&
-           account_.share(DescriptorHolder::Servers).held <
-               account_.share(DescriptorHolder::Servers).most / 2)
+           resources_.share(DescriptorHolder::Servers).held <
+               resources_.share(DescriptorHolder::Servers).most / 2)
       if (!dial(id, e)) {
-        if (short_) return;
-        e.dialAgain = now + kDialAgain;
+        if (processShortage_) return;
+        e.nextDial = now + kDialAgain;
         break;
       }
   }
@@ -561,8 +569,8 @@
   return true;
 }
 
-bool BackendPool::makeRoom() {
-  if (account_.hasRoom(DescriptorHolder::Servers)) return true;
+bool BackendPool::ensureRoom() {
+  if (resources_.hasRoom(DescriptorHolder::Servers)) return true;
   for (auto& [id, e] : endpoints_)
     if (!e.idle.empty()) {
       drop(*e.idle.front());
@@ -574,13 +582,13 @@
 bool BackendPool::dial(EndpointId id, Endpoint& e) {
   const StartedConnect started = startConnect(e.address);
   if (started.fault != SocketFault::None && started.fault != SocketFault::Peer) {
-    shortOf(e, started.error);
+    handleShortage(e, started.error);
     return false;
   }
-  if (short_) logEvent(LogLevel::Info, "connect_recovered");
-  short_ = false;
-  auto c =
-      std::make_unique<Connection>(*this, id, e.address, std::min(e.minor, config_.serverMinor), started.fd);
+  if (processShortage_) logEvent(LogLevel::Info, "connect_recovered");
+  processShortage_ = false;
+  auto c = std::make_unique<Connection>(*this, id, e.address, std::min(e.minorVersion, config_.serverMinor),
+                                        started.fd);
   ++e.dialing;
   if (tracing())
     logEvent(LogLevel::Trace, "connect_started", {{"to", e.address.text()}, {"waiting", e.waiting.size()}});
@@ -590,32 +598,32 @@
 
 // Guards against holding the proxy's own want against the data server: nothing is reported, what waits goes
 // on waiting, and room is made. An idle connection to another server serves nobody now.
-void BackendPool::shortOf(Endpoint& e, int error) {
+void BackendPool::handleShortage(Endpoint& e, int error) {
   const ResourceExhaustion what = resourceExhaustionOf(error);
-  account_.recordExhaustion(what);
-  if (!short_ && !e.starved)
+  resources_.recordExhaustion(what);
+  if (!processShortage_ && !e.localShortage)
     logEvent(LogLevel::Warning, "connect_failed",
              {{"why", std::strerror(error)}, {"of", resourceExhaustionName(what)}});
-  e.starved = true;
-  short_ = what == ResourceExhaustion::Descriptors ||
-           what == ResourceExhaustion::Memory;  // ports and routes are a destination's
+  e.localShortage = true;
+  processShortage_ = what == ResourceExhaustion::Descriptors ||
+                     what == ResourceExhaustion::Memory;  // ports and routes are a destination's
   if (what == ResourceExhaustion::Descriptors) {
     const auto idlest = std::max_element(
         endpoints_.begin(), endpoints_.end(),
         [](const auto& a, const auto& b) { return a.second.idle.size() < b.second.idle.size(); });
     if (idlest != endpoints_.end() && !idlest->second.idle.empty())
       drop(*idlest->second.idle.front());
-    else if (shortage_)
-      shortage_();
+    else if (onShortage_)
+      onShortage_();
   }
-  if (!event_pending(again_.get(), EV_TIMEOUT, nullptr)) startTimer(again_.get(), kShortPause);
+  if (!event_pending(retryTimer_.get(), EV_TIMEOUT, nullptr)) startTimer(retryTimer_.get(), kShortPause);
 }
 
-void BackendPool::dialWaiting() {
+void BackendPool::dialForWaiting() {
   for (auto& [id, e] : endpoints_)
     while (static_cast<std::size_t>(e.dialing) < e.waiting.size())
       if (!dial(id, e)) {
-        if (short_) return;
+        if (processShortage_) return;
         break;
       }
 }
@@ -623,80 +631,80 @@
 // ---- jobs ------------------------------------------------------------------------------------------------
 void BackendPool::send(RequestId id, int attempt, EndpointId member, Time until,
                        std::shared_ptr<const Message> message) {
-  auto j = std::make_unique<Job>();
-  j->id = id;
-  j->attempt = attempt;
-  j->member = member;
-  j->until = until;
+  auto j = std::make_unique<Operation>();
+  j->requestId = id;
+  j->attemptNumber = attempt;
+  j->endpoint = member;
+  j->deadline = until;
   j->message = std::move(message);
-  run(*attempts_.emplace(AttemptKey(id, attempt), std::move(j)).first->second);
+  start(*attempts_.emplace(AttemptKey(id, attempt), std::move(j)).first->second);
 }
 
 void BackendPool::startHealthCheck(EndpointId member) {
   Endpoint& e = endpoints_[member];
-  e.probe = std::make_unique<Job>();
-  e.probe->member = member;
-  e.probe->until = engine_.now() + config_.dialTimeout;
-  run(*e.probe);
+  e.healthCheck = std::make_unique<Operation>();
+  e.healthCheck->endpoint = member;
+  e.healthCheck->deadline = engine_.now() + config_.dialTimeout;
+  start(*e.healthCheck);
 }
 
 void BackendPool::removeEndpoint(EndpointId id) {
   std::vector<Connection*> all;
   for (const auto& [c, owned] : connections_)
-    if (c->member == id) all.push_back(c);
+    if (c->endpoint == id) all.push_back(c);
   for (Connection* c : all) drop(*c);
   endpoints_.erase(id);
 }
 
-void BackendPool::run(Job& j) {
+void BackendPool::start(Operation& j) {
   j.owner = this;
   j.timer.reset(event_new(
       base_, -1, 0,
       [](evutil_socket_t, short, void* of) {
-        static_cast<Job*>(of)->owner->timedOut(*static_cast<Job*>(of));
+        static_cast<Operation*>(of)->owner->timedOut(*static_cast<Operation*>(of));
       },
       &j));
-  startTimer(j.timer.get(), j.until - engine_.now());
-  Endpoint& e = endpoints_[j.member];
+  startTimer(j.timer.get(), j.deadline - engine_.now());
+  Endpoint& e = endpoints_[j.endpoint];
   while (!e.idle.empty()) {
     Connection& c = *e.idle.back();
     e.idle.pop_back();
-    if (!c.clean()) {
+    if (!c.quiet()) {
       drop(c);
       continue;
     }
-    c.begin(j);
+    c.start(j);
     return write(j);
   }
-  if (!makeRoom()) {  // by the limits on clients there is room for all that they can ask at once
+  if (!ensureRoom()) {  // by the limits on clients there is room for all that they can ask at once
     logEvent(LogLevel::Warning, "server_connections_full",
-             {{"most", account_.share(DescriptorHolder::Servers).most}});
+             {{"most", resources_.share(DescriptorHolder::Servers).most}});
     AttemptEnd none;
     none.result = AttemptResult::NotSent;
-    return j.probe() ? finishProbe(j, false) : finish(j, std::move(none));
+    return j.isHealthCheck() ? finishHealthCheck(j, false) : finish(j, std::move(none));
   }
   e.waiting.push_back(&j);
-  if (static_cast<std::size_t>(e.dialing) < e.waiting.size()) dial(j.member, e);
+  if (static_cast<std::size_t>(e.dialing) < e.waiting.size()) dial(j.endpoint, e);
 }
 
-bool BackendPool::stands(Connection& c) {
-  Endpoint& e = endpoints_[c.member];
+bool BackendPool::connectionReady(Connection& c) {
+  Endpoint& e = endpoints_[c.endpoint];
   if (c.dialing) e.dialing -= 1;
   c.dialing = false;
-  e.starved = false;
+  e.localShortage = false;
   if (!e.waiting.empty() && c.address() == e.address) {
-    Job& j = *e.waiting.front();
+    Operation& j = *e.waiting.front();
     e.waiting.pop_front();
-    if (j.probe() && !e.ready) {  // it has begun to leave while this was dialed: nobody asks any more
-      finishProbe(j, false);
-      return stands(c);
+    if (j.isHealthCheck() && !e.ready) {  // it has begun to leave while this was dialed: nobody asks any more
+      finishHealthCheck(j, false);
+      return connectionReady(c);
     }
-    c.begin(j);
+    c.start(j);
     // An attempt that had to wait is looked at again: drains and the data's age count from the bytes sent.
-    if (j.probe())
+    if (j.isHealthCheck())
       write(j);
     else
-      engine_.connectionReady(j.id, j.attempt);
+      engine_.connectionReady(j.requestId, j.attemptNumber);
     return true;
   }
   if (!e.ready || c.address() != e.address) {
@@ -711,20 +719,20 @@
 
 void BackendPool::continueAttempt(RequestId id, int attempt, bool fit) {
   const auto it = attempts_.find({id, attempt});
-  if (it == attempts_.end() || !it->second->on || it->second->written) return;
-  Job& j = *it->second;
+  if (it == attempts_.end() || !it->second->connection || it->second->written) return;
+  Operation& j = *it->second;
   fit ? write(j) : withdraw(j);
 }
 
 // The clock is read last, and the bytes go to the kernel within the same call: the time that they tell is
 // right but for how long this process is held up in between.
-void BackendPool::write(Job& j) {
-  if (j.probe()) {
+void BackendPool::write(Operation& j) {
+  if (j.isHealthCheck()) {
     j.written = true;
-    return append(j.on->output(), postgres::query("SHOW load"));
+    return append(j.connection->output(), postgres::query("SHOW load"));
   }
   const bool backslashes = j.message->from && j.message->from->backslashes;
-  if (backslashes != j.on->backslashes()) return rewrite(j);
+  if (backslashes != j.connection->backslashes()) return writeRewritten(j);
   const Time now = engine_.now();
   const std::int64_t left = wholeMillisecondsLeft(j, now);
   if (left < 1) return withdraw(j);
@@ -739,11 +747,11 @@
   evbuffer_add_buffer_reference(query.get(), j.message->before.get());
   if (before > 0) append(query.get(), digits);  // else the statement does not say how long it waits
   evbuffer_add_buffer_reference(query.get(), j.message->after.get());
-  j.on->writeAtOnce(query.get(), now);
+  j.connection->writeAtOnce(query.get(), now);
 }
 
 // For a server that reads string literals otherwise than who wrote them.
-void BackendPool::rewrite(Job& j) {
+void BackendPool::writeRewritten(Operation& j) {
   std::string statement;
   const auto copy = [&](evbuffer* part) {
     const std::size_t at = statement.size(), n = evbuffer_get_length(part);
@@ -759,34 +767,34 @@
   copy(j.message->after.get());
   statement.pop_back();  // its NUL
   const std::string there =
-      translation::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
-  if (there.size() + 1 > postgres::kLongestMessage) return tooLong(*j.on);
+      translation::rewriteLiterals(statement, !j.connection->backslashes(), j.connection->backslashes());
+  if (there.size() + 1 > postgres::kLongestMessage) return answerTooLong(*j.connection);
   const Buffer query = newBuffer();
   append(query.get(), postgres::query(there));
-  j.on->writeAtOnce(query.get(), now);
+  j.connection->writeAtOnce(query.get(), now);
 }
 
 // Rounded down, so that no server is told of time that the client does not have.
-std::int64_t BackendPool::wholeMillisecondsLeft(const Job& j, Time now) {
-  return std::chrono::floor<std::chrono::milliseconds>(j.until - now).count();
+std::int64_t BackendPool::wholeMillisecondsLeft(const Operation& j, Time now) {
+  return std::chrono::floor<std::chrono::milliseconds>(j.deadline - now).count();
 }
 
 // The attempt never goes out; its connection is free for others.
-void BackendPool::withdraw(Job& j) {
-  Connection& c = *j.on;
-  c.job = nullptr;
-  j.on = nullptr;
+void BackendPool::withdraw(Operation& j) {
+  Connection& c = *j.connection;
+  c.operation = nullptr;
+  j.connection = nullptr;
   AttemptEnd none;
   none.result = AttemptResult::NotSent;
   finish(j, std::move(none));
-  stands(c);
+  connectionReady(c);
 }
 
 // By no fault of the server: the statement, or what it asks for, has no room here.
-void BackendPool::tooLong(Connection& c) {
-  Job& j = *c.job;
-  c.job = nullptr;
-  j.on = nullptr;
+void BackendPool::answerTooLong(Connection& c) {
+  Operation& j = *c.operation;
+  c.operation = nullptr;
+  j.connection = nullptr;
   drop(c);
   AttemptEnd e;
   e.result = AttemptResult::Error;
@@ -800,80 +808,80 @@
 void BackendPool::cancel(RequestId id, int attempt) {
   const auto it = attempts_.find({id, attempt});
   if (it == attempts_.end()) return;  // its end is on the way already
-  Job& j = *it->second;
-  if (j.givenUp || giveUp(j, AttemptResult::Cancelled)) return;
+  Operation& j = *it->second;
+  if (j.cancelledAs || requestCancel(j, AttemptResult::Cancelled)) return;
   AttemptEnd e;
   e.result = j.written ? AttemptResult::Cancelled : AttemptResult::NotSent;
-  if (Connection* const c = j.on) {
-    j.on = nullptr;
-    c->job = nullptr;
+  if (Connection* const c = j.connection) {
+    j.connection = nullptr;
+    c->operation = nullptr;
     if (j.written)
       drop(*c);
     else
-      stands(*c);
+      connectionReady(*c);
   }
   finish(j, std::move(e));
 }
 
 // The attempt is over once the server has answered, or not in time: no second one goes out before.
-bool BackendPool::giveUp(Job& j, AttemptResult how) {
-  if (!config_.cancelServers || j.probe() || !j.written || !j.on || !j.on->flushed() || !makeRoom() ||
-      !j.on->callOff())
+bool BackendPool::requestCancel(Operation& j, AttemptResult how) {
+  if (!config_.cancelServers || j.isHealthCheck() || !j.written || !j.connection ||
+      !j.connection->flushed() || !ensureRoom() || !j.connection->sendCancelRequest())
     return false;
-  j.givenUp = how;
+  j.cancelledAs = how;
   startTimer(j.timer.get(), config_.giveUpWait);
   return true;
 }
 
-void BackendPool::giveUpEnded(Connection& c, bool taken) {
-  if (c.job) {
-    if (!taken) timedOut(*c.job);  // it cannot be told, so its connection ends
+void BackendPool::cancelRequestEnded(Connection& c, bool taken) {
+  if (c.operation) {
+    if (!taken) timedOut(*c.operation);  // it cannot be told, so its connection ends
     return;
   }
-  if (!taken || !c.clean()) return drop(c);
-  stands(c);
+  if (!taken || !c.quiet()) return drop(c);
+  connectionReady(c);
 }
 
-void BackendPool::timedOut(Job& j) {
-  if (!j.givenUp && giveUp(j, AttemptResult::Timeout)) return;
+void BackendPool::timedOut(Operation& j) {
+  if (!j.cancelledAs && requestCancel(j, AttemptResult::Timeout)) return;
   AttemptEnd e;
-  e.result = j.givenUp   ? *j.givenUp
-             : j.written ? AttemptResult::Timeout
-                         : AttemptResult::NotSent;  // what never left did not run
-  if (Connection* const c = j.on) {
-    j.on = nullptr;
-    c->job = nullptr;
+  e.result = j.cancelledAs ? *j.cancelledAs
+             : j.written   ? AttemptResult::Timeout
+                           : AttemptResult::NotSent;  // what never left did not run
+  if (Connection* const c = j.connection) {
+    j.connection = nullptr;
+    c->operation = nullptr;
     drop(*c);
   }
-  if (!j.probe()) return finish(j, std::move(e));
+  if (!j.isHealthCheck()) return finish(j, std::move(e));
   // Guards against the silent connections of a machine that is cut off: a probe is answered at once or not at
   // all, so the other idle ones are no better. A send that has to dial fails without having run, and soon; on
   // a silent connection it is lost until its deadline, and may have run.
-  Endpoint& endpoint = endpoints_[j.member];
+  Endpoint& endpoint = endpoints_[j.endpoint];
   // A probe that had nothing here to go out on tells nothing of its member; by this word it lives, unheard.
-  if ((short_ || endpoint.starved) && !j.written) return finishProbe(j, true);
+  if ((processShortage_ || endpoint.localShortage) && !j.written) return finishHealthCheck(j, true);
   dropIdle(endpoint);
-  endpoint.dialAgain = engine_.now() + kDialAgain;
-  finishProbe(j, false);
+  endpoint.nextDial = engine_.now() + kDialAgain;
+  finishHealthCheck(j, false);
 }
 
-void BackendPool::finish(Job& j, AttemptEnd e) {
-  auto& waiting = endpoints_[j.member].waiting;
+void BackendPool::finish(Operation& j, AttemptEnd e) {
+  auto& waiting = endpoints_[j.endpoint].waiting;
   waiting.erase(std::remove(waiting.begin(), waiting.end(), &j), waiting.end());
-  engine_.attemptEnded(j.id, j.attempt, j.member, std::move(e));
-  attempts_.erase({j.id, j.attempt});
+  engine_.attemptEnded(j.requestId, j.attemptNumber, j.endpoint, std::move(e));
+  attempts_.erase({j.requestId, j.attemptNumber});
 }
 
-void BackendPool::finishProbe(Job& j, bool ok, std::string_view report) {
-  Endpoint& e = endpoints_[j.member];
+void BackendPool::finishHealthCheck(Operation& j, bool ok, std::string_view report) {
+  Endpoint& e = endpoints_[j.endpoint];
   e.waiting.erase(std::remove(e.waiting.begin(), e.waiting.end(), &j), e.waiting.end());
-  engine_.healthCheckEnded(j.member, ok, ok ? believed(report) : std::vector<double>());
-  e.probe.reset();
+  engine_.healthCheckEnded(j.endpoint, ok, ok ? parseReport(report) : std::vector<double>());
+  e.healthCheck.reset();
 }
 
 // The figures of a report, or none where one of them cannot be: a spoilt report is no fact. A data server
 // that has nothing to report yet answers all the same, with an empty row: it is no silence.
-std::vector<double> BackendPool::believed(std::string_view report) const {
+std::vector<double> BackendPool::parseReport(std::string_view report) const {
   const double now = static_cast<double>(engine_.now().count()) / 1e6;
   std::vector<double> figures(config_.reportNames.size());
   for (std::size_t k = 0; k < figures.size(); ++k) {
@@ -894,24 +902,24 @@
 }
 
 // ---- the end of connections ------------------------------------------------------------------------------
-void BackendPool::lost(Connection& c, AttemptResult how) {
-  Endpoint& e = endpoints_[c.member];
-  Job* const j = c.job;
+void BackendPool::connectionLost(Connection& c, AttemptResult how) {
+  Endpoint& e = endpoints_[c.endpoint];
+  Operation* const j = c.operation;
   const bool dialing = c.dialing, badStatement = c.badStatement();
   // Written to the last byte it may have run; before that it never has.
   if (j && how == AttemptResult::Reset && (!j->written || !c.flushed())) how = AttemptResult::ConnectFailed;
-  if (j && j->givenUp) how = *j->givenUp;
+  if (j && j->cancelledAs) how = *j->cancelledAs;
   if (j) {
-    j->on = nullptr;
-    c.job = nullptr;
+    j->connection = nullptr;
+    c.operation = nullptr;
   }
   drop(c);
   // Guards against taking the end of a kept connection for that of its member: the probe goes out on another.
-  if (j && j->probe() && ++j->broken < kProbeTries) {
+  if (j && j->isHealthCheck() && ++j->connectionsLost < kProbeTries) {
     j->written = false;
-    return run(*j);
+    return start(*j);
   }
-  if (j && j->probe()) return finishProbe(*j, false);
+  if (j && j->isHealthCheck()) return finishHealthCheck(*j, false);
   if (j) {
     AttemptEnd ending;
     ending.result = how;
@@ -923,66 +931,66 @@
 
 // A connection that ended for want of something here. Guards against holding that against the endpoint: what
 // has not gone out whole never ran and waits for another connection; what has may have run.
-void BackendPool::ranOut(Connection& c, int error) {
-  Endpoint& e = endpoints_[c.member];
-  Job* const j = c.job;
+void BackendPool::resourceExhausted(Connection& c, int error) {
+  Endpoint& e = endpoints_[c.endpoint];
+  Operation* const j = c.operation;
   const bool wanted = j || c.dialing, sent = j && j->written && c.flushed();
   if (j) {
-    j->on = nullptr;
-    c.job = nullptr;
+    j->connection = nullptr;
+    c.operation = nullptr;
   }
   drop(c);
-  if (wanted) shortOf(e, error);
+  if (wanted) handleShortage(e, error);
   if (!j) return;
-  if (!j->givenUp && (!sent || j->probe())) {
+  if (!j->cancelledAs && (!sent || j->isHealthCheck())) {
     j->written = false;
     e.waiting.push_back(j);
     return;
   }
   AttemptEnd ending;
-  ending.result = j->givenUp ? *j->givenUp : AttemptResult::Cancelled;
+  ending.result = j->cancelledAs ? *j->cancelledAs : AttemptResult::Cancelled;
   finish(*j, std::move(ending));
 }
 
 // What cannot be an answer, or stands where none is due. An attempt that was written may have run; a probe
 // was answered, however badly: its member lives.
-void BackendPool::spoilt(Connection& c, const char* what) {
+void BackendPool::protocolError(Connection& c, const char* what) {
   logEvent(LogLevel::Warning, "server_protocol_error", {{"what", what}});
-  Endpoint& e = endpoints_[c.member];
-  Job* const j = c.job;
+  Endpoint& e = endpoints_[c.endpoint];
+  Operation* const j = c.operation;
   const bool dialing = c.dialing, ran = j && j->written && c.flushed();
   if (j) {
-    j->on = nullptr;
-    c.job = nullptr;
+    j->connection = nullptr;
+    c.operation = nullptr;
   }
   drop(c);
   if (!j) {
     if (dialing) dialFailed(e, AttemptResult::ConnectFailed);
     return;
   }
-  if (j->probe()) return finishProbe(*j, true);
+  if (j->isHealthCheck()) return finishHealthCheck(*j, true);
   AttemptEnd ending;
-  ending.result = j->givenUp ? *j->givenUp : ran ? AttemptResult::Error : AttemptResult::NotSent;
+  ending.result = j->cancelledAs ? *j->cancelledAs : ran ? AttemptResult::Error : AttemptResult::NotSent;
   finish(*j, std::move(ending));
 }
 
-void BackendPool::dialOlder(Connection& c) {
-  const EndpointId id = c.member;
+void BackendPool::dialOlderVersion(Connection& c) {
+  const EndpointId id = c.endpoint;
   Endpoint& e = endpoints_[id];
-  e.minor = 0;
+  e.minorVersion = 0;
   drop(c);
   dial(id, e);
 }
 
 void BackendPool::dialFailed(Endpoint& e, AttemptResult how) {
-  e.starved = false;
-  e.dialAgain = engine_.now() + kDialAgain;
+  e.localShortage = false;
+  e.nextDial = engine_.now() + kDialAgain;
   if (tracing())
     logEvent(LogLevel::Trace, "connect_failed",
              {{"to", e.address.text()}, {"how", static_cast<int>(how)}, {"waiting", e.waiting.size()}});
   if (e.waiting.size() <= static_cast<std::size_t>(e.dialing)) return;
-  Job& j = *e.waiting.front();
-  if (j.probe()) return finishProbe(j, false);
+  Operation& j = *e.waiting.front();
+  if (j.isHealthCheck()) return finishHealthCheck(j, false);
   AttemptEnd ending;
   ending.result = how;
   finish(j, std::move(ending));
@@ -994,7 +1002,7 @@
 }
 
 void BackendPool::drop(Connection& c) {
-  Endpoint& e = endpoints_[c.member];
+  Endpoint& e = endpoints_[c.endpoint];
   if (c.dialing) e.dialing -= 1;
   e.idle.erase(std::remove(e.idle.begin(), e.idle.end(), &c), e.idle.end());
   connections_.erase(&c);
--- a/src/backend/postgres/cancel_request.cpp
+++ b/src/backend/postgres/cancel_request.cpp
@@ -4,12 +4,12 @@
 
 namespace sablespur {
 
-CancelCall::CancelCall(event_base* base, const Address& to, const std::string& request, balancer::Time within,
-                       std::function<void(bool)> done)
+CancelRequest::CancelRequest(event_base* base, const Address& to, const std::string& request,
+                             balancer::Time within, std::function<void(bool)> done)
     : bev_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
       timer_(event_new(
-          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<CancelCall*>(self)->end(false); },
-          this)),
+          base, -1, 0,
+          [](evutil_socket_t, short, void* self) { static_cast<CancelRequest*>(self)->end(false); }, this)),
       done_(std::move(done)) {
   bufferevent_setcb(
       bev_.get(),
@@ -18,11 +18,12 @@
       },
       nullptr,
       [](bufferevent* b, short what, void* self) {
-        auto& c = *static_cast<CancelCall*>(self);
-        if (what & BEV_EVENT_CONNECTED) c.up_ = true;
+        auto& c = *static_cast<CancelRequest*>(self);
+        if (what & BEV_EVENT_CONNECTED) c.connected_ = true;
         // The server closes once it has passed the word on; before that it may still strike what runs next.
         if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-          c.end(c.up_ && (what & BEV_EVENT_EOF) && evbuffer_get_length(bufferevent_get_output(b)) == 0);
+          c.end(c.connected_ && (what & BEV_EVENT_EOF) &&
+                evbuffer_get_length(bufferevent_get_output(b)) == 0);
       },
       this);
   append(bufferevent_get_output(bev_.get()), request);
@@ -30,9 +31,9 @@
   const bool refused = bufferevent_socket_connect(bev_.get(), to.data(), static_cast<int>(to.size())) != 0;
   startTimer(timer_.get(), refused ? balancer::Time(0) : within);
 }
-CancelCall::~CancelCall() = default;
+CancelRequest::~CancelRequest() = default;
 
-void CancelCall::end(bool taken) {
+void CancelRequest::end(bool taken) {
   event_del(timer_.get());
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
   // Moved out first: it may end this object.
--- a/src/backend/postgres/cancel_request.hpp
+++ b/src/backend/postgres/cancel_request.hpp
@@ -10,20 +10,20 @@
 
 namespace sablespur {
 
-class CancelCall {
+class CancelRequest {
  public:
   // `done` comes once: true, the server has taken the request and closed; false, it could not be reached in
   // time. It may end this object, and comes after the constructor.
-  CancelCall(event_base*, const Address&, const std::string& request, balancer::Time within,
-             std::function<void(bool)> done);
-  ~CancelCall();
-  CancelCall(const CancelCall&) = delete;
+  CancelRequest(event_base*, const Address&, const std::string& request, balancer::Time within,
+                std::function<void(bool)> done);
+  ~CancelRequest();
+  CancelRequest(const CancelRequest&) = delete;
 
  private:
   void end(bool taken);
   BufferEvent bev_;
   Event timer_;
-  bool up_ = false;
+  bool connected_ = false;
   std::function<void(bool)> done_;
 };
 
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -18,37 +18,37 @@
   explicit ByPassword(const Config& c)
       : guest_(c.serverUser, c.serverPassword, c.serverLogins, auth::toBase64(randomBytes(18))) {}
 
-  Said request(std::uint32_t code, std::string_view data) override {
+  Step request(std::uint32_t code, std::string_view data) override {
     std::string why;
     switch (code) {
       case postgres::kAuthCleartext:
         if (!guest_.allows(auth::Method::Cleartext))
-          return {Next::Out, {}, "it wants the password in cleartext"};
-        return {Next::Send, postgres::passwordMessage(guest_.cleartext()), {}};
+          return {Action::Fail, {}, "it wants the password in cleartext"};
+        return {Action::Send, postgres::passwordMessage(guest_.cleartext()), {}};
       case postgres::kAuthMd5:
-        if (!guest_.allows(auth::Method::Md5) || data.size() != 4) return {Next::Out, {}, "it wants MD5"};
-        return {Next::Send, postgres::passwordMessage(guest_.md5(data)), {}};
+        if (!guest_.allows(auth::Method::Md5) || data.size() != 4) return {Action::Fail, {}, "it wants MD5"};
+        return {Action::Send, postgres::passwordMessage(guest_.md5(data)), {}};
       case postgres::kAuthSasl:
         if (!guest_.allows(auth::Method::Scram) || !postgres::offersScram(data))
-          return {Next::Out, {}, "it offers no SASL mechanism that is allowed here"};
-        return {Next::Send, postgres::saslInitial(guest_.scramFirst()), {}};
+          return {Action::Fail, {}, "it offers no SASL mechanism that is allowed here"};
+        return {Action::Send, postgres::saslInitial(guest_.scramFirst()), {}};
       case postgres::kAuthSaslContinue:
         challenge_ = guest_.challenged(data, why);
-        return challenge_ ? Said{Next::Salt, {}, {}} : Said{Next::Out, {}, why};
+        return challenge_ ? Step{Action::DeriveKey, {}, {}} : Step{Action::Fail, {}, why};
       case postgres::kAuthSaslFinal:
-        return guest_.verified(data, why) ? Said{Next::Wait, {}, {}} : Said{Next::Out, {}, why};
+        return guest_.verified(data, why) ? Step{Action::Wait, {}, {}} : Step{Action::Fail, {}, why};
       default:
-        return {Next::Out, {}, "it wants a login that is not spoken here: " + std::to_string(code)};
+        return {Action::Fail, {}, "it wants a login that is not spoken here: " + std::to_string(code)};
     }
   }
-  std::function<std::string()> slow() const override { return guest_.slow(*challenge_); }
+  std::function<std::string()> keyDerivation() const override { return guest_.slow(*challenge_); }
   std::string challenge() const override {
     return challenge_ ? std::to_string(challenge_->iterations) + ":" + challenge_->salt : std::string();
   }
-  Said salted(const std::string& result) override {
-    return {Next::Send, postgres::saslResponse(guest_.scramFinal(result)), {}};
+  Step keyDerived(const std::string& result) override {
+    return {Action::Send, postgres::saslResponse(guest_.scramFinal(result)), {}};
   }
-  bool mayEnter() const override { return guest_.mayEnter(); }
+  bool acceptsAuthenticationOk() const override { return guest_.mayEnter(); }
 
  private:
   auth::Guest guest_;
