--- a/src/backend/postgres/backend_pool.hpp
+++ b/src/backend/postgres/backend_pool.hpp
@@ -1,24 +1,24 @@
-// Connections to data servers: the pool of each, attempts and probes on them.
+// Carries out the engine's attempts and health checks on connections to PostgreSQL data servers.
 #pragma once
 
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <string>
+#include <string_view>
 #include <unordered_map>
-#include <utility>
-#include <vector>
 
+#include "backend/postgres/connection_pool.hpp"
+#include "backend/postgres/operation.hpp"
 #include "engine/engine.hpp"
-#include "engine/event.hpp"
 #include "engine/resource_budget.hpp"
 #include "engine/workers.hpp"
-#include "protocol/postgres/pg.hpp"
 
 namespace sablespur {
 
-class BackendPool final : public Backend {
+// Each send ends in one Engine::attemptEnded, each health check in one Engine::healthCheckEnded. All
+// arguments of the constructor outlive the pool.
+class BackendPool final : public Backend, private ConnectionListener {
  public:
   BackendPool(event_base*, Engine&, WorkerPool&, ResourceBudget&, const Config&);
   ~BackendPool() override;
@@ -29,73 +29,45 @@
   void cancel(RequestId, int attempt) override;
   void startHealthCheck(EndpointId) override;
   void removeEndpoint(EndpointId) override;
-  // In place of its own: how long after a member has come connections are opened to it ahead of need.
-  void setDialDelay(std::function<Time(EndpointId)> t) { dialDelay_ = std::move(t); }
-  // What is called when there is no descriptor for a connection that is needed: others are to make room.
-  void onShortage(std::function<void()> call) { onShortage_ = std::move(call); }
+  // Replaces the built-in delay: how long after an endpoint has come connections to it are opened ahead of
+  // need.
+  void setDialDelay(std::function<Time(EndpointId)> delay) { connections_.setDialDelay(std::move(delay)); }
+  // Called when there is no descriptor for a connection that is needed: others are to make room.
+  void onShortage(std::function<void()> call) { connections_.onShortage(std::move(call)); }
 
  private:
-  struct Operation;
-  class Connection;
-  struct Endpoint {
-    Address address;
-    bool ready = false;
-    std::vector<Connection*> idle;   // the last one used comes last
-    std::deque<Operation*> waiting;  // for a connection
-    int dialing = 0;
-    int minorVersion = 2;        // of version 3, the newest that it is known to speak
-    bool localShortage = false;  // the last connection to it failed for want of something here
-    Time nextDial{};             // no connection is opened in advance before then
-    Time warmAt{};  // nor, by a large fleet, before then: each proxy's dial is work for one just started
-    std::unique_ptr<Operation> healthCheck;
-  };
-  using AttemptKey = std::pair<RequestId, int>;
+  bool connectionReady(Connection&) override;
+  void operationAnswered(Operation&, AnswerParser&) override;
+  void connectionLost(Connection&, AttemptResult) override;
+  void resourceExhausted(Connection&, int error) override;
+  void protocolError(Connection&, std::string_view what) override;
+  void answerTooLong(Connection&) override;
+  void versionRejected(Connection&) override;
+  void versionNegotiated(EndpointId, int minorVersion) override;
+  void cancelRequestEnded(Connection&, bool taken) override;
+  void connectionUnusable(Connection&) override;
 
-  void start(Operation&);            // on an idle connection, or once a new one stands
-  bool dial(EndpointId, Endpoint&);  // false: the machine has no way to it now; who waits goes on waiting
-  void handleShortage(Endpoint&, int error);
-  void dialForWaiting();
-  bool connectionReady(
-      Connection&);  // dialed or released: takes the next job or idles; false: it was dropped
+  void start(Operation&);  // on an idle connection, or once a new one is up
   void write(Operation&);
-  void writeRewritten(Operation&);
-  static std::int64_t wholeMillisecondsLeft(const Operation&, Time now);
-  void withdraw(Operation&);                          // has a connection, and did not go out on it
-  void answerTooLong(Connection&);                    // ends its job
-  void connectionLost(Connection&, AttemptResult);    // its end; tells that of its job
-  void resourceExhausted(Connection&, int error);     // the same, for a fault of this machine
-  void protocolError(Connection&, const char* what);  // the same, by what it sent
-  void dialOlderVersion(Connection&);                 // in place of one that was turned down for its version
-  void dialFailed(Endpoint&, AttemptResult);
-  void timedOut(Operation&);
-  bool requestCancel(Operation&,
-                     AttemptResult how);  // by a CancelRequest; false: that is not how, or there is no way
-  void cancelRequestEnded(Connection&, bool taken);
-  void finish(Operation&, AttemptEnd);  // the end of a job, told once
-  void finishHealthCheck(Operation&, bool ok, std::string_view report = {});
-  std::vector<double> parseReport(std::string_view report) const;
-  void drop(Connection&);
-  void dropIdle(Endpoint&);
-  std::uint64_t dialHash(EndpointId) const;
-  Time dialDelayOf(EndpointId) const;
-  void maintainWarmConnections();
-  bool ensureRoom();
+  void writeAttempt(Operation&, const Attempt&);
+  void withdraw(Operation&);  // has a connection, and did not go out on it
+  void deadlinePassed(Operation&);
+  void healthCheckTimedOut(Operation&);
+  // False: cancelling is off, or there is no way to ask for it.
+  bool requestCancel(Operation&, AttemptResult endsAs);
+  void failWaiting(EndpointId, AttemptResult);  // a dial failed
+  void endUnsuccessfully(Operation&, AttemptResult);
+  // The one end of an operation; these destroy it.
+  void finish(Operation&, AttemptEnd);
+  void finishHealthCheck(Operation&, bool answered, std::string_view report = {});
 
   event_base* const base_;
   Engine& engine_;
-  WorkerPool& workers_;
-  const Config& config_;
-  bool salt(const std::string& challenge, std::function<std::string()> work);
-  std::map<std::string, std::string> salted_;  // by a server's challenge: the password, salted; bounded
-  std::map<std::string, WorkerPool::Ticket> salting_;  // under way
   ResourceBudget& resources_;
-  std::function<Time(EndpointId)> dialDelay_;
-  std::function<void()> onShortage_;
-  bool processShortage_ = false;  // the last socket that was asked for was not to be had
-  std::unordered_map<EndpointId, Endpoint> endpoints_;
-  std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
+  const Config& config_;
+  std::unordered_map<EndpointId, std::unique_ptr<Operation>> healthChecks_;
   std::map<AttemptKey, std::unique_ptr<Operation>> attempts_;
-  Event maintenanceTimer_, retryTimer_;
+  ConnectionPool connections_;
 };
 
 }  // namespace sablespur
--- a/src/backend/postgres/cancel_request.cpp
+++ b/src/backend/postgres/cancel_request.cpp
@@ -5,11 +5,12 @@
 namespace sablespur {
 
 CancelRequest::CancelRequest(event_base* base, const Address& to, const std::string& request,
-                             balancer::Time within, std::function<void(bool)> done)
+                             balancer::Time timeout, std::function<void(bool)> done)
     : bev_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
       timer_(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void* self) { static_cast<CancelRequest*>(self)->end(false); }, this)),
+          [](evutil_socket_t, short, void* self) { static_cast<CancelRequest*>(self)->finish(false); },
+          this)),
       done_(std::move(done)) {
   bufferevent_setcb(
       bev_.get(),
@@ -17,26 +18,26 @@
         evbuffer_drain(bufferevent_get_input(b), evbuffer_get_length(bufferevent_get_input(b)));
       },
       nullptr,
-      [](bufferevent* b, short what, void* self) {
-        auto& c = *static_cast<CancelRequest*>(self);
-        if (what & BEV_EVENT_CONNECTED) c.connected_ = true;
-        // The server closes once it has passed the word on; before that it may still strike what runs next.
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-          c.end(c.connected_ && (what & BEV_EVENT_EOF) &&
-                evbuffer_get_length(bufferevent_get_output(b)) == 0);
-      },
+      [](bufferevent*, short what, void* self) { static_cast<CancelRequest*>(self)->handleEvent(what); },
       this);
   append(bufferevent_get_output(bev_.get()), request);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   const bool refused = bufferevent_socket_connect(bev_.get(), to.data(), static_cast<int>(to.size())) != 0;
-  startTimer(timer_.get(), refused ? balancer::Time(0) : within);
+  startTimer(timer_.get(), refused ? balancer::Time(0) : timeout);
 }
 CancelRequest::~CancelRequest() = default;
 
-void CancelRequest::end(bool taken) {
+void CancelRequest::handleEvent(short what) {
+  if (what & BEV_EVENT_CONNECTED) connected_ = true;
+  if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))) return;
+  const bool sent = evbuffer_get_length(bufferevent_get_output(bev_.get())) == 0;
+  finish(connected_ && (what & BEV_EVENT_EOF) && sent);
+}
+
+void CancelRequest::finish(bool taken) {
   event_del(timer_.get());
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
-  // Moved out first: it may end this object.
+  // Moved out first: the callback may destroy this object.
   const auto done = std::exchange(done_, nullptr);
   if (done) done(taken);
 }
--- a/src/backend/postgres/cancel_request.hpp
+++ b/src/backend/postgres/cancel_request.hpp
@@ -10,17 +10,23 @@
 
 namespace sablespur {
 
+// Connects, sends the request and waits until the data server closes: before that the cancellation may still
+// strike whatever runs next on the connection that it names.
 class CancelRequest {
  public:
-  // `done` comes once: true, the server has taken the request and closed; false, it could not be reached in
-  // time. It may end this object, and comes after the constructor.
-  CancelRequest(event_base*, const Address&, const std::string& request, balancer::Time within,
+  // `done` is called once, after the constructor has returned: true, the data server has taken the request
+  // and closed; false, it could not be reached within `timeout`. It may destroy this object. Destroyed
+  // earlier, it is never called.
+  CancelRequest(event_base*, const Address&, const std::string& request, balancer::Time timeout,
                 std::function<void(bool)> done);
   ~CancelRequest();
   CancelRequest(const CancelRequest&) = delete;
+  CancelRequest& operator=(const CancelRequest&) = delete;
 
  private:
-  void end(bool taken);
+  void handleEvent(short what);
+  void finish(bool taken);
+
   BufferEvent bev_;
   Event timer_;
   bool connected_ = false;
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -1,7 +1,9 @@
 #include "backend/postgres/login.hpp"
 
 #ifdef SABLESPUR_AUTH
+#include <cstddef>
 #include <optional>
+#include <string>
 
 #include "auth/login.hpp"
 #include "protocol/postgres/login.hpp"
@@ -13,10 +15,13 @@
 #ifdef SABLESPUR_AUTH
 namespace {
 
-class ByPassword final : public ServerLogin {
+constexpr std::size_t kNonceLength = 18;  // bytes; 24 characters in base64
+
+// A login with the password of the settings, by whichever method the server asks for and the settings allow.
+class PasswordLogin final : public ServerLogin {
  public:
-  explicit ByPassword(const Config& c)
-      : guest_(c.serverUser, c.serverPassword, c.serverLogins, auth::toBase64(randomBytes(18))) {}
+  explicit PasswordLogin(const Config& c)
+      : guest_(c.serverUser, c.serverPassword, c.serverLogins, auth::toBase64(randomBytes(kNonceLength))) {}
 
   Step request(std::uint32_t code, std::string_view data) override {
     std::string why;
@@ -60,7 +65,7 @@
 
 std::unique_ptr<ServerLogin> openServerLogin([[maybe_unused]] const Config& c) {
 #ifdef SABLESPUR_AUTH
-  if (!c.serverPassword.empty()) return std::make_unique<ByPassword>(c);
+  if (!c.serverPassword.empty()) return std::make_unique<PasswordLogin>(c);
 #endif
   return nullptr;
 }
--- /dev/null
+++ b/src/backend/postgres/operation.hpp
@@ -0,0 +1,56 @@
+// What the proxy runs on a connection to a data server: an attempt of a request, or a health check.
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <variant>
+
+#include "engine/engine.hpp"
+#include "engine/event.hpp"
+
+namespace sablespur {
+
+class BackendPool;
+class Connection;
+
+struct AttemptKey {
+  RequestId request = 0;
+  int number = 0;  // of the attempt, among those of its request
+
+  friend bool operator<(const AttemptKey& a, const AttemptKey& b) {
+    return a.request != b.request ? a.request < b.request : a.number < b.number;
+  }
+};
+
+struct Attempt {
+  AttemptKey key;
+  std::shared_ptr<const Message> message;
+  // A CancelRequest is out for it: how the attempt ends unless an answer crosses the cancellation.
+  std::optional<AttemptResult> cancelledAs;
+};
+
+struct HealthCheck {
+  int connectionsLost = 0;  // that ended under it
+};
+
+// Owned by the BackendPool. While it runs, it and its Connection point at each other; whichever ends first
+// clears both pointers (Connection::release).
+struct Operation {
+  EndpointId endpoint = 0;
+  Time deadline{};
+  std::variant<Attempt, HealthCheck> kind;
+  Connection* connection = nullptr;  // null: it waits for one
+  bool written = false;              // some of its bytes may have gone out
+  BackendPool* owner = nullptr;      // told by the timer when the deadline has passed
+  Event deadlineTimer;
+
+  Attempt* attempt() { return std::get_if<Attempt>(&kind); }
+  const Attempt* attempt() const { return std::get_if<Attempt>(&kind); }
+  HealthCheck* healthCheck() { return std::get_if<HealthCheck>(&kind); }
+  bool isHealthCheck() const { return std::holds_alternative<HealthCheck>(kind); }
+  std::optional<AttemptResult> cancelledAs() const {
+    return attempt() ? attempt()->cancelledAs : std::nullopt;
+  }
+};
+
+}  // namespace sablespur
