--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -60,16 +60,16 @@
 IdempotencyStoreSettings settings(const std::string& dir) {
   IdempotencyStoreSettings s;
   s.directory = dir;
-  s.mostKeys = 10000000;
+  s.maxKeys = 10000000;
   return s;
 }
 Operation ask(std::uint64_t n) {
   const std::string key = "5c0f6e1a2b3d" + std::to_string(100000000 + n);
-  return AskKey{{"9b1f03aa5c7e" + std::to_string(n), key, "handset-write", 3, kWindow}};
+  return BeginKeyedRequest{{"9b1f03aa5c7e" + std::to_string(n), key, "handset-write", 3, kWindow}};
 }
 Operation finish(std::uint64_t n) {
   const std::string key = "5c0f6e1a2b3d" + std::to_string(100000000 + n);
-  return Finish{
+  return CompleteRequest{
       key, "9b1f03aa5c7e" + std::to_string(n), Outcome::Served, std::string(120, 'a'), 1767225600000, 0,
       true};
 }
@@ -143,11 +143,11 @@
             while (static_cast<double>(st.asked) < passed * st.rate) {
               const std::uint64_t n = st.asked++;
               const auto t = Clock::now();
-              st.tickets.push_back(st.writer->ask(ask(n), [&st, n, t](bool, const OperationResult&) {
+              st.tickets.push_back(st.writer->submit(ask(n), [&st, n, t](bool, const OperationResult&) {
                 ++st.done;
                 st.intents.push_back(since(t) * 1e6);
                 const auto again = Clock::now();
-                st.tickets.push_back(st.writer->ask(finish(n), [&st, again](bool, const OperationResult&) {
+                st.tickets.push_back(st.writer->submit(finish(n), [&st, again](bool, const OperationResult&) {
                   ++st.done;
                   st.outcomes.push_back(since(again) * 1e6);
                 }));
@@ -160,7 +160,7 @@
       event_add(tick, &ms);
       event_base_dispatch(s.base);
       event_free(tick);
-      const GroupCommitWriter::Figures f = writer.figures();
+      const GroupCommitWriter::Statistics f = writer.statistics();
       const double share = static_cast<double>(std::clock() - cpu) / CLOCKS_PER_SEC / since(s.start);
       const double ip50 = quantile(s.intents, 0.5), ip99 = quantile(s.intents, 0.99),
                    op50 = quantile(s.outcomes, 0.5), op99 = quantile(s.outcomes, 0.99),
@@ -207,7 +207,7 @@
       const double ms = since(t) * 1e3;
       std::printf("| %llu | %.1f | %.1f | %llu | %.1f |\n", static_cast<unsigned long long>(keys),
                   static_cast<double>(ledger.bytesOnDisk()) / 1e6, ms,
-                  static_cast<unsigned long long>(ledger.recovered().unresolved), residentMb() - before);
+                  static_cast<unsigned long long>(ledger.recovered().pendingKeys), residentMb() - before);
     });
   }
 }
@@ -232,7 +232,7 @@
       ++n;
     }
     ledger.apply(group);
-    time.us += 1000000;
+    time.sinceBootUs += 1000000;
     if (second % 60 == 0)
       out << second / 60 << ',' << ledger.totals().keys << ','
           << static_cast<double>(ledger.bytesOnDisk()) / 1e6 << '\n';
--- a/fuzz/store.cpp
+++ b/fuzz/store.cpp
@@ -12,12 +12,13 @@
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   for (const LogKind kind : {LogKind::Batches, LogKind::Manifest}) {
-    const Inspected i = inspectLog(text, kind);
-    if (i.whole > size || (i.laterAt && (!i.ragged || *i.laterAt <= i.whole || *i.laterAt >= size)))
+    const LogInspection i = inspectLog(text, kind);
+    if (i.wholeBytes > size || (i.laterRecordAt && (!i.incompleteTail || *i.laterRecordAt <= i.wholeBytes ||
+                                                    *i.laterRecordAt >= size)))
       std::abort();
     // What is left once the ragged end is cut off is whole, and the same.
-    const Inspected again = inspectLog(text.substr(0, i.whole), kind);
-    if (again.ragged || again.records != i.records || again.commit != i.commit) std::abort();
+    const LogInspection again = inspectLog(text.substr(0, i.wholeBytes), kind);
+    if (again.incompleteTail || again.records != i.records || again.commit != i.commit) std::abort();
   }
   try {
     const KeyRecord r = decodeKey(text);
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -48,9 +48,10 @@
   auto recoverer = createRecoveryCoordinator(base, engine, workers, c, port, link);
   if (!recoverer) return nullptr;
   if (link)
-    link->onHead([to = recoverer.get()](std::size_t from, std::string_view d) { to->heard(from, d); });
+    link->onHead(
+        [to = recoverer.get()](std::size_t from, std::string_view d) { to->peerDatagramReceived(from, d); });
   upstream.dialTurns(
-      [&engine, of = recoverer.get()](EndpointId id) { return of->dialTurn(engine.endpointName(id)); });
+      [&engine, of = recoverer.get()](EndpointId id) { return of->connectDelay(engine.endpointName(id)); });
   return recoverer;
 #else
   (void)base, (void)engine, (void)workers, (void)upstream, (void)c, (void)link;
--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -184,22 +184,22 @@
                      {"start", k.epoch},
                      {"keys", k.keys},
                      {"sessions", k.sessions},
-                     {"bytes", k.bytes},
+                     {"bytes", k.bytesOnDisk},
                      {"operations", k.operations},
                      {"commits", k.commits},
                      {"largest_group", k.largestGroup},
-                     {"lost", k.lost},
+                     {"lost", k.lostOperations},
                      {"waiting", k.waiting},
                      {"last_commit_ms", static_cast<double>(k.lastCommit.count()) / 1e3},
                      {"longest_commit_ms", static_cast<double>(k.longestCommit.count()) / 1e3},
                      {"verdicts",
-                      {{"run", k.ran},
-                       {"again", k.again},
-                       {"recorded", k.recorded},
-                       {"unknown", k.unknown},
-                       {"turned_away", k.turnedAway},
+                      {{"run", k.executed},
+                       {"again", k.retried},
+                       {"recorded", k.replayed},
+                       {"unknown", k.outcomeUnknown},
+                       {"turned_away", k.rejected},
                        {"not_durable", k.notDurable},
-                       {"waited_for_another", k.waitedForAnother}}}};
+                       {"waited_for_another", k.waitedForSameKey}}}};
   }
   page["recovery"] = nullptr;
   if (recoverer) {
@@ -207,14 +207,14 @@
     page["recovery"] = {{"state", v.state},
                         {"snapshot", v.snapshot},
                         {"epoch", v.epoch},
-                        {"joined", v.joined},
+                        {"joined", v.joinedEpoch},
                         {"sequence", v.sequence},
-                        {"heads_believed", v.believed},
-                        {"heads_turned_away", v.turnedAway},
-                        {"requests_turned_away", v.refused},
-                        {"written", v.written},
-                        {"not_written", v.lost},
-                        {"took_ms", v.took.count() / 1000}};
+                        {"heads_believed", v.peerStatesAccepted},
+                        {"heads_turned_away", v.peerStatesRejected},
+                        {"requests_turned_away", v.requestsRejected},
+                        {"written", v.snapshotsWritten},
+                        {"not_written", v.snapshotsFailed},
+                        {"took_ms", v.duration.count() / 1000}};
   }
   if (!gate) {
     page["door"] = nullptr;
--- a/src/app/store.cpp
+++ b/src/app/store.cpp
@@ -48,20 +48,20 @@
     return 1;
   }
 }
-Json figures(const StoreOptions& o, const durability::Census& c) {
+Json figures(const StoreOptions& o, const durability::StoreStatistics& c) {
   return {{"store", o.directory},
           {"good", true},
           {"keys", c.keys},
-          {"unresolved", c.unresolved},
-          {"answers", c.answers},
-          {"answer_bytes", c.answerBytes},
-          {"answers_owed", c.owed},
+          {"unresolved", c.pendingKeys},
+          {"answers", c.responses},
+          {"answer_bytes", c.responseBytes},
+          {"answers_owed", c.pendingIds},
           {"sessions", c.sessions},
           {"starts", c.epochs},
           {"commits", c.commits},
           {"pairs", c.pairs},
           {"bytes_on_disk", c.bytesOnDisk},
-          {"torn_bytes_cut_off", c.opened.tornBytes}};
+          {"torn_bytes_cut_off", c.openResult.tornBytes}};
 }
 
 }  // namespace
@@ -69,7 +69,7 @@
 int storeCheck(const StoreOptions& o) {
   return guarded(o, [&] {
     durability::Files files;
-    const durability::Census c = durability::check(files, o.directory);
+    const durability::StoreStatistics c = durability::check(files, o.directory);
     if (o.json) {
       std::printf("%s\n", figures(o, c).dump().c_str());
       return;
@@ -77,12 +77,12 @@
     std::printf("%s: good; %llu keys, %llu sessions, %llu commits, every record read\n", o.directory.c_str(),
                 static_cast<unsigned long long>(c.keys), static_cast<unsigned long long>(c.sessions),
                 static_cast<unsigned long long>(c.commits));
-    if (c.opened.tornBytes > 0)
+    if (c.openResult.tornBytes > 0)
       std::printf(
           "a commit that was under way when its writer ended was cut off: %llu bytes of %s from offset "
           "%llu\n",
-          static_cast<unsigned long long>(c.opened.tornBytes), c.opened.tornFile.c_str(),
-          static_cast<unsigned long long>(c.opened.tornAt));
+          static_cast<unsigned long long>(c.openResult.tornBytes), c.openResult.tornFile.c_str(),
+          static_cast<unsigned long long>(c.openResult.tornOffset));
   });
 }
 int storeStat(const StoreOptions& o) {
--- a/src/durability/backlog.cpp
+++ b/src/durability/backlog.cpp
@@ -7,33 +7,39 @@
 namespace {
 
 struct TextBytes {
-  std::size_t operator()(const AskKey& o) const { return o.asked.key.size() + o.asked.id.size(); }
-  std::size_t operator()(const NoteSent& o) const { return o.key.size() + o.id.size() + o.member.size(); }
-  std::size_t operator()(const NoteEnded& o) const { return o.key.size() + o.id.size(); }
-  std::size_t operator()(const Finish& o) const { return o.key.size() + o.id.size() + o.answer.size(); }
-  std::size_t operator()(const NoteTold& o) const { return o.key.size() + o.id.size(); }
-  std::size_t operator()(const NoteLeft& o) const { return o.key.size() + o.id.size(); }
-  std::size_t operator()(const NoteSeen&) const { return 0; }
-  std::size_t operator()(const AskSession&) const { return 0; }
+  std::size_t operator()(const BeginKeyedRequest& o) const {
+    return o.request.key.size() + o.request.id.size();
+  }
+  std::size_t operator()(const RecordAttemptSent& o) const {
+    return o.key.size() + o.id.size() + o.endpoint.size();
+  }
+  std::size_t operator()(const RecordAttemptEnd& o) const { return o.key.size() + o.id.size(); }
+  std::size_t operator()(const CompleteRequest& o) const {
+    return o.key.size() + o.id.size() + o.response.size();
+  }
+  std::size_t operator()(const RecordResponseDelivered& o) const { return o.key.size() + o.id.size(); }
+  std::size_t operator()(const AbandonRequest& o) const { return o.key.size() + o.id.size(); }
+  std::size_t operator()(const RecordSessionPosition&) const { return 0; }
+  std::size_t operator()(const ReadSessionPosition&) const { return 0; }
 };
 std::size_t textBytes(const Operation& o) { return std::visit(TextBytes{}, o); }
 
 }  // namespace
 
 bool Backlog::add(Operation o) {
-  if (std::holds_alternative<AskSession>(o)) return false;
-  if (const auto* const seen = std::get_if<NoteSeen>(&o)) {
-    if (positions_.size() >= kMostSessions && positions_.count(seen->session) == 0) return false;
+  if (std::holds_alternative<ReadSessionPosition>(o)) return false;
+  if (const auto* const seen = std::get_if<RecordSessionPosition>(&o)) {
+    if (positions_.size() >= kMaxSessions && positions_.count(seen->session) == 0) return false;
     std::int64_t& newest = positions_.emplace(seen->session, seen->positionMs).first->second;
     newest = std::max(newest, seen->positionMs);
     return true;
   }
-  if (const auto* const intent = std::get_if<AskKey>(&o)) {
-    NoteLeft withdrawal{intent->asked.key, intent->asked.id, false};
+  if (const auto* const intent = std::get_if<BeginKeyedRequest>(&o)) {
+    AbandonRequest withdrawal{intent->request.key, intent->request.id, false};
     o = std::move(withdrawal);
   }
   const std::size_t bytes = textBytes(o);
-  if (operations_.size() >= kMostOperations || bytes_ + bytes > kMostBytes) return false;
+  if (operations_.size() >= kMaxOperations || bytes_ + bytes > kMaxBytes) return false;
   bytes_ += bytes;
   operations_.push_back(std::move(o));
   return true;
@@ -43,7 +49,7 @@
   std::vector<Operation> part;
   for (const auto& [session, positionMs] : positions_) {
     if (part.size() >= most) return part;
-    part.emplace_back(NoteSeen{session, positionMs});
+    part.emplace_back(RecordSessionPosition{session, positionMs});
   }
   for (const Operation& o : operations_) {
     if (part.size() >= most) return part;
--- a/src/durability/backlog.hpp
+++ b/src/durability/backlog.hpp
@@ -17,9 +17,9 @@
 
 class Backlog {
  public:
-  static constexpr std::size_t kMostOperations = 65536;
-  static constexpr std::size_t kMostSessions = 65536;
-  static constexpr std::size_t kMostBytes = std::size_t{4} << 20;  // of keys, ids and answers
+  static constexpr std::size_t kMaxOperations = 65536;
+  static constexpr std::size_t kMaxSessions = 65536;
+  static constexpr std::size_t kMaxBytes = std::size_t{4} << 20;  // of keys, ids and answers
 
   // An intent becomes its withdrawal, since nothing of it is ever sent; of a session the newest position is
   // kept. False: there was no room, or there was nothing to keep.
--- a/src/durability/database.cpp
+++ b/src/durability/database.cpp
@@ -26,14 +26,14 @@
 constexpr std::uint64_t kMarksPerSync = 1024;
 
 // LevelDB's own account would grow on the same disk.
-class Quiet final : public leveldb::Logger {
+class DiscardingLogger final : public leveldb::Logger {
  public:
   void Logv(const char*, va_list) override {}
 };
 
 // Whether a lock could not be had since another has it; LevelDB tells it by its text alone. All else (a disk
 // that is read-only or fails, no descriptors) may pass.
-bool heldElsewhere(const Status& s) {
+bool isHeldByAnotherProcess(const Status& s) {
   const std::string text = s.ToString();
   const auto endsWith = [&](const std::string& end) {
     return text.size() >= end.size() && text.compare(text.size() - end.size(), end.size(), end) == 0;
@@ -72,16 +72,17 @@
 
 Database::Database(Files& files, const std::string& directory)
     : files_(files),
-      dir_(directory),
+      directory_(directory),
       cache_(leveldb::NewLRUCache(kCache)),
-      quiet_(std::make_unique<Quiet>()) {
-  files_.CreateDir(dir_);  // it may be there
-  if (const Status s = files_.LockFile(dir_ + "/" + kLockFile, &lock_); !s.ok()) {
-    if (heldElsewhere(s)) throw StoreError(StoreError::Kind::Busy, dir_ + " is open in another process");
+      discardingLogger_(std::make_unique<DiscardingLogger>()) {
+  files_.CreateDir(directory_);  // it may be there
+  if (const Status s = files_.LockFile(directory_ + "/" + kLockFile, &lock_); !s.ok()) {
+    if (isHeldByAnotherProcess(s))
+      throw StoreError(StoreError::Kind::Busy, directory_ + " is open in another process");
     throw StoreError(StoreError::Kind::Failed, "cannot be opened: " + s.ToString());
   }
   try {
-    inspect();
+    inspectLogs();
     leveldb::Options o;
     o.env = &files_;
     o.create_if_missing = true;
@@ -90,22 +91,22 @@
     o.max_open_files = 32;
     o.max_file_size = 2 << 20;
     o.block_cache = cache_.get();
-    o.info_log = quiet_.get();
+    o.info_log = discardingLogger_.get();
     leveldb::DB* db = nullptr;
-    const Status s = leveldb::DB::Open(o, dir_, &db);
+    const Status s = leveldb::DB::Open(o, directory_, &db);
     db_.reset(db);
     if (!s.ok()) fail(s, "opening");
     const auto last = get(kCommitKey);
     commits_ = last && last->size() >= kCommitBytes ? big64(*last) : 0;
-    if (commits_ < marked_)
+    if (commits_ < markedCommits_)
       throw StoreError(
           StoreError::Kind::Damaged,
-          "commits up to " + std::to_string(marked_) + " had been durable, and the last one here is " +
+          "commits up to " + std::to_string(markedCommits_) + " had been durable, and the last one here is " +
               std::to_string(commits_) +
               (opened_.tornBytes > 0 ? "; the end of " + opened_.tornFile + " was torn at offset " +
-                                           std::to_string(opened_.tornAt)
+                                           std::to_string(opened_.tornOffset)
                                      : ""),
-          opened_.tornBytes > 0 ? opened_.tornFile : kMarkFile, opened_.tornAt);
+          opened_.tornBytes > 0 ? opened_.tornFile : kMarkFile, opened_.tornOffset);
     opened_.commits = commits_;
   } catch (...) {
     db_.reset();
@@ -114,7 +115,7 @@
   }
 }
 Database::~Database() {
-  if (marked_ > 0) {
+  if (markedCommits_ > 0) {
     try {
       writeMark(true);
     } catch (const StoreError&) {  // it is only older then
@@ -126,24 +127,24 @@
 
 // A writer that ended amid a commit leaves a ragged end, which is cut off: LevelDB would turn some forms of
 // it down. Whether what is cut had been durable, the mark tells once the rest is open.
-void Database::inspect() {
+void Database::inspectLogs() {
   readMark();
   std::vector<std::string> names;
-  if (const Status s = files_.list(dir_, names); !s.ok()) fail(s, "listing");
+  if (const Status s = files_.list(directory_, names); !s.ok()) fail(s, "listing");
   std::map<std::uint64_t, std::string> logs;
   std::string current;
   for (const std::string& n : names)
     if (n.size() > 4 && n.compare(n.size() - 4, 4, ".log") == 0)
       logs[std::strtoull(n.c_str(), nullptr, 10)] = n;
-  if (const Status s = files_.read(dir_ + "/CURRENT", current); !s.ok() && !s.IsNotFound())
+  if (const Status s = files_.read(directory_ + "/CURRENT", current); !s.ok() && !s.IsNotFound())
     fail(s, "reading");
   while (!current.empty() && current.back() == '\n') current.pop_back();
   std::uint64_t next = 0, reached = 0, firstLog = 0;
   const auto look = [&](const std::string& name, LogKind kind, bool last) {
-    const std::string path = dir_ + "/" + name;
+    const std::string path = directory_ + "/" + name;
     std::string bytes;
     if (const Status s = files_.read(path, bytes); !s.ok()) fail(s, "reading");
-    const Inspected i = inspectLog(bytes, kind, next);
+    const LogInspection i = inspectLog(bytes, kind, next);
     if (kind == LogKind::Manifest) {
       reached = i.lastSequence;
       firstLog = i.logNumber;
@@ -157,26 +158,26 @@
                          current);
       next = i.nextSequence;
     }
-    if (!i.ragged) return;
-    if (i.laterAt || !last)
-      throw StoreError(
-          StoreError::Kind::Damaged,
-          name + " is damaged at offset " + std::to_string(i.whole) + ": " + i.why +
-              (i.laterAt ? ", and a later record stands whole at offset " + std::to_string(*i.laterAt)
-                         : ", and a later log follows"),
-          name, i.whole);
-    if (kind == LogKind::Batches && i.commit != 0 && i.commit < marked_)
+    if (!i.incompleteTail) return;
+    if (i.laterRecordAt || !last)
+      throw StoreError(StoreError::Kind::Damaged,
+                       name + " is damaged at offset " + std::to_string(i.wholeBytes) + ": " + i.defect +
+                           (i.laterRecordAt ? ", and a later record stands whole at offset " +
+                                                  std::to_string(*i.laterRecordAt)
+                                            : ", and a later log follows"),
+                       name, i.wholeBytes);
+    if (kind == LogKind::Batches && i.commit != 0 && i.commit < markedCommits_)
       throw StoreError(StoreError::Kind::Damaged,
-                       name + " is damaged at offset " + std::to_string(i.whole) + ": " + i.why +
-                           "; commits up to " + std::to_string(marked_) +
+                       name + " is damaged at offset " + std::to_string(i.wholeBytes) + ": " + i.defect +
+                           "; commits up to " + std::to_string(markedCommits_) +
                            " had been durable, and whole are those up to " + std::to_string(i.commit),
-                       name, i.whole);
+                       name, i.wholeBytes);
     opened_.tornFile = name;
-    opened_.tornAt = i.whole;
-    opened_.tornBytes = bytes.size() - i.whole;
+    opened_.tornOffset = i.wholeBytes;
+    opened_.tornBytes = bytes.size() - i.wholeBytes;
     // Kept for people, should what had been durable turn out to be missing.
-    files_.overwrite(dir_ + "/" + kTornFile, 0, std::string_view(bytes).substr(i.whole), false);
-    if (const Status s = files_.truncate(path, i.whole); !s.ok()) fail(s, "cutting off a torn end");
+    files_.overwrite(directory_ + "/" + kTornFile, 0, std::string_view(bytes).substr(i.wholeBytes), false);
+    if (const Status s = files_.truncate(path, i.wholeBytes); !s.ok()) fail(s, "cutting off a torn end");
   };
   if (!current.empty() && std::find(names.begin(), names.end(), current) != names.end())
     look(current, LogKind::Manifest, true);
@@ -186,23 +187,23 @@
 
 void Database::readMark() {
   std::string bytes;
-  const Status read = files_.read(dir_ + "/" + kMarkFile, bytes);
+  const Status read = files_.read(directory_ + "/" + kMarkFile, bytes);
   if (read.IsNotFound()) return;  // none was written yet
   if (!read.ok()) fail(read, "reading the mark");
   for (std::size_t k = 0; k < kMarkPlaces; ++k) {
     if (bytes.size() < k * kMarkStride + kMarkBytes) continue;
     const std::string one = bytes.substr(k * kMarkStride, kMarkBytes);
     const std::uint64_t commits = big64(one);
-    if (one == mark(commits)) marked_ = std::max(marked_, commits);
+    if (one == mark(commits)) markedCommits_ = std::max(markedCommits_, commits);
   }
 }
 // After the commit that it tells of, so it never claims what is not there. Not durable each time, which would
 // cost as much as the commit: after the machine's death it may be older, and then tells less.
 void Database::writeMark(bool durable) {
-  const Status s =
-      files_.overwrite(dir_ + "/" + kMarkFile, commits_ % kMarkPlaces * kMarkStride, mark(commits_), durable);
+  const Status s = files_.overwrite(directory_ + "/" + kMarkFile, commits_ % kMarkPlaces * kMarkStride,
+                                    mark(commits_), durable);
   if (!s.ok()) fail(s, "writing the mark");
-  marked_ = commits_;
+  markedCommits_ = commits_;
 }
 
 void Database::commit(const Batch& b) {
@@ -254,10 +255,10 @@
 std::uint64_t Database::bytesOnDisk() const {
   std::vector<std::string> names;
   std::uint64_t sum = 0;
-  if (!files_.list(dir_, names).ok()) return 0;
+  if (!files_.list(directory_, names).ok()) return 0;
   for (const std::string& n : names) {
     std::uint64_t size = 0;
-    if (n != "." && n != ".." && files_.GetFileSize(dir_ + "/" + n, &size).ok()) sum += size;
+    if (n != "." && n != ".." && files_.GetFileSize(directory_ + "/" + n, &size).ok()) sum += size;
   }
   return sum;
 }
--- a/src/durability/database.hpp
+++ b/src/durability/database.hpp
@@ -36,11 +36,11 @@
   std::uint64_t offset;
 };
 
-struct Opened {
+struct DatabaseOpenResult {
   std::uint64_t commits = 0;    // the number of the last commit
   std::uint64_t tornBytes = 0;  // of a commit that was being written when its writer ended; cut off
   std::string tornFile;
-  std::uint64_t tornAt = 0;
+  std::uint64_t tornOffset = 0;
 };
 
 class Database {
@@ -50,7 +50,7 @@
   ~Database();
   Database(const Database&) = delete;
 
-  const Opened& opened() const { return opened_; }
+  const DatabaseOpenResult& opened() const { return opened_; }
   // Pairs of one commit, the number of it included; durable once this has returned. Throws StoreError
   // (Failed), after which this object is of no more use: what became of the batch is known once it is opened
   // again.
@@ -76,19 +76,19 @@
   std::uint64_t commits() const { return commits_; }
 
  private:
-  void inspect();
+  void inspectLogs();
   void readMark();
   void writeMark(bool durable);
   [[noreturn]] void fail(const leveldb::Status&, const char* doing);
 
   Files& files_;
-  const std::string dir_;
+  const std::string directory_;
   const std::unique_ptr<leveldb::Cache> cache_;
-  const std::unique_ptr<leveldb::Logger> quiet_;
+  const std::unique_ptr<leveldb::Logger> discardingLogger_;
   leveldb::FileLock* lock_ = nullptr;
   std::unique_ptr<leveldb::DB> db_;
-  Opened opened_;
-  std::uint64_t commits_ = 0, marked_ = 0;
+  DatabaseOpenResult opened_;
+  std::uint64_t commits_ = 0, markedCommits_ = 0;
   std::uint64_t marksSinceSync_ = 0;
 };
 
--- a/src/durability/files.cpp
+++ b/src/durability/files.cpp
@@ -55,15 +55,15 @@
   return kNames[static_cast<int>(op)];
 }
 
-FileHook::Fate Files::ask(FileOp op, const std::string& path, std::string_view bytes, std::uint64_t at,
-                          const std::string& to) const {
-  return hook_ ? hook_->before(op, path, bytes, at, to) : FileHook::Fate{};
+FileHook::Result Files::consultHook(FileOp op, const std::string& path, std::string_view bytes,
+                                    std::uint64_t at, const std::string& to) const {
+  return hook_ ? hook_->before(op, path, bytes, at, to) : FileHook::Result{};
 }
 
 // A flush is one write(2), for LevelDB flushes at the end of each record of its log.
-class Files::Written final : public leveldb::WritableFile {
+class Files::HookedWritableFile final : public leveldb::WritableFile {
  public:
-  Written(Files& files, std::string path, Descriptor fd)
+  HookedWritableFile(Files& files, std::string path, Descriptor fd)
       : files_(files), path_(std::move(path)), fd_(std::move(fd)) {}
   Status Append(const Slice& data) override {
     buffer_.append(data.data(), data.size());
@@ -73,14 +73,15 @@
     if (buffer_.empty()) return Status::OK();
     const std::string bytes = std::move(buffer_);
     buffer_.clear();
-    const FileHook::Fate fate = files_.ask(FileOp::Append, path_, bytes);
+    const FileHook::Result fate = files_.consultHook(FileOp::Append, path_, bytes);
     if (fate.status.ok()) return writeAll(fd_.get(), path_, bytes);
-    const Status partly = writeAll(fd_.get(), path_, std::string_view(bytes).substr(0, fate.carried));
+    const Status partly = writeAll(fd_.get(), path_, std::string_view(bytes).substr(0, fate.bytesWritten));
     return partly.ok() ? fate.status : partly;
   }
   Status Sync() override {
     if (const Status s = Flush(); !s.ok()) return s;
-    if (const FileHook::Fate fate = files_.ask(FileOp::Sync, path_); !fate.status.ok()) return fate.status;
+    if (const FileHook::Result fate = files_.consultHook(FileOp::Sync, path_); !fate.status.ok())
+      return fate.status;
     if (!syncDataFully(fd_.get())) return failed(path_);
     // Guards against a file that is durable under no name.
     if (std::exchange(named_, true)) return Status::OK();
@@ -96,12 +97,12 @@
   bool named_ = false;
 };
 
-class Files::Streamed final : public leveldb::SequentialFile {
+class Files::TrackedSequentialFile final : public leveldb::SequentialFile {
  public:
-  Streamed(Files& files, std::string path, std::unique_ptr<SequentialFile> file)
+  TrackedSequentialFile(Files& files, std::string path, std::unique_ptr<SequentialFile> file)
       : files_(files), path_(std::move(path)), file_(std::move(file)) {}
   Status Read(std::size_t n, Slice* result, char* scratch) override {
-    files_.remember(path_, offset_, n);
+    files_.rememberRead(path_, offset_, n);
     const Status s = file_->Read(n, result, scratch);
     if (s.ok()) offset_ += result->size();
     return s;
@@ -118,12 +119,12 @@
   std::uint64_t offset_ = 0;
 };
 
-class Files::Random final : public leveldb::RandomAccessFile {
+class Files::TrackedRandomAccessFile final : public leveldb::RandomAccessFile {
  public:
-  Random(Files& files, std::string path, std::unique_ptr<RandomAccessFile> file)
+  TrackedRandomAccessFile(Files& files, std::string path, std::unique_ptr<RandomAccessFile> file)
       : files_(files), path_(std::move(path)), file_(std::move(file)) {}
   Status Read(std::uint64_t offset, std::size_t n, Slice* result, char* scratch) const override {
-    files_.remember(path_, offset, n);
+    files_.rememberRead(path_, offset, n);
     return file_->Read(offset, n, result, scratch);
   }
 
@@ -135,11 +136,12 @@
 
 Status Files::open(const std::string& path, int flags, leveldb::WritableFile** to) {
   *to = nullptr;
-  if (const FileHook::Fate fate = ask(FileOp::Open, path, {}, (flags & O_TRUNC) != 0); !fate.status.ok())
+  if (const FileHook::Result fate = consultHook(FileOp::Open, path, {}, (flags & O_TRUNC) != 0);
+      !fate.status.ok())
     return fate.status;
   Descriptor fd(::open(path.c_str(), flags | O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
   if (!fd) return failed(path);
-  *to = new Written(*this, path, std::move(fd));
+  *to = new HookedWritableFile(*this, path, std::move(fd));
   return Status::OK();
 }
 Status Files::NewWritableFile(const std::string& path, leveldb::WritableFile** to) {
@@ -149,10 +151,11 @@
   return open(path, O_APPEND, to);
 }
 Status Files::NewSequentialFile(const std::string& path, leveldb::SequentialFile** to) {
-  remember(path, 0, 0);
+  rememberRead(path, 0, 0);
   leveldb::SequentialFile* file = nullptr;
   const Status s = target()->NewSequentialFile(path, &file);
-  *to = s.ok() ? new Streamed(*this, path, std::unique_ptr<leveldb::SequentialFile>(file)) : nullptr;
+  *to = s.ok() ? new TrackedSequentialFile(*this, path, std::unique_ptr<leveldb::SequentialFile>(file))
+               : nullptr;
   return s;
 }
 // Without mmap, whose pages would count as this process's memory and whose faults are signals.
@@ -172,41 +175,41 @@
     const Descriptor fd_;
   };
   *to = nullptr;
-  remember(path, 0, 0);
+  rememberRead(path, 0, 0);
   Descriptor fd(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!fd) return errno == ENOENT ? Status::NotFound(path, std::strerror(errno)) : failed(path);
-  *to = new Random(*this, path, std::make_unique<Plain>(path, std::move(fd)));
+  *to = new TrackedRandomAccessFile(*this, path, std::make_unique<Plain>(path, std::move(fd)));
   return Status::OK();
 }
 Status Files::RemoveFile(const std::string& path) {
-  const FileHook::Fate fate = ask(FileOp::Remove, path);
+  const FileHook::Result fate = consultHook(FileOp::Remove, path);
   return fate.status.ok() ? target()->RemoveFile(path) : fate.status;
 }
 Status Files::CreateDir(const std::string& path) {
-  const FileHook::Fate fate = ask(FileOp::MakeDirectory, path);
+  const FileHook::Result fate = consultHook(FileOp::MakeDirectory, path);
   if (!fate.status.ok()) return fate.status;
   return ::mkdir(path.c_str(), 0700) == 0 ? Status::OK() : failed(path);
 }
 Status Files::RenameFile(const std::string& from, const std::string& to) {
-  const FileHook::Fate fate = ask(FileOp::Rename, from, {}, 0, to);
+  const FileHook::Result fate = consultHook(FileOp::Rename, from, {}, 0, to);
   if (!fate.status.ok()) return fate.status;
   const Status s = target()->RenameFile(from, to);
   return s.ok() ? syncDirectoryOf(to) : s;
 }
 
 Status Files::overwrite(const std::string& path, std::uint64_t at, std::string_view bytes, bool durable) {
-  const FileHook::Fate fate = ask(FileOp::Overwrite, path, bytes, at);
+  const FileHook::Result fate = consultHook(FileOp::Overwrite, path, bytes, at);
   const Descriptor fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
   if (!fd) return fate.status.ok() ? failed(path) : fate.status;
-  const std::string_view written = fate.status.ok() ? bytes : bytes.substr(0, fate.carried);
+  const std::string_view written = fate.status.ok() ? bytes : bytes.substr(0, fate.bytesWritten);
   if (!writeFullyAt(fd.get(), written, static_cast<off_t>(at))) return failed(path);
   if (!fate.status.ok()) return fate.status;
   if (!durable) return Status::OK();
-  if (const FileHook::Fate sync = ask(FileOp::Sync, path); !sync.status.ok()) return sync.status;
+  if (const FileHook::Result sync = consultHook(FileOp::Sync, path); !sync.status.ok()) return sync.status;
   return syncDataFully(fd.get()) ? Status::OK() : failed(path);
 }
 Status Files::truncate(const std::string& path, std::uint64_t size) {
-  const FileHook::Fate fate = ask(FileOp::Truncate, path, {}, size);
+  const FileHook::Result fate = consultHook(FileOp::Truncate, path, {}, size);
   if (!fate.status.ok()) return fate.status;
   const Descriptor fd(::open(path.c_str(), O_WRONLY | O_CLOEXEC));
   if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(size)) != 0 || !syncDataFully(fd.get()))
@@ -220,7 +223,7 @@
   return target()->GetChildren(dir, &names);
 }
 
-void Files::remember(const std::string& path, std::uint64_t offset, std::uint64_t length) {
+void Files::rememberRead(const std::string& path, std::uint64_t offset, std::uint64_t length) {
   const std::lock_guard<std::mutex> lock(mutex_);
   last_ = {path, offset, length};
 }
--- a/src/durability/files.hpp
+++ b/src/durability/files.hpp
@@ -20,14 +20,14 @@
 class FileHook {
  public:
   virtual ~FileHook() = default;
-  struct Fate {
-    leveldb::Status status;   // not ok: the operation fails with it
-    std::size_t carried = 0;  // ...after so many of its bytes
+  struct Result {
+    leveldb::Status status;        // not ok: the operation fails with it
+    std::size_t bytesWritten = 0;  // ...after so many of its bytes
   };
   // Before it is carried out. `bytes`: what is written; `to`: a rename's new name; `at`: where an overwrite
   // begins, a truncate ends.
-  virtual Fate before(FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
-                      const std::string& to) = 0;
+  virtual Result before(FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
+                        const std::string& to) = 0;
 };
 
 class Files final : public leveldb::EnvWrapper {
@@ -54,13 +54,13 @@
   LastRead lastRead() const;
 
  private:
-  class Written;
-  class Streamed;
-  class Random;
-  FileHook::Fate ask(FileOp, const std::string& path, std::string_view bytes = {}, std::uint64_t at = 0,
-                     const std::string& to = {}) const;
+  class HookedWritableFile;
+  class TrackedSequentialFile;
+  class TrackedRandomAccessFile;
+  FileHook::Result consultHook(FileOp, const std::string& path, std::string_view bytes = {},
+                               std::uint64_t at = 0, const std::string& to = {}) const;
   leveldb::Status open(const std::string& path, int flags, leveldb::WritableFile**);
-  void remember(const std::string& path, std::uint64_t offset, std::uint64_t length);
+  void rememberRead(const std::string& path, std::uint64_t offset, std::uint64_t length);
 
   FileHook* const hook_;
   mutable std::mutex mutex_;
--- a/src/durability/group_commit_writer.cpp
+++ b/src/durability/group_commit_writer.cpp
@@ -37,20 +37,20 @@
 struct GroupCommitWriter::Shared {
   struct Piece {
     Operation operation;
-    Done done;  // empty: a note
-    std::weak_ptr<Wanted> wanted;
+    Completion done;  // empty: a note
+    std::weak_ptr<Interest> wanted;
     Time since{};
   };
   struct CommitResult {
-    Done done;
-    std::weak_ptr<Wanted> wanted;
+    Completion done;
+    std::weak_ptr<Interest> wanted;
     bool durable;
     OperationResult said;
   };
   struct Change {
     State state;
     std::string why;
-    Recovered recovered;
+    StoreRecovery recovered;
   };
 
   explicit Shared(const IdempotencyStoreSettings& s, FileHook* hook)
@@ -71,13 +71,13 @@
   std::vector<CommitResult> results;
   std::vector<Change> changes;
   bool stop = false, over = false;
-  Figures figures;
+  Statistics figures;
   std::unique_ptr<IdempotencyStore> ledger;  // the thread's, once it runs
 
   // The loop's copies.
   State state = State::Down;
   std::string why;
-  Recovered recovered;
+  StoreRecovery recovered;
 
   void tell() const {
     const std::uint64_t one = 1;
@@ -85,9 +85,9 @@
   }
 };
 
-GroupCommitWriter::GroupCommitWriter(event_base* base, const IdempotencyStoreSettings& s, Changed changed,
-                                     FileHook* hook)
-    : changed_(std::move(changed)), shared_(std::make_shared<Shared>(s, hook)) {
+GroupCommitWriter::GroupCommitWriter(event_base* base, const IdempotencyStoreSettings& s,
+                                     StateCallback changed, FileHook* hook)
+    : onStateChange_(std::move(changed)), shared_(std::make_shared<Shared>(s, hook)) {
   try {
     shared_->ledger = std::make_unique<IdempotencyStore>(shared_->files, s);
     shared_->state = State::Up;
@@ -96,11 +96,12 @@
     if (e.kind != StoreError::Kind::Failed) throw;
     shared_->why = e.what();
   }
-  woken_.reset(event_new(
+  resultsReady_.reset(event_new(
       base, shared_->wake, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<GroupCommitWriter*>(self)->finished(); }, this));
-  event_add(woken_.get(), nullptr);
-  std::thread([shared = shared_] { serve(shared); }).detach();
+      [](evutil_socket_t, short, void* self) { static_cast<GroupCommitWriter*>(self)->deliverResults(); },
+      this));
+  event_add(resultsReady_.get(), nullptr);
+  std::thread([shared = shared_] { runWriterThread(shared); }).detach();
 }
 
 GroupCommitWriter::~GroupCommitWriter() {
@@ -111,8 +112,8 @@
   shared_->ended.wait_for(lock, kLastWait, [this] { return shared_->over; });
 }
 
-GroupCommitWriter::Ticket GroupCommitWriter::ask(Operation o, Done done) {
-  auto ticket = std::make_shared<Wanted>();
+GroupCommitWriter::Ticket GroupCommitWriter::submit(Operation o, Completion done) {
+  auto ticket = std::make_shared<Interest>();
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
     shared_->waiting.push_back({std::move(o), std::move(done), ticket, monotonic()});
@@ -121,7 +122,7 @@
   shared_->more.notify_one();
   return ticket;
 }
-void GroupCommitWriter::note(Operation o) {
+void GroupCommitWriter::submitUnacknowledged(Operation o) {
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
     if (shared_->waiting.size() >= kMostNotes) {
@@ -135,7 +136,7 @@
   shared_->more.notify_one();
 }
 
-void GroupCommitWriter::serve(const std::shared_ptr<Shared>& shared) {
+void GroupCommitWriter::runWriterThread(const std::shared_ptr<Shared>& shared) {
   Shared& s = *shared;
   // What failed commits were to record; it is applied before anything else once the disk is back.
   Backlog backlog;
@@ -150,7 +151,7 @@
   std::unique_lock<std::mutex> lock(s.mutex);
   const auto turn = [&](State to, const std::string& why) {
     state = to;
-    s.changes.push_back({to, why, s.ledger ? s.ledger->recovered() : Recovered{}});
+    s.changes.push_back({to, why, s.ledger ? s.ledger->recovered() : StoreRecovery{}});
     s.tell();
   };
   const auto lose = [&](std::vector<Shared::Piece>& pieces) {
@@ -249,7 +250,7 @@
       continue;
     }
     retry = kRetryLeast;
-    Figures& f = s.figures;
+    Statistics& f = s.figures;
     f.operations += n;
     f.commits += s.ledger->commits() - commits;
     f.largestGroup = std::max<std::uint64_t>(f.largestGroup, n);
@@ -281,7 +282,7 @@
   s.ended.notify_all();
 }
 
-void GroupCommitWriter::finished() {
+void GroupCommitWriter::deliverResults() {
   std::uint64_t count = 0;
   [[maybe_unused]] const ssize_t n = read(shared_->wake, &count, sizeof count);
   std::vector<Shared::CommitResult> results;
@@ -295,7 +296,7 @@
     shared_->state = c.state;
     shared_->why = c.why;
     if (c.state == State::Up) shared_->recovered = c.recovered;
-    if (changed_) changed_(c.state, c.why);
+    if (onStateChange_) onStateChange_(c.state, c.why);
   }
   // Each is looked at when its turn comes: one result may end what waits for the next.
   for (Shared::CommitResult& r : results)
@@ -303,17 +304,17 @@
 }
 
 GroupCommitWriter::State GroupCommitWriter::state() const { return shared_->state; }
-const std::string& GroupCommitWriter::why() const { return shared_->why; }
-const Recovered& GroupCommitWriter::recovered() const { return shared_->recovered; }
-Time GroupCommitWriter::oldest() const {
+const std::string& GroupCommitWriter::failureReason() const { return shared_->why; }
+const StoreRecovery& GroupCommitWriter::recovered() const { return shared_->recovered; }
+Time GroupCommitWriter::currentCommitAge() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
   return shared_->group.empty() ? Time(0) : monotonic() - shared_->began;
 }
-std::size_t GroupCommitWriter::waiting() const {
+std::size_t GroupCommitWriter::pendingOperations() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
   return shared_->waiting.size() + shared_->group.size();
 }
-GroupCommitWriter::Figures GroupCommitWriter::figures() const {
+GroupCommitWriter::Statistics GroupCommitWriter::statistics() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
   return shared_->figures;
 }
--- a/src/durability/group_commit_writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -23,41 +23,41 @@
  public:
   enum class State { Up, Down, Damaged };
   // Called in the loop when the state changes: why it is down, or nothing.
-  using Changed = std::function<void(State, const std::string& why)>;
-  using Done = std::function<void(bool durable, OperationResult)>;
+  using StateCallback = std::function<void(State, const std::string& why)>;
+  using Completion = std::function<void(bool durable, OperationResult)>;
   // Whoever holds this still wants the answer; once it is gone `Done` is not called. The operation stands.
-  struct Wanted {};
-  using Ticket = std::shared_ptr<Wanted>;
+  struct Interest {};
+  using Ticket = std::shared_ptr<Interest>;
 
   // Opens the ledger before it returns. Throws StoreError but for Failed, which leaves it Down and trying.
-  GroupCommitWriter(event_base*, const IdempotencyStoreSettings&, Changed, FileHook* = nullptr);
+  GroupCommitWriter(event_base*, const IdempotencyStoreSettings&, StateCallback, FileHook* = nullptr);
   ~GroupCommitWriter();  // carries out what waits, within a second
   GroupCommitWriter(const GroupCommitWriter&) = delete;
 
-  [[nodiscard]] Ticket ask(Operation, Done);
-  void note(Operation);  // nobody waits for it
+  [[nodiscard]] Ticket submit(Operation, Completion);
+  void submitUnacknowledged(Operation);  // nobody waits for it
 
   State state() const;
-  const std::string& why() const;
-  const Recovered& recovered() const;  // of the last opening
+  const std::string& failureReason() const;
+  const StoreRecovery& recovered() const;  // of the last opening
   // How long the commit under way has taken, and how many operations wait; for the loop's bounds.
-  Time oldest() const;
-  std::size_t waiting() const;
+  Time currentCommitAge() const;
+  std::size_t pendingOperations() const;
 
-  struct Figures {
+  struct Statistics {
     std::uint64_t operations = 0, commits = 0, lost = 0, largestGroup = 0, keys = 0, sessions = 0,
                   bytesOnDisk = 0;
     Time lastCommit{}, longestCommit{};
   };
-  Figures figures() const;
+  Statistics statistics() const;
 
  private:
   struct Shared;
-  static void serve(const std::shared_ptr<Shared>&);
-  void finished();
-  Changed changed_;
+  static void runWriterThread(const std::shared_ptr<Shared>&);
+  void deliverResults();
+  StateCallback onStateChange_;
   std::shared_ptr<Shared> shared_;
-  Event woken_;
+  Event resultsReady_;
 };
 
 }  // namespace sablespur::durability
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -17,439 +17,458 @@
 
 using balancer::Idempotency;
 using balancer::Requirement;
-using durability::End;
+using durability::AttemptEffect;
+using durability::Disposition;
 using durability::GroupCommitWriter;
 using durability::OperationResult;
 using durability::Outcome;
-using durability::Verdict;
 
-constexpr Time kLook = std::chrono::milliseconds(10);  // at what waits for the disk
+constexpr Time kTickInterval = std::chrono::milliseconds(10);  // at what waits for the disk
 constexpr Time kLeastWait = std::chrono::milliseconds(1);
 
-End endOf(const AttemptEnd& e) {
-  if (e.invalidStatement) return End::NeverRan;
+AttemptEffect attemptEffect(const AttemptEnd& e) {
+  if (e.invalidStatement) return AttemptEffect::NotExecuted;
   switch (e.result) {
     case AttemptResult::Ok:
-      return End::Ran;
+      return AttemptEffect::Executed;
     case AttemptResult::Rejected:
     case AttemptResult::ConnectFailed:
     case AttemptResult::NotSent:
     case AttemptResult::TooStale:
-      return End::NeverRan;
+      return AttemptEffect::NotExecuted;
     default:
-      return End::MayHaveRun;
+      return AttemptEffect::MayHaveExecuted;
   }
 }
 
-durability::IdempotencyStoreSettings ledgerSettings(const StoreConfig& c) {
+durability::IdempotencyStoreSettings storeSettings(const StoreConfig& c) {
   durability::IdempotencyStoreSettings s;
   s.directory = c.directory;
-  s.keep = c.keep;
-  s.keepSessions = c.keepSessions;
-  s.mostKeys = c.mostKeys;
-  s.mostSessions = c.mostSessions;
-  s.longestAnswer = c.longestAnswer;
+  s.keyRetention = c.keep;
+  s.sessionRetention = c.keepSessions;
+  s.maxKeys = c.mostKeys;
+  s.maxSessions = c.mostSessions;
+  s.maxResponseBytes = c.longestAnswer;
   return s;
 }
 
-class StoreKeeper final : public IdempotencyHandler, AttemptObserver {
+class DurableWriteHandler final : public IdempotencyHandler, AttemptObserver {
  public:
-  StoreKeeper(event_base* base, Engine& engine, RequestHandler& next, const Config& c,
-              const translation::AnswerReader& reader, durability::FileHook* hook)
+  DurableWriteHandler(event_base* base, Engine& engine, RequestHandler& next, const Config& c,
+                      const translation::AnswerReader& reader, durability::FileHook* hook)
       : engine_(engine),
         next_(next),
         config_(*c.store),
         classes_(c.settings.classes),
-        names_(c.classes),
-        tokensCarried_(c.settings.sessionTokensCarried),
-        retryAfter_(c.settings.retryAfterAllowed),
+        classNames_(c.classes),
+        sessionTokensCarried_(c.settings.sessionTokensCarried),
+        retryAfterAllowed_(c.settings.retryAfterAllowed),
         reader_(reader),
         random_(static_cast<std::mt19937::result_type>(c.seed)),
         writer_(
-            base, ledgerSettings(config_),
-            [this](GroupCommitWriter::State s, const std::string& why) { changed(s, why); }, hook),
-        started_(engine.now()),
-        deliver_(event_new(
+            base, storeSettings(config_),
+            [this](GroupCommitWriter::State s, const std::string& why) { storeStateChanged(s, why); }, hook),
+        startedAt_(engine.now()),
+        deliverRejections_(event_new(
             base, -1, 0,
-            [](evutil_socket_t, short, void* self) { static_cast<StoreKeeper*>(self)->deliver(); }, this)),
-        look_(event_new(
+            [](evutil_socket_t, short, void* self) {
+              static_cast<DurableWriteHandler*>(self)->deliverRejections();
+            },
+            this)),
+        tick_(event_new(
             base, -1, EV_PERSIST,
-            [](evutil_socket_t, short, void* self) { static_cast<StoreKeeper*>(self)->look(); }, this)) {
+            [](evutil_socket_t, short, void* self) { static_cast<DurableWriteHandler*>(self)->tick(); },
+            this)) {
     engine_.setAttemptObserver(this);
     if (writer_.state() == GroupCommitWriter::State::Up) {
-      opened();
+      logStoreOpened();
     } else {
-      changed(writer_.state(), writer_.why());
+      storeStateChanged(writer_.state(), writer_.failureReason());
     }
   }
-  ~StoreKeeper() override { engine_.setAttemptObserver(nullptr); }
+  ~DurableWriteHandler() override { engine_.setAttemptObserver(nullptr); }
 
   RequestId request(ResponseHandler& asker, balancer::Request q, Message m) override {
     const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.classIndex)];
     const bool keyed =
         c.requirement == Requirement::Write && c.idempotency == Idempotency::WithKey && !m.key.empty();
-    const bool sessionRead = c.requirement == Requirement::Session && q.session != 0 && !tokensCarried_;
-    const bool sessionWrite = c.requirement == Requirement::Write && q.session != 0 && !tokensCarried_;
+    const bool sessionRead =
+        c.requirement == Requirement::Session && q.session != 0 && !sessionTokensCarried_;
+    const bool sessionWrite = c.requirement == Requirement::Write && q.session != 0 && !sessionTokensCarried_;
     const RequestId id = ++lastId_;
-    Entered& e =
-        *entered_.emplace(id, std::make_unique<Entered>(*this, id, asker, q, std::move(m))).first->second;
+    PendingRequest& e =
+        *pending_.emplace(id, std::make_unique<PendingRequest>(*this, id, asker, q, std::move(m)))
+             .first->second;
     e.keyed = keyed;
     e.session = sessionRead || sessionWrite;
     e.write = c.requirement == Requirement::Write;
     e.arrived = engine_.now();
     if (keyed) {
-      takePlace(e);
-    } else if (sessionRead && engine_.now() - started_ < config_.keepSessions) {
-      askForSession(e);
+      enqueueForKey(e);
+    } else if (sessionRead && engine_.now() - startedAt_ < config_.keepSessions) {
+      readSessionPosition(e);
     } else {
-      go(e);
+      forward(e);
     }
     return id;
   }
 
   void clientDisconnected(RequestId id) override {
-    const auto it = entered_.find(id);
-    if (it == entered_.end()) return;
-    Entered& e = *it->second;
-    if (e.inEngine != 0) {
-      next_.clientDisconnected(e.inEngine);
-      byEngine_.erase(e.inEngine);
+    const auto it = pending_.find(id);
+    if (it == pending_.end()) return;
+    PendingRequest& e = *it->second;
+    if (e.forwardedId != 0) {
+      next_.clientDisconnected(e.forwardedId);
+      forwarded_.erase(e.forwardedId);
     }
     // The engine hears of it in its next turn, and may send once more before: once it has gone on, it may
     // have run.
-    if (e.keyed && e.intended)
-      writer_.note(durability::NoteLeft{e.message.key, e.message.id, e.inEngine != 0});
-    if (e.keyed && e.waits == Waits::Intent) takeBack(e);
-    drop(e);
+    if (e.keyed && e.intentDurable)
+      writer_.submitUnacknowledged(
+          durability::AbandonRequest{e.message.key, e.message.id, e.forwardedId != 0});
+    if (e.keyed && e.waitReason == WaitReason::Intent) revokeIntent(e);
+    removeRequest(e);
   }
 
   IdempotencyView view() const override {
     IdempotencyView v = counts_;
-    const GroupCommitWriter::Figures f = writer_.figures();
+    const GroupCommitWriter::Statistics f = writer_.statistics();
     v.directory = config_.directory;
     v.state = writer_.state() == GroupCommitWriter::State::Up     ? (slow_ ? "slow" : "up")
               : writer_.state() == GroupCommitWriter::State::Down ? "down"
                                                                   : "damaged";
-    v.why = writer_.why();
+    v.why = writer_.failureReason();
     v.epoch = writer_.recovered().epoch;
     v.keys = f.keys;
     v.sessions = f.sessions;
     v.operations = f.operations;
     v.commits = f.commits;
     v.largestGroup = f.largestGroup;
-    v.lost = f.lost;
-    v.bytes = f.bytesOnDisk;
+    v.lostOperations = f.lost;
+    v.bytesOnDisk = f.bytesOnDisk;
     v.lastCommit = f.lastCommit;
     v.longestCommit = f.longestCommit;
-    v.waiting = writer_.waiting();
+    v.waiting = writer_.pendingOperations();
     return v;
   }
 
  private:
-  enum class Waits { Nothing, Turn, Intent, Session, Outcome };
+  enum class WaitReason { None, SameKey, Intent, Session, Outcome };
   // A request between who asked and the engine.
-  struct Entered final : ResponseHandler {
-    Entered(StoreKeeper& k, RequestId i, ResponseHandler& a, const balancer::Request& r, Message&& m)
-        : keeper(k), id(i), asker(a), q(r), message(std::move(m)) {}
-    void served(Answer a) override { keeper.served(*this, std::move(a)); }
-    void rejected(Time retryAfter) override { keeper.refused(*this, retryAfter); }
-    void failed() override { keeper.failed(*this); }
+  struct PendingRequest final : ResponseHandler {
+    PendingRequest(DurableWriteHandler& k, RequestId i, ResponseHandler& a, const balancer::Request& r,
+                   Message&& m)
+        : keeper(k), id(i), responseHandler(a), request(r), message(std::move(m)) {}
+    void served(Answer a) override { keeper.requestServed(*this, std::move(a)); }
+    void rejected(Time retryAfter) override { keeper.requestRejected(*this, retryAfter); }
+    void failed() override { keeper.requestFailed(*this); }
     // Of its attempts, those included that are still out.
-    bool mayHaveRun() const { return ran || out > 0; }
+    bool mayHaveRun() const { return mayHaveExecuted || attemptsInFlight > 0; }
 
-    StoreKeeper& keeper;
+    DurableWriteHandler& keeper;
     const RequestId id;
-    ResponseHandler& asker;
-    balancer::Request q;
+    ResponseHandler& responseHandler;
+    balancer::Request request;
     Message message;  // its id and key, once it has gone on
-    RequestId inEngine = 0;
-    bool keyed = false, session = false, write = false, intended = false;
-    bool ran = false;  // an attempt that is over may have
-    int out = 0;
+    RequestId forwardedId = 0;
+    bool keyed = false, session = false, write = false, intentDurable = false;
+    bool mayHaveExecuted = false;  // an attempt that is over may have
+    int attemptsInFlight = 0;
     std::int64_t positionMs = 0;
-    Time arrived{}, since{};  // since: it waits
-    Waits waits = Waits::Nothing;
+    Time arrived{}, waitingSince{};  // since: it waits
+    WaitReason waitReason = WaitReason::None;
     GroupCommitWriter::Ticket ticket;
     Answer answer;  // while its outcome becomes durable
   };
 
-  bool takesWrites() const { return writer_.state() == GroupCommitWriter::State::Up && !slow_; }
-  Time comeBack() {
-    if (!retryAfter_) return Time(0);
+  bool acceptsWrites() const { return writer_.state() == GroupCommitWriter::State::Up && !slow_; }
+  Time randomRetryAfter() {
+    if (!retryAfterAllowed_) return Time(0);
     return Time(std::uniform_int_distribution<std::int64_t>(config_.comeBackLeast.count(),
                                                             config_.comeBackMost.count())(random_));
   }
-  void wait(Entered& e, Waits what) {
-    e.waits = what;
-    e.since = engine_.now();
-    if (!event_pending(look_.get(), EV_TIMEOUT, nullptr)) startTimer(look_.get(), kLook);
+  void startWaiting(PendingRequest& e, WaitReason what) {
+    e.waitReason = what;
+    e.waitingSince = engine_.now();
+    if (!event_pending(tick_.get(), EV_TIMEOUT, nullptr)) startTimer(tick_.get(), kTickInterval);
   }
 
   // Of a key one request is under way at a time; the others wait for how it ends. Guards the window: the
   // module counts it from the attempts of one request, and knows nothing of another's. (The model check found
   // it.)
-  void takePlace(Entered& e) {
-    std::deque<RequestId>& line = lines_[e.message.key];
+  void enqueueForKey(PendingRequest& e) {
+    std::deque<RequestId>& line = requestsByKey_[e.message.key];
     line.push_back(e.id);
-    if (line.size() == 1) return askForKey(e);
-    ++counts_.waitedForAnother;
-    wait(e, Waits::Turn);
+    if (line.size() == 1) return beginIntent(e);
+    ++counts_.waitedForSameKey;
+    startWaiting(e, WaitReason::SameKey);
   }
-  void drop(Entered& e) {
+  void removeRequest(PendingRequest& e) {
     const std::string key = e.keyed ? e.message.key : std::string();
     const RequestId id = e.id;
-    entered_.erase(id);
+    pending_.erase(id);
     if (key.empty()) return;
-    const auto line = lines_.find(key);
+    const auto line = requestsByKey_.find(key);
     std::deque<RequestId>& all = line->second;
     const bool first = all.front() == id;
     all.erase(std::find(all.begin(), all.end(), id));
     if (all.empty()) {
-      lines_.erase(line);
+      requestsByKey_.erase(line);
       return;
     }
     if (!first) return;
-    Entered& next = *entered_.at(all.front());
-    next.waits = Waits::Nothing;
-    askForKey(next);
+    PendingRequest& next = *pending_.at(all.front());
+    next.waitReason = WaitReason::None;
+    beginIntent(next);
   }
 
   // ---- before it goes on -------------------------------------------------------------------------------
-  void askForKey(Entered& e) {
-    if (!takesWrites()) {
-      ++counts_.turnedAway;
-      return later(e, comeBack());
+  void beginIntent(PendingRequest& e) {
+    if (!acceptsWrites()) {
+      ++counts_.rejected;
+      return rejectLater(e, randomRetryAfter());
     }
-    wait(e, Waits::Intent);
-    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(e.q.classIndex)];
+    startWaiting(e, WaitReason::Intent);
+    const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(e.request.classIndex)];
     durability::KeyedRequest a;
     a.id = e.message.id;
     a.key = e.message.key;
-    a.cls = names_[static_cast<std::size_t>(e.q.classIndex)];
-    a.group = e.q.group;
-    a.window = c.deduplicationWindow;
-    e.ticket = writer_.ask(durability::AskKey{std::move(a)},
-                           [this, &e](bool durable, OperationResult s) { judged(e, durable, std::move(s)); });
+    a.className = classNames_[static_cast<std::size_t>(e.request.classIndex)];
+    a.group = e.request.group;
+    a.deduplicationWindow = c.deduplicationWindow;
+    e.ticket = writer_.submit(
+        durability::BeginKeyedRequest{std::move(a)},
+        [this, &e](bool durable, OperationResult s) { intentDecided(e, durable, std::move(s)); });
   }
-  void judged(Entered& e, bool durable, OperationResult s) {
+  void intentDecided(PendingRequest& e, bool durable, OperationResult s) {
     e.ticket.reset();
-    e.waits = Waits::Nothing;
-    if (!durable || s.full) {
-      ++counts_.turnedAway;
-      Time wait = comeBack();
-      if (s.full && retryAfter_) wait = std::max(wait, s.wait);
-      return refuse(e, wait);
+    e.waitReason = WaitReason::None;
+    if (!durable || s.storeFull) {
+      ++counts_.rejected;
+      Time wait = randomRetryAfter();
+      if (s.storeFull && retryAfterAllowed_) wait = std::max(wait, s.retryAfter);
+      return reject(e, wait);
     }
-    e.intended = true;
-    switch (s.verdict) {
-      case Verdict::Run:
-        ++counts_.ran;
-        return go(e);
-      case Verdict::Again:
-        ++counts_.again;
+    e.intentDurable = true;
+    switch (s.disposition) {
+      case Disposition::Execute:
+        ++counts_.executed;
+        return forward(e);
+      case Disposition::Retry:
+        ++counts_.retried;
         // Since when it may be out: from then the data servers' memory of it counts. The ledger looked after
         // this was asked, so counted from there it is no later than it was; counted from now, a slow commit
         // would add to it.
-        e.q.mayHaveRunSince = std::max(e.since - s.since, Time(1));
-        return go(e);
-      case Verdict::Recorded: {
-        ++counts_.recorded;
+        e.request.mayHaveRunSince = std::max(e.waitingSince - s.sinceFirstSend, Time(1));
+        return forward(e);
+      case Disposition::Replay: {
+        ++counts_.replayed;
         Answer a;
         a.messages = newBuffer();
-        append(a.messages.get(), s.answer);
+        append(a.messages.get(), s.response);
         a.reader = &reader_;
-        writer_.note(durability::NoteTold{e.message.key, e.message.id});
-        ResponseHandler& asker = e.asker;
-        drop(e);
+        writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
+        ResponseHandler& asker = e.responseHandler;
+        removeRequest(e);
         return asker.served(std::move(a));
       }
-      case Verdict::Unknown:
-        ++counts_.unknown;
-        writer_.note(durability::NoteTold{e.message.key, e.message.id});
+      case Disposition::OutcomeUnknown:
+        ++counts_.outcomeUnknown;
+        writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
         return fail(e);
     }
   }
-  void askForSession(Entered& e) {
-    if (!takesWrites()) {
-      unproved(e);
-      return go(e);
+  void readSessionPosition(PendingRequest& e) {
+    if (!acceptsWrites()) {
+      requireCurrentPosition(e);
+      return forward(e);
     }
-    wait(e, Waits::Session);
-    e.ticket =
-        writer_.ask(durability::AskSession{e.q.session}, [this, &e](bool durable, const OperationResult& s) {
-          e.ticket.reset();
-          e.waits = Waits::Nothing;
-          if (!durable) {
-            unproved(e);
-          } else if (s.positionMs > 0) {
-            sawUpTo(e, std::chrono::milliseconds(s.positionMs));
-          }
-          go(e);
-        });
+    startWaiting(e, WaitReason::Session);
+    e.ticket = writer_.submit(durability::ReadSessionPosition{e.request.session},
+                              [this, &e](bool durable, const OperationResult& s) {
+                                e.ticket.reset();
+                                e.waitReason = WaitReason::None;
+                                if (!durable) {
+                                  requireCurrentPosition(e);
+                                } else if (s.positionMs > 0) {
+                                  requirePosition(e, std::chrono::milliseconds(s.positionMs));
+                                }
+                                forward(e);
+                              });
   }
-  void sawUpTo(Entered& e, Time position) {
+  void requirePosition(PendingRequest& e, Time position) {
     e.message.clockOffset = engine_.clockOffset();
-    e.q.sessionTokenAgeMs = std::max(
+    e.request.sessionTokenAgeMs = std::max(
         0.001f, static_cast<float>(static_cast<double>((engine_.unixNow() - position).count()) / 1e3));
   }
   // What the session has seen is not known: nothing older than now will do.
-  void unproved(Entered& e) { sawUpTo(e, engine_.unixNow()); }
+  void requireCurrentPosition(PendingRequest& e) { requirePosition(e, engine_.unixNow()); }
 
-  void go(Entered& e) {
+  void forward(PendingRequest& e) {
     Message m{std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {},
               e.message.clockOffset};
-    e.inEngine = next_.request(e, e.q, std::move(m));
-    byEngine_.emplace(e.inEngine, &e);
+    e.forwardedId = next_.request(e, e.request, std::move(m));
+    forwarded_.emplace(e.forwardedId, &e);
   }
 
   // ---- attempts ----------------------------------------------------------------------------------------
   void attemptSent(RequestId id, int attempt, const std::string& member) override {
-    const auto it = byEngine_.find(id);
-    if (it == byEngine_.end()) return;
-    Entered& e = *it->second;
-    ++e.out;
-    if (e.keyed) writer_.note(durability::NoteSent{e.message.key, e.message.id, member, attempt});
+    const auto it = forwarded_.find(id);
+    if (it == forwarded_.end()) return;
+    PendingRequest& e = *it->second;
+    ++e.attemptsInFlight;
+    if (e.keyed)
+      writer_.submitUnacknowledged(
+          durability::RecordAttemptSent{e.message.key, e.message.id, member, attempt});
   }
   void attemptEnded(RequestId id, int attempt, const AttemptEnd& ending) override {
-    const auto it = byEngine_.find(id);
-    if (it == byEngine_.end()) return;
-    Entered& e = *it->second;
-    const End end = endOf(ending);
-    e.out -= e.out > 0;
-    e.ran = e.ran || end != End::NeverRan;
+    const auto it = forwarded_.find(id);
+    if (it == forwarded_.end()) return;
+    PendingRequest& e = *it->second;
+    const AttemptEffect effect = attemptEffect(ending);
+    e.attemptsInFlight -= e.attemptsInFlight > 0;
+    e.mayHaveExecuted = e.mayHaveExecuted || effect != AttemptEffect::NotExecuted;
     if (ending.result == AttemptResult::Ok) e.positionMs = ending.positionMs;
-    if (e.keyed) writer_.note(durability::NoteEnded{e.message.key, e.message.id, attempt, end});
+    if (e.keyed)
+      writer_.submitUnacknowledged(
+          durability::RecordAttemptEnd{e.message.key, e.message.id, attempt, effect});
   }
 
   // ---- how it ended ------------------------------------------------------------------------------------
-  void served(Entered& e, Answer a) {
-    byEngine_.erase(e.inEngine);
+  void requestServed(PendingRequest& e, Answer a) {
+    forwarded_.erase(e.forwardedId);
     if (!e.keyed && e.session && !e.write && e.positionMs > 0)
-      writer_.note(durability::NoteSeen{e.q.session, e.positionMs});
+      writer_.submitUnacknowledged(durability::RecordSessionPosition{e.request.session, e.positionMs});
     const bool problem = a.problem;
     if (problem || (!e.keyed && !(e.session && e.write && e.positionMs > 0))) {
-      if (e.keyed) finish(e, problem && !e.ran ? Outcome::Refused : Outcome::Failed);
-      ResponseHandler& asker = e.asker;
-      drop(e);
+      if (e.keyed) recordFailure(e, problem && !e.mayHaveExecuted ? Outcome::Rejected : Outcome::Failed);
+      ResponseHandler& asker = e.responseHandler;
+      removeRequest(e);
       return asker.served(std::move(a));
     }
     e.answer = std::move(a);
-    wait(e, Waits::Outcome);
-    const auto done = [this, &e](bool durable, const OperationResult&) { recorded(e, durable); };
+    startWaiting(e, WaitReason::Outcome);
+    const auto done = [this, &e](bool durable, const OperationResult&) { outcomeRecorded(e, durable); };
     if (!e.keyed) {
-      e.ticket = writer_.ask(durability::NoteSeen{e.q.session, e.positionMs}, done);
+      e.ticket = writer_.submit(durability::RecordSessionPosition{e.request.session, e.positionMs}, done);
       return;
     }
     evbuffer* const from = e.answer.messages.get();
     const std::size_t length = evbuffer_get_length(from);
-    durability::Finish f{
-        e.message.key, e.message.id, Outcome::Served, {}, e.positionMs, e.session ? e.q.session : 0, true};
+    durability::CompleteRequest f{
+        e.message.key, e.message.id, Outcome::Served, {}, e.positionMs, e.session ? e.request.session : 0,
+        true};
     if (length <= config_.longestAnswer) {
-      f.answer.resize(length);
-      evbuffer_copyout(from, f.answer.data(), length);
+      f.response.resize(length);
+      evbuffer_copyout(from, f.response.data(), length);
     } else {
-      f.answer.assign(config_.longestAnswer + 1, '\0');  // too long to keep, whatever it is
+      f.response.assign(config_.longestAnswer + 1, '\0');  // too long to keep, whatever it is
     }
-    e.ticket = writer_.ask(std::move(f), done);
+    e.ticket = writer_.submit(std::move(f), done);
   }
-  void recorded(Entered& e, bool durable) {
+  void outcomeRecorded(PendingRequest& e, bool durable) {
     e.ticket.reset();
-    e.waits = Waits::Nothing;
+    e.waitReason = WaitReason::None;
     // Its answer is known here and would be lost by a crash: it is not given.
     if (!durable) {
       ++counts_.notDurable;
       return fail(e);
     }
-    if (e.keyed) writer_.note(durability::NoteTold{e.message.key, e.message.id});
-    ResponseHandler& asker = e.asker;
+    if (e.keyed)
+      writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
+    ResponseHandler& asker = e.responseHandler;
     Answer a = std::move(e.answer);
-    drop(e);
+    removeRequest(e);
     asker.served(std::move(a));
   }
-  void refused(Entered& e, Time retryAfter) {
-    byEngine_.erase(e.inEngine);
-    if (e.keyed) finish(e, Outcome::Refused);
-    refuse(e, retryAfter);
+  void requestRejected(PendingRequest& e, Time retryAfter) {
+    forwarded_.erase(e.forwardedId);
+    if (e.keyed) recordFailure(e, Outcome::Rejected);
+    reject(e, retryAfter);
   }
-  void failed(Entered& e) {
-    byEngine_.erase(e.inEngine);
-    if (e.keyed) finish(e, Outcome::Failed);
+  void requestFailed(PendingRequest& e) {
+    forwarded_.erase(e.forwardedId);
+    if (e.keyed) recordFailure(e, Outcome::Failed);
     fail(e);
   }
-  void finish(const Entered& e, Outcome o) {
-    writer_.note(durability::Finish{e.message.key, e.message.id, o, {}, 0, 0, e.mayHaveRun()});
-    writer_.note(durability::NoteTold{e.message.key, e.message.id});
+  void recordFailure(const PendingRequest& e, Outcome o) {
+    writer_.submitUnacknowledged(
+        durability::CompleteRequest{e.message.key, e.message.id, o, {}, 0, 0, e.mayHaveRun()});
+    writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
   }
-  void refuse(Entered& e, Time wait) {
-    ResponseHandler& asker = e.asker;
-    drop(e);
+  void reject(PendingRequest& e, Time wait) {
+    ResponseHandler& asker = e.responseHandler;
+    removeRequest(e);
     asker.rejected(wait);
   }
-  void fail(Entered& e) {
-    ResponseHandler& asker = e.asker;
-    drop(e);
+  void fail(PendingRequest& e) {
+    ResponseHandler& asker = e.responseHandler;
+    removeRequest(e);
     asker.failed();
   }
   // Its intent may become durable yet; nothing of it is ever sent.
-  void takeBack(const Entered& e) { writer_.note(durability::NoteLeft{e.message.key, e.message.id, false}); }
+  void revokeIntent(const PendingRequest& e) {
+    writer_.submitUnacknowledged(durability::AbandonRequest{e.message.key, e.message.id, false});
+  }
 
   // A requester is never answered within its own call.
-  void later(Entered& e, Time wait) {
-    refusals_.emplace_back(e.id, wait);
-    event_active(deliver_.get(), EV_TIMEOUT, 0);
+  void rejectLater(PendingRequest& e, Time wait) {
+    rejections_.emplace_back(e.id, wait);
+    event_active(deliverRejections_.get(), EV_TIMEOUT, 0);
   }
-  void deliver() {
+  void deliverRejections() {
     std::vector<std::pair<RequestId, Time>> all;
-    all.swap(refusals_);
+    all.swap(rejections_);
     for (const auto& [id, wait] : all)
-      if (const auto it = entered_.find(id); it != entered_.end()) refuse(*it->second, wait);
+      if (const auto it = pending_.find(id); it != pending_.end()) reject(*it->second, wait);
   }
 
   // ---- a disk that is slow -----------------------------------------------------------------------------
   // Who has waited longer than the patience is answered, whatever becomes of the commit.
-  void look() {
+  void tick() {
     const Time now = engine_.now();
-    const bool slow = writer_.oldest() > config_.patience;
+    const bool slow = writer_.currentCommitAge() > config_.patience;
     if (slow != slow_) {
       slow_ = slow;
       if (slow)
-        logEvent(LogLevel::Warning, "store_slow", {{"waited_ms", writer_.oldest().count() / 1000}});
+        logEvent(LogLevel::Warning, "store_slow", {{"waited_ms", writer_.currentCommitAge().count() / 1000}});
       else
         logEvent(LogLevel::Info, "store_recovered");
     }
     std::vector<RequestId> over;
     bool any = slow_;
-    for (const auto& [id, e] : entered_) {
-      if (e->waits == Waits::Nothing) continue;
+    for (const auto& [id, e] : pending_) {
+      if (e->waitReason == WaitReason::None) continue;
       any = true;
-      if ((e->waits != Waits::Turn && now - e->since > config_.patience) || now >= e->q.deadline)
+      if ((e->waitReason != WaitReason::SameKey && now - e->waitingSince > config_.patience) ||
+          now >= e->request.deadline)
         over.push_back(id);
     }
     for (const RequestId id : over) {
-      const auto it = entered_.find(id);
-      if (it == entered_.end()) continue;
-      Entered& e = *it->second;
-      const Waits waited = e.waits;
+      const auto it = pending_.find(id);
+      if (it == pending_.end()) continue;
+      PendingRequest& e = *it->second;
+      const WaitReason waited = e.waitReason;
       e.ticket.reset();
-      e.waits = Waits::Nothing;
-      if (waited == Waits::Intent) {
-        ++counts_.turnedAway;
-        takeBack(e);
-        refuse(e, comeBack());
-      } else if (waited == Waits::Session) {
-        unproved(e);
-        go(e);
+      e.waitReason = WaitReason::None;
+      if (waited == WaitReason::Intent) {
+        ++counts_.rejected;
+        revokeIntent(e);
+        reject(e, randomRetryAfter());
+      } else if (waited == WaitReason::Session) {
+        requireCurrentPosition(e);
+        forward(e);
       } else {
-        counts_.notDurable += waited == Waits::Outcome;
+        counts_.notDurable += waited == WaitReason::Outcome;
         fail(e);
       }
     }
-    if (!any) event_del(look_.get());
+    if (!any) event_del(tick_.get());
   }
-  void changed(GroupCommitWriter::State s, const std::string& why) {
+  void storeStateChanged(GroupCommitWriter::State s, const std::string& why) {
     switch (s) {
       case GroupCommitWriter::State::Up:
-        opened();
+        logStoreOpened();
         return;
       case GroupCommitWriter::State::Down:
         logEvent(LogLevel::Error, "store_down", {{"why", why}});
@@ -458,44 +477,45 @@
         logEvent(LogLevel::Error, "store_damaged", {{"why", why}});
     }
   }
-  void opened() const {
-    const durability::Recovered& r = writer_.recovered();
+  void logStoreOpened() const {
+    const durability::StoreRecovery& r = writer_.recovered();
     logEvent(LogLevel::Info, "store_opened",
              {{"directory", config_.directory},
               {"epoch", r.epoch},
               {"keys", r.keys},
               {"sessions", r.sessions},
-              {"unresolved", r.unresolved},
-              {"gap", r.gap}});
+              {"unresolved", r.pendingKeys},
+              {"gap", r.afterGap}});
     if (r.database.tornBytes > 0)
-      logEvent(
-          LogLevel::Warning, "store_tail_truncated",
-          {{"file", r.database.tornFile}, {"offset", r.database.tornAt}, {"bytes", r.database.tornBytes}});
+      logEvent(LogLevel::Warning, "store_tail_truncated",
+               {{"file", r.database.tornFile},
+                {"offset", r.database.tornOffset},
+                {"bytes", r.database.tornBytes}});
   }
 
   Engine& engine_;
   RequestHandler& next_;
   const StoreConfig config_;
   const std::vector<balancer::ClassSettings> classes_;
-  const std::vector<std::string> names_;
-  const bool tokensCarried_, retryAfter_;
+  const std::vector<std::string> classNames_;
+  const bool sessionTokensCarried_, retryAfterAllowed_;
   const translation::AnswerReader& reader_;
   std::mt19937 random_;
-  std::unordered_map<RequestId, std::unique_ptr<Entered>> entered_;
-  std::unordered_map<RequestId, Entered*> byEngine_;
+  std::unordered_map<RequestId, std::unique_ptr<PendingRequest>> pending_;
+  std::unordered_map<RequestId, PendingRequest*> forwarded_;
   std::unordered_map<std::string, std::deque<RequestId>>
-      lines_;                                         // by key: under way, and those that wait for it
-  std::vector<std::pair<RequestId, Time>> refusals_;  // to be told
+      requestsByKey_;                                   // by key: under way, and those that wait for it
+  std::vector<std::pair<RequestId, Time>> rejections_;  // to be told
   IdempotencyView counts_;
   bool slow_ = false;
   RequestId lastId_ = 0;
   GroupCommitWriter writer_;
-  const Time started_;
-  Event deliver_, look_;
+  const Time startedAt_;
+  Event deliverRejections_, tick_;
 };
 
 // So that what is there can be looked at: nothing is thrown away.
-void setAside(const std::string& directory, const std::string& why) {
+void setAsideDamagedStore(const std::string& directory, const std::string& why) {
   const std::string to = directory + ".damaged-" + std::to_string(std::time(nullptr));
   std::error_code failed;
   std::filesystem::rename(directory, to, failed);
@@ -514,11 +534,11 @@
   if (!c.store) return nullptr;
   try {
     try {
-      return std::make_unique<StoreKeeper>(base, engine, next, c, reader, hook);
+      return std::make_unique<DurableWriteHandler>(base, engine, next, c, reader, hook);
     } catch (const durability::StoreError& e) {
       if (e.kind != durability::StoreError::Kind::Damaged || !c.store->setAside) throw;
-      setAside(c.store->directory, e.what());
-      return std::make_unique<StoreKeeper>(base, engine, next, c, reader, hook);
+      setAsideDamagedStore(c.store->directory, e.what());
+      return std::make_unique<DurableWriteHandler>(base, engine, next, c, reader, hook);
     }
   } catch (const durability::StoreError& e) {
     throw std::runtime_error("key [store] directory: " + std::string(e.what()));
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -33,11 +33,11 @@
 struct IdempotencyView {
   std::string directory, state;  // up, slow, down, damaged
   std::string why;
-  std::uint64_t epoch = 0, keys = 0, sessions = 0, operations = 0, commits = 0, largestGroup = 0, lost = 0,
-                bytes = 0;
+  std::uint64_t epoch = 0, keys = 0, sessions = 0, operations = 0, commits = 0, largestGroup = 0,
+                lostOperations = 0, bytesOnDisk = 0;
   Time lastCommit{}, longestCommit{};
-  std::uint64_t ran = 0, again = 0, recorded = 0, unknown = 0, turnedAway = 0, notDurable = 0,
-                waitedForAnother = 0;  // of the same key
+  std::uint64_t executed = 0, retried = 0, replayed = 0, outcomeUnknown = 0, rejected = 0, notDurable = 0,
+                waitedForSameKey = 0;  // of the same key
   std::size_t waiting = 0;
 };
 
--- a/src/durability/idempotency_store.hpp
+++ b/src/durability/idempotency_store.hpp
@@ -29,63 +29,66 @@
 
 struct IdempotencyStoreSettings {
   std::string directory;
-  Time keep = std::chrono::minutes(10);          // a key, after the last word on it
-  Time keepSessions = std::chrono::minutes(10);  // after it was last seen
-  std::size_t mostKeys = 1000000;
-  std::size_t mostSessions = 1000000;
-  std::size_t longestAnswer = 16 << 10;  // a longer one is not kept
+  Time keyRetention = std::chrono::minutes(10);      // a key, after the last word on it
+  Time sessionRetention = std::chrono::minutes(10);  // after it was last seen
+  std::size_t maxKeys = 1000000;
+  std::size_t maxSessions = 1000000;
+  std::size_t maxResponseBytes = 16 << 10;  // a longer one is not kept
 };
 
-struct AskKey {  // its intent is durable before anything of it is sent
-  KeyedRequest asked;
+struct BeginKeyedRequest {  // its intent is durable before anything of it is sent
+  KeyedRequest request;
 };
-struct NoteSent {
-  std::string key, id, member;
+struct RecordAttemptSent {
+  std::string key, id, endpoint;
   int attempt = 0;
 };
-struct NoteEnded {
+struct RecordAttemptEnd {
   std::string key, id;
   int attempt = 0;
-  End end = End::Out;
+  AttemptEffect effect = AttemptEffect::InFlight;
 };
-struct Finish {  // durable before the final answer goes out
+struct CompleteRequest {  // durable before the final answer goes out
   std::string key, id;
-  Outcome outcome = Outcome::None;
-  std::string answer;
+  Outcome outcome = Outcome::Pending;
+  std::string response;
   std::int64_t positionMs = 0;
-  std::uint64_t session = 0;  // 0: none
-  bool mayHaveRun = false;    // some attempt of this request: notes of them may have been lost
+  std::uint64_t session = 0;     // 0: none
+  bool mayHaveExecuted = false;  // some attempt of this request: notes of them may have been lost
 };
-struct NoteTold {
+struct RecordResponseDelivered {
   std::string key, id;
 };
-struct NoteLeft {  // its client has gone: nothing is owed any more, and nothing more is sent
+struct AbandonRequest {  // its client has gone: nothing is owed any more, and nothing more is sent
   std::string key, id;
-  bool mayHaveRun = false;
+  bool mayHaveExecuted = false;
 };
-struct NoteSeen {  // a session has seen this position
+struct RecordSessionPosition {  // a session has seen this position
   std::uint64_t session = 0;
   std::int64_t positionMs = 0;
 };
-struct AskSession {
+struct ReadSessionPosition {
   std::uint64_t session = 0;
 };
-using Operation = std::variant<AskKey, NoteSent, NoteEnded, Finish, NoteTold, NoteLeft, NoteSeen, AskSession>;
+using Operation =
+    std::variant<BeginKeyedRequest, RecordAttemptSent, RecordAttemptEnd, CompleteRequest,
+                 RecordResponseDelivered, AbandonRequest, RecordSessionPosition, ReadSessionPosition>;
 
 // What an operation brings; for those that only note, nothing.
 struct OperationResult {
-  Verdict verdict = Verdict::Unknown;  // AskKey
-  bool full = false;                   // AskKey: no room for another key
-  Time wait{};                         // full: until some expire
-  Time since{};                        // Again
-  std::string answer;                  // Recorded
-  std::int64_t positionMs = 0;         // AskSession: what it has to see at least; Recorded: of the write
+  Disposition disposition = Disposition::OutcomeUnknown;  // AskKey
+  bool storeFull = false;                                 // AskKey: no room for another key
+  Time retryAfter{};                                      // full: until some expire
+  Time sinceFirstSend{};                                  // Again
+  std::string response;                                   // Recorded
+  std::int64_t positionMs = 0;  // AskSession: what it has to see at least; Recorded: of the write
 };
 
-struct Recovered {
-  std::uint64_t epoch = 0, keys = 0, sessions = 0, unresolved = 0;  // without an outcome when the proxy ended
-  bool gap = false;
-  Opened database;
+struct StoreRecovery {
+  std::uint64_t epoch = 0, keys = 0, sessions = 0,
+                pendingKeys = 0;  // without an outcome when the proxy ended
+  bool afterGap = false;
+  DatabaseOpenResult database;
 };
 
 class IdempotencyStore {
@@ -95,59 +98,59 @@
   IdempotencyStore(Files&, const IdempotencyStoreSettings&, MachineClock = machineTime);
   ~IdempotencyStore();
 
-  const Recovered& recovered() const { return recovered_; }
+  const StoreRecovery& recovered() const { return recovered_; }
   // All of it in one commit; what is only asked costs none. Throws StoreError: none of it counts as durable
   // then, and this object is of no more use.
   std::vector<OperationResult> apply(const std::vector<Operation>&);
-  const Totals& totals() const { return totals_; }
-  std::uint64_t commits() const { return db_.commits(); }
-  std::uint64_t bytesOnDisk() const { return db_.bytesOnDisk(); }
-  Time now() { return clock_.at(machine_()); }
+  const StoreTotals& totals() const { return totals_; }
+  std::uint64_t commits() const { return database_.commits(); }
+  std::uint64_t bytesOnDisk() const { return database_.bytesOnDisk(); }
+  Time now() { return clock_.at(machineClock_()); }
 
  private:
-  struct Cached {
+  struct CachedKey {
     std::optional<KeyRecord> record;
-    std::optional<Time> indexed;  // the expiry under which it stands on disk
-    bool changed = false, wasOpen = false;
+    std::optional<Time> indexedExpiry;  // the expiry under which it stands on disk
+    bool changed = false, wasPending = false;
   };
   struct CachedSession {
     std::optional<SessionRecord> record;
-    std::optional<Time> indexed;
+    std::optional<Time> indexedExpiry;
     bool changed = false;
   };
-  struct Group;  // one call of apply
-  Cached& key(Group&, const std::string&);
-  CachedSession& session(Group&, std::uint64_t);
-  void see(Group&, std::uint64_t session, std::int64_t positionMs);
-  OperationResult carryOut(Group&, const AskKey&);
-  OperationResult carryOut(Group&, const NoteSent&);
-  OperationResult carryOut(Group&, const NoteEnded&);
-  OperationResult carryOut(Group&, const Finish&);
-  OperationResult carryOut(Group&, const NoteTold&);
-  OperationResult carryOut(Group&, const NoteLeft&);
-  OperationResult carryOut(Group&, const NoteSeen&);
-  OperationResult carryOut(Group&, const AskSession&);
-  void expire(Group&, std::size_t most);
-  Time firstExpiry();
-  std::optional<ClockRecord> lastClock();
+  struct Transaction;  // one call of apply
+  CachedKey& loadKey(Transaction&, const std::string&);
+  CachedSession& loadSession(Transaction&, std::uint64_t);
+  void recordPosition(Transaction&, std::uint64_t session, std::int64_t positionMs);
+  OperationResult applyOperation(Transaction&, const BeginKeyedRequest&);
+  OperationResult applyOperation(Transaction&, const RecordAttemptSent&);
+  OperationResult applyOperation(Transaction&, const RecordAttemptEnd&);
+  OperationResult applyOperation(Transaction&, const CompleteRequest&);
+  OperationResult applyOperation(Transaction&, const RecordResponseDelivered&);
+  OperationResult applyOperation(Transaction&, const AbandonRequest&);
+  OperationResult applyOperation(Transaction&, const RecordSessionPosition&);
+  OperationResult applyOperation(Transaction&, const ReadSessionPosition&);
+  void removeExpired(Transaction&, std::size_t most);
+  Time earliestKeyExpiry();
+  std::optional<ClockRecord> readClockRecord();
 
   const IdempotencyStoreSettings settings_;
-  const MachineClock machine_;
-  Database db_;
+  const MachineClock machineClock_;
+  Database database_;
   StoreClock clock_;
-  Totals totals_;
-  Recovered recovered_;
+  StoreTotals totals_;
+  StoreRecovery recovered_;
 };
 
 // For `sablespur store`: whole walks over what is there.
-struct Census {
-  std::uint64_t keys = 0, sessions = 0, epochs = 0, unresolved = 0, answers = 0, answerBytes = 0, owed = 0,
-                pairs = 0;
+struct StoreStatistics {
+  std::uint64_t keys = 0, sessions = 0, epochs = 0, pendingKeys = 0, responses = 0, responseBytes = 0,
+                pendingIds = 0, pairs = 0;
   std::uint64_t commits = 0, bytesOnDisk = 0;
-  Opened opened;
+  DatabaseOpenResult openResult;
 };
 // Reads every record and every index entry, and throws StoreError (Damaged) where they do not fit together.
-Census check(Files&, const std::string& directory);
+StoreStatistics check(Files&, const std::string& directory);
 // Each record as a JSON object, in the order of keys.
 void dump(Files&, const std::string& directory, const std::function<void(const nlohmann::json&)>& each);
 void compact(Files&, const std::string& directory);
--- a/src/durability/inspect.cpp
+++ b/src/durability/inspect.cpp
@@ -61,7 +61,7 @@
 
 // version_edit.cc: tags and their values, all as varints or strings with their length before them. False: it
 // is none.
-bool readEdit(std::string_view r, Inspected& to) {
+bool readEdit(std::string_view r, LogInspection& to) {
   const auto varint = [&](std::uint64_t& v) {
     v = 0;
     for (int shift = 0; shift < 64 && !r.empty(); shift += 7) {
@@ -148,8 +148,8 @@
   return (c >> 15 | c << 17) + 0xa282ead8u;
 }
 
-Inspected inspectLog(std::string_view bytes, LogKind kind, std::uint64_t sequence) {
-  Inspected i;
+LogInspection inspectLog(std::string_view bytes, LogKind kind, std::uint64_t sequence) {
+  LogInspection i;
   i.nextSequence = sequence;
   std::size_t at = 0;
   const auto fits = [&](const Batch& b) { return i.nextSequence == 0 || b.sequence == i.nextSequence; };
@@ -159,31 +159,31 @@
         bytes.substr(at).find_first_not_of('\0') == std::string_view::npos)
       break;  // a block's filling is all that is left
     const Whole w = recordAt(bytes, at);
-    i.why = w.why ? w.why : "";
+    i.defect = w.why ? w.why : "";
     if (!w.why && kind == LogKind::Batches) {
       const auto b = batchOf(w.record);
       if (!b)
-        i.why = "a record that is no batch";
+        i.defect = "a record that is no batch";
       else if (!fits(*b))
-        i.why = "a batch out of sequence";
+        i.defect = "a batch out of sequence";
       else if (b->commit == 0)
-        i.why = "a batch without its number";
-      if (*i.why == '\0') {
+        i.defect = "a batch without its number";
+      if (*i.defect == '\0') {
         if (i.firstSequence == 0) i.firstSequence = b->sequence;
         i.nextSequence = b->sequence + b->count;
         i.commit = b->commit;
       }
     }
     if (!w.why && kind == LogKind::Manifest && !readEdit(w.record, i))
-      i.why = "a record that is no edit of a version";
-    if (*i.why != '\0') break;
+      i.defect = "a record that is no edit of a version";
+    if (*i.defect != '\0') break;
     ++i.records;
-    i.whole = at = w.end;
+    i.wholeBytes = at = w.end;
   }
-  if (*i.why == '\0') return i;
-  i.ragged = true;
+  if (*i.defect == '\0') return i;
+  i.incompleteTail = true;
   // Any byte may begin a later record: the length by which it would be found may be what is damaged.
-  for (std::size_t p = i.whole + 1; p + kHeader <= bytes.size() && !i.laterAt; ++p) {
+  for (std::size_t p = i.wholeBytes + 1; p + kHeader <= bytes.size() && !i.laterRecordAt; ++p) {
     const int type = static_cast<unsigned char>(bytes[p + 6]);
     if (type != kFull && type != kFirst) continue;
     const Whole w = recordAt(bytes, p);
@@ -192,7 +192,7 @@
       const auto b = batchOf(w.record);
       if (!b || b->commit <= i.commit || (i.nextSequence != 0 && b->sequence < i.nextSequence)) continue;
     }
-    i.laterAt = p;
+    i.laterRecordAt = p;
   }
   return i;
 }
--- a/src/durability/inspect.hpp
+++ b/src/durability/inspect.hpp
@@ -17,8 +17,8 @@
 
 enum class LogKind { Batches, Manifest };
 
-struct Inspected {
-  std::uint64_t whole = 0;          // bytes from the beginning that are whole records
+struct LogInspection {
+  std::uint64_t wholeBytes = 0;     // bytes from the beginning that are whole records
   std::uint64_t records = 0;        // in them
   std::uint64_t commit = 0;         // of the last of them; 0: none (LogKind::Batches)
   std::uint64_t firstSequence = 0;  // LevelDB's, of the first batch; 0: there is none
@@ -27,15 +27,15 @@
   // counts.
   std::uint64_t lastSequence = 0, logNumber = 0;
   // What follows is no whole record, from `whole` on.
-  bool ragged = false;
-  const char* why = "";  // the first thing that is wrong with it
+  bool incompleteTail = false;
+  const char* defect = "";  // the first thing that is wrong with it
   // Beyond it stands a record that is whole, and later. Each commit is durable before the next is begun, so
   // what is ragged had been durable once: that is damage, and no writer's death.
-  std::optional<std::uint64_t> laterAt;
+  std::optional<std::uint64_t> laterRecordAt;
 };
 
 // `sequence`: the first batch has to begin with it (of the log before); 0: any.
-Inspected inspectLog(std::string_view bytes, LogKind, std::uint64_t sequence = 0);
+LogInspection inspectLog(std::string_view bytes, LogKind, std::uint64_t sequence = 0);
 
 // LevelDB's checksum of a record's type and payload, or of a table's block and type.
 std::uint32_t maskedCrc(std::string_view);
--- a/src/durability/record.cpp
+++ b/src/durability/record.cpp
@@ -24,8 +24,8 @@
     throw std::runtime_error(std::string("no record of type ") + type);
   const int version = j.value("v", 0);
   if (version > kRecordVersion)
-    throw NewerRecord("a record of version " + std::to_string(version) + "; this program knows " +
-                      std::to_string(kRecordVersion));
+    throw NewerRecordError("a record of version " + std::to_string(version) + "; this program knows " +
+                           std::to_string(kRecordVersion));
   if (version < 1) throw std::runtime_error("a record without a version");
   return j;
 }
@@ -48,62 +48,62 @@
 
 }  // namespace
 
-bool KeyRecord::effectPossible() const {
-  if (outcome == Outcome::Served || outcome == Outcome::None || mayHaveRun) return true;
+bool KeyRecord::mayHaveHadEffect() const {
+  if (outcome == Outcome::Served || outcome == Outcome::Pending || mayHaveExecuted) return true;
   return std::any_of(attempts.begin(), attempts.end(),
-                     [](const Attempt& a) { return a.end != End::NeverRan; });
+                     [](const Attempt& a) { return a.effect != AttemptEffect::NotExecuted; });
 }
 
 std::string encode(const KeyRecord& r) {
   json attempts = json::array();
   for (const Attempt& a : r.attempts)
-    attempts.push_back({a.id, a.number, a.member, a.at.count(), static_cast<int>(a.end)});
+    attempts.push_back({a.id, a.number, a.endpoint, a.sentAt.count(), static_cast<int>(a.effect)});
   json j{{"t", "key"},
          {"v", kRecordVersion},
          {"g", r.group},
-         {"c", r.cls},
-         {"a", r.asked.count()},
-         {"w", r.window.count()},
-         {"x", r.expires.count()},
+         {"c", r.className},
+         {"a", r.intentAt.count()},
+         {"w", r.deduplicationWindow.count()},
+         {"x", r.expiresAt.count()},
          {"u", r.wallMs},
          {"e", r.epoch},
          {"s", std::move(attempts)},
-         {"m", r.mayHaveRun},
+         {"m", r.mayHaveExecuted},
          {"o", static_cast<int>(r.outcome)},
          {"p", r.positionMs},
-         {"owed", r.owed},
-         {"given", r.given}};
-  if (r.answered) j["answer"] = bytes(r.answer);
+         {"owed", r.pendingIds},
+         {"given", r.answeredIds}};
+  if (r.hasResponse) j["answer"] = bytes(r.response);
   return pack(j);
 }
 KeyRecord decodeKey(std::string_view s) {
   return reading(s, "key", [](const json& j) {
     KeyRecord r;
     r.group = j.at("g").get<std::uint32_t>();
-    r.cls = j.at("c").get<std::string>();
-    r.asked = us(j, "a");
-    r.window = us(j, "w");
-    r.expires = us(j, "x");
+    r.className = j.at("c").get<std::string>();
+    r.intentAt = us(j, "a");
+    r.deduplicationWindow = us(j, "w");
+    r.expiresAt = us(j, "x");
     r.wallMs = j.at("u").get<std::int64_t>();
     r.epoch = j.at("e").get<std::uint64_t>();
     r.outcome = choice<Outcome>(j.at("o"), 3);
     r.positionMs = j.at("p").get<std::int64_t>();
     if (j.contains("answer")) {
-      r.answered = true;
-      r.answer = text(j.at("answer"));
+      r.hasResponse = true;
+      r.response = text(j.at("answer"));
     }
-    r.mayHaveRun = j.at("m").get<bool>();
-    r.owed = j.at("owed").get<std::vector<std::string>>();
-    r.given = j.at("given").get<std::vector<std::string>>();
+    r.mayHaveExecuted = j.at("m").get<bool>();
+    r.pendingIds = j.at("owed").get<std::vector<std::string>>();
+    r.answeredIds = j.at("given").get<std::vector<std::string>>();
     for (const json& a : j.at("s"))
       r.attempts.push_back({a.at(0).get<std::string>(), a.at(1).get<int>(), a.at(2).get<std::string>(),
-                            Time(a.at(3).get<std::int64_t>()), choice<End>(a.at(4), 3)});
+                            Time(a.at(3).get<std::int64_t>()), choice<AttemptEffect>(a.at(4), 3)});
     return r;
   });
 }
 
 std::string encode(const SessionRecord& r) {
-  return pack({{"t", "session"}, {"v", kRecordVersion}, {"p", r.positionMs}, {"x", r.expires.count()}});
+  return pack({{"t", "session"}, {"v", kRecordVersion}, {"p", r.positionMs}, {"x", r.expiresAt.count()}});
 }
 SessionRecord decodeSession(std::string_view s) {
   return reading(s, "session", [](const json& j) {
@@ -115,19 +115,19 @@
   return pack({{"t", "epoch"},
                {"v", kRecordVersion},
                {"n", r.number},
-               {"a", r.began.count()},
-               {"gap", r.gap},
+               {"a", r.beganAt.count()},
+               {"gap", r.afterGap},
                {"u", r.wallMs},
-               {"boot", r.boot}});
+               {"boot", r.bootId}});
 }
 EpochRecord decodeEpoch(std::string_view s) {
   return reading(s, "epoch", [](const json& j) {
     EpochRecord r;
     r.number = j.at("n").get<std::uint64_t>();
-    r.began = us(j, "a");
-    r.gap = j.at("gap").get<bool>();
+    r.beganAt = us(j, "a");
+    r.afterGap = j.at("gap").get<bool>();
     r.wallMs = j.at("u").get<std::int64_t>();
-    r.boot = j.at("boot").get<std::string>();
+    r.bootId = j.at("boot").get<std::string>();
     return r;
   });
 }
@@ -136,8 +136,8 @@
   return pack({{"t", "clock"},
                {"v", kRecordVersion},
                {"a", r.at.count()},
-               {"boot", r.boot},
-               {"b", r.bootUs},
+               {"boot", r.bootId},
+               {"b", r.sinceBootUs},
                {"gap", r.gapAt.count()}});
 }
 ClockRecord decodeClock(std::string_view s) {
@@ -147,26 +147,26 @@
   });
 }
 
-std::string encode(const Totals& r) {
+std::string encode(const StoreTotals& r) {
   return pack({{"t", "totals"},
                {"v", kRecordVersion},
                {"k", r.keys},
                {"s", r.sessions},
-               {"o", r.open},
-               {"f", r.floorMs}});
+               {"o", r.pendingKeys},
+               {"f", r.forgottenPositionMs}});
 }
-Totals decodeTotals(std::string_view s) {
+StoreTotals decodeTotals(std::string_view s) {
   return reading(s, "totals", [](const json& j) {
-    Totals t;
+    StoreTotals t;
     t.keys = j.at("k").get<std::uint64_t>();
     t.sessions = j.at("s").get<std::uint64_t>();
-    t.open = j.at("o").get<std::uint64_t>();
-    t.floorMs = j.at("f").get<std::int64_t>();
+    t.pendingKeys = j.at("o").get<std::uint64_t>();
+    t.forgottenPositionMs = j.at("f").get<std::int64_t>();
     return t;
   });
 }
 
-const char* name(End e) {
+const char* name(AttemptEffect e) {
   constexpr const char* kNames[] = {"out", "ran", "may_have_run", "never_ran"};
   return kNames[static_cast<int>(e)];
 }
@@ -180,23 +180,23 @@
   for (const Attempt& a : r.attempts)
     attempts.push_back({{"id", a.id},
                         {"attempt", a.number},
-                        {"member", a.member},
-                        {"at_us", a.at.count()},
-                        {"end", name(a.end)}});
+                        {"member", a.endpoint},
+                        {"at_us", a.sentAt.count()},
+                        {"end", name(a.effect)}});
   json j{{"group", r.group},
-         {"class", r.cls},
-         {"asked_us", r.asked.count()},
+         {"class", r.className},
+         {"asked_us", r.intentAt.count()},
          {"asked_unix_ms", r.wallMs},
-         {"window_us", r.window.count()},
-         {"expires_us", r.expires.count()},
+         {"window_us", r.deduplicationWindow.count()},
+         {"expires_us", r.expiresAt.count()},
          {"epoch", r.epoch},
          {"attempts", attempts},
-         {"effect_possible", r.effectPossible()},
+         {"effect_possible", r.mayHaveHadEffect()},
          {"outcome", name(r.outcome)},
-         {"owed", r.owed},
-         {"given", r.given}};
+         {"owed", r.pendingIds},
+         {"given", r.answeredIds}};
   if (r.outcome == Outcome::Served) j["position_unix_ms"] = r.positionMs;
-  if (r.answered) j["answer_bytes"] = r.answer.size();
+  if (r.hasResponse) j["answer_bytes"] = r.response.size();
   return j;
 }
 
--- a/src/durability/store_clock.cpp
+++ b/src/durability/store_clock.cpp
@@ -23,13 +23,13 @@
 }
 
 StoreClock::StoreClock(const std::optional<ClockRecord>& last, const MachineTime& now)
-    : boot_(now.boot), bootUs_(now.us), base_(1), last_(base_) {
+    : boot_(now.bootId), bootUs_(now.sinceBootUs), base_(1), last_(base_) {
   if (!last) return;
   gapAt_ = last->gapAt;
   // An empty name or a time before the record's is a machine that was set back (a snapshot): as good as
   // another.
-  if (!now.boot.empty() && last->boot == now.boot && now.us >= last->bootUs) {
-    base_ = last->at + Time(now.us - last->bootUs);
+  if (!now.bootId.empty() && last->bootId == now.bootId && now.sinceBootUs >= last->sinceBootUs) {
+    base_ = last->at + Time(now.sinceBootUs - last->sinceBootUs);
   } else {
     gap_ = true;
     gapAt_ = base_ = last->at + Time(1);
@@ -38,9 +38,9 @@
 }
 
 Time StoreClock::at(const MachineTime& now) {
-  last_ = std::max(last_, base_ + Time(std::max<std::int64_t>(now.us - bootUs_, 0)));
+  last_ = std::max(last_, base_ + Time(std::max<std::int64_t>(now.sinceBootUs - bootUs_, 0)));
   return last_;
 }
-ClockRecord StoreClock::record(const MachineTime& now) { return {at(now), boot_, now.us, gapAt_}; }
+ClockRecord StoreClock::record(const MachineTime& now) { return {at(now), boot_, now.sinceBootUs, gapAt_}; }
 
 }  // namespace sablespur::durability
--- a/src/durability/store_clock.hpp
+++ b/src/durability/store_clock.hpp
@@ -14,8 +14,8 @@
 namespace sablespur::durability {
 
 struct MachineTime {
-  std::string boot;     // names this start of the machine
-  std::int64_t us = 0;  // since then, CLOCK_BOOTTIME
+  std::string bootId;            // names this start of the machine
+  std::int64_t sinceBootUs = 0;  // since then, CLOCK_BOOTTIME
   std::int64_t wallMs = 0;
 };
 MachineTime machineTime();
--- a/src/durability/whole_file.cpp
+++ b/src/durability/whole_file.cpp
@@ -5,7 +5,7 @@
 
 namespace sablespur::durability {
 
-std::string replaceWhole(Files& files, const std::string& path, std::string_view bytes) {
+std::string replaceFile(Files& files, const std::string& path, std::string_view bytes) {
   const std::string fresh = path + ".new";
   leveldb::WritableFile* opened = nullptr;
   leveldb::Status s = files.NewWritableFile(fresh, &opened);
@@ -19,7 +19,7 @@
   return s.ToString();
 }
 
-std::optional<std::string> readWhole(Files& files, const std::string& path) {
+std::optional<std::string> readFile(Files& files, const std::string& path) {
   if (!files.FileExists(path)) return std::nullopt;
   std::string bytes;
   const leveldb::Status s = files.read(path, bytes);
--- a/src/recovery/coordinator.hpp
+++ b/src/recovery/coordinator.hpp
@@ -31,17 +31,18 @@
 struct RecoveryView {
   std::string snapshot;  // read, none, refused
   std::string state;     // asking, returning, returned
-  std::uint64_t epoch = 0, sequence = 0, believed = 0, turnedAway = 0, refused = 0, written = 0, lost = 0;
-  bool joined = false;
-  Time took{};  // until service had returned
+  std::uint64_t epoch = 0, sequence = 0, peerStatesAccepted = 0, peerStatesRejected = 0, requestsRejected = 0,
+                snapshotsWritten = 0, snapshotsFailed = 0;
+  bool joinedEpoch = false;
+  Time duration{};  // until service had returned
 };
 
 class RecoveryCoordinator : public RequestHandler, public EndpointListConsumer, public ReplicationObserver {
  public:
   // A head from a proxy; datagrams that are none are dropped.
-  virtual void heard(std::size_t peer, std::string_view datagram) = 0;
+  virtual void peerDatagramReceived(std::size_t peer, std::string_view datagram) = 0;
   // When a connection to this member may be opened in advance after a start: the fleet's dials, shared.
-  virtual Time dialTurn(const std::string& member) const = 0;
+  virtual Time connectDelay(const std::string& member) const = 0;
   virtual RecoveryView view() const = 0;
 };
 
--- a/src/recovery/peer_state_exchange.hpp
+++ b/src/recovery/peer_state_exchange.hpp
@@ -22,7 +22,7 @@
 using Time = std::chrono::microseconds;
 
 struct SnapshotHeader {
-  bool question = false;    // an answer is wanted; else it is one
+  bool isRequest = false;   // an answer is wanted; else it is one
   bool serving = false;     // its sender has entered its epoch: who asks joins it
   std::uint32_t nonce = 0;  // of the question; an answer brings it back
   std::uint64_t epoch = 0, sequence = 0;
@@ -33,18 +33,19 @@
   };
   std::vector<Primary> primaries;  // those beyond what a datagram holds are left out
 };
-constexpr std::size_t kLongestHead = 256;  // bytes: the platform takes no more
-constexpr char kHeadVersion = 2;           // the datagram's first byte; 1 is for hints
+constexpr std::size_t kMaxSnapshotHeaderBytes = 256;  // bytes: the platform takes no more
+constexpr char kSnapshotHeaderVersion = 2;            // the datagram's first byte; 1 is for hints
 std::string encode(const SnapshotHeader&);
-std::optional<SnapshotHeader> decodeHead(std::string_view datagram);  // nothing where the bytes are no head
+std::optional<SnapshotHeader> decodeSnapshotHeader(
+    std::string_view datagram);  // nothing where the bytes are no head
 
 struct PeerStateExchangePolicy {
   std::size_t peers = 0;   // others, by index from 0
   std::size_t fanout = 3;  // asked in each round
   int rounds = 3;
-  Time round = std::chrono::milliseconds(150);
-  double fleetPerSecond = 1000;          // questions of all proxies together that start at once
-  Time ahead = std::chrono::seconds(2);  // clocks of two machines may differ so much
+  Time roundInterval = std::chrono::milliseconds(150);
+  double fleetRequestsPerSecond = 1000;           // questions of all proxies together that start at once
+  Time clockTolerance = std::chrono::seconds(2);  // clocks of two machines may differ so much
 };
 
 class PeerStateExchange {
@@ -52,25 +53,25 @@
   // What this proxy's own snapshot says; an empty head where there is none.
   PeerStateExchange(const PeerStateExchangePolicy&, std::uint64_t seed, Time now, const SnapshotHeader& own);
 
-  std::vector<std::size_t> due(Time now);  // peers to be asked now
-  std::optional<Time> next() const;        // when due has something to say; nothing: never again
+  std::vector<std::size_t> duePeers(Time now);  // peers to be asked now
+  std::optional<Time> nextDue() const;          // when due has something to say; nothing: never again
   std::uint32_t nonce() const { return nonce_; }
   // True: it is believed.
-  bool answered(std::size_t peer, const SnapshotHeader&, std::int64_t nowMs);
-  bool over(Time now) const { return !next() && now >= end_; }
+  bool responseReceived(std::size_t peer, const SnapshotHeader&, std::int64_t nowMs);
+  bool finished(Time now) const { return !nextDue() && now >= endsAt_; }
 
   // The epoch to go on in, once it is over: that of those who serve; else one more than any that was told.
   std::uint64_t epoch() const;
-  bool joined() const { return serving_ > 0; }
-  std::size_t believed() const { return believed_; }
-  std::size_t turnedAway() const { return turnedAway_; }
+  bool joined() const { return servingEpoch_ > 0; }
+  std::size_t acceptedResponses() const { return acceptedResponses_; }
+  std::size_t rejectedResponses() const { return rejectedResponses_; }
 
   // Data servers that are said to be primary of the group, the newest claim first.
-  std::vector<std::uint64_t> claims(std::uint32_t group) const;
+  std::vector<std::uint64_t> primaryClaims(std::uint32_t group) const;
   // A data server answered as primary. The epoch of the newest claim that named it; nothing: nobody had. A
   // later call replaces an earlier one only where its claim is as new.
-  std::optional<std::uint64_t> confirmed(std::uint32_t group, std::uint64_t tag);
-  std::optional<std::uint64_t> primary(std::uint32_t group) const;  // that was confirmed
+  std::optional<std::uint64_t> confirmPrimary(std::uint32_t group, std::uint64_t tag);
+  std::optional<std::uint64_t> confirmedPrimary(std::uint32_t group) const;  // that was confirmed
 
  private:
   struct Claim {
@@ -80,18 +81,18 @@
       return epoch != o.epoch ? epoch > o.epoch : wallMs != o.wallMs ? wallMs > o.wallMs : tag < o.tag;
     }
   };
-  void claim(std::uint32_t group, const Claim&);
-  std::uint64_t dice(std::uint64_t) const;
+  void recordClaim(std::uint32_t group, const Claim&);
+  std::uint64_t randomNumber(std::uint64_t) const;
 
   const PeerStateExchangePolicy policy_;
   const std::uint64_t seed_;
   const std::uint32_t nonce_;
-  const std::uint64_t own_;
-  Time next_{}, end_{};
+  const std::uint64_t ownEpoch_;
+  Time nextDue_{}, endsAt_{};
   int round_ = 0;
-  std::uint64_t newest_, serving_ = 0;  // epochs
-  std::size_t believed_ = 0, turnedAway_ = 0;
-  std::vector<bool> heard_;
+  std::uint64_t newestEpoch_, servingEpoch_ = 0;  // epochs
+  std::size_t acceptedResponses_ = 0, rejectedResponses_ = 0;
+  std::vector<bool> responded_;
   std::map<std::uint32_t, std::vector<Claim>> claims_;
   struct Confirmed {
     std::uint64_t tag, epoch;
--- a/src/recovery/recovery_admission.hpp
+++ b/src/recovery/recovery_admission.hpp
@@ -20,72 +20,72 @@
 
 using Time = std::chrono::microseconds;
 
-enum class RecoveryPhase { Waking, Reading, Writing, Returned };
+enum class RecoveryPhase { AwaitingEndpoints, Reading, Writing, Complete };
 const char* recoveryPhaseName(RecoveryPhase);
 
 struct RecoveryAdmissionPolicy {
   int proxies = 1;                          // that come back together, as far as is known
-  double window = 4;                        // requests out at once in a group, at first
-  double wide = 64;                         // with so many out at once nothing is held back any more
-  Time longest = std::chrono::seconds(20);  // after which it is over whatever has been heard
-  Time scouts =
+  double initialWindow = 4;                 // requests out at once in a group, at first
+  double maxWindow = 64;                    // with so many out at once nothing is held back any more
+  Time timeout = std::chrono::seconds(20);  // after which it is over whatever has been heard
+  Time primaryDiscoveryInterval =
       std::chrono::milliseconds(12);  // writes to find a primary: all proxies' together, one in so long
-  Time backLeast = std::chrono::milliseconds(40),
-       backMost = std::chrono::seconds(1);  // told to the turned away
+  Time minRetryAfter = std::chrono::milliseconds(40),
+       maxRetryAfter = std::chrono::seconds(1);  // told to the turned away
 };
 
-enum class End { Served, TurnedAway, Failed, Left };
+enum class RequestEnd { Served, Rejected, Failed, ClientDisconnected };
 
 class RecoveryAdmission {
  public:
   struct Decision {
-    bool go = false;
-    Time back{};  // if it does not: when to come back
+    bool admitted = false;
+    Time retryAfter{};  // if it does not: when to come back
   };
-  struct Change {
+  struct PhaseChange {
     std::uint32_t group = 0;
-    RecoveryPhase step = RecoveryPhase::Waking;
-    Time after{};  // since the start
+    RecoveryPhase phase = RecoveryPhase::AwaitingEndpoints;
+    Time sinceStart{};  // since the start
   };
   RecoveryAdmission(const RecoveryAdmissionPolicy&, std::uint64_t seed, Time now);
 
   // What the group did before the start, aged: requests that this proxy had out there at once; 0: not known.
-  void usual(std::uint32_t group, double out);
-  void answered(Time now, std::uint32_t group);             // a data server of the group, with its position
-  void primary(Time now, std::uint32_t group);              // one answered as primary
-  Decision ask(Time now, std::uint32_t group, bool write);  // go: it counts as out until `ended`
-  void ended(Time now, std::uint32_t group, bool write, End);
+  void setUsualConcurrency(std::uint32_t group, double out);
+  void endpointResponded(Time now, std::uint32_t group);      // a data server of the group, with its position
+  void primaryResponded(Time now, std::uint32_t group);       // one answered as primary
+  Decision admit(Time now, std::uint32_t group, bool write);  // go: it counts as out until `ended`
+  void requestEnded(Time now, std::uint32_t group, bool write, RequestEnd);
 
-  RecoveryPhase step(std::uint32_t group) const;
+  RecoveryPhase phase(std::uint32_t group) const;
   double window(std::uint32_t group) const;
   // Every group that was asked for has returned, or the longest time is up.
-  bool over(Time now) const;
-  std::vector<Change> changes();  // since the last call
+  bool finished(Time now) const;
+  std::vector<PhaseChange> takePhaseChanges();  // since the last call
 
  private:
-  struct Group {
-    RecoveryPhase step = RecoveryPhase::Waking;
-    double window = 0, usual = 0;
-    int out = 0;
-    Time scoutAt{}, cutAt{};
+  struct GroupState {
+    RecoveryPhase phase = RecoveryPhase::AwaitingEndpoints;
+    double window = 0, usualConcurrency = 0;
+    int inFlight = 0;
+    Time nextPrimaryDiscovery{}, nextDecrease{};
     Time latency = std::chrono::milliseconds(50);  // of requests that were served, smoothed
-    int turned = 0;                                // away since the last that was served
+    int rejectedSinceServed = 0;                   // away since the last that was served
   };
-  Group& of(std::uint32_t group);
-  void go(Time now, std::uint32_t id, Group&, RecoveryPhase);
-  double chance();
+  GroupState& groupState(std::uint32_t group);
+  void advanceTo(Time now, std::uint32_t id, GroupState&, RecoveryPhase);
+  double randomFraction();
 
   const RecoveryAdmissionPolicy policy_;
-  const Time began_;
-  std::uint64_t state_;
-  std::map<std::uint32_t, Group> groups_;
-  std::vector<Change> changes_;
+  const Time startedAt_;
+  std::uint64_t randomState_;
+  std::map<std::uint32_t, GroupState> groups_;
+  std::vector<PhaseChange> changes_;
 };
 
 // The moment, after its start, at which a proxy dials a member that all proxies come back to: its place in
 // the member's own order of all proxies (rendezvous hashing: Thaler and Ravishankar, 1998), at so many dials
 // a second of all together. The same at every proxy that has the same list, with no word among them.
-Time dialTurn(const std::string& member, const std::string& self, const std::vector<std::string>& proxies,
-              double dialsPerSecond);
+Time connectDelay(const std::string& member, const std::string& self, const std::vector<std::string>& proxies,
+                  double dialsPerSecond);
 
 }  // namespace sablespur::recovery
--- a/src/recovery/snapshot_validation.hpp
+++ b/src/recovery/snapshot_validation.hpp
@@ -23,17 +23,17 @@
 
 struct SnapshotValidationPolicy {
   Time halfLife = std::chrono::minutes(10);  // after which a figure counts half, its kin's the other half
-  Time ahead =
+  Time clockTolerance =
       std::chrono::seconds(2);  // a snapshot so much after now is from the future: its age is unknown
 };
 
 struct RecoveredState {
   std::uint64_t epoch = 0, sequence = 0;  // of the snapshot
   Time age{};                             // 0 where it is from the future
-  bool future = false;
-  double weight = 0;                      // of a member's own figures; 0: its kin's alone
-  std::vector<EndpointRecord> members;    // figures aged, positions gone
-  std::vector<PrimaryRecord> candidates;  // to be asked first; not primaries
+  bool fromFuture = false;
+  double ownWeight = 0;                          // of a member's own figures; 0: its kin's alone
+  std::vector<EndpointRecord> endpoints;         // figures aged, positions gone
+  std::vector<PrimaryRecord> primaryCandidates;  // to be asked first; not primaries
 };
 
 // nowMs: Unix time, as the machine has it now.
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -25,8 +25,8 @@
 // A disk whose syncs can be held up, and that can be told to fail.
 class Disk final : public durability::FileHook {
  public:
-  Fate before(FileOp op, const std::string&, std::string_view bytes, std::uint64_t,
-              const std::string&) override {
+  Result before(FileOp op, const std::string&, std::string_view bytes, std::uint64_t,
+                const std::string&) override {
     std::unique_lock<std::mutex> lock(mutex_);
     syncs_ += op == FileOp::Sync;
     if (op == FileOp::Sync) freed_.wait(lock, [this] { return !held_; });
@@ -278,10 +278,10 @@
   durability::IdempotencyStoreSettings s;
   s.directory = config.store->directory;
   durability::MachineTime later = durability::machineTime();
-  later.us += 60000000;
+  later.sinceBootUs += 60000000;
   durability::IdempotencyStore ledger(files, s, [&] { return later; });
-  EXPECT_EQ(ledger.apply({durability::AskKey{{"x", "k1", "write", 3, kWindow}}})[0].verdict,
-            durability::Verdict::Run);
+  EXPECT_EQ(ledger.apply({durability::BeginKeyedRequest{{"x", "k1", "write", 3, kWindow}}})[0].disposition,
+            durability::Disposition::Execute);
 }
 TEST_F(KeeperTest, AnIntentOfBeforeTheCrashGoesAgainWithinItsWindow) {
   Asker a, b;
@@ -291,7 +291,7 @@
   EXPECT_EQ(a.got, "");
   ask(b, "k1");
   ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  EXPECT_EQ(keeper->view().again, 1u);
+  EXPECT_EQ(keeper->view().retried, 1u);
   // Since it may have run before, the module never refuses it as one that is harmless to try.
   answer(members.sent[0], "", AttemptResult::Rejected);
   engine->runTurn();
@@ -305,7 +305,7 @@
   engine->runTurn();
   ask(b, "k1");
   ASSERT_TRUE(until([&] { return members.sent.size() == 2; }));
-  EXPECT_EQ(keeper->view().again, 1u);
+  EXPECT_EQ(keeper->view().retried, 1u);
   EXPECT_EQ(a.got, "");
 }
 TEST_F(KeeperTest, AnotherRequestOfTheKeyWaitsForHowTheFirstEnds) {
@@ -316,7 +316,7 @@
   const RequestId leaves = ask(c, "k1");
   ASSERT_TRUE(until([&] { return keeper->view().waiting == 0; }));
   EXPECT_EQ(members.sent.size(), 1u);
-  EXPECT_EQ(keeper->view().waitedForAnother, 2u);
+  EXPECT_EQ(keeper->view().waitedForSameKey, 2u);
   keeper->clientDisconnected(leaves);
   answer(members.sent[0], "the row");
   ASSERT_TRUE(until([&] { return !b.got.empty(); }));
@@ -459,7 +459,7 @@
   ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
   ask(later, "k1");
   ASSERT_TRUE(until([&] { return members.sent.size() == 2; }));
-  EXPECT_EQ(keeper->view().ran, 1u);
+  EXPECT_EQ(keeper->view().executed, 1u);
 }
 // The opening commits a little and succeeds each time, the next group fails again. Lower bounds of time
 // alone: a busy machine only adds to them.
--- a/tests/store_model_test.cpp
+++ b/tests/store_model_test.cpp
@@ -43,7 +43,8 @@
   int at = 0;
   bool mayHaveRun = true;
 };
-using Queued = std::variant<AskKey, NoteSent, NoteEnded, Finish, NoteTold, NoteLeft>;
+using Queued = std::variant<BeginKeyedRequest, RecordAttemptSent, RecordAttemptEnd, CompleteRequest,
+                            RecordResponseDelivered, AbandonRequest>;
 
 struct State {
   int now = 0, crashes = 0;
@@ -58,11 +59,11 @@
     std::string s = std::to_string(now) + "," + std::to_string(crashes) + (acknowledged ? "A" : "-");
     if (durable) {
       const KeyRecord& d = *durable;
-      s += std::to_string(d.asked.count() / 1000000) + (d.mayHaveRun ? "m" : "") +
-           std::to_string(static_cast<int>(d.outcome)) + (d.answered ? "a" : "");
+      s += std::to_string(d.intentAt.count() / 1000000) + (d.mayHaveExecuted ? "m" : "") +
+           std::to_string(static_cast<int>(d.outcome)) + (d.hasResponse ? "a" : "");
       for (const Attempt& a : d.attempts)
-        s += a.id + std::to_string(a.number) + std::to_string(static_cast<int>(a.end));
-      for (const std::string& o : d.owed) s += "o" + o;
+        s += a.id + std::to_string(a.number) + std::to_string(static_cast<int>(a.effect));
+      for (const std::string& o : d.pendingIds) s += "o" + o;
     }
     s += "|";
     for (const Queued& q : queue) {
@@ -70,15 +71,15 @@
       std::visit(
           [&](const auto& o) {
             using T = std::decay_t<decltype(o)>;
-            if constexpr (std::is_same_v<T, AskKey>)
-              s += o.asked.id;
+            if constexpr (std::is_same_v<T, BeginKeyedRequest>)
+              s += o.request.id;
             else
               s += o.id;
-            if constexpr (std::is_same_v<T, NoteEnded>)
-              s += std::to_string(static_cast<int>(o.end)) + std::to_string(o.attempt);
-            if constexpr (std::is_same_v<T, Finish>)
-              s += std::to_string(static_cast<int>(o.outcome)) + (o.mayHaveRun ? "m" : "");
-            if constexpr (std::is_same_v<T, NoteLeft>) s += o.mayHaveRun ? "m" : "";
+            if constexpr (std::is_same_v<T, RecordAttemptEnd>)
+              s += std::to_string(static_cast<int>(o.effect)) + std::to_string(o.attempt);
+            if constexpr (std::is_same_v<T, CompleteRequest>)
+              s += std::to_string(static_cast<int>(o.outcome)) + (o.mayHaveExecuted ? "m" : "");
+            if constexpr (std::is_same_v<T, AbandonRequest>) s += o.mayHaveExecuted ? "m" : "";
           },
           q);
     }
@@ -151,7 +152,9 @@
         if (q.out < 0 && maySend(s, q)) next(send(s, k));
         if (q.out < 0) next(giveUp(s, k));
         if (q.out >= 0)
-          for (const End e : {End::Ran, End::MayHaveRun, End::NeverRan}) next(end(s, k, e));
+          for (const AttemptEffect e :
+               {AttemptEffect::Executed, AttemptEffect::MayHaveExecuted, AttemptEffect::NotExecuted})
+            next(end(s, k, e));
         next(leave(s, k));
       }
       if (q.stage == Stage::Asking || q.stage == Stage::Finishing) next(leave(s, k));
@@ -160,16 +163,16 @@
 
   static std::size_t waited(const State& s) {
     std::size_t n = 0;
-    while (n < s.queue.size() && !std::holds_alternative<AskKey>(s.queue[n]) &&
-           !(std::holds_alternative<Finish>(s.queue[n]) &&
-             std::get<Finish>(s.queue[n]).outcome == Outcome::Served))
+    while (n < s.queue.size() && !std::holds_alternative<BeginKeyedRequest>(s.queue[n]) &&
+           !(std::holds_alternative<CompleteRequest>(s.queue[n]) &&
+             std::get<CompleteRequest>(s.queue[n]).outcome == Outcome::Served))
       ++n;
     return n;
   }
 
   State ask(State s, int k) {
     s.r[k].stage = Stage::Asking;
-    s.queue.push_back(AskKey{{id(k), "key", "order", 3, ticks(kWindow)}});
+    s.queue.push_back(BeginKeyedRequest{{id(k), "key", "order", 3, ticks(kWindow)}});
     return s;
   }
   // As Balancer::mayTake has it.
@@ -186,22 +189,22 @@
       if (earlier.mayHaveRun && s.now - earlier.at >= kWindow)
         s.broken = "a key is sent " + std::to_string(s.now - earlier.at) + " ticks after it may have run";
     s.sent.push_back({s.now, true});
-    s.queue.push_back(NoteSent{"key", id(k), "s-1", q.sends});
+    s.queue.push_back(RecordAttemptSent{"key", id(k), "s-1", q.sends});
     ++q.sends;
     return s;
   }
-  State end(State s, int k, End e) {
+  State end(State s, int k, AttemptEffect e) {
     Request& q = s.r[k];
     Sent& t = s.sent[static_cast<std::size_t>(q.out)];
-    s.queue.push_back(NoteEnded{"key", id(k), q.sends - 1, e});
-    t.mayHaveRun = e != End::NeverRan;
-    if (e != End::NeverRan) {
+    s.queue.push_back(RecordAttemptEnd{"key", id(k), q.sends - 1, e});
+    t.mayHaveRun = e != AttemptEffect::NotExecuted;
+    if (e != AttemptEffect::NotExecuted) {
       q.ran = true;
       if (q.firstRan < 0) q.firstRan = t.at;
     }
     q.out = -1;
-    if (e != End::Ran) return s;
-    s.queue.push_back(Finish{"key", id(k), Outcome::Served, "row", 0, 0, true});
+    if (e != AttemptEffect::Executed) return s;
+    s.queue.push_back(CompleteRequest{"key", id(k), Outcome::Served, "row", 0, 0, true});
     q.stage = Stage::Finishing;
     if (!p_.outcomeFirst) answer(s, k);
     return s;
@@ -209,23 +212,24 @@
   void answer(State& s, int k) {
     s.acknowledged = true;
     s.r[k].stage = Stage::Over;
-    s.queue.push_back(NoteTold{"key", id(k)});
+    s.queue.push_back(RecordResponseDelivered{"key", id(k)});
   }
   // The module's last word: refused where nothing may have run, else failed.
   State giveUp(State s, int k) {
     Request& q = s.r[k];
     const bool ran = q.ran || (q.ranAt >= 0 && p_.windowKept);
-    s.queue.push_back(Finish{"key", id(k), ran ? Outcome::Failed : Outcome::Refused, "", 0, 0, q.ran});
-    s.queue.push_back(NoteTold{"key", id(k)});
+    s.queue.push_back(
+        CompleteRequest{"key", id(k), ran ? Outcome::Failed : Outcome::Rejected, "", 0, 0, q.ran});
+    s.queue.push_back(RecordResponseDelivered{"key", id(k)});
     q.stage = Stage::Over;
     return s;
   }
   State leave(State s, int k) {
     Request& q = s.r[k];
     if (q.stage == Stage::Asking)
-      s.queue.push_back(NoteLeft{"key", id(k), false});
+      s.queue.push_back(AbandonRequest{"key", id(k), false});
     else
-      s.queue.push_back(NoteLeft{"key", id(k), true});
+      s.queue.push_back(AbandonRequest{"key", id(k), true});
     q.stage = Stage::Over;
     return s;  // an attempt that is out may run still
   }
@@ -242,51 +246,51 @@
     const Queued q = s.queue.front();
     s.queue.pop_front();
     const Time now = ticks(s.now), keep = ticks(100);
-    if (const auto* const a = std::get_if<AskKey>(&q)) {
-      const Judgement j = judge(s.durable ? &*s.durable : nullptr, a->asked, now, Time(0));
-      s.durable = opened(s.durable, a->asked, j, now, keep, 1, 0);
-      Request& r = s.r[a->asked.id == "a" ? 0 : 1];
+    if (const auto* const a = std::get_if<BeginKeyedRequest>(&q)) {
+      const KeyDecision j = decide(s.durable ? &*s.durable : nullptr, a->request, now, Time(0));
+      s.durable = beginRequest(s.durable, a->request, j, now, keep, 1, 0);
+      Request& r = s.r[a->request.id == "a" ? 0 : 1];
       if (r.stage != Stage::Asking) return s;  // it has left
       r.intended = true;
-      if (s.acknowledged && (j.verdict == Verdict::Run || j.verdict == Verdict::Again))
+      if (s.acknowledged && (j.disposition == Disposition::Execute || j.disposition == Disposition::Retry))
         s.broken = "a key whose answer was told may run again";
-      switch (j.verdict) {
-        case Verdict::Run:
+      switch (j.disposition) {
+        case Disposition::Execute:
           r.stage = Stage::Going;
           break;
-        case Verdict::Again:
+        case Disposition::Retry:
           r.stage = Stage::Going;
-          r.ranAt = s.now - static_cast<int>(j.since / ticks(1));
+          r.ranAt = s.now - static_cast<int>(j.sinceFirstSend / ticks(1));
           break;
-        case Verdict::Recorded:
+        case Disposition::Replay:
           r.stage = Stage::Over;
-          s.queue.push_back(NoteTold{"key", a->asked.id});
+          s.queue.push_back(RecordResponseDelivered{"key", a->request.id});
           break;
-        case Verdict::Unknown:
+        case Disposition::OutcomeUnknown:
           r.stage = Stage::Over;
-          s.queue.push_back(NoteTold{"key", a->asked.id});
+          s.queue.push_back(RecordResponseDelivered{"key", a->request.id});
       }
       return s;
     }
     KeyRecord& d = *s.durable;
-    if (const auto* const o = std::get_if<NoteSent>(&q)) {
-      sent(d, {o->id, o->attempt, o->member, now, End::Out});
-    } else if (const auto* const e = std::get_if<NoteEnded>(&q)) {
-      ended(d, e->id, e->attempt, e->end);
-    } else if (const auto* const f = std::get_if<Finish>(&q)) {
-      d.mayHaveRun = d.mayHaveRun || f->mayHaveRun;
-      finished(d, f->id, f->outcome, now, keep);
+    if (const auto* const o = std::get_if<RecordAttemptSent>(&q)) {
+      recordAttemptSent(d, {o->id, o->attempt, o->endpoint, now, AttemptEffect::InFlight});
+    } else if (const auto* const e = std::get_if<RecordAttemptEnd>(&q)) {
+      recordAttemptEnd(d, e->id, e->attempt, e->effect);
+    } else if (const auto* const f = std::get_if<CompleteRequest>(&q)) {
+      d.mayHaveExecuted = d.mayHaveExecuted || f->mayHaveExecuted;
+      recordOutcome(d, f->id, f->outcome, now, keep);
       if (f->outcome == Outcome::Served) {
-        d.answered = true;
-        d.answer = f->answer;
+        d.hasResponse = true;
+        d.response = f->response;
         const int k = f->id == "a" ? 0 : 1;
         if (s.r[k].stage == Stage::Finishing) answer(s, k);
       }
-    } else if (const auto* const t = std::get_if<NoteTold>(&q)) {
-      told(d, t->id);
-    } else if (const auto* const l = std::get_if<NoteLeft>(&q)) {
-      d.mayHaveRun = d.mayHaveRun || l->mayHaveRun;
-      left(d, l->id);
+    } else if (const auto* const t = std::get_if<RecordResponseDelivered>(&q)) {
+      recordResponseDelivered(d, t->id);
+    } else if (const auto* const l = std::get_if<AbandonRequest>(&q)) {
+      d.mayHaveExecuted = d.mayHaveExecuted || l->mayHaveExecuted;
+      abandonRequest(d, l->id);
     }
     return s;
   }
--- a/tests/store_run.cpp
+++ b/tests/store_run.cpp
@@ -9,8 +9,8 @@
 using namespace durability;
 namespace fs = std::filesystem;
 
-FileHook::Fate Recorder::before(FileOp op, const std::string& path, std::string_view bytes, std::uint64_t at,
-                                const std::string& to) {
+FileHook::Result Recorder::before(FileOp op, const std::string& path, std::string_view bytes,
+                                  std::uint64_t at, const std::string& to) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const std::size_t n = all_.size();
   all_.push_back({op, inner(path), std::string(bytes), inner(to), at});
@@ -59,7 +59,7 @@
 void Life::open() {
   IdempotencyStoreSettings s;
   s.directory = dir_;
-  s.longestAnswer = 200;
+  s.maxResponseBytes = 200;
   ledger_ = std::make_unique<IdempotencyStore>(files_, s, [this] { return time_(); });
 }
 
@@ -67,35 +67,37 @@
   const std::string key = "key-" + std::to_string(number), id = "id-" + std::to_string(number);
   const auto session = static_cast<std::uint64_t>(number % 3 + 1);
   const std::int64_t position = time_.wallMs;
-  ledger_->apply({AskKey{{id, key, "order", 3, kWindow}}});
+  ledger_->apply({BeginKeyedRequest{{id, key, "order", 3, kWindow}}});
   Fact& f = facts_.keys[key];
   f.intent = true;
   f.asked = Time(time_.us);
-  ledger_->apply({NoteSent{key, id, "s-1", 0}});
+  ledger_->apply({RecordAttemptSent{key, id, "s-1", 0}});
   time_.pass(Time(1000));
   const std::string answer =
       "the row of " + key + std::string(static_cast<std::size_t>(number % 5) * 20, '.');
   switch (how % kWays) {
     case 0:
     case 1:  // served
-      ledger_->apply({NoteEnded{key, id, 0, End::Ran},
-                      Finish{key, id, Outcome::Served, answer, position, session, true}});
+      ledger_->apply({RecordAttemptEnd{key, id, 0, AttemptEffect::Executed},
+                      CompleteRequest{key, id, Outcome::Served, answer, position, session, true}});
       f.served = true;
       f.answer = answer;
       facts_.sessions[session] = position;
-      ledger_->apply({NoteTold{key, id}});
+      ledger_->apply({RecordResponseDelivered{key, id}});
       break;
     case 2:           // turned away everywhere
       f.free = true;  // whether or not that becomes durable
-      ledger_->apply({NoteEnded{key, id, 0, End::NeverRan},
-                      Finish{key, id, Outcome::Refused, "", 0, 0, false}, NoteTold{key, id}});
+      ledger_->apply({RecordAttemptEnd{key, id, 0, AttemptEffect::NotExecuted},
+                      CompleteRequest{key, id, Outcome::Rejected, "", 0, 0, false},
+                      RecordResponseDelivered{key, id}});
       break;
     case 3:  // a time-out, then given up
-      ledger_->apply({NoteEnded{key, id, 0, End::MayHaveRun},
-                      Finish{key, id, Outcome::Failed, "", 0, 0, true}, NoteTold{key, id}});
+      ledger_->apply({RecordAttemptEnd{key, id, 0, AttemptEffect::MayHaveExecuted},
+                      CompleteRequest{key, id, Outcome::Failed, "", 0, 0, true},
+                      RecordResponseDelivered{key, id}});
       break;
     case 4:  // its client goes
-      ledger_->apply({NoteLeft{key, id, true}});
+      ledger_->apply({AbandonRequest{key, id, true}});
       break;
     default:  // nothing more is heard of it
       break;
@@ -172,20 +174,20 @@
 
 std::string broken(const Facts& facts, IdempotencyStore& ledger, const TestTime& time) {
   for (const auto& [key, f] : facts.keys) {
-    const OperationResult s = ledger.apply({AskKey{{"look-" + key, key, "order", 3, kWindow}}})[0];
+    const OperationResult s = ledger.apply({BeginKeyedRequest{{"look-" + key, key, "order", 3, kWindow}}})[0];
     const Time age = Time(time.us) - f.asked;
-    if (f.served && (s.verdict != Verdict::Recorded || s.answer != f.answer))
-      return key + " had been served, and is told " + name(s.verdict);
+    if (f.served && (s.disposition != Disposition::Replay || s.response != f.answer))
+      return key + " had been served, and is told " + name(s.disposition);
     if (f.served) continue;
-    if (f.intent && !f.free && s.verdict == Verdict::Run)
+    if (f.intent && !f.free && s.disposition == Disposition::Execute)
       return key + " may have been sent, and is taken for new";
-    if (s.verdict == Verdict::Again && (age >= kWindow || s.since < age))
+    if (s.disposition == Disposition::Retry && (age >= kWindow || s.sinceFirstSend < age))
       return key + " would run again " + std::to_string(age.count()) + " us after it was first sent";
-    if (s.verdict == Verdict::Recorded && !f.free && s.answer.find(key) == std::string::npos)
+    if (s.disposition == Disposition::Replay && !f.free && s.response.find(key) == std::string::npos)
       return key + " is answered with another's answer";
   }
   for (const auto& [session, position] : facts.sessions) {
-    const OperationResult s = ledger.apply({AskSession{session}})[0];
+    const OperationResult s = ledger.apply({ReadSessionPosition{session}})[0];
     if (s.positionMs < position) return "session " + std::to_string(session) + " has gone back";
   }
   return "";
--- a/tests/store_run.hpp
+++ b/tests/store_run.hpp
@@ -52,8 +52,8 @@
 class Recorder final : public durability::FileHook {
  public:
   explicit Recorder(std::string dir) : dir_(std::move(dir)) {}
-  Fate before(durability::FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
-              const std::string& to) override;
+  Result before(durability::FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
+                const std::string& to) override;
   // Fails number `n` (counted from 0), and all that follow while `lasting`; `carried` of its bytes are
   // written.
   void failAt(std::size_t n, bool lasting, std::size_t carried = 0);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -43,17 +43,18 @@
 
   StoreTest() {
     settings.directory = dir;
-    settings.longestAnswer = 200;
+    settings.maxResponseBytes = 200;
   }
   std::unique_ptr<IdempotencyStore> open() {
     return std::make_unique<IdempotencyStore>(files, settings, [this] { return time(); });
   }
   OperationResult ask(IdempotencyStore& l, const std::string& key, const std::string& id,
                       std::uint32_t group = 3) {
-    return l.apply({AskKey{{id, key, "order", group, kWindow}}})[0];
+    return l.apply({BeginKeyedRequest{{id, key, "order", group, kWindow}}})[0];
   }
   void serve(IdempotencyStore& l, const std::string& key, const std::string& id, const std::string& answer) {
-    l.apply({Finish{key, id, Outcome::Served, answer, 17, 0, true}, NoteTold{key, id}});
+    l.apply(
+        {CompleteRequest{key, id, Outcome::Served, answer, 17, 0, true}, RecordResponseDelivered{key, id}});
   }
   std::string theLog() {
     for (const auto& f : fs::directory_iterator(dir))
@@ -73,22 +74,22 @@
 // ---- keys through an end ------------------------------------------------------------------------------
 TEST_F(StoreTest, AKeyThatWasServedIsAnsweredFromTheRecord) {
   auto l = open();
-  EXPECT_EQ(ask(*l, "k1", "a").verdict, Verdict::Run);
+  EXPECT_EQ(ask(*l, "k1", "a").disposition, Disposition::Execute);
   serve(*l, "k1", "a", "the row");
   l.reset();
   time.pass(std::chrono::seconds(60));
   l = open();
   const OperationResult s = ask(*l, "k1", "b");
-  EXPECT_EQ(s.verdict, Verdict::Recorded);
-  EXPECT_EQ(s.answer, "the row");
+  EXPECT_EQ(s.disposition, Disposition::Replay);
+  EXPECT_EQ(s.response, "the row");
   EXPECT_EQ(s.positionMs, 17);
-  EXPECT_EQ(ask(*l, "k1", "c", 4).verdict, Verdict::Unknown) << "of another group";
+  EXPECT_EQ(ask(*l, "k1", "c", 4).disposition, Disposition::OutcomeUnknown) << "of another group";
 }
 TEST_F(StoreTest, AnAnswerTooLongToKeepIsAnHonestFailure) {
   auto l = open();
   ask(*l, "k1", "a");
   serve(*l, "k1", "a", std::string(201, 'x'));
-  EXPECT_EQ(ask(*l, "k1", "b").verdict, Verdict::Unknown);
+  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::OutcomeUnknown);
 }
 TEST_F(StoreTest, AnIntentWithoutOutcomeMayGoAgainWithinItsWindowAlone) {
   auto l = open();
@@ -97,58 +98,64 @@
   l.reset();
   time.pass(std::chrono::milliseconds(1500));
   l = open();
-  EXPECT_EQ(l->recovered().unresolved, 2u);
+  EXPECT_EQ(l->recovered().pendingKeys, 2u);
   const OperationResult s = ask(*l, "k1", "c");
-  EXPECT_EQ(s.verdict, Verdict::Again);
-  EXPECT_GE(s.since, std::chrono::milliseconds(1500));
-  EXPECT_EQ(ask(*l, "k1", "d", 4).verdict, Verdict::Unknown) << "in another group nobody knows the key";
+  EXPECT_EQ(s.disposition, Disposition::Retry);
+  EXPECT_GE(s.sinceFirstSend, std::chrono::milliseconds(1500));
+  EXPECT_EQ(ask(*l, "k1", "d", 4).disposition, Disposition::OutcomeUnknown)
+      << "in another group nobody knows the key";
   time.pass(std::chrono::milliseconds(500));
-  EXPECT_EQ(ask(*l, "k2", "e").verdict, Verdict::Unknown);
-  EXPECT_EQ(ask(*l, "k1", "f").verdict, Verdict::Unknown) << "the window counts from the first send of all";
+  EXPECT_EQ(ask(*l, "k2", "e").disposition, Disposition::OutcomeUnknown);
+  EXPECT_EQ(ask(*l, "k1", "f").disposition, Disposition::OutcomeUnknown)
+      << "the window counts from the first send of all";
 }
 TEST_F(StoreTest, WhatNeverRanMayRunAnew) {
   auto l = open();
   ask(*l, "k1", "a");
-  l->apply({NoteSent{"k1", "a", "s-1", 0}, NoteEnded{"k1", "a", 0, End::NeverRan},
-            Finish{"k1", "a", Outcome::Refused, "", 0, 0, false}, NoteTold{"k1", "a"}});
+  l->apply(
+      {RecordAttemptSent{"k1", "a", "s-1", 0}, RecordAttemptEnd{"k1", "a", 0, AttemptEffect::NotExecuted},
+       CompleteRequest{"k1", "a", Outcome::Rejected, "", 0, 0, false}, RecordResponseDelivered{"k1", "a"}});
   l.reset();
   time.pass(std::chrono::seconds(5));
   l = open();
-  EXPECT_EQ(ask(*l, "k1", "b").verdict, Verdict::Run);
+  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::Execute);
 }
 // Notes may be lost while the disk fails; the last word tells whether an attempt may have run all the same.
 TEST_F(StoreTest, ALostNoteMakesNoKeyFree) {
   auto l = open();
   ask(*l, "k1", "a");
-  l->apply({Finish{"k1", "a", Outcome::Refused, "", 0, 0, true}, NoteTold{"k1", "a"}});
+  l->apply(
+      {CompleteRequest{"k1", "a", Outcome::Rejected, "", 0, 0, true}, RecordResponseDelivered{"k1", "a"}});
   time.pass(std::chrono::seconds(5));
-  EXPECT_EQ(ask(*l, "k1", "b").verdict, Verdict::Unknown);
+  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::OutcomeUnknown);
 }
 TEST_F(StoreTest, TwoRequestsOfAKeyAtOnceLeaveItOpenUntilBothHaveEnded) {
   auto l = open();
-  EXPECT_EQ(ask(*l, "k1", "a").verdict, Verdict::Run);
-  EXPECT_EQ(ask(*l, "k1", "b").verdict, Verdict::Again);
-  l->apply({Finish{"k1", "b", Outcome::Refused, "", 0, 0, false}, NoteTold{"k1", "b"}});
-  EXPECT_EQ(ask(*l, "k1", "c").verdict, Verdict::Again) << "a may be out still";
+  EXPECT_EQ(ask(*l, "k1", "a").disposition, Disposition::Execute);
+  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::Retry);
+  l->apply(
+      {CompleteRequest{"k1", "b", Outcome::Rejected, "", 0, 0, false}, RecordResponseDelivered{"k1", "b"}});
+  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::Retry) << "a may be out still";
   serve(*l, "k1", "a", "the row");
-  l->apply({Finish{"k1", "c", Outcome::Failed, "", 0, 0, true}});
-  EXPECT_EQ(ask(*l, "k1", "d").verdict, Verdict::Recorded) << "a failure does not undo what was served";
+  l->apply({CompleteRequest{"k1", "c", Outcome::Failed, "", 0, 0, true}});
+  EXPECT_EQ(ask(*l, "k1", "d").disposition, Disposition::Replay) << "a failure does not undo what was served";
 }
 TEST_F(StoreTest, TenThousandOpenIntentsAreJudgedOneByOneAfterTheCrash) {
   auto l = open();
   std::vector<Operation> all;
   for (int k = 0; k < 10000; ++k)
-    all.emplace_back(AskKey{{"id" + std::to_string(k), "k" + std::to_string(k), "order", 3, kWindow}});
+    all.emplace_back(
+        BeginKeyedRequest{{"id" + std::to_string(k), "k" + std::to_string(k), "order", 3, kWindow}});
   l->apply(all);
   l.reset();
   time.pass(std::chrono::seconds(1));
   l = open();
-  EXPECT_EQ(l->recovered().unresolved, 10000u);
+  EXPECT_EQ(l->recovered().pendingKeys, 10000u);
   for (int k = 0; k < 10000; k += 97)
-    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "x").verdict, Verdict::Again);
+    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "x").disposition, Disposition::Retry);
   time.pass(std::chrono::seconds(1));
   for (int k = 1; k < 10000; k += 97)
-    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "x").verdict, Verdict::Unknown);
+    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "x").disposition, Disposition::OutcomeUnknown);
 }
 
 // ---- the clock ----------------------------------------------------------------------------------------
@@ -163,14 +170,14 @@
     time.pass(std::chrono::seconds(3));
     time.wallMs += hours * 3600 * 1000ll;
     l = open();
-    EXPECT_EQ(ask(*l, key, "c").verdict, Verdict::Unknown) << hours;
-    EXPECT_EQ(ask(*l, key + "served", "d").verdict, Verdict::Recorded) << hours;
+    EXPECT_EQ(ask(*l, key, "c").disposition, Disposition::OutcomeUnknown) << hours;
+    EXPECT_EQ(ask(*l, key + "served", "d").disposition, Disposition::Replay) << hours;
   }
 }
 // How long a machine was off is not known: for sending again it was long, for forgetting it was no time at
 // all.
 TEST_F(StoreTest, AfterTheMachinesOwnStartNothingIsYoungAndNothingIsForgotten) {
-  settings.keep = std::chrono::seconds(10);
+  settings.keyRetention = std::chrono::seconds(10);
   auto l = open();
   ask(*l, "k1", "a");
   ask(*l, "k2", "b");
@@ -180,11 +187,11 @@
   time.us = 5000;
   time.wallMs += 3600 * 1000;
   l = open();
-  EXPECT_TRUE(l->recovered().gap);
-  EXPECT_EQ(ask(*l, "k1", "c").verdict, Verdict::Unknown);
-  EXPECT_EQ(ask(*l, "k2", "d").verdict, Verdict::Recorded);
-  EXPECT_EQ(ask(*l, "k3", "e").verdict, Verdict::Run);
-  EXPECT_EQ(ask(*l, "k3", "f").verdict, Verdict::Again) << "after the gap ages are known again";
+  EXPECT_TRUE(l->recovered().afterGap);
+  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::OutcomeUnknown);
+  EXPECT_EQ(ask(*l, "k2", "d").disposition, Disposition::Replay);
+  EXPECT_EQ(ask(*l, "k3", "e").disposition, Disposition::Execute);
+  EXPECT_EQ(ask(*l, "k3", "f").disposition, Disposition::Retry) << "after the gap ages are known again";
 }
 TEST_F(StoreTest, AMachineSetBackToASnapshotCountsAsAnother) {
   auto l = open();
@@ -193,60 +200,61 @@
   l.reset();
   time.us -= 50000000;
   l = open();
-  EXPECT_TRUE(l->recovered().gap);
-  EXPECT_EQ(ask(*l, "k1", "b").verdict, Verdict::Unknown);
+  EXPECT_TRUE(l->recovered().afterGap);
+  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::OutcomeUnknown);
 }
 
 // ---- bounds -------------------------------------------------------------------------------------------
 TEST_F(StoreTest, StaysLevelWhileKeysAreAlwaysNew) {
-  settings.keep = std::chrono::seconds(10);
-  settings.keepSessions = std::chrono::seconds(10);
+  settings.keyRetention = std::chrono::seconds(10);
+  settings.sessionRetention = std::chrono::seconds(10);
   auto l = open();
   std::uint64_t most = 0;
   for (int k = 0; k < 3000; ++k) {
     const std::string key = "k" + std::to_string(k);
     ask(*l, key, "a");
-    l->apply({Finish{key, "a", Outcome::Served, "row", 1000 + k, static_cast<std::uint64_t>(k + 1), true}});
+    l->apply({CompleteRequest{key, "a", Outcome::Served, "row", 1000 + k, static_cast<std::uint64_t>(k + 1),
+                              true}});
     time.pass(std::chrono::milliseconds(50));
     most = std::max(most, l->totals().keys);
   }
   EXPECT_LE(most, 201u);
   EXPECT_LE(l->totals().sessions, 201u);
   l.reset();
-  const Census c = check(files, dir);
+  const StoreStatistics c = check(files, dir);
   EXPECT_LE(c.pairs, 4 * 201u + 8);
 }
 TEST_F(StoreTest, WithoutRoomNewKeysAreTurnedAwayAndTheOldOnesStand) {
-  settings.mostKeys = 3;
-  settings.keep = std::chrono::seconds(10);
+  settings.maxKeys = 3;
+  settings.keyRetention = std::chrono::seconds(10);
   auto l = open();
-  for (const char* k : {"k1", "k2", "k3"}) EXPECT_EQ(ask(*l, k, "a").verdict, Verdict::Run);
+  for (const char* k : {"k1", "k2", "k3"}) EXPECT_EQ(ask(*l, k, "a").disposition, Disposition::Execute);
   time.pass(std::chrono::seconds(4));
   const OperationResult s = ask(*l, "k4", "b");
-  EXPECT_TRUE(s.full);
-  EXPECT_EQ(s.wait, std::chrono::seconds(6));
-  EXPECT_EQ(ask(*l, "k1", "c").verdict, Verdict::Unknown) << "it is known still";
+  EXPECT_TRUE(s.storeFull);
+  EXPECT_EQ(s.retryAfter, std::chrono::seconds(6));
+  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::OutcomeUnknown) << "it is known still";
   time.pass(std::chrono::seconds(7));
-  EXPECT_TRUE(ask(*l, "k4", "d").full || ask(*l, "k4", "e").verdict == Verdict::Run);
+  EXPECT_TRUE(ask(*l, "k4", "d").storeFull || ask(*l, "k4", "e").disposition == Disposition::Execute);
 }
 TEST_F(StoreTest, SessionsGoOnWhereTheyWereAndForgettingMakesThemStricter) {
-  settings.keepSessions = std::chrono::seconds(10);
+  settings.sessionRetention = std::chrono::seconds(10);
   auto l = open();
-  l->apply({NoteSeen{7, 5000}, NoteSeen{7, 4000}, NoteSeen{8, 6000}});
+  l->apply({RecordSessionPosition{7, 5000}, RecordSessionPosition{7, 4000}, RecordSessionPosition{8, 6000}});
   l.reset();
   time.pass(std::chrono::seconds(1));
   l = open();
-  EXPECT_EQ(l->apply({AskSession{7}})[0].positionMs, 5000) << "never back";
-  EXPECT_EQ(l->apply({AskSession{9}})[0].positionMs, 0);
+  EXPECT_EQ(l->apply({ReadSessionPosition{7}})[0].positionMs, 5000) << "never back";
+  EXPECT_EQ(l->apply({ReadSessionPosition{9}})[0].positionMs, 0);
   time.pass(std::chrono::seconds(10));
-  l->apply({NoteSeen{10, 10}});
-  EXPECT_EQ(l->apply({AskSession{9}})[0].positionMs, 6000) << "the newest of those forgotten";
-  settings.mostSessions = 1;
+  l->apply({RecordSessionPosition{10, 10}});
+  EXPECT_EQ(l->apply({ReadSessionPosition{9}})[0].positionMs, 6000) << "the newest of those forgotten";
+  settings.maxSessions = 1;
   l.reset();
   l = open();
-  l->apply({NoteSeen{11, 9000}});
-  EXPECT_EQ(l->apply({AskSession{11}})[0].positionMs, 9000);
-  EXPECT_EQ(l->apply({AskSession{12}})[0].positionMs, 9000) << "no room: it counts for all";
+  l->apply({RecordSessionPosition{11, 9000}});
+  EXPECT_EQ(l->apply({ReadSessionPosition{11}})[0].positionMs, 9000);
+  EXPECT_EQ(l->apply({ReadSessionPosition{12}})[0].positionMs, 9000) << "no room: it counts for all";
 }
 
 // ---- ends and damage ----------------------------------------------------------------------------------
@@ -274,10 +282,11 @@
     s.directory = dir + "-copy";
     Files plain;
     IdempotencyStore copy(plain, s, [this] { return time(); });
-    EXPECT_EQ(copy.recovered().database.tornAt, before.size());
+    EXPECT_EQ(copy.recovered().database.tornOffset, before.size());
     EXPECT_EQ(copy.recovered().database.tornBytes, n - before.size());
-    EXPECT_EQ(ask(copy, "k1", "c").verdict, Verdict::Again);
-    EXPECT_EQ(ask(copy, "k2", "d").verdict, Verdict::Run) << "it never was durable, so it never was sent";
+    EXPECT_EQ(ask(copy, "k1", "c").disposition, Disposition::Retry);
+    EXPECT_EQ(ask(copy, "k2", "d").disposition, Disposition::Execute)
+        << "it never was durable, so it never was sent";
   }
 }
 TEST_F(StoreTest, ABitFlippedInTheMiddleIsReportedWithItsOffset) {
@@ -345,8 +354,8 @@
   ask(*l, "k2", "b");
   l.reset();
   l = open();
-  EXPECT_EQ(ask(*l, "k1", "c").verdict, Verdict::Recorded);
-  EXPECT_EQ(ask(*l, "k2", "d").verdict, Verdict::Again);
+  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::Replay);
+  EXPECT_EQ(ask(*l, "k2", "d").disposition, Disposition::Retry);
   l.reset();
   spit(dir + "/" + manifest, old);
   spit(dir + "/CURRENT", current);
@@ -486,8 +495,8 @@
   l.reset();
   recorder.mend();
   l = open();
-  EXPECT_EQ(ask(*l, "k1", "d").verdict, Verdict::Again);
-  EXPECT_EQ(ask(*l, "k3", "e").verdict, Verdict::Run);
+  EXPECT_EQ(ask(*l, "k1", "d").disposition, Disposition::Retry);
+  EXPECT_EQ(ask(*l, "k3", "e").disposition, Disposition::Execute);
 }
 // A file that cannot be opened or read for the moment is neither another process's nor damage: here a folder
 // stands in its place, which fails as a disk may.
@@ -511,50 +520,53 @@
   recorder.failAt(recorder.count(), true, 40);
   std::vector<Operation> group;
   for (int k = 1; k < 20; ++k)
-    group.emplace_back(AskKey{{"a", "k" + std::to_string(k), "order", 3, kWindow}});
+    group.emplace_back(BeginKeyedRequest{{"a", "k" + std::to_string(k), "order", 3, kWindow}});
   EXPECT_THROW(l->apply(group), StoreError);
   l.reset();
   EXPECT_EQ(error().kind, StoreError::Kind::Failed) << "it is full still";
   recorder.mend();
   l = open();
-  EXPECT_EQ(ask(*l, "k0", "b").verdict, Verdict::Again);
-  for (int k = 1; k < 20; ++k) EXPECT_EQ(ask(*l, "k" + std::to_string(k), "b").verdict, Verdict::Run);
+  EXPECT_EQ(ask(*l, "k0", "b").disposition, Disposition::Retry);
+  for (int k = 1; k < 20; ++k)
+    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "b").disposition, Disposition::Execute);
 }
 
 // ---- what failed commits were to record ---------------------------------------------------------------
 TEST(StoreBacklog, KeepsOperationsInOrderAndAnIntentAsItsWithdrawal) {
   Backlog b;
-  EXPECT_TRUE(b.add(AskKey{{"a", "k1", "order", 3, kWindow}}));
-  EXPECT_TRUE(b.add(Finish{"k2", "b", Outcome::Served, "row", 0, 0, true}));
-  EXPECT_TRUE(b.add(NoteSeen{7, 500}));
-  EXPECT_TRUE(b.add(NoteSeen{7, 400}));
-  EXPECT_FALSE(b.add(AskSession{7}));
+  EXPECT_TRUE(b.add(BeginKeyedRequest{{"a", "k1", "order", 3, kWindow}}));
+  EXPECT_TRUE(b.add(CompleteRequest{"k2", "b", Outcome::Served, "row", 0, 0, true}));
+  EXPECT_TRUE(b.add(RecordSessionPosition{7, 500}));
+  EXPECT_TRUE(b.add(RecordSessionPosition{7, 400}));
+  EXPECT_FALSE(b.add(ReadSessionPosition{7}));
   const std::vector<Operation> all = b.oldest(10);
   ASSERT_EQ(all.size(), 3u);
-  EXPECT_EQ(std::get<NoteSeen>(all[0]).positionMs, 500) << "never back";
-  EXPECT_EQ(std::get<NoteLeft>(all[1]).id, "a");
-  EXPECT_FALSE(std::get<NoteLeft>(all[1]).mayHaveRun);
-  EXPECT_EQ(std::get<Finish>(all[2]).answer, "row");
+  EXPECT_EQ(std::get<RecordSessionPosition>(all[0]).positionMs, 500) << "never back";
+  EXPECT_EQ(std::get<AbandonRequest>(all[1]).id, "a");
+  EXPECT_FALSE(std::get<AbandonRequest>(all[1]).mayHaveExecuted);
+  EXPECT_EQ(std::get<CompleteRequest>(all[2]).response, "row");
   b.drop(2);
   ASSERT_EQ(b.oldest(10).size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<Finish>(b.oldest(10)[0]));
+  EXPECT_TRUE(std::holds_alternative<CompleteRequest>(b.oldest(10)[0]));
   b.drop(1);
   EXPECT_TRUE(b.empty());
 }
 TEST(StoreBacklog, IsBoundedInOperationsSessionsAndBytes) {
   Backlog operations, sessions, bytes;
-  for (std::size_t k = 0; k < Backlog::kMostOperations; ++k) ASSERT_TRUE(operations.add(NoteTold{"k", "a"}));
-  EXPECT_FALSE(operations.add(NoteTold{"k", "a"}));
-  for (std::size_t k = 0; k < Backlog::kMostSessions; ++k) ASSERT_TRUE(sessions.add(NoteSeen{k + 1, 1}));
-  EXPECT_FALSE(sessions.add(NoteSeen{Backlog::kMostSessions + 1, 1}));
-  EXPECT_TRUE(sessions.add(NoteSeen{1, 2})) << "of one that is known";
+  for (std::size_t k = 0; k < Backlog::kMaxOperations; ++k)
+    ASSERT_TRUE(operations.add(RecordResponseDelivered{"k", "a"}));
+  EXPECT_FALSE(operations.add(RecordResponseDelivered{"k", "a"}));
+  for (std::size_t k = 0; k < Backlog::kMaxSessions; ++k)
+    ASSERT_TRUE(sessions.add(RecordSessionPosition{k + 1, 1}));
+  EXPECT_FALSE(sessions.add(RecordSessionPosition{Backlog::kMaxSessions + 1, 1}));
+  EXPECT_TRUE(sessions.add(RecordSessionPosition{1, 2})) << "of one that is known";
   const std::string answer(16 << 10, 'x');
   std::size_t kept = 0;
-  while (bytes.add(Finish{"k", "a", Outcome::Served, answer, 0, 0, true})) ++kept;
-  EXPECT_LE(kept * answer.size(), Backlog::kMostBytes);
+  while (bytes.add(CompleteRequest{"k", "a", Outcome::Served, answer, 0, 0, true})) ++kept;
+  EXPECT_LE(kept * answer.size(), Backlog::kMaxBytes);
   EXPECT_GT(kept, 200u);
   bytes.drop(1);
-  EXPECT_TRUE(bytes.add(Finish{"k", "a", Outcome::Served, answer, 0, 0, true}));
+  EXPECT_TRUE(bytes.add(CompleteRequest{"k", "a", Outcome::Served, answer, 0, 0, true}));
 }
 
 // Every first call of a kind is interrupted, every other one carries a third of its bytes at most.
@@ -590,7 +602,7 @@
   ASSERT_NO_THROW(live(life, time));
   life.open();
   EXPECT_EQ(broken(life.facts(), life.ledger(), time), "");
-  EXPECT_EQ(replaceWhole(files, folder.path + "/whole", std::string(5000, 'w')), "");
+  EXPECT_EQ(replaceFile(files, folder.path + "/whole", std::string(5000, 'w')), "");
   EXPECT_EQ(slurp(folder.path + "/whole"), std::string(5000, 'w'));
   EXPECT_GT(InterruptedCalls::calls, 100);
 }
@@ -599,16 +611,16 @@
   const std::string path = folder.path + "/whole";
   Recorder recorder(folder.path);
   Files files(&recorder);
-  ASSERT_EQ(replaceWhole(files, path, "earlier"), "");
+  ASSERT_EQ(replaceFile(files, path, "earlier"), "");
   const std::size_t each = recorder.count();
   for (std::size_t operation = 0; operation < each; ++operation) {
     recorder.failAt(recorder.count() + operation, false, 3);
-    EXPECT_NE(replaceWhole(files, path, "later"), "") << operation;
+    EXPECT_NE(replaceFile(files, path, "later"), "") << operation;
     EXPECT_EQ(slurp(path), "earlier") << operation;
     EXPECT_FALSE(fs::exists(path + ".new")) << "it takes room that the disk may lack: " << operation;
   }
   recorder.mend();
-  EXPECT_EQ(replaceWhole(files, path, "later"), "");
+  EXPECT_EQ(replaceFile(files, path, "later"), "");
   EXPECT_EQ(slurp(path), "later");
 }
 
@@ -629,8 +641,9 @@
       IdempotencyStore ledger(files, s, [] { return TestTime()(); });
       for (int k = 0;; ++k) {
         const std::string key = "k" + std::to_string(k);
-        ledger.apply({AskKey{{"a", key, "order", 3, kWindow}}});
-        ledger.apply({Finish{key, "a", Outcome::Served,
+        ledger.apply({BeginKeyedRequest{{"a", key, "order", 3, kWindow}}});
+        ledger.apply(
+            {CompleteRequest{key, "a", Outcome::Served,
                              key + std::string(static_cast<std::size_t>(k % 900), '.'), 0, 0, true}});
         if (write(ends[1], &k, sizeof k) != sizeof k) _exit(1);
       }
@@ -649,9 +662,9 @@
     IdempotencyStore ledger(files, s, [] { return TestTime()(); });
     for (int k = 0; k <= last; ++k) {
       const std::string key = "k" + std::to_string(k);
-      const OperationResult said = ledger.apply({AskKey{{"b", key, "order", 3, kWindow}}})[0];
-      ASSERT_EQ(said.verdict, Verdict::Recorded) << key << " of " << last;
-      ASSERT_EQ(said.answer.substr(0, key.size()), key);
+      const OperationResult said = ledger.apply({BeginKeyedRequest{{"b", key, "order", 3, kWindow}}})[0];
+      ASSERT_EQ(said.disposition, Disposition::Replay) << key << " of " << last;
+      ASSERT_EQ(said.response.substr(0, key.size()), key);
       ++promised;
     }
   }
@@ -662,33 +675,33 @@
 TEST(Records, ComeBackAsTheyWere) {
   KeyRecord r;
   r.group = 7;
-  r.cls = "order";
-  r.asked = Time(5);
-  r.window = kWindow;
-  r.expires = Time(99);
+  r.className = "order";
+  r.intentAt = Time(5);
+  r.deduplicationWindow = kWindow;
+  r.expiresAt = Time(99);
   r.wallMs = 1767225600000;
   r.epoch = 3;
-  r.attempts = {{"a", 1, "s-9", Time(6), End::MayHaveRun}};
-  r.mayHaveRun = true;
+  r.attempts = {{"a", 1, "s-9", Time(6), AttemptEffect::MayHaveExecuted}};
+  r.mayHaveExecuted = true;
   r.outcome = Outcome::Served;
-  r.answered = true;
-  r.answer = std::string("\0\xff row", 6);
+  r.hasResponse = true;
+  r.response = std::string("\0\xff row", 6);
   r.positionMs = -1;
-  r.owed = {"x"};
-  r.given = {"y", "z"};
+  r.pendingIds = {"x"};
+  r.answeredIds = {"y", "z"};
   const KeyRecord back = decodeKey(encode(r));
   EXPECT_EQ(toJson(back).dump(), toJson(r).dump());
-  EXPECT_EQ(back.answer, r.answer);
+  EXPECT_EQ(back.response, r.response);
   EXPECT_EQ(back.positionMs, -1);
-  EXPECT_EQ(back.mayHaveRun, true);
+  EXPECT_EQ(back.mayHaveExecuted, true);
 }
 TEST(Records, WhatIsNoRecordIsTurnedDown) {
   KeyRecord r;
-  r.attempts = {{"a", 1, "s-9", Time(6), End::Out}};
+  r.attempts = {{"a", 1, "s-9", Time(6), AttemptEffect::InFlight}};
   const std::string good = encode(r);
   for (std::size_t n = 0; n < good.size(); ++n)
     EXPECT_THROW(decodeKey(good.substr(0, n)), std::runtime_error) << n;
-  EXPECT_THROW(decodeKey(encode(Totals{})), std::runtime_error);
+  EXPECT_THROW(decodeKey(encode(StoreTotals{})), std::runtime_error);
   pcg64 random(1);
   for (int k = 0; k < 3000; ++k) {
     std::string bad = good;
@@ -706,21 +719,23 @@
     fs::copy(std::string(SABLESPUR_SOURCE) + "/tests/data/store-" + std::to_string(version),
              folder.path + "/store");
     Files files;
-    const Census c = check(files, folder.path + "/store");
+    const StoreStatistics c = check(files, folder.path + "/store");
     EXPECT_EQ(c.keys, 4u);
     EXPECT_EQ(c.sessions, 1u);
-    EXPECT_EQ(c.unresolved, 1u);
+    EXPECT_EQ(c.pendingKeys, 1u);
     IdempotencyStoreSettings s;
     s.directory = folder.path + "/store";
     TestTime time;
     time.pass(std::chrono::seconds(60));
     IdempotencyStore l(files, s, [&] { return time(); });
-    const auto ask = [&](const char* key) { return l.apply({AskKey{{"x", key, "order", 3, kWindow}}})[0]; };
-    EXPECT_EQ(ask("served").answer, "the row");
-    EXPECT_EQ(ask("open").verdict, Verdict::Unknown);
-    EXPECT_EQ(ask("refused").verdict, Verdict::Run);
-    EXPECT_EQ(ask("failed").verdict, Verdict::Unknown);
-    EXPECT_EQ(l.apply({AskSession{5}})[0].positionMs, 1767225600001);
+    const auto ask = [&](const char* key) {
+      return l.apply({BeginKeyedRequest{{"x", key, "order", 3, kWindow}}})[0];
+    };
+    EXPECT_EQ(ask("served").response, "the row");
+    EXPECT_EQ(ask("open").disposition, Disposition::OutcomeUnknown);
+    EXPECT_EQ(ask("refused").disposition, Disposition::Execute);
+    EXPECT_EQ(ask("failed").disposition, Disposition::OutcomeUnknown);
+    EXPECT_EQ(l.apply({ReadSessionPosition{5}})[0].positionMs, 1767225600001);
   }
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -50,13 +50,13 @@
 }
 
 TEST_F(StoredStore, ChecksAsWhole) {
-  const durability::Census census = durability::check(files, directory);
+  const durability::StoreStatistics census = durability::check(files, directory);
   EXPECT_EQ(census.keys, 6u);
   EXPECT_EQ(census.sessions, 3u);
   EXPECT_EQ(census.epochs, 2u);
-  EXPECT_EQ(census.unresolved, 1u);
-  EXPECT_EQ(census.answers, 2u);
-  EXPECT_EQ(census.answerBytes, 13u);
+  EXPECT_EQ(census.pendingKeys, 1u);
+  EXPECT_EQ(census.responses, 2u);
+  EXPECT_EQ(census.responseBytes, 13u);
   EXPECT_EQ(census.commits, 12u);
 }
 
@@ -69,25 +69,25 @@
   EXPECT_EQ(ledger.recovered().epoch, 3u);
   EXPECT_EQ(ledger.recovered().keys, 6u);
   EXPECT_EQ(ledger.recovered().sessions, 3u);
-  EXPECT_EQ(ledger.recovered().unresolved, 1u);
-  EXPECT_FALSE(ledger.recovered().gap);
+  EXPECT_EQ(ledger.recovered().pendingKeys, 1u);
+  EXPECT_FALSE(ledger.recovered().afterGap);
   const auto ask = [&](const char* key, const char* cls = "order", std::uint32_t group = 3) {
-    return ledger.apply({durability::AskKey{{"later", key, cls, group, kWindow}}})[0];
+    return ledger.apply({durability::BeginKeyedRequest{{"later", key, cls, group, kWindow}}})[0];
   };
   const durability::OperationResult served = ask("served");
-  EXPECT_EQ(served.verdict, durability::Verdict::Recorded);
-  EXPECT_EQ(served.answer, "the row");
+  EXPECT_EQ(served.disposition, durability::Disposition::Replay);
+  EXPECT_EQ(served.response, "the row");
   EXPECT_EQ(served.positionMs, 1767225600010);
   const durability::OperationResult owed = ask("owed");
-  EXPECT_EQ(owed.verdict, durability::Verdict::Recorded);
-  EXPECT_EQ(owed.answer, std::string("\0\xff row", 6));
+  EXPECT_EQ(owed.disposition, durability::Disposition::Replay);
+  EXPECT_EQ(owed.response, std::string("\0\xff row", 6));
   EXPECT_EQ(owed.positionMs, 1767225610010);
-  EXPECT_EQ(ask("failed").verdict, durability::Verdict::Unknown);
-  EXPECT_EQ(ask("open").verdict, durability::Verdict::Unknown);
-  EXPECT_EQ(ask("refused", "pay", 4).verdict, durability::Verdict::Run);
-  EXPECT_EQ(ask("left").verdict, durability::Verdict::Run);
+  EXPECT_EQ(ask("failed").disposition, durability::Disposition::OutcomeUnknown);
+  EXPECT_EQ(ask("open").disposition, durability::Disposition::OutcomeUnknown);
+  EXPECT_EQ(ask("refused", "pay", 4).disposition, durability::Disposition::Execute);
+  EXPECT_EQ(ask("left").disposition, durability::Disposition::Execute);
   const auto position = [&](std::uint64_t session) {
-    return ledger.apply({durability::AskSession{session}})[0].positionMs;
+    return ledger.apply({durability::ReadSessionPosition{session}})[0].positionMs;
   };
   EXPECT_EQ(position(5), 1767225600010);
   EXPECT_EQ(position(9), 1767225600007);
@@ -103,12 +103,12 @@
   EXPECT_EQ(read.weight, expected.weight);
   EXPECT_EQ(read.startedMs, expected.startedMs);
   EXPECT_EQ(read.latencyUs, expected.latencyUs);
-  EXPECT_EQ(read.perSecond, expected.perSecond);
+  EXPECT_EQ(read.responsesPerSecond, expected.responsesPerSecond);
   EXPECT_EQ(read.positionMs, expected.positionMs);
 }
 void expectPrimary(const recovery::PrimaryRecord& read, const recovery::PrimaryRecord& expected) {
   EXPECT_EQ(read.group, expected.group);
-  EXPECT_EQ(read.member, expected.member);
+  EXPECT_EQ(read.endpoint, expected.endpoint);
   EXPECT_EQ(read.seenMs, expected.seenMs);
 }
 
@@ -118,13 +118,13 @@
   EXPECT_EQ(read.epoch, 1u);
   EXPECT_EQ(read.sequence, 16u);
   EXPECT_EQ(read.wallMs, 1796207722037);
-  ASSERT_EQ(read.members.size(), 3u);
-  expectMember(read.members[0],
+  ASSERT_EQ(read.endpoints.size(), 3u);
+  expectMember(read.endpoints[0],
                {"s-1", "127.0.0.1:53667", "a", 3, 1, 0, 119, 0.231190065795435, 1796207721724});
-  expectMember(read.members[1],
+  expectMember(read.endpoints[1],
                {"s-2", "127.0.0.1:42359", "a", 3, 1, 0, 33.6180657153645, 3.2378099396753592, 1796207721726});
-  expectMember(read.members[2], {"s-3", "127.0.0.1:47489", "a", 3, 1, 0, 37.414875621540894,
-                                 3.237748999824856, 1796207721726});
+  expectMember(read.endpoints[2], {"s-3", "127.0.0.1:47489", "a", 3, 1, 0, 37.414875621540894,
+                                   3.237748999824856, 1796207721726});
   ASSERT_EQ(read.primaries.size(), 1u);
   expectPrimary(read.primaries[0], {3, "s-1", 1796207721724});
 }
@@ -135,10 +135,10 @@
   EXPECT_EQ(read.epoch, 4u);
   EXPECT_EQ(read.sequence, 17u);
   EXPECT_EQ(read.wallMs, 1767225600000);
-  ASSERT_EQ(read.members.size(), 2u);
-  expectMember(read.members[0],
+  ASSERT_EQ(read.endpoints.size(), 2u);
+  expectMember(read.endpoints[0],
                {"s-9", "127.0.0.9:5432", "ruwi", 3, 2.5, 1767225540000, 41250.5, 4.75, 1767225599900});
-  expectMember(read.members[1], {"s-10", "127.0.0.10:5433", "", 4, 1, 0, 0, 0, 0});
+  expectMember(read.endpoints[1], {"s-10", "127.0.0.10:5433", "", 4, 1, 0, 0, 0, 0});
   ASSERT_EQ(read.primaries.size(), 2u);
   expectPrimary(read.primaries[0], {3, "s-9", 1767225599800});
   expectPrimary(read.primaries[1], {4, "s-10", 1767225599700});
