--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -38,12 +38,12 @@
 
 ConnectionAdmissionSettings settings() {
   ConnectionAdmissionSettings s;
-  s.most = 20000;
+  s.maxConnections = 20000;
   s.groups.resize(3);
   for (std::size_t k = 0; k < 3; ++k) s.groups[k].name = std::string(1, static_cast<char>('a' + k));
   s.groups[0].reserve = 100;
-  s.groups[1].mostByAddress = 8;
-  s.groups[1].mostByPrefix = 4000;
+  s.groups[1].maxPerAddress = 8;
+  s.groups[1].maxPerPrefix = 4000;
   return s;
 }
 // One comes and one goes while so many are held.
@@ -52,17 +52,17 @@
   ConnectionAdmission door(settings(), networks(static_cast<std::size_t>(state.range(0))));
   pcg64 random(1);
   ConnectionId id = 0;
-  while (door.held() < held) {
-    door.arrived(1s, ++id, address(static_cast<std::uint32_t>(random())));
-    door.idle(1s, id);
+  while (door.connectionCount() < held) {
+    door.admit(1s, ++id, address(static_cast<std::uint32_t>(random())));
+    door.markIdle(1s, id);
   }
   Time now = 10s;
   ConnectionId oldest = 0;
   for (auto _ : state) {
     now += 10us;
-    benchmark::DoNotOptimize(door.arrived(now, ++id, address(static_cast<std::uint32_t>(random()))));
-    door.idle(now, id);
-    door.left(++oldest);
+    benchmark::DoNotOptimize(door.admit(now, ++id, address(static_cast<std::uint32_t>(random()))));
+    door.markIdle(now, id);
+    door.remove(++oldest);
   }
 }
 BENCHMARK(comeAndGo)
@@ -75,19 +75,19 @@
 // The door is full: an idle one is found to make way, or the newcomer is refused.
 void full(benchmark::State& state) {
   ConnectionAdmissionSettings s = settings();
-  s.most = 10000;
+  s.maxConnections = 10000;
   ConnectionAdmission door(s, networks(1000));
   pcg64 random(1);
   ConnectionId id = 0;
-  while (door.held() < s.most - 100) {
-    door.arrived(1s, ++id, address(static_cast<std::uint32_t>(random())));
-    if (state.range(0) != 0) door.idle(1s, id);
+  while (door.connectionCount() < s.maxConnections - 100) {
+    door.admit(1s, ++id, address(static_cast<std::uint32_t>(random())));
+    if (state.range(0) != 0) door.markIdle(1s, id);
   }
   Time now = 10s;
   for (auto _ : state) {
     now += 10us;
-    const ConnectionDecision w = door.arrived(now, ++id, address(static_cast<std::uint32_t>(random())));
-    if (w.admitted) door.idle(now, id);
+    const ConnectionDecision w = door.admit(now, ++id, address(static_cast<std::uint32_t>(random())));
+    if (w.admitted) door.markIdle(now, id);
     benchmark::DoNotOptimize(w);
   }
 }
@@ -97,7 +97,7 @@
   RecentClients known{RecentClientsSettings{}};
   pcg64 random(1);
   Time now = 1s;
-  for (auto _ : state) known.served(now += 10us, address(static_cast<std::uint32_t>(random())));
+  for (auto _ : state) known.recordResponse(now += 10us, address(static_cast<std::uint32_t>(random())));
 }
 BENCHMARK(served)->Name("served_before_is_noted");
 
@@ -105,18 +105,19 @@
 void request(benchmark::State& state) {
   RequestLimiterSettings s;
   s.limit.kind = LimitKind::Gradient;
-  s.limit.first = s.limit.least = 2000;
-  s.limit.most = 4000;
+  s.limit.initial = s.limit.min = 2000;
+  s.limit.max = 4000;
   s.groups.resize(3);
   RequestQueues lanes(s);
   RequestKey key = 0, oldest = 0;
   Time now = 1s;
-  for (; key < static_cast<RequestKey>(state.range(0));) lanes.ask(now, ++key, key % 20, key % 3, now + 1s);
+  for (; key < static_cast<RequestKey>(state.range(0));)
+    lanes.submit(now, ++key, key % 20, key % 3, now + 1s);
   for (auto _ : state) {
     now += 10us;
     ++key;
-    lanes.ask(now, key, key % 20, key % 3, now + 1s);
-    benchmark::DoNotOptimize(lanes.ended(now, ++oldest, 60ms, false));
+    lanes.submit(now, key, key % 20, key % 3, now + 1s);
+    benchmark::DoNotOptimize(lanes.complete(now, ++oldest, 60ms, false));
   }
 }
 BENCHMARK(request)->Arg(10)->Arg(1000)->Name("request_goes_and_ends/out");
--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -13,9 +13,9 @@
 }  // namespace
 
 ConcurrencyLimit::ConcurrencyLimit(const ConcurrencyLimitSettings& s)
-    : s_(s), limit_(std::clamp(s.first, s.least, s.most)) {}
+    : s_(s), limit_(std::clamp(s.initial, s.min, s.max)) {}
 
-void ConcurrencyLimit::ended(Time now, Time latency, std::size_t out, bool dropped) {
+void ConcurrencyLimit::recordCompletion(Time now, Time latency, std::size_t out, bool dropped) {
   if (s_.kind == LimitKind::Fixed) return;
   if (!open_) {
     open_ = true;
@@ -30,20 +30,20 @@
     sum_ += us;
     ++samples_;
   }
-  if (now - opened_ >= s_.window && samples_ + dropped_ >= s_.samplesLeast) close(now);
+  if (now - opened_ >= s_.window && samples_ + dropped_ >= s_.minSamples) close(now);
 }
 
 void ConcurrencyLimit::close(Time now) {
   const double mean = samples_ > 0 ? sum_ / static_cast<double>(samples_) : 0;
   // Guards against growing where nothing pushes: a limit that was not reached has not been tried.
   const bool overrun =
-      static_cast<double>(dropped_) >= s_.dropShare * static_cast<double>(samples_ + dropped_) &&
+      static_cast<double>(dropped_) >= s_.overloadDropFraction * static_cast<double>(samples_ + dropped_) &&
       dropped_ > 0;
   const bool pushed = 2 * static_cast<double>(mostOut_) >= limit_;
   if (mean > 0) usual_ = usual_ > 0 ? usual_ + (mean - usual_) * kSmooth : mean;
   double next = limit_;
   if (s_.kind == LimitKind::Aimd) {
-    if (overrun || mean > static_cast<double>(s_.bound.count()))
+    if (overrun || mean > static_cast<double>(s_.latencyBound.count()))
       next = limit_ * s_.backoff;
     else if (pushed)
       next = limit_ + 1;
@@ -63,13 +63,13 @@
       else if (!probing_ && (pushed || wanted < limit_))
         next = limit_ * (1 - kSmooth) + wanted * kSmooth;
     }
-    probing_ = ++windows_ % s_.epoch == 0;
+    probing_ = ++windows_ % s_.windowsPerEpoch == 0;
     if (probing_) {
       leastBefore_ = least_;
       least_ = 0;
     }
   }
-  limit_ = std::clamp(next, s_.least, s_.most);
+  limit_ = std::clamp(next, s_.min, s_.max);
   opened_ = now;
   sum_ = 0;
   samples_ = dropped_ = mostOut_ = 0;
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -17,14 +17,14 @@
 
 struct ConcurrencyLimitSettings {
   LimitKind kind = LimitKind::Gradient;
-  double first = 20, least = 4, most = 1000;
+  double initial = 20, min = 4, max = 1000;
   Time window = std::chrono::milliseconds(200);
-  std::size_t samplesLeast = 8;                 // a window with fewer says nothing and goes on
-  Time bound = std::chrono::milliseconds(400);  // Aimd
-  double backoff = 0.9;                         // Aimd, and Gradient where too much was dropped
-  double dropShare = 0.1;  // of a window's ends: a few that ran out of time are no overload
-  std::size_t epoch = 50;  // Gradient: windows after which half the limit is tried for one
-  double tolerance = 1.5;  // Gradient: so much slower than the least is still no queue
+  std::size_t minSamples = 8;                          // a window with fewer says nothing and goes on
+  Time latencyBound = std::chrono::milliseconds(400);  // Aimd
+  double backoff = 0.9;                                // Aimd, and Gradient where too much was dropped
+  double overloadDropFraction = 0.1;  // of a window's ends: a few that ran out of time are no overload
+  std::size_t windowsPerEpoch = 50;   // Gradient: windows after which half the limit is tried for one
+  double tolerance = 1.5;             // Gradient: so much slower than the least is still no queue
 };
 
 class ConcurrencyLimit {
@@ -32,14 +32,14 @@
   explicit ConcurrencyLimit(const ConcurrencyLimitSettings&);
   // A request has ended. `out`: how many were out with it, itself included. `dropped`: its time ran out, or
   // it was refused behind this limit. What failed early says nothing of the load and is not told here.
-  void ended(Time now, Time latency, std::size_t out, bool dropped);
+  void recordCompletion(Time now, Time latency, std::size_t out, bool dropped);
   std::size_t value() const {
-    return static_cast<std::size_t>(probing_ ? std::max(limit_ / 2, s_.least) : limit_);
+    return static_cast<std::size_t>(probing_ ? std::max(limit_ / 2, s_.min) : limit_);
   }
   // Latency of late; 0: nothing is known.
-  Time usual() const { return Time(static_cast<std::int64_t>(usual_)); }
+  Time typicalLatency() const { return Time(static_cast<std::int64_t>(usual_)); }
   // What nearly all take: the mean and four deviations (as RFC 6298 reckons a time-out, section 2).
-  Time most() const { return Time(static_cast<std::int64_t>(usual_ + 4 * deviation_)); }
+  Time latencyUpperBound() const { return Time(static_cast<std::int64_t>(usual_ + 4 * deviation_)); }
 
  private:
   void close(Time now);
--- a/src/admission/connection_admission.cpp
+++ b/src/admission/connection_admission.cpp
@@ -30,7 +30,8 @@
 }
 
 void ConnectionAdmission::reload(ConnectionAdmissionSettings s, std::shared_ptr<const Networks> n) {
-  if (s.groups.empty() || s.most == 0) throw std::invalid_argument("a door without a group or without room");
+  if (s.groups.empty() || s.maxConnections == 0)
+    throw std::invalid_argument("a door without a group or without room");
   std::vector<Group> groups(s.groups.size());
   for (std::size_t k = 0; k < groups.size(); ++k) {
     Group& g = groups[k];
@@ -39,8 +40,8 @@
     for (const Group& old : groups_) {
       if (old.limits.name != g.limits.name) continue;
       g.count.admitted = old.count.admitted;
-      g.count.asked = old.count.asked;
-      g.count.refused = old.count.refused;
+      g.count.evicted = old.count.evicted;
+      g.count.rejected = old.count.rejected;
       g.count.refusing = old.count.refusing;
       g.tokens = std::min(old.tokens, g.limits.burst);  // a reload is no way to a fresh burst
       g.filled = old.filled;
@@ -84,18 +85,18 @@
 
 void ConnectionAdmission::count(Group& g) {
   g.count.idle = g.idle.size();
-  g.count.reserveLeft = g.limits.reserve - std::min(g.limits.reserve, g.count.held);
+  g.count.reserveRemaining = g.limits.reserve - std::min(g.limits.reserve, g.count.connections);
 }
 void ConnectionAdmission::enter(ConnectionId, Connection& c) {
   Group& g = groups_[c.group];
-  ++g.count.held;
+  ++g.count.connections;
   ++g.byAddress[c.address];
   ++g.byPrefix[prefix(c.address)];
   count(g);
 }
 void ConnectionAdmission::leave(Connection& c) {
   Group& g = groups_[c.group];
-  --g.count.held;
+  --g.count.connections;
   down(g.byAddress, c.address);
   down(g.byPrefix, prefix(c.address));
   if (c.idle) g.idle.erase(c.place);
@@ -103,8 +104,8 @@
 }
 
 bool ConnectionAdmission::rate(Group& g, Time now) {
-  if (g.limits.perSecond <= 0) return true;
-  g.tokens = std::min(g.limits.burst, g.tokens + g.limits.perSecond * seconds(now - g.filled));
+  if (g.limits.connectionsPerSecond <= 0) return true;
+  g.tokens = std::min(g.limits.burst, g.tokens + g.limits.connectionsPerSecond * seconds(now - g.filled));
   g.filled = now;
   if (g.tokens < 1) return false;
   g.tokens -= 1;
@@ -114,18 +115,19 @@
 // Each is asked to come back in a slot of its own: at the group's rate, or as many within a second as it may
 // hold.
 ConnectionDecision ConnectionAdmission::refuse(Group& g, Time now, RejectionReason why) {
-  ++g.count.refused[why];
+  ++g.count.rejected[why];
   g.count.refusing = true;
   const double perSecond =
-      g.limits.perSecond > 0
-          ? g.limits.perSecond
-          : static_cast<double>(std::max<std::size_t>(g.limits.most > 0 ? g.limits.most : settings_.most, 1));
-  const Time first = now + settings_.comeBackLeast, last = now + settings_.comeBackMost;
+      g.limits.connectionsPerSecond > 0
+          ? g.limits.connectionsPerSecond
+          : static_cast<double>(std::max<std::size_t>(
+                g.limits.maxConnections > 0 ? g.limits.maxConnections : settings_.maxConnections, 1));
+  const Time first = now + settings_.minRetryAfter, last = now + settings_.maxRetryAfter;
   // Beyond the longest wait the slots begin anew: what is asked of clients is bounded.
   if (g.nextSlot < first || g.nextSlot > last) g.nextSlot = first;
   ConnectionDecision w;
-  w.why = why;
-  w.comeBack = g.nextSlot - now;
+  w.rejection = why;
+  w.retryAfter = g.nextSlot - now;
   g.nextSlot += std::max(time(1 / perSecond), Time(1));
   return w;
 }
@@ -133,7 +135,7 @@
 std::size_t ConnectionAdmission::keptForOthers(std::size_t group) const {
   std::size_t kept = 0;
   for (std::size_t k = 0; k < groups_.size(); ++k)
-    if (k != group) kept += groups_[k].count.reserveLeft;
+    if (k != group) kept += groups_[k].count.reserveRemaining;
   return kept;
 }
 
@@ -143,15 +145,15 @@
   const auto share = [&](std::size_t k, std::size_t held) {
     return static_cast<double>(held) / std::max(groups_[k].limits.weight, 1e-9);
   };
-  const double mine = share(group, groups_[group].count.held + 1);
+  const double mine = share(group, groups_[group].count.connections + 1);
   const Group* best = nullptr;
   double most = 0;
   for (std::size_t k = 0; k < groups_.size(); ++k) {
     const Group& g = groups_[k];
-    if (g.idle.empty() || now - connections_.at(g.idle.front()).since < settings_.idleLeast) continue;
+    if (g.idle.empty() || now - connections_.at(g.idle.front()).since < settings_.minIdleTime) continue;
     const bool own = k == group;
-    const double theirs = share(k, g.count.held);
-    if (!own && (g.count.held <= g.limits.reserve || theirs <= mine)) continue;
+    const double theirs = share(k, g.count.connections);
+    if (!own && (g.count.connections <= g.limits.reserve || theirs <= mine)) continue;
     if (!best || theirs > most) {
       best = &g;
       most = theirs;
@@ -160,35 +162,36 @@
   return best ? best->idle.front() : 0;
 }
 
-ConnectionDecision ConnectionAdmission::arrived(Time now, ConnectionId id, const IpAddress& from,
-                                                std::optional<std::size_t> group) {
+ConnectionDecision ConnectionAdmission::admit(Time now, ConnectionId id, const IpAddress& from,
+                                              std::optional<std::size_t> group) {
   const std::size_t k = group ? std::min(*group, groups_.size() - 1) : groupOf(from);
   Group& g = groups_[k];
   const GroupLimits& l = g.limits;
   // The narrowest bound first: an abuser is told of its own, and takes nothing from its neighbours' rate.
-  if (l.mostByAddress > 0 && at(g.byAddress, from) >= l.mostByAddress)
+  if (l.maxPerAddress > 0 && at(g.byAddress, from) >= l.maxPerAddress)
     return refuse(g, now, RejectionReason::AddressFull);
-  if (l.mostByPrefix > 0 && at(g.byPrefix, prefix(from)) >= l.mostByPrefix)
+  if (l.maxPerPrefix > 0 && at(g.byPrefix, prefix(from)) >= l.maxPerPrefix)
     return refuse(g, now, RejectionReason::PrefixFull);
   ConnectionDecision w;
-  const bool groupFull = l.most > 0 && g.count.held >= l.most;
+  const bool groupFull = l.maxConnections > 0 && g.count.connections >= l.maxConnections;
   if (groupFull) {
-    const bool spare = !g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.idleLeast;
+    const bool spare =
+        !g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.minIdleTime;
     if (!spare) return refuse(g, now, RejectionReason::GroupFull);
-    w.close = g.idle.front();
-  } else if (connections_.size() + keptForOthers(k) >= most() && g.count.reserveLeft == 0) {
-    w.close = victim(now, k);
-    if (w.close == 0) return refuse(g, now, RejectionReason::Full);
-  } else if (connections_.size() >= most()) {
-    w.close = victim(now, k);  // its reserve is owed, but others were let in by earlier settings
-    if (w.close == 0) return refuse(g, now, RejectionReason::Full);
+    w.evict = g.idle.front();
+  } else if (connections_.size() + keptForOthers(k) >= maxConnections() && g.count.reserveRemaining == 0) {
+    w.evict = victim(now, k);
+    if (w.evict == 0) return refuse(g, now, RejectionReason::Full);
+  } else if (connections_.size() >= maxConnections()) {
+    w.evict = victim(now, k);  // its reserve is owed, but others were let in by earlier settings
+    if (w.evict == 0) return refuse(g, now, RejectionReason::Full);
   }
   if (!rate(g, now)) return refuse(g, now, RejectionReason::Rate);
-  if (w.close != 0) {
-    Connection& c = connections_[w.close];
-    ++groups_[c.group].count.asked;
+  if (w.evict != 0) {
+    Connection& c = connections_[w.evict];
+    ++groups_[c.group].count.evicted;
     leave(c);
-    connections_.erase(w.close);
+    connections_.erase(w.evict);
   }
   Connection c;
   c.group = k;
@@ -201,14 +204,14 @@
   return w;
 }
 
-void ConnectionAdmission::left(ConnectionId id) {
+void ConnectionAdmission::remove(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
   leave(it->second);
   connections_.erase(it);
 }
 
-void ConnectionAdmission::busy(ConnectionId id) {
+void ConnectionAdmission::markBusy(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || !it->second.idle) return;
   Group& g = groups_[it->second.group];
@@ -217,7 +220,7 @@
   count(g);
 }
 
-void ConnectionAdmission::idle(Time now, ConnectionId id) {
+void ConnectionAdmission::markIdle(Time now, ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || it->second.idle) return;
   Group& g = groups_[it->second.group];
@@ -227,7 +230,7 @@
   count(g);
 }
 
-void ConnectionAdmission::belongs(ConnectionId id, std::size_t group) {
+void ConnectionAdmission::assignGroup(ConnectionId id, std::size_t group) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || it->second.group == group || group >= groups_.size()) return;
   Connection& c = it->second;
@@ -246,30 +249,31 @@
 
 void ConnectionAdmission::askBack(Group& g, std::vector<ConnectionId>& all) {
   const ConnectionId id = g.idle.front();
-  ++g.count.asked;
-  left(id);
+  ++g.count.evicted;
+  remove(id);
   all.push_back(id);
 }
 
 ConnectionAdmission::Group* ConnectionAdmission::widest(Time now) {
   Group* best = nullptr;
   const auto share = [](const Group& g) {
-    return static_cast<double>(g.count.held) / std::max(g.limits.weight, 1e-9);
+    return static_cast<double>(g.count.connections) / std::max(g.limits.weight, 1e-9);
   };
   for (Group& g : groups_)
-    if (!g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.idleLeast &&
-        g.count.held > g.limits.reserve && (!best || share(g) > share(*best)))
+    if (!g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.minIdleTime &&
+        g.count.connections > g.limits.reserve && (!best || share(g) > share(*best)))
       best = &g;
   return best;
 }
 
-std::vector<ConnectionId> ConnectionAdmission::surplus(Time now, std::size_t most) {
+std::vector<ConnectionId> ConnectionAdmission::evictSurplus(Time now, std::size_t most) {
   std::vector<ConnectionId> all;
   for (Group& g : groups_)
-    while (all.size() < most && g.limits.most > 0 && g.count.held > g.limits.most && !g.idle.empty() &&
-           now - connections_.at(g.idle.front()).since >= settings_.idleLeast)
+    while (all.size() < most && g.limits.maxConnections > 0 &&
+           g.count.connections > g.limits.maxConnections && !g.idle.empty() &&
+           now - connections_.at(g.idle.front()).since >= settings_.minIdleTime)
       askBack(g, all);
-  while (all.size() < most && connections_.size() > this->most()) {
+  while (all.size() < most && connections_.size() > this->maxConnections()) {
     Group* const g = widest(now);
     if (!g) break;
     askBack(*g, all);
@@ -277,7 +281,7 @@
   return all;
 }
 
-std::vector<ConnectionId> ConnectionAdmission::spare(Time now, std::size_t most) {
+std::vector<ConnectionId> ConnectionAdmission::evictForExhaustion(Time now, std::size_t most) {
   std::vector<ConnectionId> all;
   while (all.size() < most) {
     Group* const g = widest(now);
--- a/src/admission/connection_admission.hpp
+++ b/src/admission/connection_admission.hpp
@@ -27,21 +27,21 @@
 
 struct GroupLimits {
   std::string name;
-  std::size_t most = 0;           // connections; 0: no cap of its own
-  std::size_t mostByAddress = 0;  // the same
-  std::size_t mostByPrefix = 0;   // by a network of prefix4 or prefix6 bits
-  double perSecond = 0;           // new connections; 0: no bound
-  double burst = 1;               // that may come at once
-  std::size_t reserve = 0;        // connections that are kept free for it
+  std::size_t maxConnections = 0;   // connections; 0: no cap of its own
+  std::size_t maxPerAddress = 0;    // the same
+  std::size_t maxPerPrefix = 0;     // by a network of prefix4 or prefix6 bits
+  double connectionsPerSecond = 0;  // new connections; 0: no bound
+  double burst = 1;                 // that may come at once
+  std::size_t reserve = 0;          // connections that are kept free for it
   double weight = 1;
 };
 
 struct ConnectionAdmissionSettings {
-  std::size_t most = 1;             // connections of all groups together
+  std::size_t maxConnections = 1;   // connections of all groups together
   std::vector<GroupLimits> groups;  // the last one is everyone else
   int prefix4 = 24, prefix6 = 64;
-  Time comeBackLeast = std::chrono::milliseconds(100), comeBackMost = std::chrono::seconds(10);
-  Time idleLeast = std::chrono::milliseconds(500);  // a connection that was used later is not asked back
+  Time minRetryAfter = std::chrono::milliseconds(100), maxRetryAfter = std::chrono::seconds(10);
+  Time minIdleTime = std::chrono::milliseconds(500);  // a connection that was used later is not asked back
 };
 
 enum class RejectionReason { None, Full, GroupFull, AddressFull, PrefixFull, Rate };
@@ -49,9 +49,9 @@
 
 struct ConnectionDecision {
   bool admitted = false;
-  ConnectionId close = 0;                       // an idle one that has to go first; 0: none
-  RejectionReason why = RejectionReason::None;  // not admitted
-  Time comeBack{};  // not admitted: after so long. Spread, so that those refused do not return together
+  ConnectionId evict = 0;                             // an idle one that has to go first; 0: none
+  RejectionReason rejection = RejectionReason::None;  // not admitted
+  Time retryAfter{};  // not admitted: after so long. Spread, so that those refused do not return together
 };
 
 class ConnectionAdmission {
@@ -59,35 +59,35 @@
   ConnectionAdmission(ConnectionAdmissionSettings, std::shared_ptr<const Networks>);
 
   // Ids of those refused are not kept. `group`: who it is known to be, whatever its network.
-  ConnectionDecision arrived(Time now, ConnectionId, const IpAddress&,
-                             std::optional<std::size_t> group = std::nullopt);
-  void left(ConnectionId);
-  void busy(ConnectionId);            // it has asked
-  void idle(Time now, ConnectionId);  // it is answered
+  ConnectionDecision admit(Time now, ConnectionId, const IpAddress&,
+                           std::optional<std::size_t> group = std::nullopt);
+  void remove(ConnectionId);
+  void markBusy(ConnectionId);            // it has asked
+  void markIdle(Time now, ConnectionId);  // it is answered
   // A client that has said who it is may belong to another group; nothing is taken from it for that.
-  void belongs(ConnectionId, std::size_t group);
+  void assignGroup(ConnectionId, std::size_t group);
 
   // New settings while it runs. Groups keep what they hold by their names; who moves, moves. Nobody is closed
   // for a cap that has become lower: see surplus.
   void reload(ConnectionAdmissionSettings, std::shared_ptr<const Networks>);
   // Idle connections beyond the caps, longest idle first, `most` at once.
-  std::vector<ConnectionId> surplus(Time now, std::size_t most);
+  std::vector<ConnectionId> evictSurplus(Time now, std::size_t most);
   // Up to so many idle ones that are asked back although no cap says so: descriptors ran out. Of the widest
   // groups by weight, beyond their reserves, longest idle first.
-  std::vector<ConnectionId> spare(Time now, std::size_t most);
+  std::vector<ConnectionId> evictForExhaustion(Time now, std::size_t most);
 
-  struct Count {
-    std::size_t held = 0, idle = 0, reserveLeft = 0;
-    std::uint64_t admitted = 0, asked = 0;  // asked: of its own that were asked back for others
-    std::map<RejectionReason, std::uint64_t> refused;
+  struct Counters {
+    std::size_t connections = 0, idle = 0, reserveRemaining = 0;
+    std::uint64_t admitted = 0, evicted = 0;  // asked: of its own that were asked back for others
+    std::map<RejectionReason, std::uint64_t> rejected;
     bool refusing = false;  // since the last one that was admitted
   };
-  const Count& count(std::size_t group) const { return groups_[group].count; }
-  std::size_t held() const { return connections_.size(); }
-  std::size_t groups() const { return groups_.size(); }
+  const Counters& count(std::size_t group) const { return groups_[group].count; }
+  std::size_t connectionCount() const { return connections_.size(); }
+  std::size_t groupCount() const { return groups_.size(); }
   // Connections of all groups together: as the settings say, or fewer, where there is not so much.
-  std::size_t most() const { return std::min(settings_.most, ceiling_); }
-  void ceiling(std::size_t most) { ceiling_ = most; }
+  std::size_t maxConnections() const { return std::min(settings_.maxConnections, ceiling_); }
+  void setConnectionLimit(std::size_t most) { ceiling_ = most; }
   const GroupLimits& limits(std::size_t group) const { return groups_[group].limits; }
   std::size_t groupOf(ConnectionId) const;  // groups(): it is not known
   std::size_t groupOf(const IpAddress& a) const { return networks_->find(a, groups_.size() - 1); }
@@ -95,7 +95,7 @@
  private:
   struct Group {
     GroupLimits limits;
-    Count count;
+    Counters count;
     double tokens = 0;
     Time filled{};
     Time nextSlot{};               // when the next one refused is asked to come back
--- a/src/admission/connection_limit.hpp
+++ b/src/admission/connection_limit.hpp
@@ -15,7 +15,7 @@
  public:
   // `held` connections, and there was no descriptor for one more. Once in `kAtOnce` it counts: one want is
   // met by many at the same time.
-  void ranShort(Time now, std::size_t held, std::size_t least) {
+  void onExhaustion(Time now, std::size_t held, std::size_t least) {
     if (bound_ && now - loweredAt_ < kAtOnce) return;
     const std::size_t from = bound_ ? std::min(value_, held) : held;
     value_ = std::max({from - from / 10 - std::min<std::size_t>(from, 2), least, std::size_t{1}});
@@ -29,7 +29,7 @@
     bound_ = value_ < most;
     return std::min(value_, most);
   }
-  bool bound() const { return bound_; }
+  bool active() const { return bound_; }
 
  private:
   static constexpr Time kAtOnce = std::chrono::milliseconds(300), kRaise = std::chrono::seconds(1);
--- a/src/admission/recent_clients.hpp
+++ b/src/admission/recent_clients.hpp
@@ -17,18 +17,18 @@
 using Time = std::chrono::microseconds;
 
 struct RecentClientsSettings {
-  std::size_t most = 4096, mostByPrefix = 32;
+  std::size_t maxClients = 4096, maxPerPrefix = 32;
   int prefix4 = 24, prefix6 = 64;
-  std::size_t times = 3;                // served so often
-  Time over = std::chrono::seconds(2);  // over so long, at least
-  Time keep = std::chrono::hours(24);   // after the last time
+  std::size_t minResponses = 3;             // served so often
+  Time minSpan = std::chrono::seconds(2);   // over so long, at least
+  Time retention = std::chrono::hours(24);  // after the last time
 };
 
 class RecentClients {
  public:
   explicit RecentClients(RecentClientsSettings s) : s_(s) {}
-  void served(Time now, const IpAddress&);
-  bool is(Time now, const IpAddress&) const;
+  void recordResponse(Time now, const IpAddress&);
+  bool contains(Time now, const IpAddress&) const;
   std::size_t size() const { return records_.size(); }
 
  private:
--- a/src/admission/rejection_period.hpp
+++ b/src/admission/rejection_period.hpp
@@ -11,9 +11,9 @@
 class RejectionPeriod {
  public:
   explicit RejectionPeriod(Time calm = std::chrono::seconds(1)) : calm_(calm) {}
-  enum class Turn { None, Began, Ended };
+  enum class Transition { None, Began, Ended };
   // `total`: refusals so far. A spell has ended once none has come for as long as `calm`.
-  Turn at(Time now, std::uint64_t total) {
+  Transition update(Time now, std::uint64_t total) {
     if (total != total_) {
       const bool began = !on_;
       if (began) {
@@ -23,15 +23,15 @@
       last_ = now;
       total_ = total;
       on_ = true;
-      return began ? Turn::Began : Turn::None;
+      return began ? Transition::Began : Transition::None;
     }
-    if (!on_ || now - last_ < calm_) return Turn::None;
+    if (!on_ || now - last_ < calm_) return Transition::None;
     on_ = false;
-    return Turn::Ended;
+    return Transition::Ended;
   }
-  bool on() const { return on_; }
-  std::uint64_t within() const { return total_ - before_; }  // of the spell that is on, or was last
-  Time lasted() const { return last_ - since_; }
+  bool active() const { return on_; }
+  std::uint64_t rejections() const { return total_ - before_; }  // of the spell that is on, or was last
+  Time duration() const { return last_ - since_; }
 
  private:
   Time calm_;
--- a/src/admission/request_limiter.cpp
+++ b/src/admission/request_limiter.cpp
@@ -17,30 +17,30 @@
 
 // Spread: as many as wait and are out need so long; those refused come back one after another, not together.
 Time RequestLimiter::comeBack() {
-  const Time each = std::max(limit_.usual(), Time(1000));
+  const Time each = std::max(limit_.typicalLatency(), Time(1000));
   const auto ahead = static_cast<double>(waiting_ + refused_++) /
                      static_cast<double>(std::max<std::size_t>(limit_.value(), 1));
   const Time t =
-      s_.comeBackLeast + Time(static_cast<std::int64_t>(ahead * static_cast<double>(each.count())));
-  if (t <= s_.comeBackMost) return t;
+      s_.minRetryAfter + Time(static_cast<std::int64_t>(ahead * static_cast<double>(each.count())));
+  if (t <= s_.maxRetryAfter) return t;
   refused_ = 0;
-  return s_.comeBackMost;
+  return s_.maxRetryAfter;
 }
-Answered RequestLimiter::refuse(RequestKey key, RequestRejection why) {
+ResolvedRequest RequestLimiter::refuse(RequestKey key, RequestRejection why) {
   const auto it = open_.find(key);
-  ++groups_[it->second.group].count.refused[static_cast<std::size_t>(why)];
+  ++groups_[it->second.group].count.rejected[static_cast<std::size_t>(why)];
   open_.erase(it);
   return {key, RequestDecision::Reject, comeBack()};
 }
 
-const char* turnedName(RequestRejection t) {
+const char* requestRejectionName(RequestRejection t) {
   static const char* const names[] = {"share", "late", "queue"};
   return names[static_cast<std::size_t>(t)];
 }
-RequestLimiter::Count RequestLimiter::count(std::size_t group) const {
-  Count c = groups_[group].count;
-  c.out = groups_[group].out;
-  c.waiting = groups_[group].waiting.size();
+RequestLimiter::Counters RequestLimiter::counters(std::size_t group) const {
+  Counters c = groups_[group].count;
+  c.inFlight = groups_[group].out;
+  c.queued = groups_[group].waiting.size();
   return c;
 }
 void RequestLimiter::reload(RequestLimiterSettings s) {
@@ -64,15 +64,15 @@
 void RequestLimiter::go(RequestKey key, std::size_t group) {
   open_[key] = {group, true};
   ++groups_[group].out;
-  ++groups_[group].count.went;
+  ++groups_[group].count.admitted;
   ++out_;
   last_ = group;
 }
 
-void RequestLimiter::drop(Time now, std::vector<Answered>& all) {
+void RequestLimiter::drop(Time now, std::vector<ResolvedRequest>& all) {
   for (Group& g : groups_)
     for (auto it = g.waiting.begin(); it != g.waiting.end();) {
-      if (it->deadline - now > limit_.most()) {
+      if (it->deadline - now > limit_.latencyUpperBound()) {
         ++it;
         continue;
       }
@@ -83,7 +83,7 @@
     }
 }
 
-void RequestLimiter::take(std::vector<Answered>& all) {
+void RequestLimiter::take(std::vector<ResolvedRequest>& all) {
   while (waiting_ > 0 && out_ < limit_.value()) {
     Group* next = nullptr;
     for (std::size_t k = 1; k <= groups_.size(); ++k) {
@@ -99,24 +99,26 @@
   if (waiting_ == 0) refused_ = 0;
 }
 
-RequestLimiter::Asked RequestLimiter::ask(Time now, RequestKey key, std::size_t group, Time deadline) {
-  Asked a;
+RequestLimiter::SubmitResult RequestLimiter::submit(Time now, RequestKey key, std::size_t group,
+                                                    Time deadline) {
+  SubmitResult a;
   group = std::min(group, groups_.size() - 1);
   Group& g = groups_[group];
   const auto turnedAway = [&](RequestRejection why) {
-    a.comeBack = turnAway(group, why);
+    a.retryAfter = reject(group, why);
     return a;
   };
-  if (g.settings.mostOpen > 0 && g.out + g.waiting.size() >= g.settings.mostOpen)
+  if (g.settings.maxOpen > 0 && g.out + g.waiting.size() >= g.settings.maxOpen)
     return turnedAway(RequestRejection::Share);
   if (waiting_ == 0 && out_ < limit_.value()) {
     go(key, group);
-    a.turn = RequestDecision::Admit;
+    a.decision = RequestDecision::Admit;
     return a;
   }
-  if (deadline - now <= limit_.most()) return turnedAway(RequestRejection::Late);  // it could not be on time
-  if (waiting_ >= s_.mostWaiting) drop(now, a.others);
-  if (waiting_ >= s_.mostWaiting) {
+  if (deadline - now <= limit_.latencyUpperBound())
+    return turnedAway(RequestRejection::Late);  // it could not be on time
+  if (waiting_ >= s_.maxQueued) drop(now, a.resolved);
+  if (waiting_ >= s_.maxQueued) {
     // Whoever has most waiting by weight gives way, with its newest: it has waited least.
     Group* widest = &g;
     const auto width = [](const Group& x, std::size_t extra) {
@@ -128,30 +130,30 @@
     const RequestKey gives = widest->waiting.back().key;
     widest->waiting.pop_back();
     --waiting_;
-    a.others.push_back(refuse(gives, RequestRejection::Queue));
+    a.resolved.push_back(refuse(gives, RequestRejection::Queue));
   }
   g.waiting.push_back({key, deadline});
   open_[key] = {group, false};
   ++waiting_;
-  ++g.count.waited;
-  a.turn = RequestDecision::Queue;
+  ++g.count.enqueued;
+  a.decision = RequestDecision::Queue;
   // A slot may be free: what stood before it has just been dropped.
-  std::vector<Answered> went;
+  std::vector<ResolvedRequest> went;
   take(went);
-  for (const Answered& w : went) {
+  for (const ResolvedRequest& w : went) {
     if (w.key == key)
-      a.turn = RequestDecision::Admit;
+      a.decision = RequestDecision::Admit;
     else
-      a.others.push_back(w);
+      a.resolved.push_back(w);
   }
   return a;
 }
 
-std::vector<Answered> RequestLimiter::ended(Time now, RequestKey key, Time latency, bool dropped) {
-  std::vector<Answered> all;
+std::vector<ResolvedRequest> RequestLimiter::complete(Time now, RequestKey key, Time latency, bool dropped) {
+  std::vector<ResolvedRequest> all;
   const auto it = open_.find(key);
   if (it == open_.end() || !it->second.out) return all;
-  limit_.ended(now, latency, out_, dropped);
+  limit_.recordCompletion(now, latency, out_, dropped);
   --groups_[it->second.group].out;
   --out_;
   open_.erase(it);
@@ -160,8 +162,8 @@
   return all;
 }
 
-std::vector<Answered> RequestLimiter::left(Time now, RequestKey key) {
-  std::vector<Answered> all;
+std::vector<ResolvedRequest> RequestLimiter::cancel(Time now, RequestKey key) {
+  std::vector<ResolvedRequest> all;
   const auto it = open_.find(key);
   if (it == open_.end()) return all;
   Group& g = groups_[it->second.group];
@@ -180,8 +182,8 @@
   return all;
 }
 
-std::vector<Answered> RequestLimiter::overdue(Time now) {
-  std::vector<Answered> all;
+std::vector<ResolvedRequest> RequestLimiter::rejectOverdue(Time now) {
+  std::vector<ResolvedRequest> all;
   drop(now, all);
   return all;
 }
--- a/src/admission/request_limiter.hpp
+++ b/src/admission/request_limiter.hpp
@@ -18,14 +18,14 @@
 
 struct ShareSettings {
   double weight = 1;
-  std::size_t mostOpen = 0;  // requests, waiting ones included; 0: no bound of its own
+  std::size_t maxOpen = 0;  // requests, waiting ones included; 0: no bound of its own
 };
 
 struct RequestLimiterSettings {
   ConcurrencyLimitSettings limit;
-  std::size_t mostWaiting = 64;
+  std::size_t maxQueued = 64;
   std::vector<ShareSettings> groups;
-  Time comeBackLeast = std::chrono::milliseconds(50), comeBackMost = std::chrono::seconds(2);
+  Time minRetryAfter = std::chrono::milliseconds(50), maxRetryAfter = std::chrono::seconds(2);
 };
 
 enum class RequestDecision { Admit, Queue, Reject };
@@ -34,13 +34,13 @@
   Late,
   Queue
 };  // why: its group's cap, no time left for it, no room to wait
-constexpr std::size_t kTurned = 3;
-const char* turnedName(RequestRejection);
+constexpr std::size_t kRequestRejectionCount = 3;
+const char* requestRejectionName(RequestRejection);
 
-struct Answered {
+struct ResolvedRequest {
   RequestKey key = 0;
-  RequestDecision turn = RequestDecision::Reject;  // Go or Refuse
-  Time comeBack{};                                 // of Refuse
+  RequestDecision decision = RequestDecision::Reject;  // Go or Refuse
+  Time retryAfter{};                                   // of Refuse
 };
 
 class RequestLimiter {
@@ -48,35 +48,35 @@
   explicit RequestLimiter(RequestLimiterSettings);
 
   // What becomes of a request. Others that have to give way to it are in `others`.
-  struct Asked {
-    RequestDecision turn = RequestDecision::Reject;
-    Time comeBack{};
-    std::vector<Answered> others;
+  struct SubmitResult {
+    RequestDecision decision = RequestDecision::Reject;
+    Time retryAfter{};
+    std::vector<ResolvedRequest> resolved;
   };
-  Asked ask(Time now, RequestKey, std::size_t group, Time deadline);
+  SubmitResult submit(Time now, RequestKey, std::size_t group, Time deadline);
   // One that is turned away for a reason of the caller's: counted, and when to come back.
-  Time turnAway(std::size_t group, RequestRejection why) {
-    ++groups_[group].count.refused[static_cast<std::size_t>(why)];
+  Time reject(std::size_t group, RequestRejection why) {
+    ++groups_[group].count.rejected[static_cast<std::size_t>(why)];
     return comeBack();
   }
   // One that went on has ended, or its client has left. Those that may go now, and those that can no longer
   // be on time.
-  std::vector<Answered> ended(Time now, RequestKey, Time latency, bool dropped);
-  std::vector<Answered> left(Time now, RequestKey);
+  std::vector<ResolvedRequest> complete(Time now, RequestKey, Time latency, bool dropped);
+  std::vector<ResolvedRequest> cancel(Time now, RequestKey);
   // Those waiting that can no longer be on time; to be asked now and then.
-  std::vector<Answered> overdue(Time now);
+  std::vector<ResolvedRequest> rejectOverdue(Time now);
 
-  std::size_t out() const { return out_; }
-  std::size_t waiting() const { return waiting_; }
+  std::size_t inFlight() const { return out_; }
+  std::size_t queued() const { return waiting_; }
   std::size_t limit() const { return limit_.value(); }
-  Time usual() const { return limit_.usual(); }
-  struct Count {
-    std::size_t out = 0, waiting = 0;
-    std::uint64_t went = 0, waited = 0;
-    std::array<std::uint64_t, kTurned> refused{};  // by Turned
+  Time typicalLatency() const { return limit_.typicalLatency(); }
+  struct Counters {
+    std::size_t inFlight = 0, queued = 0;
+    std::uint64_t admitted = 0, enqueued = 0;
+    std::array<std::uint64_t, kRequestRejectionCount> rejected{};  // by Turned
   };
-  Count count(std::size_t group) const;
-  std::size_t groups() const { return groups_.size(); }
+  Counters counters(std::size_t group) const;
+  std::size_t groupCount() const { return groups_.size(); }
   // New shares and bounds while it runs; what is out or waits stays with its group by number, and what the
   // limit has learned stays.
   void reload(RequestLimiterSettings);
@@ -90,16 +90,16 @@
     ShareSettings settings;
     std::size_t out = 0;
     std::deque<Waiting> waiting;
-    Count count;
+    Counters count;
   };
   struct Open {
     std::size_t group;
     bool out;
   };
   void go(RequestKey, std::size_t group);
-  void take(std::vector<Answered>&);            // as many as there is room for
-  void drop(Time now, std::vector<Answered>&);  // what can no longer be on time
-  Answered refuse(RequestKey, RequestRejection);
+  void take(std::vector<ResolvedRequest>&);            // as many as there is room for
+  void drop(Time now, std::vector<ResolvedRequest>&);  // what can no longer be on time
+  ResolvedRequest refuse(RequestKey, RequestRejection);
   Time comeBack();
   double share(const Group& g, std::size_t extra) const;
 
--- a/src/admission/request_queues.hpp
+++ b/src/admission/request_queues.hpp
@@ -24,44 +24,44 @@
   explicit RequestQueues(RequestLimiterSettings, std::size_t mostLanes = 256);
 
   // As Requests; the caps of groups count over all lanes.
-  RequestLimiter::Asked ask(Time now, RequestKey, QueueKey, std::size_t group, Time deadline);
-  std::vector<Answered> ended(Time now, RequestKey, Time latency, bool dropped);
-  std::vector<Answered> left(Time now, RequestKey);
-  std::vector<Answered> overdue(Time now);  // and forgets lanes that have been quiet
+  RequestLimiter::SubmitResult submit(Time now, RequestKey, QueueKey, std::size_t group, Time deadline);
+  std::vector<ResolvedRequest> complete(Time now, RequestKey, Time latency, bool dropped);
+  std::vector<ResolvedRequest> cancel(Time now, RequestKey);
+  std::vector<ResolvedRequest> rejectOverdue(Time now);  // and forgets lanes that have been quiet
   void reload(RequestLimiterSettings);
 
-  RequestLimiter::Count count(std::size_t group) const;  // over all lanes, those forgotten included
-  std::size_t groups() const { return open_.size(); }
-  struct View {
-    QueueKey lane;
-    std::size_t limit, out, waiting;
-    Time usual;
+  RequestLimiter::Counters counters(std::size_t group) const;  // over all lanes, those forgotten included
+  std::size_t groupCount() const { return open_.size(); }
+  struct QueueView {
+    QueueKey key;
+    std::size_t limit, inFlight, queued;
+    Time typicalLatency;
   };
-  std::vector<View> view() const;
-  std::size_t size() const { return lanes_.size(); }
-  static constexpr QueueKey kRest = ~QueueKey{0};
+  std::vector<QueueView> view() const;
+  std::size_t queueCount() const { return lanes_.size(); }
+  static constexpr QueueKey kSharedQueue = ~QueueKey{0};
 
  private:
-  struct Lane {
+  struct Queue {
     QueueKey key;
     RequestLimiter requests;
     Time used{};
   };
-  Lane& lane(Time now, QueueKey);
-  void settle(const std::vector<Answered>&);  // those that have had their last word
+  Queue& queueFor(Time now, QueueKey);
+  void settle(const std::vector<ResolvedRequest>&);  // those that have had their last word
   void close(RequestKey);
   static RequestLimiterSettings within(RequestLimiterSettings);  // a lane's: caps by group are ours
 
   RequestLimiterSettings s_;
   const std::size_t most_;
-  std::unordered_map<QueueKey, std::unique_ptr<Lane>> lanes_;
+  std::unordered_map<QueueKey, std::unique_ptr<Queue>> lanes_;
   struct Open {
-    Lane* lane;
+    Queue* lane;
     std::size_t group;
   };
   std::unordered_map<RequestKey, Open> requests_;
-  std::vector<std::size_t> open_;              // by group, waiting ones included
-  std::vector<RequestLimiter::Count> before_;  // of lanes that are forgotten
+  std::vector<std::size_t> open_;                 // by group, waiting ones included
+  std::vector<RequestLimiter::Counters> before_;  // of lanes that are forgotten
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/settings.hpp
+++ b/src/admission/settings.hpp
@@ -15,16 +15,16 @@
 namespace sablespur::admission {
 
 struct Settings {
-  ConnectionAdmissionSettings door;
+  ConnectionAdmissionSettings connections;
   std::shared_ptr<const Networks> networks;  // of groups
-  Networks fronts;                           // whose connections begin with a PROXY header; the group is 0
+  Networks trustedProxies;                   // whose connections begin with a PROXY header; the group is 0
   std::map<std::string, std::size_t> users;  // groups by the name that a client has proved
-  std::optional<std::size_t> servedBefore;   // the group of addresses in no network that are known
-  RecentClientsSettings known;
+  std::optional<std::size_t> recentClientsGroup;  // the group of addresses in no network that are known
+  RecentClientsSettings recentClients;
   std::optional<RequestLimiterSettings> requests;  // none: no limit on requests
   // Connections that the door has not let in: being told so, proving a name, or waiting for their PROXY
   // header.
-  std::size_t antechamber = 0;
+  std::size_t maxUnadmittedConnections = 0;
 };
 
 }  // namespace sablespur::admission
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -110,7 +110,7 @@
   RequestHandler& entrance = keeper ? static_cast<RequestHandler&>(*keeper) : engineDoor;
   const std::unique_ptr<AdmissionController> gate = openAdmission(base.get(), engine, entrance, config);
   Clients clients(base.get(), engine, entrance, workers, account, spare, gate.get(), config);
-  upstream.onShortage([&clients] { clients.shortage(); });
+  upstream.onShortage([&clients] { clients.onExhaustion(); });
   const std::unique_ptr<StatusServer> status =
       openStatus(base.get(), config, engine, account, gate.get(), keeper.get(), recoverer.get());
   const std::unique_ptr<AdminHandler> staff = createAdminHandler(base.get(), config, engine, clients);
@@ -157,7 +157,7 @@
         r.engine.updateSettings(r.config.settings);
       }
       r.source.move(c);
-      r.clients.users(c.users);
+      r.clients.setUsers(c.users);
       if (r.gate) r.gate->reload(c);
       logEvent(LogLevel::Info, "config_reloaded");
     } catch (const std::exception& e) {
--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -224,36 +224,36 @@
   Json groups = Json::array();
   for (const AdmissionView::Group& g : v.groups)
     groups.push_back({{"name", g.name},
-                      {"held", g.held},
-                      {"idle", g.idle},
-                      {"most", g.most},
+                      {"held", g.connections},
+                      {"idle", g.idleConnections},
+                      {"most", g.maxConnections},
                       {"reserve", g.reserve},
-                      {"reserve_left", g.reserveLeft},
+                      {"reserve_left", g.reserveRemaining},
                       {"weight", g.weight},
-                      {"admitted", g.admitted},
-                      {"asked_back", g.askedBack},
-                      {"refused", Json(g.refused)},
-                      {"refusing", g.refusing},
+                      {"admitted", g.connectionsAdmitted},
+                      {"asked_back", g.connectionsEvicted},
+                      {"refused", Json(g.connectionsRejected)},
+                      {"refusing", g.rejecting},
                       {"requests",
-                       {{"out", g.out},
-                        {"waiting", g.waiting},
-                        {"went", g.went},
-                        {"waited", g.waited},
-                        {"turned_away", Json(g.turnedAway)}}}});
-  page["door"] = {{"held", v.held},
-                  {"most", v.most},
-                  {"antechamber", v.antechamber},
-                  {"known_addresses", v.known},
+                       {{"out", g.requestsInFlight},
+                        {"waiting", g.requestsQueued},
+                        {"went", g.requestsAdmitted},
+                        {"waited", g.requestsEnqueued},
+                        {"turned_away", Json(g.requestsRejected)}}}});
+  page["door"] = {{"held", v.connections},
+                  {"most", v.maxConnections},
+                  {"antechamber", v.maxUnadmittedConnections},
+                  {"known_addresses", v.recentClients},
                   {"groups", std::move(groups)}};
-  if (!v.limits) return page.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
+  if (!v.limitsRequests) return page.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
   Json lanes = Json::array();
-  for (const AdmissionView::Lane& l : v.lanes)
+  for (const AdmissionView::Queue& l : v.queues)
     lanes.push_back({{"group", l.group < 0 ? Json("rest") : Json(l.group)},
                      {"primary", l.primary},
                      {"limit", l.limit},
-                     {"out", l.out},
-                     {"waiting", l.waiting},
-                     {"usual_ms", static_cast<double>(l.usual.count()) / 1e3}});
+                     {"out", l.inFlight},
+                     {"waiting", l.queued},
+                     {"usual_ms", static_cast<double>(l.typicalLatency.count()) / 1e3}});
   page["door"]["lanes"] = std::move(lanes);
   return page.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -80,20 +80,20 @@
 
     admission::GroupLimits l;
     l.name = g.name;
-    l.most = g.most;
-    l.mostByAddress = g.mostByAddress;
-    l.mostByPrefix = g.mostByPrefix;
-    l.perSecond = g.perSecond;
+    l.maxConnections = g.most;
+    l.maxPerAddress = g.mostByAddress;
+    l.maxPerPrefix = g.mostByPrefix;
+    l.connectionsPerSecond = g.perSecond;
     l.burst = g.burst;
     l.reserve = g.reserve;
     l.weight = g.weight;
-    s->door.groups.push_back(std::move(l));
+    s->connections.groups.push_back(std::move(l));
   }
   s->networks = networks;
 
   std::string why;
   for (const std::string& n : a.fronts)
-    if (!s->fronts.add(n, 0, why))
+    if (!s->trustedProxies.add(n, 0, why))
       wrong(self, "fronts", {why, "write networks such as 10.0.0.7 or fd00:1::/64"});
   if (!a.servedBefore.empty()) {
     const auto it =
@@ -102,29 +102,29 @@
       wrong(self, "served_before",
             {"there is no [admission_group " + a.servedBefore + "]", "name a group that has a section"});
     else
-      s->servedBefore = static_cast<std::size_t>(it - groups.begin());
+      s->recentClientsGroup = static_cast<std::size_t>(it - groups.begin());
   }
 
-  s->antechamber = a.antechamber > 0 ? a.antechamber : std::max(c.clients / 8, kAntechamber);
-  if (s->antechamber >= c.clients) {
+  s->maxUnadmittedConnections = a.antechamber > 0 ? a.antechamber : std::max(c.clients / 8, kAntechamber);
+  if (s->maxUnadmittedConnections >= c.clients) {
     wrong(self, "antechamber",
           {"it leaves no room: the limits have " + std::to_string(c.clients) + " places for clients",
            "make it smaller, or raise [limits] descriptors and memory"});
     return s;
   }
-  const std::size_t room = c.clients - s->antechamber;
-  s->door.most = a.most > 0 ? std::min(a.most, room) : room;
-  if (reserved > s->door.most)
+  const std::size_t room = c.clients - s->maxUnadmittedConnections;
+  s->connections.maxConnections = a.most > 0 ? std::min(a.most, room) : room;
+  if (reserved > s->connections.maxConnections)
     wrong(self, "connections",
           {"the groups' reserves come to " + std::to_string(reserved) + ", and there are " +
-               std::to_string(s->door.most) + " places",
+               std::to_string(s->connections.maxConnections) + " places",
            "make reserves smaller, or raise connections and [limits] descriptors"});
-  s->door.prefix4 = s->known.prefix4 = a.prefix4;
-  s->door.prefix6 = s->known.prefix6 = a.prefix6;
-  s->door.comeBackLeast = a.comeBackLeast;
-  s->door.comeBackMost = a.comeBackMost;
-  s->door.idleLeast = a.idleLeast;
-  s->known.most = a.knownMost;
+  s->connections.prefix4 = s->recentClients.prefix4 = a.prefix4;
+  s->connections.prefix6 = s->recentClients.prefix6 = a.prefix6;
+  s->connections.minRetryAfter = a.comeBackLeast;
+  s->connections.maxRetryAfter = a.comeBackMost;
+  s->connections.minIdleTime = a.idleLeast;
+  s->recentClients.maxClients = a.knownMost;
   if (a.comeBackMost < a.comeBackLeast)
     wrong(self, "come_back_most", {"it is shorter than come_back_least", "make it at least that"});
   if (a.requestBackMost < a.requestBackLeast)
@@ -135,15 +135,15 @@
     wrong(self, "limit_most", {"it is less than limit_least", "make it at least that"});
   admission::RequestLimiterSettings r;
   r.limit.kind = kindOf(a.requests);
-  r.limit.first = static_cast<double>(a.limit);
+  r.limit.initial = static_cast<double>(a.limit);
   const bool fixed = r.limit.kind == admission::LimitKind::Fixed;
-  r.limit.least = static_cast<double>(fixed ? a.limit : a.limitLeast);
-  r.limit.most = static_cast<double>(fixed ? a.limit : std::max(a.limitMost, a.limitLeast));
-  r.limit.bound = a.bound;
+  r.limit.min = static_cast<double>(fixed ? a.limit : a.limitLeast);
+  r.limit.max = static_cast<double>(fixed ? a.limit : std::max(a.limitMost, a.limitLeast));
+  r.limit.latencyBound = a.bound;
   r.limit.tolerance = a.tolerance;
-  r.mostWaiting = a.waiting;
-  r.comeBackLeast = a.requestBackLeast;
-  r.comeBackMost = a.requestBackMost;
+  r.maxQueued = a.waiting;
+  r.minRetryAfter = a.requestBackLeast;
+  r.maxRetryAfter = a.requestBackMost;
   for (const AdmissionGroupDraft& g : groups) r.groups.push_back({g.weight, g.mostOpen});
   s->requests = std::move(r);
   return s;
--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -12,11 +12,11 @@
 namespace sablespur {
 namespace {
 
-using admission::Answered;
 using admission::IpAddress;
 using admission::RejectionPeriod;
 using admission::RequestDecision;
 using admission::RequestLimiter;
+using admission::ResolvedRequest;
 
 // How often what waits too long, what is held beyond a cap and spells of refusals are looked at.
 constexpr Time kRound = std::chrono::milliseconds(20);
@@ -30,8 +30,8 @@
         next_(next),
         classes_(c.settings.classes),
         s_(c.admission),
-        door_(s_->door, s_->networks),
-        known_(s_->known),
+        door_(s_->connections, s_->networks),
+        known_(s_->recentClients),
         deliver_(event_new(
             base, -1, 0,
             [](evutil_socket_t, short, void* self) { static_cast<AdmissionGate*>(self)->deliver(); }, this)),
@@ -39,21 +39,22 @@
             base, -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<AdmissionGate*>(self)->round(); }, this)) {
     if (s_->requests) requests_ = std::make_unique<admission::RequestQueues>(*s_->requests);
-    spells_.resize(2 * door_.groups());
+    spells_.resize(2 * door_.groupCount());
     startTimer(round_.get(), kRound);
   }
 
   bool expectsProxyHeader(const Address& a) const override {
-    return s_->fronts.size() > 0 && s_->fronts.find(admission::addressOf(a.data()), 1) == 0;
+    return s_->trustedProxies.size() > 0 && s_->trustedProxies.find(admission::addressOf(a.data()), 1) == 0;
   }
-  bool knowsNames() const override { return !s_->users.empty(); }
-  std::size_t maxUnadmittedConnections() const override { return s_->antechamber; }
+  bool admitsByUser() const override { return !s_->users.empty(); }
+  std::size_t maxUnadmittedConnections() const override { return s_->maxUnadmittedConnections; }
 
   AdmissionDecision connectionArrived(AdmittedConnection& g, const Address& from) override {
     const IpAddress ip = admission::addressOf(from.data());
     std::optional<std::size_t> group;
-    if (s_->servedBefore && door_.groupOf(ip) == door_.groups() - 1 && known_.is(engine_.now(), ip))
-      group = s_->servedBefore;
+    if (s_->recentClientsGroup && door_.groupOf(ip) == door_.groupCount() - 1 &&
+        known_.contains(engine_.now(), ip))
+      group = s_->recentClientsGroup;
     return enter(g, ip, group);
   }
 
@@ -63,32 +64,33 @@
     if (place == 0) {
       if (it != s_->users.end()) return enter(g, admission::addressOf(from.data()), it->second);
       AdmissionDecision none;
-      none.why = "full";
+      none.reason = "full";
       return none;
     }
-    if (it != s_->users.end()) door_.belongs(place, it->second);
+    if (it != s_->users.end()) door_.assignGroup(place, it->second);
     AdmissionDecision a;
-    a.place = place;
+    a.permit = place;
     return a;
   }
 
   void connectionClosed(PermitId place) override {
     if (place == 0) return;
-    door_.left(place);
+    door_.remove(place);
     guests_.erase(place);
   }
-  void busy(PermitId place) override { door_.busy(place); }
-  void idle(PermitId place) override { door_.idle(engine_.now(), place); }
-  void served(PermitId place) override {
+  void connectionBusy(PermitId place) override { door_.markBusy(place); }
+  void connectionIdle(PermitId place) override { door_.markIdle(engine_.now(), place); }
+  void connectionServed(PermitId place) override {
     const auto it = guests_.find(place);
-    if (s_->servedBefore && it != guests_.end()) known_.served(engine_.now(), it->second.address);
+    if (s_->recentClientsGroup && it != guests_.end())
+      known_.recordResponse(engine_.now(), it->second.address);
   }
   void onExhaustion() override {
     std::size_t reserved = 0;
-    for (std::size_t k = 0; k < door_.groups(); ++k) reserved += door_.limits(k).reserve;
-    ceiling_.ranShort(engine_.now(), door_.held(), reserved);
-    door_.ceiling(ceiling_.value(engine_.now(), s_->door.most));
-    for (const admission::ConnectionId id : door_.spare(engine_.now(), kShortage)) askBack(id);
+    for (std::size_t k = 0; k < door_.groupCount(); ++k) reserved += door_.limits(k).reserve;
+    ceiling_.onExhaustion(engine_.now(), door_.connectionCount(), reserved);
+    door_.setConnectionLimit(ceiling_.value(engine_.now(), s_->connections.maxConnections));
+    for (const admission::ConnectionId id : door_.evictForExhaustion(engine_.now(), kShortage)) askBack(id);
   }
 
   RequestId request(ResponseHandler& asker, balancer::Request q, Message m, PermitId place) override {
@@ -97,11 +99,11 @@
     auto e = std::make_unique<Entered>(*this, key, asker, q, std::move(m));
     e->arrived = engine_.now();
     Entered& entered = *entered_.emplace(key, std::move(e)).first->second;
-    const RequestLimiter::Asked a =
-        requests_->ask(engine_.now(), key, laneOf(q), door_.groupOf(place), engine_.now() + aimOf(q));
-    if (a.turn == RequestDecision::Admit) go(entered);
-    if (a.turn == RequestDecision::Reject) refuse(key, a.comeBack);
-    carryOut(a.others);
+    const RequestLimiter::SubmitResult a =
+        requests_->submit(engine_.now(), key, laneOf(q), door_.groupOf(place), engine_.now() + aimOf(q));
+    if (a.decision == RequestDecision::Admit) go(entered);
+    if (a.decision == RequestDecision::Reject) refuse(key, a.retryAfter);
+    carryOut(a.resolved);
     return key;
   }
   void requestCancelled(RequestId key) override {
@@ -110,7 +112,7 @@
     if (it == entered_.end()) return;
     if (it->second->inEngine != 0) next_.clientDisconnected(it->second->inEngine);
     entered_.erase(it);
-    carryOut(requests_->left(engine_.now(), key));
+    carryOut(requests_->cancel(engine_.now(), key));
   }
 
   void reload(const Config& c) override {
@@ -120,55 +122,56 @@
                {{"key", c.admission ? "[admission] requests" : "[admission] door"}});
     if (!c.admission) return;
     // By name: the spell that a group is in goes on.
-    std::vector<RejectionPeriod> spells(2 * c.admission->door.groups.size());
-    for (std::size_t k = 0; k < c.admission->door.groups.size(); ++k)
-      for (std::size_t was = 0; was < door_.groups(); ++was)
-        if (door_.limits(was).name == c.admission->door.groups[k].name) {
+    std::vector<RejectionPeriod> spells(2 * c.admission->connections.groups.size());
+    for (std::size_t k = 0; k < c.admission->connections.groups.size(); ++k)
+      for (std::size_t was = 0; was < door_.groupCount(); ++was)
+        if (door_.limits(was).name == c.admission->connections.groups[k].name) {
           spells[2 * k] = spells_[2 * was];
           spells[2 * k + 1] = spells_[2 * was + 1];
         }
     s_ = c.admission;
     spells_ = std::move(spells);
-    door_.reload(s_->door, s_->networks);
+    door_.reload(s_->connections, s_->networks);
     if (requests_ && s_->requests) requests_->reload(*s_->requests);
   }
 
   AdmissionView view() const override {
     AdmissionView v;
-    v.held = door_.held();
-    v.most = door_.most();
-    v.antechamber = s_->antechamber;
-    v.known = known_.size();
-    v.limits = requests_ != nullptr;
+    v.connections = door_.connectionCount();
+    v.maxConnections = door_.maxConnections();
+    v.maxUnadmittedConnections = s_->maxUnadmittedConnections;
+    v.recentClients = known_.size();
+    v.limitsRequests = requests_ != nullptr;
     if (requests_)
-      for (const admission::RequestQueues::View& l : requests_->view())
-        v.lanes.push_back(
-            {l.lane == admission::RequestQueues::kRest ? -1 : static_cast<std::int64_t>(l.lane >> 1),
-             (l.lane & 1) != 0, l.limit, l.out, l.waiting, l.usual});
-    for (std::size_t k = 0; k < door_.groups(); ++k) {
-      const admission::ConnectionAdmission::Count& c = door_.count(k);
+      for (const admission::RequestQueues::QueueView& l : requests_->view())
+        v.queues.push_back(
+            {l.key == admission::RequestQueues::kSharedQueue ? -1 : static_cast<std::int64_t>(l.key >> 1),
+             (l.key & 1) != 0, l.limit, l.inFlight, l.queued, l.typicalLatency});
+    for (std::size_t k = 0; k < door_.groupCount(); ++k) {
+      const admission::ConnectionAdmission::Counters& c = door_.count(k);
       AdmissionView::Group g;
       g.name = door_.limits(k).name;
-      g.held = c.held;
-      g.idle = c.idle;
-      g.most = door_.limits(k).most;
+      g.connections = c.connections;
+      g.idleConnections = c.idle;
+      g.maxConnections = door_.limits(k).maxConnections;
       g.reserve = door_.limits(k).reserve;
-      g.reserveLeft = c.reserveLeft;
+      g.reserveRemaining = c.reserveRemaining;
       g.weight = door_.limits(k).weight;
-      g.admitted = c.admitted;
-      g.askedBack = c.asked;
-      for (const auto& [why, n] : c.refused) g.refused[admission::rejectionReasonName(why)] = n;
-      if (requests_ && k < requests_->groups()) {
-        const RequestLimiter::Count r = requests_->count(k);
-        g.out = r.out;
-        g.waiting = r.waiting;
-        g.went = r.went;
-        g.waited = r.waited;
-        for (std::size_t t = 0; t < admission::kTurned; ++t)
-          if (r.refused[t] > 0)
-            g.turnedAway[admission::turnedName(static_cast<admission::RequestRejection>(t))] = r.refused[t];
+      g.connectionsAdmitted = c.admitted;
+      g.connectionsEvicted = c.evicted;
+      for (const auto& [why, n] : c.rejected) g.connectionsRejected[admission::rejectionReasonName(why)] = n;
+      if (requests_ && k < requests_->groupCount()) {
+        const RequestLimiter::Counters r = requests_->counters(k);
+        g.requestsInFlight = r.inFlight;
+        g.requestsQueued = r.queued;
+        g.requestsAdmitted = r.admitted;
+        g.requestsEnqueued = r.enqueued;
+        for (std::size_t t = 0; t < admission::kRequestRejectionCount; ++t)
+          if (r.rejected[t] > 0)
+            g.requestsRejected[admission::requestRejectionName(static_cast<admission::RequestRejection>(t))] =
+                r.rejected[t];
       }
-      g.refusing = spells_[2 * k].on() || spells_[2 * k + 1].on();
+      g.rejecting = spells_[2 * k].active() || spells_[2 * k + 1].active();
       v.groups.push_back(std::move(g));
     }
     return v;
@@ -207,16 +210,16 @@
 
   AdmissionDecision enter(AdmittedConnection& g, const IpAddress& ip, std::optional<std::size_t> group) {
     const PermitId id = ++lastPlace_;
-    const admission::ConnectionDecision w = door_.arrived(engine_.now(), id, ip, group);
+    const admission::ConnectionDecision w = door_.admit(engine_.now(), id, ip, group);
     AdmissionDecision a;
     if (!w.admitted) {
-      a.why = admission::rejectionReasonName(w.why);
-      a.comeBack = w.comeBack;
+      a.reason = admission::rejectionReasonName(w.rejection);
+      a.retryAfter = w.retryAfter;
       return a;
     }
-    if (w.close != 0) askBack(w.close);
+    if (w.evict != 0) askBack(w.evict);
     guests_.emplace(id, Held{&g, ip});
-    a.place = id;
+    a.permit = id;
     return a;
   }
   // The door has forgotten it already.
@@ -252,14 +255,14 @@
     refusals_.emplace_back(key, comeBack);
     event_active(deliver_.get(), EV_TIMEOUT, 0);
   }
-  void carryOut(const std::vector<Answered>& all) {
-    for (const Answered& a : all) {
+  void carryOut(const std::vector<ResolvedRequest>& all) {
+    for (const ResolvedRequest& a : all) {
       const auto it = entered_.find(a.key);
       if (it == entered_.end()) continue;
-      if (a.turn == RequestDecision::Admit)
+      if (a.decision == RequestDecision::Admit)
         go(*it->second);
       else
-        refuse(a.key, a.comeBack);
+        refuse(a.key, a.retryAfter);
     }
   }
   void ended(Entered& e, End how) {
@@ -269,8 +272,8 @@
     const bool late = how == End::Failed && now + kRound >= e.q.deadline;
     const RequestId key = e.key;
     entered_.erase(key);
-    carryOut(how == End::Served || late ? requests_->ended(now, key, latency, late)
-                                        : requests_->left(now, key));
+    carryOut(how == End::Served || late ? requests_->complete(now, key, latency, late)
+                                        : requests_->cancel(now, key));
   }
   void deliver() {
     std::vector<std::pair<RequestId, Time>> all;
@@ -285,43 +288,43 @@
   }
   void round() {
     const Time now = engine_.now();
-    if (requests_) carryOut(requests_->overdue(now));
-    if (ceiling_.bound()) door_.ceiling(ceiling_.value(now, s_->door.most));
-    for (const admission::ConnectionId id : door_.surplus(now, kSurplus)) askBack(id);
-    for (std::size_t k = 0; k < door_.groups(); ++k) {
+    if (requests_) carryOut(requests_->rejectOverdue(now));
+    if (ceiling_.active()) door_.setConnectionLimit(ceiling_.value(now, s_->connections.maxConnections));
+    for (const admission::ConnectionId id : door_.evictSurplus(now, kSurplus)) askBack(id);
+    for (std::size_t k = 0; k < door_.groupCount(); ++k) {
       std::uint64_t refused = 0, turned = 0;
       std::uint64_t most = 0;
       const char* why = "none";
-      for (const auto& [w, n] : door_.count(k).refused) {
+      for (const auto& [w, n] : door_.count(k).rejected) {
         refused += n;
         if (n > most) why = admission::rejectionReasonName(w);
         most = std::max(most, n);
       }
       tell(k, "connections", spells_[2 * k], refused, why);
-      if (!requests_ || k >= requests_->groups()) continue;
-      const RequestLimiter::Count c = requests_->count(k);
+      if (!requests_ || k >= requests_->groupCount()) continue;
+      const RequestLimiter::Counters c = requests_->counters(k);
       std::size_t widest = 0;
-      for (std::size_t t = 0; t < admission::kTurned; ++t) {
-        turned += c.refused[t];
-        if (c.refused[t] > c.refused[widest]) widest = t;
+      for (std::size_t t = 0; t < admission::kRequestRejectionCount; ++t) {
+        turned += c.rejected[t];
+        if (c.rejected[t] > c.rejected[widest]) widest = t;
       }
       tell(k, "requests", spells_[2 * k + 1], turned,
-           admission::turnedName(static_cast<admission::RequestRejection>(widest)));
+           admission::requestRejectionName(static_cast<admission::RequestRejection>(widest)));
     }
   }
   void tell(std::size_t group, const char* what, RejectionPeriod& spell, std::uint64_t total,
             const char* why) {
-    const RejectionPeriod::Turn turn = spell.at(engine_.now(), total);
+    const RejectionPeriod::Transition turn = spell.update(engine_.now(), total);
     const std::string& name = door_.limits(group).name;
-    if (turn == RejectionPeriod::Turn::Began)
+    if (turn == RejectionPeriod::Transition::Began)
       logEvent(LogLevel::Warning, "rejection_started",
-               {{"group", name}, {"what", what}, {"mostly", why}, {"held", door_.count(group).held}});
-    if (turn == RejectionPeriod::Turn::Ended)
+               {{"group", name}, {"what", what}, {"mostly", why}, {"held", door_.count(group).connections}});
+    if (turn == RejectionPeriod::Transition::Ended)
       logEvent(LogLevel::Info, "rejection_ended",
                {{"group", name},
                 {"what", what},
-                {"refused", spell.within()},
-                {"seconds", static_cast<double>(spell.lasted().count()) / 1e6}});
+                {"refused", spell.rejections()},
+                {"seconds", static_cast<double>(spell.duration().count()) / 1e6}});
   }
 
   struct Held {
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -27,32 +27,34 @@
 using PermitId = std::uint64_t;  // 0: none
 
 struct AdmissionDecision {
-  PermitId place = 0;        // 0: it is not let in
-  const char* why = "none";  // not let in: the bound that was met
-  Time comeBack{};           // not let in: after so long, spread among those refused
+  PermitId permit = 0;          // 0: it is not let in
+  const char* reason = "none";  // not let in: the bound that was met
+  Time retryAfter{};            // not let in: after so long, spread among those refused
 };
 
 // For `sablespur status`.
 struct AdmissionView {
-  std::size_t held = 0, most = 0, antechamber = 0;
-  std::size_t known = 0;  // addresses that have been served before
+  std::size_t connections = 0, maxConnections = 0, maxUnadmittedConnections = 0;
+  std::size_t recentClients = 0;  // addresses that have been served before
   struct Group {
     std::string name;
-    std::size_t held = 0, idle = 0, most = 0, reserve = 0, reserveLeft = 0, out = 0, waiting = 0;
+    std::size_t connections = 0, idleConnections = 0, maxConnections = 0, reserve = 0, reserveRemaining = 0,
+                requestsInFlight = 0, requestsQueued = 0;
     double weight = 1;
-    std::uint64_t admitted = 0, askedBack = 0, went = 0, waited = 0;
-    std::map<std::string, std::uint64_t> refused, turnedAway;  // connections, requests: by reason
-    bool refusing = false;
+    std::uint64_t connectionsAdmitted = 0, connectionsEvicted = 0, requestsAdmitted = 0, requestsEnqueued = 0;
+    std::map<std::string, std::uint64_t> connectionsRejected,
+        requestsRejected;  // connections, requests: by reason
+    bool rejecting = false;
   };
   std::vector<Group> groups;
-  bool limits = false;  // requests are limited
-  struct Lane {
+  bool limitsRequests = false;  // requests are limited
+  struct Queue {
     std::int64_t group = 0;  // of data servers; -1: of all beyond those that are kept apart
     bool primary = false;    // what needs the primary
-    std::size_t limit = 0, out = 0, waiting = 0;
-    Time usual{};  // latency of late
+    std::size_t limit = 0, inFlight = 0, queued = 0;
+    Time typicalLatency{};  // latency of late
   };
-  std::vector<Lane> lanes;
+  std::vector<Queue> queues;
 };
 
 class AdmissionController {
@@ -66,12 +68,12 @@
   // `place`: 0, or its place.
   virtual AdmissionDecision userAuthenticated(AdmittedConnection&, PermitId place, const Address& from,
                                               const std::string& user) = 0;
-  virtual bool knowsNames() const = 0;
+  virtual bool admitsByUser() const = 0;
   virtual std::size_t maxUnadmittedConnections() const = 0;  // connections that may be held without a place
   virtual void connectionClosed(PermitId) = 0;
-  virtual void busy(PermitId) = 0;    // it has asked
-  virtual void idle(PermitId) = 0;    // it is answered, or greeted
-  virtual void served(PermitId) = 0;  // by an answer of a data server
+  virtual void connectionBusy(PermitId) = 0;    // it has asked
+  virtual void connectionIdle(PermitId) = 0;    // it is answered, or greeted
+  virtual void connectionServed(PermitId) = 0;  // by an answer of a data server
   // There is no descriptor: the idle connection that is asked back first makes way.
   virtual void onExhaustion() = 0;
 
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -33,47 +33,50 @@
                  const Config& config)
     : base_(base),
       engine_(engine),
-      entrance_(entrance),
+      requestHandler_(entrance),
       workers_(workers),
-      account_(account),
-      gate_(gate),
+      budget_(account),
+      admission_(gate),
       config_(config),
       users_(config.users) {
   Acceptor::ConnectionHandler taker;
-  taker.accepted = [this](evutil_socket_t fd, const sockaddr* from) { accepted(fd, from); };
-  taker.hasRoom = [this] { return room(); };
-  taker.onExhaustion = [this] { shortage(); };
-  taker.reject = [this](evutil_socket_t fd) { turnAway(fd, kShortOf); };
+  taker.accepted = [this](evutil_socket_t fd, const sockaddr* from) { onAccepted(fd, from); };
+  taker.hasRoom = [this] { return hasRoom(); };
+  taker.onExhaustion = [this] { onExhaustion(); };
+  taker.reject = [this](evutil_socket_t fd) { rejectConnection(fd, kShortOf); };
   acceptor_ = std::make_unique<Acceptor>(base, engine.clock(), config.listen, account, spare,
                                          std::move(taker), !config.control.none());
-  round_.reset(event_new(
-      base, -1, EV_PERSIST, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->round(); },
-      this));
-  startTimer(round_.get(), kRound);
-  ends_.reset(event_new(
+  sweepTimer_.reset(event_new(
+      base, -1, EV_PERSIST,
+      [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->sweepIdle(); }, this));
+  startTimer(sweepTimer_.get(), kRound);
+  disconnectTimer_.reset(event_new(
       base, -1, EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->lookForEnds(); }, this));
-  lastCall_.reset(event_new(
+      [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->detectDisconnects(); }, this));
+  stopListeningTimer_.reset(event_new(
       base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->stopListening(); },
       this));
-  answersDue_.reset(event_new(
+  answerDeadlineTimer_.reset(event_new(
       base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->finishAnswers(); },
       this));
-  exit_.reset(event_new(
+  exitTimer_.reset(event_new(
       base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->done_(); }, this));
 }
 Clients::~Clients() = default;
 
-void Clients::users(std::shared_ptr<const auth::Users> u) {
+void Clients::setUsers(std::shared_ptr<const auth::Users> u) {
   if (u && users_) users_ = std::move(u);
 }
 
 int Clients::port() const { return acceptor_->port(); }
 
 RequestId Clients::request(ResponseHandler& asker, const balancer::Request& q, Message m, PermitId place) {
-  return gate_ ? gate_->request(asker, q, std::move(m), place) : entrance_.request(asker, q, std::move(m));
+  return admission_ ? admission_->request(asker, q, std::move(m), place)
+                    : requestHandler_.request(asker, q, std::move(m));
+}
+void Clients::cancelRequest(RequestId id) {
+  admission_ ? admission_->requestCancelled(id) : requestHandler_.clientDisconnected(id);
 }
-void Clients::left(RequestId id) { gate_ ? gate_->requestCancelled(id) : entrance_.clientDisconnected(id); }
 
 // Unguessable, both the number that stands for a process and the secret.
 postgres::Key Clients::newKey(Session& s, std::size_t length) {
@@ -87,24 +90,24 @@
 }
 void Clients::cancel(const postgres::Key& key) {
   const auto it = keys_.find(key.process);
-  if (it != keys_.end() && sameSecret(it->second->key().secret, key.secret)) it->second->cancelled();
+  if (it != keys_.end() && sameSecret(it->second->key().secret, key.secret)) it->second->onCancelRequest();
 }
 
-void Clients::accepted(evutil_socket_t fd, const sockaddr* from) {
+void Clients::onAccepted(evutil_socket_t fd, const sockaddr* from) {
   const Address address = Address::fromSocket(from);
-  const bool hidden = gate_ && gate_->expectsProxyHeader(address);
+  const bool hidden = admission_ && admission_->expectsProxyHeader(address);
   auto session = std::make_unique<Session>(*this, fd, address, hidden);
-  if (gate_ && !hidden) session->enterDoor();
+  if (admission_ && !hidden) session->requestAdmission();
   // Guards the descriptors: only so many are held for a moment to be told in words of their version.
-  if (gate_ && outside_ > gate_->maxUnadmittedConnections()) {
-    turnAway(fd, session->comeBack());
+  if (admission_ && unadmittedSessions_ > admission_->maxUnadmittedConnections()) {
+    rejectConnection(fd, session->retryAfter());
     return;
   }
   sessions_.emplace(session.get(), std::move(session));
 }
 
 // In version 3's words, whatever it speaks: there is no descriptor to hold it on until it has said so.
-void Clients::turnAway(evutil_socket_t fd, Time comeBack) {
+void Clients::rejectConnection(evutil_socket_t fd, Time comeBack) {
   translation::Problem p;
   p.severity = "FATAL";
   p.code = "53300";
@@ -126,38 +129,38 @@
 
 // Accepts while there is room, or someone to make it; the rest waits in the listener's backlog. With a Gate
 // everyone is taken, if only to be told no: it keeps to its bounds, and what is told no is bounded too.
-bool Clients::room() { return gate_ || account_.hasRoom(DescriptorHolder::Clients) || makeRoom(); }
+bool Clients::hasRoom() { return admission_ || budget_.hasRoom(DescriptorHolder::Clients) || evictOne(); }
 
-void Clients::shortage() {
-  if (gate_)
-    gate_->onExhaustion();
+void Clients::onExhaustion() {
+  if (admission_)
+    admission_->onExhaustion();
   else
-    makeRoom();
+    evictOne();
 }
 
 // Guards against connections that nobody uses keeping out those that ask: first what is being closed, then
 // what has never asked, then what has been idle longest.
-bool Clients::makeRoom() {
-  Session* const best = mostSpare(1);
+bool Clients::evictOne() {
+  Session* const best = findEvictable(1);
   if (best) sessions_.erase(best);
   return best != nullptr;
 }
 
 // Guards against closing on a request that has just come: what looks idle is asked once more, a few at most.
-Session* Clients::mostSpare(int least, const Session* but) {
+Session* Clients::findEvictable(int least, const Session* but) {
   const Time now = engine_.now();
   std::vector<const Session*> asking;
   for (int tries = 0;; ++tries) {
     Session* best = nullptr;
     int most = least;
     for (const auto& [s, owned] : sessions_) {
-      const int spare = s->spare(now);
+      const int spare = s->evictionPriority(now);
       if (spare < most || s == but || std::count(asking.begin(), asking.end(), s) > 0) continue;
       if (best && spare == most && s->lastActive() >= best->lastActive()) continue;
       best = s;
       most = spare;
     }
-    if (!best || most == 3 || tries >= kAskAgain || !best->unread()) return best;
+    if (!best || most == 3 || tries >= kAskAgain || !best->hasUnreadInput()) return best;
     asking.push_back(best);
   }
 }
@@ -165,23 +168,23 @@
 // Guards against clients that ask once and keep their connections: the longest idle one makes way for each
 // that asks for the first time, lest their side has none left to ask on, while the table here is not even
 // full.
-void Clients::firstAsked(const Session& by) {
-  if (++asking_ <= config_.askingClients || gate_) return;
+void Clients::onFirstRequest(const Session& by) {
+  if (++activeSessions_ <= config_.askingClients || admission_) return;
   const Time now = engine_.now();
   Session* longest = nullptr;
   for (const auto& [s, owned] : sessions_)
-    if (s != &by && s->spare(now) == 1 && (!longest || s->lastActive() < longest->lastActive()) &&
-        !s->unread())
+    if (s != &by && s->evictionPriority(now) == 1 && (!longest || s->lastActive() < longest->lastActive()) &&
+        !s->hasUnreadInput())
       longest = s;
-  if (longest) longest->end();
+  if (longest) longest->beginClose();
 }
 
-void Clients::round() {
+void Clients::sweepIdle() {
   const Time now = engine_.now();
   std::vector<Session*> over;
   for (const auto& [s, owned] : sessions_)
-    if (!s->looksAlive(now)) over.push_back(s);
-  for (Session* s : over) s->timedOut();
+    if (!s->checkIdleTimeout(now)) over.push_back(s);
+  for (Session* s : over) s->onIdleTimeout();
 }
 
 // Guards the log against clients that send nonsense at full speed: what is left out is counted.
@@ -198,23 +201,23 @@
 // Guards against a loop that never sleeps. libevent tells of a reset as readable and writable, whatever was
 // asked for (epoll.c, EPOLLERR): an event for EV_CLOSED alone is not called, and the system reports the reset
 // again at once. So what is not read is in no event, and is asked by poll(2).
-void Clients::watchEnd(Session& s, bool on) {
-  if (on ? !unread_.insert(&s).second : unread_.erase(&s) == 0) return;
-  if (unread_.empty())
-    event_del(ends_.get());
-  else if (!event_pending(ends_.get(), EV_TIMEOUT, nullptr))
-    startTimer(ends_.get(), kEnds);
-}
-void Clients::lookForEnds() {
+void Clients::watchForDisconnect(Session& s, bool on) {
+  if (on ? !pausedReads_.insert(&s).second : pausedReads_.erase(&s) == 0) return;
+  if (pausedReads_.empty())
+    event_del(disconnectTimer_.get());
+  else if (!event_pending(disconnectTimer_.get(), EV_TIMEOUT, nullptr))
+    startTimer(disconnectTimer_.get(), kEnds);
+}
+void Clients::detectDisconnects() {
   std::vector<pollfd> asked;
-  std::vector<Session*> whose(unread_.begin(), unread_.end());
+  std::vector<Session*> whose(pausedReads_.begin(), pausedReads_.end());
   for (const Session* s : whose) asked.push_back({s->socket(), POLLRDHUP, 0});
   if (poll(asked.data(), asked.size(), 0) <= 0) return;
   for (std::size_t k = 0; k < whose.size(); ++k)
-    if (asked[k].revents != 0) closed(*whose[k]);
+    if (asked[k].revents != 0) onSessionClosed(*whose[k]);
 }
 
-void Clients::closed(Session& s) {
+void Clients::onSessionClosed(Session& s) {
   sessions_.erase(&s);
   if (acceptor_)
     acceptor_->resume();
@@ -231,9 +234,9 @@
   for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
   const ShutdownTimes times = shutdownTimes(longest);
   answerBy_ = engine_.now() + times.answerBy;
-  startTimer(lastCall_.get(), times.stopAccepting);
-  startTimer(answersDue_.get(), times.answerBy);
-  startTimer(exit_.get(), times.exit);
+  startTimer(stopListeningTimer_.get(), times.stopAccepting);
+  startTimer(answerDeadlineTimer_.get(), times.answerBy);
+  startTimer(exitTimer_.get(), times.exit);
 }
 
 void Clients::stopListening() {
@@ -241,15 +244,15 @@
   acceptor_.reset();
   std::vector<Session*> all;
   for (const auto& [s, owned] : sessions_) all.push_back(s);
-  for (Session* s : all) s->retire();
+  for (Session* s : all) s->beginDrain();
   if (sessions_.empty()) done_();
 }
 
 void Clients::finishAnswers() {
-  answersOver_ = true;
+  pastAnswerDeadline_ = true;
   std::vector<Session*> all;
   for (const auto& [s, owned] : sessions_) all.push_back(s);
-  for (Session* s : all) s->finish();
+  for (Session* s : all) s->failOutstanding();
 }
 
 }  // namespace sablespur
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -30,54 +30,54 @@
   void drain(std::function<void()> done);
   bool draining() const { return draining_; }
   int port() const;
-  void shortage();                                 // there is no descriptor: an idle client makes way
-  void users(std::shared_ptr<const auth::Users>);  // of logins from now on
+  void onExhaustion();                                // there is no descriptor: an idle client makes way
+  void setUsers(std::shared_ptr<const auth::Users>);  // of logins from now on
 
  private:
   friend class Session;
-  void accepted(evutil_socket_t, const sockaddr*);
-  void turnAway(evutil_socket_t,
-                Time comeBack);  // without reading who it is; the descriptor stays the caller's
-  void closed(Session&);
-  bool room();
-  bool makeRoom();
-  Session* mostSpare(int least, const Session* but = nullptr);  // null: none
-  void round();
-  void firstAsked(const Session& by);
+  void onAccepted(evutil_socket_t, const sockaddr*);
+  void rejectConnection(evutil_socket_t,
+                        Time comeBack);  // without reading who it is; the descriptor stays the caller's
+  void onSessionClosed(Session&);
+  bool hasRoom();
+  bool evictOne();
+  Session* findEvictable(int least, const Session* but = nullptr);  // null: none
+  void sweepIdle();
+  void onFirstRequest(const Session& by);
   void logRejection(const char* code, std::string_view why, const Address& from);
-  void watchEnd(Session&, bool on);  // of one that is not read for now
-  void lookForEnds();
+  void watchForDisconnect(Session&, bool on);  // of one that is not read for now
+  void detectDisconnects();
   postgres::Key newKey(Session&, std::size_t length);  // the session takes it out of keys_ at its end
   void cancel(const postgres::Key&);                   // by a CancelRequest; a wrong key changes nothing
   void stopListening();
   void finishAnswers();
   // The shutdown's time for final answers is over: nothing more is read.
-  bool answersOver() const { return answersOver_; }
+  bool pastAnswerDeadline() const { return pastAnswerDeadline_; }
 
   event_base* const base_;
   Engine& engine_;
-  RequestHandler& entrance_;
+  RequestHandler& requestHandler_;
   WorkerPool& workers_;
   // Requests go by the Gate where there is one, else straight to the Entrance.
   RequestId request(ResponseHandler&, const balancer::Request&, Message, PermitId);
-  void left(RequestId);
+  void cancelRequest(RequestId);
 
-  ResourceBudget& account_;
-  AdmissionController* const gate_;
+  ResourceBudget& budget_;
+  AdmissionController* const admission_;
   const Config& config_;
   std::shared_ptr<const auth::Users> users_;
-  std::size_t asking_ = 0;   // sessions that have asked something
-  std::size_t outside_ = 0;  // sessions that the Gate has not let in
+  std::size_t activeSessions_ = 0;      // sessions that have asked something
+  std::size_t unadmittedSessions_ = 0;  // sessions that the Gate has not let in
   std::unique_ptr<Acceptor> acceptor_;
-  Event lastCall_, answersDue_, exit_, round_, ends_;
+  Event stopListeningTimer_, answerDeadlineTimer_, exitTimer_, sweepTimer_, disconnectTimer_;
   std::uint64_t rejected_ = 0;  // since the last line that told of one
   Time rejectionLogged_{};
-  bool draining_ = false, answersOver_ = false;
+  bool draining_ = false, pastAnswerDeadline_ = false;
   Time answerBy_ = Time::max();  // while it drains: no request is given a later deadline
   std::function<void()> done_;
-  std::unordered_set<std::string> openIds_;           // of the requests that are out
+  std::unordered_set<std::string> openRequestIds_;    // of the requests that are out
   std::unordered_map<std::uint32_t, Session*> keys_;  // by the process number that a session was told
-  std::unordered_set<Session*> unread_;               // not read for now; none that has ended
+  std::unordered_set<Session*> pausedReads_;          // not read for now; none that has ended
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
 };
 
--- a/src/frontend/postgres/input_timestamps.cpp
+++ b/src/frontend/postgres/input_timestamps.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void InputTimestamps::came(std::size_t bytes, Time now, bool full) {
+void InputTimestamps::onReceived(std::size_t bytes, Time now, bool full) {
   const Time at = fullSince_ > Time(0) ? fullSince_ : now;
   if (!spans_.empty() && (at - spans_.back().at < kTogether || spans_.size() >= kMostSpans))
     spans_.back().bytes += bytes;
@@ -21,14 +21,14 @@
   fullSince_ = full ? at : Time(0);
 }
 
-void InputTimestamps::taken(std::size_t bytes) {
+void InputTimestamps::onConsumed(std::size_t bytes) {
   auto first = spans_.begin();
   for (; first != spans_.end() && bytes >= first->bytes; ++first) bytes -= first->bytes;
   spans_.erase(spans_.begin(), first);
   if (!spans_.empty()) spans_.front().bytes -= bytes;
 }
 
-InputTimestamps::Time InputTimestamps::of(std::size_t bytes) const {
+InputTimestamps::Time InputTimestamps::receivedAt(std::size_t bytes) const {
   for (const Span& s : spans_) {
     if (bytes <= s.bytes) return s.at;
     bytes -= s.bytes;
--- a/src/frontend/postgres/input_timestamps.hpp
+++ b/src/frontend/postgres/input_timestamps.hpp
@@ -14,11 +14,11 @@
   using Time = Clock::Time;
   // `full`: the input stands at its limit now, so more may be waiting in the system. What comes next counts
   // as having come with this: never too late.
-  void came(std::size_t bytes, Time now, bool full);
-  void taken(std::size_t bytes);  // from the front
+  void onReceived(std::size_t bytes, Time now, bool full);
+  void onConsumed(std::size_t bytes);  // from the front
   // When the byte that is `bytes` from the front came, the last of those.
-  Time of(std::size_t bytes) const;
-  std::size_t spans() const { return spans_.size(); }
+  Time receivedAt(std::size_t bytes) const;
+  std::size_t spanCount() const { return spans_.size(); }
 
  private:
   struct Span {
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -18,7 +18,7 @@
  public:
   ByPassword(auth::Host host, bool version2) : host_(std::move(host)), version2_(version2) {}
 
-  std::string ask() override {
+  std::string initialRequest() override {
     switch (*host_.method()) {
       case auth::Method::Cleartext:
         return version2_ ? pg2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
@@ -30,27 +30,28 @@
     }
     return postgres::saslMechanisms();
   }
-  Said take(std::string_view message) override {
+  StepResult onResponse(std::string_view message) override {
     std::optional<std::string_view> word = message;
     if (host_.method() == auth::Method::Scram) {
       if (!begun_) word = postgres::parseSaslInitial(message);
     } else if (!version2_) {
       word = postgres::parsePassword(message);
     }
-    if (!word) return {Next::Out, {}};
+    if (!word) return {Step::Reject, {}};
     begun_ = true;
     return said(host_.take(*word));
   }
-  std::function<std::string()> slow() const override { return host_.slow(); }
-  Said salted(const std::string& result) override { return said(host_.salted(result)); }
+  std::function<std::string()> keyDerivation() const override { return host_.slow(); }
+  StepResult onKeyDerived(const std::string& result) override { return said(host_.salted(result)); }
 
  private:
-  Said said(auth::Next n) {
+  StepResult said(auth::Next n) {
     const std::string& word = host_.say();
-    if (n == auth::Next::Ask) return {Next::Ask, postgres::authentication(postgres::kAuthSaslContinue, word)};
+    if (n == auth::Next::Ask)
+      return {Step::Continue, postgres::authentication(postgres::kAuthSaslContinue, word)};
     if (n == auth::Next::In)
-      return {Next::In, word.empty() ? "" : postgres::authentication(postgres::kAuthSaslFinal, word)};
-    return {n == auth::Next::Salt ? Next::Salt : Next::Out, {}};
+      return {Step::Accept, word.empty() ? "" : postgres::authentication(postgres::kAuthSaslFinal, word)};
+    return {n == auth::Next::Salt ? Step::DeriveKey : Step::Reject, {}};
   }
   auth::Host host_;
   const bool version2_;
@@ -63,10 +64,10 @@
 }  // namespace
 #endif
 
-std::unique_ptr<Login> openLogin([[maybe_unused]] const Config& config,
-                                 [[maybe_unused]] const auth::Users& users,
-                                 [[maybe_unused]] const std::string& user, [[maybe_unused]] bool version2,
-                                 std::string& why) {
+std::unique_ptr<Login> createLogin([[maybe_unused]] const Config& config,
+                                   [[maybe_unused]] const auth::Users& users,
+                                   [[maybe_unused]] const std::string& user, [[maybe_unused]] bool version2,
+                                   std::string& why) {
 #ifdef SABLESPUR_AUTH
   static const std::string secret = randomBytes(32);  // of this process
   auth::Host host(users, user, config.logins, !version2, secret, nonce(), randomBytes(4));
--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -10,8 +10,8 @@
 // Guards the memory: a client that never closes what it prepares.
 constexpr std::size_t kMostNames = 256, kLongestColumns = 8192;
 
-PreparedStatements::Said fault(const char* code, std::string text) { return {{}, code, std::move(text)}; }
-PreparedStatements::Said malformed(const char* what) {
+PreparedStatements::Reply fault(const char* code, std::string text) { return {{}, code, std::move(text)}; }
+PreparedStatements::Reply malformed(const char* what) {
   return fault("08P01", std::string("malformed ") + what + " message");
 }
 std::string quoted(std::string_view name) { return "\"" + std::string(name) + "\""; }
@@ -40,7 +40,7 @@
   portals_.erase(it);
 }
 
-PreparedStatements::Said PreparedStatements::parse(std::string_view body, bool backslashes) {
+PreparedStatements::Reply PreparedStatements::parse(std::string_view body, bool backslashes) {
   auto m = postgres::parseParse(body);
   if (!m) return malformed("Parse");
   if (const auto old = statements_.find(m->name); old != statements_.end()) {
@@ -60,8 +60,8 @@
   return {postgres::parseComplete(), nullptr, {}};
 }
 
-PreparedStatements::Said PreparedStatements::bind(std::string_view body, bool backslashes,
-                                                  std::size_t longest) {
+PreparedStatements::Reply PreparedStatements::bind(std::string_view body, bool backslashes,
+                                                   std::size_t longest) {
   auto m = postgres::parseBind(body);
   if (!m) return malformed("Bind");
   const auto it = statements_.find(m->statement);
@@ -89,13 +89,13 @@
   Portal p;
   p.statement = std::string(m->statement);
   p.text = std::move(*text);
-  p.wanted.results = std::move(m->results);
+  p.resultFormat.results = std::move(m->results);
   bytes_ += p.text.size();
   portals_.emplace(std::string(m->portal), std::move(p));
   return {postgres::bindComplete(), nullptr, {}};
 }
 
-PreparedStatements::Said PreparedStatements::describe(std::string_view body) {
+PreparedStatements::Reply PreparedStatements::describe(std::string_view body) {
   const auto m = postgres::parseTarget(body);
   if (!m) return malformed("Describe");
   if (m->portal) {
@@ -121,7 +121,7 @@
           {}};
 }
 
-PreparedStatements::Said PreparedStatements::settle() {
+PreparedStatements::Reply PreparedStatements::flush() {
   std::string answer;
   for (auto& [name, p] : portals_) {
     if (!p.describe) continue;
@@ -129,12 +129,12 @@
     const auto s = statements_.find(p.statement);
     if (s == statements_.end() || !s->second.ran)
       return fault("0A000", "Describe of a portal without its Execute is not supported");
-    answer += s->second.columns.empty() ? postgres::noData() : described(s->second.columns, p.wanted);
+    answer += s->second.columns.empty() ? postgres::noData() : described(s->second.columns, p.resultFormat);
   }
   return {answer, nullptr, {}};
 }
 
-PreparedStatements::Said PreparedStatements::close(std::string_view body) {
+PreparedStatements::Reply PreparedStatements::close(std::string_view body) {
   const auto m = postgres::parseTarget(body);
   if (!m) return malformed("Close");
   if (m->portal) {
@@ -145,7 +145,8 @@
   return {postgres::closeComplete(), nullptr, {}};
 }
 
-PreparedStatements::Said PreparedStatements::execute(std::string_view body, std::optional<Asked>& asked) {
+PreparedStatements::Reply PreparedStatements::execute(std::string_view body,
+                                                      std::optional<Execution>& asked) {
   const auto m = postgres::parseExecute(body);
   if (!m) return malformed("Execute");
   const auto it = portals_.find(m->portal);
@@ -153,20 +154,20 @@
   Portal& p = it->second;
   if (p.suspended) return fault("0A000", "Execute that goes on where a row limit stopped is not supported");
   if (p.ran) return fault("55000", "portal " + quoted(m->portal) + " cannot be run anymore");
-  Asked a;
+  Execution a;
   a.statement = blank(p.text) ? std::string() : p.text;
-  a.wanted = p.wanted;
-  a.described = p.describe;
-  a.mostRows = static_cast<std::size_t>(m->most);
+  a.resultFormat = p.resultFormat;
+  a.sendRowDescription = p.describe;
+  a.maxRows = static_cast<std::size_t>(m->most);
   p.describe = false;
   p.ran = true;
-  last_ = std::string(m->portal);
+  lastPortal_ = std::string(m->portal);
   asked = std::move(a);
   return {};
 }
 
-void PreparedStatements::executed(std::string_view columns, bool suspended) {
-  const auto p = portals_.find(last_);
+void PreparedStatements::onExecuted(std::string_view columns, bool suspended) {
+  const auto p = portals_.find(lastPortal_);
   if (p == portals_.end()) return;
   p->second.suspended = suspended;
   const auto s = statements_.find(p->second.statement);
@@ -177,13 +178,13 @@
   bytes_ += columns.size();
 }
 
-PreparedStatements::Said PreparedStatements::sync() {
-  Said owed = settle();
+PreparedStatements::Reply PreparedStatements::sync() {
+  Reply owed = flush();
   while (!portals_.empty()) drop(portals_.begin());
   return owed;
 }
 
-void PreparedStatements::simpleQuery() {
+void PreparedStatements::onSimpleQuery() {
   if (const auto p = portals_.find(""); p != portals_.end()) drop(p);
   if (const auto s = statements_.find(""); s != statements_.end()) drop(s);
 }
--- a/src/frontend/postgres/prepared_statements.hpp
+++ b/src/frontend/postgres/prepared_statements.hpp
@@ -19,30 +19,30 @@
 class PreparedStatements {
  public:
   // What a message leads to: an answer, or an error after which everything is passed over until Sync.
-  struct Said {
-    std::string answer;
-    const char* code = nullptr;  // of the error; null: there is none
-    std::string text;
+  struct Reply {
+    std::string messages;
+    const char* errorCode = nullptr;  // of the error; null: there is none
+    std::string errorText;
   };
   // What an Execute asks.
-  struct Asked {
+  struct Execution {
     std::string statement;  // empty: of nothing but blanks
-    translation::ResultFormat wanted;
-    bool described = false;  // its columns are still owed
-    std::size_t mostRows = 0;
+    translation::ResultFormat resultFormat;
+    bool sendRowDescription = false;  // its columns are still owed
+    std::size_t maxRows = 0;
   };
 
-  Said parse(std::string_view body, bool backslashes);
-  Said bind(std::string_view body, bool backslashes, std::size_t longest);
-  Said describe(std::string_view body);
-  Said close(std::string_view body);
-  Said execute(std::string_view body, std::optional<Asked>&);
+  Reply parse(std::string_view body, bool backslashes);
+  Reply bind(std::string_view body, bool backslashes, std::size_t longest);
+  Reply describe(std::string_view body);
+  Reply close(std::string_view body);
+  Reply execute(std::string_view body, std::optional<Execution>&);
   // The answer of the last Execute: the columns it had, as a RowDescription's body (empty: none), or that it
   // stopped at its row limit.
-  void executed(std::string_view columns, bool suspended);
-  Said sync();         // portals end here
-  Said settle();       // what is owed of a Describe and cannot wait any longer: before a Flush and at Sync
-  void simpleQuery();  // it ends the unnamed statement and portal
+  void onExecuted(std::string_view columns, bool suspended);
+  Reply sync();          // portals end here
+  Reply flush();         // what is owed of a Describe and cannot wait any longer: before a Flush and at Sync
+  void onSimpleQuery();  // it ends the unnamed statement and portal
 
   std::size_t bytes() const { return bytes_; }  // that are held for this client
 
@@ -57,7 +57,7 @@
   struct Portal {
     std::string statement;  // by name
     std::string text;
-    translation::ResultFormat wanted;
+    translation::ResultFormat resultFormat;
     bool describe = false, suspended = false, ran = false;
   };
   void drop(std::map<std::string, Statement, std::less<>>::iterator);
@@ -65,7 +65,7 @@
 
   std::map<std::string, Statement, std::less<>> statements_;
   std::map<std::string, Portal, std::less<>> portals_;
-  std::string last_;  // the portal executed last
+  std::string lastPortal_;  // the portal executed last
   std::size_t bytes_ = 0;
 };
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -106,7 +106,7 @@
 constexpr std::size_t kDesks = 0, kApps = 1, kElse = 2;
 ConnectionAdmissionSettings settings(std::size_t most) {
   ConnectionAdmissionSettings s;
-  s.most = most;
+  s.maxConnections = most;
   s.groups.resize(3);
   s.groups[kDesks].name = "desks";
   s.groups[kDesks].weight = 4;
@@ -123,34 +123,34 @@
 
 TEST(Door, AnAddressThatConnectsInALoopTakesItsOwnShare) {
   ConnectionAdmissionSettings s = settings(100);
-  s.groups[kApps].mostByAddress = 5;
+  s.groups[kApps].maxPerAddress = 5;
   ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   int let = 0;
   for (int k = 0; k < 1000; ++k) {
-    const ConnectionDecision w = door.arrived(Time(k), ++id, ip("10.2.0.7"));
+    const ConnectionDecision w = door.admit(Time(k), ++id, ip("10.2.0.7"));
     let += w.admitted;
     if (!w.admitted) {
-      EXPECT_EQ(w.why, RejectionReason::AddressFull);
+      EXPECT_EQ(w.rejection, RejectionReason::AddressFull);
     }
   }
   EXPECT_EQ(let, 5);
-  EXPECT_TRUE(door.arrived(Time(1000), ++id, ip("10.2.0.8")).admitted);
-  EXPECT_TRUE(door.arrived(Time(1000), ++id, ip("10.1.0.8")).admitted);
+  EXPECT_TRUE(door.admit(Time(1000), ++id, ip("10.2.0.8")).admitted);
+  EXPECT_TRUE(door.admit(Time(1000), ++id, ip("10.1.0.8")).admitted);
 }
 TEST(Door, TheSameFromFiveHundredAddressesOfOneNetwork) {
   ConnectionAdmissionSettings s = settings(400);
-  s.groups[kElse].mostByAddress = 2;
-  s.groups[kElse].mostByPrefix = 50;
+  s.groups[kElse].maxPerAddress = 2;
+  s.groups[kElse].maxPerPrefix = 50;
   s.prefix4 = 8;
   s.groups[kDesks].reserve = 20;
   ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   std::size_t let = 0;
   for (std::size_t k = 0; k < 500; ++k)
-    for (int j = 0; j < 4; ++j) let += door.arrived(Time(k), ++id, ip(host("127.0", k))).admitted;
+    for (int j = 0; j < 4; ++j) let += door.admit(Time(k), ++id, ip(host("127.0", k))).admitted;
   EXPECT_EQ(let, 50u);
-  for (std::size_t k = 0; k < 20; ++k) EXPECT_TRUE(door.arrived(1s, ++id, ip(host("10.1", k))).admitted);
+  for (std::size_t k = 0; k < 20; ++k) EXPECT_TRUE(door.admit(1s, ++id, ip(host("10.1", k))).admitted);
 }
 TEST(Door, AReserveIsTakenByNobodyElse) {
   ConnectionAdmissionSettings s = settings(100);
@@ -159,54 +159,54 @@
   ConnectionId id = 0;
   std::size_t let = 0;
   for (std::size_t k = 0; k < 200; ++k) {
-    const ConnectionDecision w = door.arrived(Time(k), ++id, ip(host("10.2", k)));
+    const ConnectionDecision w = door.admit(Time(k), ++id, ip(host("10.2", k)));
     let += w.admitted;
     if (!w.admitted) {
-      EXPECT_EQ(w.why, RejectionReason::Full);
+      EXPECT_EQ(w.rejection, RejectionReason::Full);
     }
   }
   EXPECT_EQ(let, 70u);
-  for (std::size_t k = 0; k < 30; ++k) EXPECT_TRUE(door.arrived(1s, ++id, ip(host("10.1", k))).admitted);
-  EXPECT_EQ(door.count(kDesks).reserveLeft, 0u);
+  for (std::size_t k = 0; k < 30; ++k) EXPECT_TRUE(door.admit(1s, ++id, ip(host("10.1", k))).admitted);
+  EXPECT_EQ(door.count(kDesks).reserveRemaining, 0u);
   // All is taken now, and nobody is idle: the next desk waits like anyone.
-  EXPECT_EQ(door.arrived(1s, ++id, ip("10.1.9.9")).why, RejectionReason::Full);
+  EXPECT_EQ(door.admit(1s, ++id, ip("10.1.9.9")).rejection, RejectionReason::Full);
 }
 // Beyond its reserve a desk gets the place of an app that has been idle, since apps hold more by weight; an
 // app that is at work keeps its place, and so does one that has just been answered.
 TEST(Door, AnIdleOneOfWhoHoldsMostMakesWay) {
   ConnectionAdmission door(settings(10), museum());
   for (ConnectionId id = 1; id <= 10; ++id)
-    ASSERT_TRUE(door.arrived(Time(id), id, ip(host("10.2", id))).admitted);
-  EXPECT_EQ(door.arrived(1s, 11, ip("10.1.0.1")).why, RejectionReason::Full);
-  door.idle(1s, 4);
-  door.idle(1200ms, 3);
-  EXPECT_EQ(door.arrived(1400ms, 11, ip("10.1.0.1")).why,
+    ASSERT_TRUE(door.admit(Time(id), id, ip(host("10.2", id))).admitted);
+  EXPECT_EQ(door.admit(1s, 11, ip("10.1.0.1")).rejection, RejectionReason::Full);
+  door.markIdle(1s, 4);
+  door.markIdle(1200ms, 3);
+  EXPECT_EQ(door.admit(1400ms, 11, ip("10.1.0.1")).rejection,
             RejectionReason::Full);  // not yet idle for half a second
-  const ConnectionDecision w = door.arrived(2s, 11, ip("10.1.0.1"));
+  const ConnectionDecision w = door.admit(2s, 11, ip("10.1.0.1"));
   EXPECT_TRUE(w.admitted);
-  EXPECT_EQ(w.close, 4u);
-  door.busy(3);
-  EXPECT_EQ(door.arrived(3s, 12, ip("10.1.0.2")).why, RejectionReason::Full);
-  EXPECT_EQ(door.held(), 10u);
-  EXPECT_EQ(door.count(kApps).asked, 1u);
+  EXPECT_EQ(w.evict, 4u);
+  door.markBusy(3);
+  EXPECT_EQ(door.admit(3s, 12, ip("10.1.0.2")).rejection, RejectionReason::Full);
+  EXPECT_EQ(door.connectionCount(), 10u);
+  EXPECT_EQ(door.count(kApps).evicted, 1u);
 }
 TEST(Door, AnAppTakesNoDesksPlace) {
   ConnectionAdmission door(settings(4), museum());
   for (ConnectionId id = 1; id <= 4; ++id) {
-    ASSERT_TRUE(door.arrived(Time(id), id, ip(host("10.1", id))).admitted);
-    door.idle(Time(id), id);
+    ASSERT_TRUE(door.admit(Time(id), id, ip(host("10.1", id))).admitted);
+    door.markIdle(Time(id), id);
   }
   // Four desks weigh one, an app would weigh one as well: it has to wait.
-  EXPECT_EQ(door.arrived(10s, 5, ip("10.2.0.1")).why, RejectionReason::Full);
+  EXPECT_EQ(door.admit(10s, 5, ip("10.2.0.1")).rejection, RejectionReason::Full);
   const ConnectionDecision own =
-      door.arrived(10s, 6, ip("10.1.0.9"));  // among themselves the longest idle one goes
+      door.admit(10s, 6, ip("10.1.0.9"));  // among themselves the longest idle one goes
   EXPECT_TRUE(own.admitted);
-  EXPECT_EQ(own.close, 1u);
+  EXPECT_EQ(own.evict, 1u);
 }
 // After a restart all come at once: as many as the burst, the others one by one, each at a time of its own.
 TEST(Door, ThoseRefusedForTheRateComeBackSpread) {
   ConnectionAdmissionSettings s = settings(1000);
-  s.groups[kDesks].perSecond = 100;
+  s.groups[kDesks].connectionsPerSecond = 100;
   s.groups[kDesks].burst = 50;
   ConnectionAdmission door(s, museum());
   std::multimap<Time, std::size_t> returns;
@@ -219,14 +219,14 @@
     const auto [now, k] = *returns.begin();
     returns.erase(returns.begin());
     ++tries[now.count() / 100000];
-    const ConnectionDecision w = door.arrived(now, ++id, ip(host("10.1", k)));
+    const ConnectionDecision w = door.admit(now, ++id, ip(host("10.1", k)));
     let += w.admitted;
     last = now;
     if (!w.admitted) {
-      EXPECT_EQ(w.why, RejectionReason::Rate);
-      EXPECT_GE(w.comeBack, s.comeBackLeast);
-      EXPECT_LE(w.comeBack, s.comeBackMost);
-      returns.emplace(now + w.comeBack, k);
+      EXPECT_EQ(w.rejection, RejectionReason::Rate);
+      EXPECT_GE(w.retryAfter, s.minRetryAfter);
+      EXPECT_LE(w.retryAfter, s.maxRetryAfter);
+      returns.emplace(now + w.retryAfter, k);
     }
   }
   EXPECT_EQ(let, 400u);
@@ -240,64 +240,64 @@
 TEST(Door, AReloadThatLowersACapClosesOnlyWhatIsIdle) {
   ConnectionAdmission door(settings(100), museum());
   for (ConnectionId id = 1; id <= 20; ++id)
-    ASSERT_TRUE(door.arrived(Time(0), id, ip(host("10.2", id))).admitted);
-  for (ConnectionId id = 1; id <= 12; ++id) door.idle(Time(100 - static_cast<std::int64_t>(id)), id);
+    ASSERT_TRUE(door.admit(Time(0), id, ip(host("10.2", id))).admitted);
+  for (ConnectionId id = 1; id <= 12; ++id) door.markIdle(Time(100 - static_cast<std::int64_t>(id)), id);
   ConnectionAdmissionSettings s = settings(100);
-  s.groups[kApps].most = 10;
+  s.groups[kApps].maxConnections = 10;
   door.reload(s, museum());
-  EXPECT_EQ(door.count(kApps).held, 20u);
-  EXPECT_EQ(door.surplus(2s, 4), (std::vector<ConnectionId>{12, 11, 10, 9}));  // longest idle first
-  EXPECT_EQ(door.surplus(2s, 100).size(), 6u);
-  EXPECT_EQ(door.count(kApps).held, 10u);
-  EXPECT_TRUE(door.surplus(2s, 100).empty());
-  EXPECT_FALSE(door.arrived(1ms, 50, ip("10.2.9.9")).admitted);
+  EXPECT_EQ(door.count(kApps).connections, 20u);
+  EXPECT_EQ(door.evictSurplus(2s, 4), (std::vector<ConnectionId>{12, 11, 10, 9}));  // longest idle first
+  EXPECT_EQ(door.evictSurplus(2s, 100).size(), 6u);
+  EXPECT_EQ(door.count(kApps).connections, 10u);
+  EXPECT_TRUE(door.evictSurplus(2s, 100).empty());
+  EXPECT_FALSE(door.admit(1ms, 50, ip("10.2.9.9")).admitted);
 }
 TEST(Door, AnAddressMovesToAnotherGroupOnReloadAndANamedOneStays) {
   ConnectionAdmission door(settings(10), museum());
-  ASSERT_TRUE(door.arrived(Time(0), 1, ip("10.2.0.1")).admitted);
-  ASSERT_TRUE(door.arrived(Time(0), 2, ip("10.2.0.2")).admitted);
-  door.idle(Time(5), 1);
-  door.belongs(2, kElse);
-  EXPECT_EQ(door.count(kApps).held, 1u);
+  ASSERT_TRUE(door.admit(Time(0), 1, ip("10.2.0.1")).admitted);
+  ASSERT_TRUE(door.admit(Time(0), 2, ip("10.2.0.2")).admitted);
+  door.markIdle(Time(5), 1);
+  door.assignGroup(2, kElse);
+  EXPECT_EQ(door.count(kApps).connections, 1u);
   door.reload(settings(10), networks({{"10.2.0.0/16", kDesks}}));
   EXPECT_EQ(door.groupOf(1), kDesks);
   EXPECT_EQ(door.groupOf(2), kElse);
   EXPECT_EQ(door.count(kDesks).idle, 1u);
-  door.busy(1);
-  door.left(1);
-  door.left(2);
-  for (std::size_t g = 0; g < door.groups(); ++g) EXPECT_EQ(door.count(g).held, 0u);
+  door.markBusy(1);
+  door.remove(1);
+  door.remove(2);
+  for (std::size_t g = 0; g < door.groupCount(); ++g) EXPECT_EQ(door.count(g).connections, 0u);
 }
 // The reserve is new and others hold everything: who is idle makes way at once.
 TEST(Door, AReserveThatIsOwedIsTakenBack) {
   ConnectionAdmission door(settings(10), museum());
   for (ConnectionId id = 1; id <= 10; ++id) {
-    ASSERT_TRUE(door.arrived(Time(0), id, ip(host("10.2", id))).admitted);
-    door.idle(Time(static_cast<std::int64_t>(id)), id);
+    ASSERT_TRUE(door.admit(Time(0), id, ip(host("10.2", id))).admitted);
+    door.markIdle(Time(static_cast<std::int64_t>(id)), id);
   }
   ConnectionAdmissionSettings s = settings(10);
   s.groups[kDesks].reserve = 3;
   door.reload(s, museum());
   for (ConnectionId id = 11; id <= 13; ++id) {
-    const ConnectionDecision w = door.arrived(1s, id, ip(host("10.1", id)));
+    const ConnectionDecision w = door.admit(1s, id, ip(host("10.1", id)));
     EXPECT_TRUE(w.admitted);
-    EXPECT_EQ(w.close, id - 10);
+    EXPECT_EQ(w.evict, id - 10);
   }
 }
 TEST(Door, AnAbuserAmongTheDesksTakesNothingFromThem) {
   ConnectionAdmissionSettings s = settings(100);
   s.groups[kDesks].reserve = 60;
-  s.groups[kDesks].mostByAddress = 3;
-  s.groups[kDesks].perSecond = 50;
+  s.groups[kDesks].maxPerAddress = 3;
+  s.groups[kDesks].connectionsPerSecond = 50;
   s.groups[kDesks].burst = 10;
   ConnectionAdmission door(s, museum());
   ConnectionId id = 0;
   std::size_t desks = 0;
   for (int k = 0; k < 20000; ++k) {
     const Time now(k * 100);
-    door.arrived(now, ++id, ip("10.1.66.6"));
+    door.admit(now, ++id, ip("10.1.66.6"));
     if (k % 500 == 0)
-      desks += door.arrived(now, ++id, ip(host("10.1", static_cast<std::size_t>(k / 500)))).admitted;
+      desks += door.admit(now, ++id, ip(host("10.1", static_cast<std::size_t>(k / 500)))).admitted;
   }
   EXPECT_EQ(desks, 40u);
 }
@@ -308,9 +308,9 @@
     pcg32 random(seed);
     ConnectionAdmissionSettings s = settings(40);
     s.groups[kDesks].reserve = 10;
-    s.groups[kApps].most = 25;
-    s.groups[kApps].mostByAddress = 4;
-    s.groups[kElse].mostByPrefix = 6;
+    s.groups[kApps].maxConnections = 25;
+    s.groups[kApps].maxPerAddress = 4;
+    s.groups[kElse].maxPerPrefix = 6;
     ConnectionAdmission door(s, museum());
     struct Held {
       IpAddress from;
@@ -330,24 +330,24 @@
       if (what < 5) {
         const IpAddress from = ip(host(nets[random(3)], random(12)));
         const std::size_t group = door.groupOf(0) - 1;  // the last one
-        const ConnectionDecision w = door.arrived(now, ++id, from);
-        if (w.close != 0) {
+        const ConnectionDecision w = door.admit(now, ++id, from);
+        if (w.evict != 0) {
           ASSERT_TRUE(w.admitted);
-          ASSERT_EQ(model.count(w.close), 1u);
-          ASSERT_TRUE(model[w.close].idle);
-          model.erase(w.close);
+          ASSERT_EQ(model.count(w.evict), 1u);
+          ASSERT_TRUE(model[w.evict].idle);
+          model.erase(w.evict);
         }
         if (w.admitted) model[id] = {from, false};
         ASSERT_EQ(group, kElse);
       } else if (const auto it = pick(); it != model.end()) {
         if (what < 7) {
-          door.idle(now, it->first);
+          door.markIdle(now, it->first);
           it->second.idle = true;
         } else if (what < 8) {
-          door.busy(it->first);
+          door.markBusy(it->first);
           it->second.idle = false;
         } else {
-          door.left(it->first);
+          door.remove(it->first);
           model.erase(it);
         }
       }
@@ -357,16 +357,16 @@
         ++held[door.groupOf(c)];
         ++byAddress[h.from];
       }
-      ASSERT_EQ(door.held(), model.size());
+      ASSERT_EQ(door.connectionCount(), model.size());
       ASSERT_LE(model.size(), 40u);
       ASSERT_LE(held[kApps], 25u);
-      for (std::size_t g = 0; g < 3; ++g) ASSERT_EQ(door.count(g).held, held[g]);
+      for (std::size_t g = 0; g < 3; ++g) ASSERT_EQ(door.count(g).connections, held[g]);
       for (const auto& [a, n] : byAddress)
         if (a.to_string().rfind("10.2.", 0) == 0) {
           ASSERT_LE(n, 4u);
         }
       // What the reserve still owes is free.
-      ASSERT_GE(40u - model.size(), door.count(kDesks).reserveLeft);
+      ASSERT_GE(40u - model.size(), door.count(kDesks).reserveRemaining);
     }
   }
 }
@@ -376,32 +376,33 @@
 TEST(Known, WhoWasServedOverAWhileIsKnownUntilItIsForgotten) {
   RecentClients known({});
   const IpAddress a = ip("10.1.0.1");
-  for (int k = 0; k < 50; ++k) known.served(Time(k), a);  // often, but within a moment
-  EXPECT_FALSE(known.is(1s, a));
-  known.served(2s, a);
-  EXPECT_TRUE(known.is(2s, a));
-  EXPECT_TRUE(known.is(24h, a));
-  EXPECT_FALSE(known.is(25h, a));
-  known.served(25h, a);
-  EXPECT_FALSE(known.is(25h, a));
-  EXPECT_FALSE(known.is(2s, ip("10.1.0.2")));
+  for (int k = 0; k < 50; ++k) known.recordResponse(Time(k), a);  // often, but within a moment
+  EXPECT_FALSE(known.contains(1s, a));
+  known.recordResponse(2s, a);
+  EXPECT_TRUE(known.contains(2s, a));
+  EXPECT_TRUE(known.contains(24h, a));
+  EXPECT_FALSE(known.contains(25h, a));
+  known.recordResponse(25h, a);
+  EXPECT_FALSE(known.contains(25h, a));
+  EXPECT_FALSE(known.contains(2s, ip("10.1.0.2")));
 }
 TEST(Known, AnAbuserCannotFillIt) {
   RecentClientsSettings s;
-  s.most = 100;
-  s.mostByPrefix = 10;
+  s.maxClients = 100;
+  s.maxPerPrefix = 10;
   RecentClients known(s);
   std::vector<IpAddress> desks;
   for (std::size_t k = 0; k < 60; ++k) desks.push_back(ip("10." + std::to_string(k) + ".1.1"));
   for (const IpAddress& d : desks)
-    for (int k = 0; k < 3; ++k) known.served(Time(k * 1s), d);
+    for (int k = 0; k < 3; ++k) known.recordResponse(Time(k * 1s), d);
   // One network with all its addresses, served again and again; then a thousand networks, each once.
   for (int round = 0; round < 5; ++round)
-    for (int k = 1; k < 255; ++k) known.served(10s + Time(round * 1s), ip("127.0.0." + std::to_string(k)));
+    for (int k = 1; k < 255; ++k)
+      known.recordResponse(10s + Time(round * 1s), ip("127.0.0." + std::to_string(k)));
   for (int k = 0; k < 1000; ++k)
-    known.served(20s, ip("127." + std::to_string(k / 250) + "." + std::to_string(k % 250) + ".1"));
+    known.recordResponse(20s, ip("127." + std::to_string(k / 250) + "." + std::to_string(k % 250) + ".1"));
   EXPECT_LE(known.size(), 100u);
-  for (const IpAddress& d : desks) EXPECT_TRUE(known.is(30s, d)) << d.to_string();
+  for (const IpAddress& d : desks) EXPECT_TRUE(known.contains(30s, d)) << d.to_string();
 }
 
 // ---- the limit
@@ -414,7 +415,7 @@
     const std::size_t out = limit.value();  // demand is endless
     const Time latency(static_cast<std::int64_t>(10000 * std::max(1.0, static_cast<double>(out) / cores)));
     now += latency;
-    for (std::size_t j = 0; j < out; ++j) limit.ended(now, latency, out, false);
+    for (std::size_t j = 0; j < out; ++j) limit.recordCompletion(now, latency, out, false);
   }
   return limit.value();
 }
@@ -426,7 +427,7 @@
     EXPECT_LE(g, cores * 4 + 40) << cores;
     ConcurrencyLimitSettings aimd;
     aimd.kind = LimitKind::Aimd;
-    aimd.bound = 25ms;
+    aimd.latencyBound = 25ms;
     const auto a = static_cast<double>(settled(aimd, cores, 20000));
     EXPECT_GE(a, cores * 0.9) << cores;
     EXPECT_LE(a, cores * 2.6) << cores;
@@ -441,7 +442,7 @@
     s.kind = kind;
     ConcurrencyLimit limit(s);
     Time now{};
-    for (int k = 0; k < 400; ++k) limit.ended(now += 300ms, 10ms, 20, true);
+    for (int k = 0; k < 400; ++k) limit.recordCompletion(now += 300ms, 10ms, 20, true);
     EXPECT_EQ(limit.value(), 4u);
   }
 }
@@ -452,8 +453,8 @@
   Time now{};
   for (int k = 0; k < 4000; ++k) {
     now += 10ms;
-    some.ended(now, 10ms, 20, k % 20 == 0);
-    many.ended(now, 10ms, 20, k % 5 == 0);
+    some.recordCompletion(now, 10ms, 20, k % 20 == 0);
+    many.recordCompletion(now, 10ms, 20, k % 5 == 0);
   }
   EXPECT_GE(some.value(), 20u);
   EXPECT_LT(many.value(), 10u);
@@ -462,7 +463,7 @@
   ConcurrencyLimitSettings s;
   ConcurrencyLimit limit(s);
   Time now{};
-  for (int k = 0; k < 10000; ++k) limit.ended(now += 10ms, 10ms, 2, false);
+  for (int k = 0; k < 10000; ++k) limit.recordCompletion(now += 10ms, 10ms, 2, false);
   EXPECT_LE(limit.value(), 20u);
 }
 
@@ -471,41 +472,41 @@
 RequestLimiterSettings shares(double a, double b, double limit, std::size_t waiting) {
   RequestLimiterSettings s;
   s.limit.kind = LimitKind::Fixed;
-  s.limit.first = limit;
-  s.limit.least = 1;
-  s.mostWaiting = waiting;
+  s.limit.initial = limit;
+  s.limit.min = 1;
+  s.maxQueued = waiting;
   s.groups = {{a, 0}, {b, 0}};
   return s;
 }
 TEST(Requests, GoWhileThereIsRoomThenWaitThenAreRefused) {
   RequestLimiter r(shares(1, 1, 2, 2));
-  EXPECT_EQ(r.ask(Time(0), 1, 0, 1s).turn, RequestDecision::Admit);
-  EXPECT_EQ(r.ask(Time(0), 2, 0, 1s).turn, RequestDecision::Admit);
-  EXPECT_EQ(r.ask(Time(0), 3, 0, 1s).turn, RequestDecision::Queue);
-  EXPECT_EQ(r.ask(Time(0), 4, 0, 1s).turn, RequestDecision::Queue);
-  const auto refused = r.ask(Time(0), 5, 0, 1s);
-  EXPECT_EQ(refused.turn, RequestDecision::Reject);
-  EXPECT_GT(refused.comeBack, Time(0));
-  const auto next = r.ended(10ms, 1, 10ms, false);
+  EXPECT_EQ(r.submit(Time(0), 1, 0, 1s).decision, RequestDecision::Admit);
+  EXPECT_EQ(r.submit(Time(0), 2, 0, 1s).decision, RequestDecision::Admit);
+  EXPECT_EQ(r.submit(Time(0), 3, 0, 1s).decision, RequestDecision::Queue);
+  EXPECT_EQ(r.submit(Time(0), 4, 0, 1s).decision, RequestDecision::Queue);
+  const auto refused = r.submit(Time(0), 5, 0, 1s);
+  EXPECT_EQ(refused.decision, RequestDecision::Reject);
+  EXPECT_GT(refused.retryAfter, Time(0));
+  const auto next = r.complete(10ms, 1, 10ms, false);
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].key, 3u);
-  EXPECT_EQ(next[0].turn, RequestDecision::Admit);
-  EXPECT_TRUE(r.ended(10ms, 1, 10ms, false).empty());  // it has ended already
-  EXPECT_TRUE(r.left(10ms, 4).empty());
-  EXPECT_EQ(r.waiting(), 0u);
-  EXPECT_EQ(r.out(), 2u);
+  EXPECT_EQ(next[0].decision, RequestDecision::Admit);
+  EXPECT_TRUE(r.complete(10ms, 1, 10ms, false).empty());  // it has ended already
+  EXPECT_TRUE(r.cancel(10ms, 4).empty());
+  EXPECT_EQ(r.queued(), 0u);
+  EXPECT_EQ(r.inFlight(), 2u);
 }
 // A group that pipelines hundreds takes its weight's part, no more: the other gets in at once.
 TEST(Requests, AFullQueueGivesWayByWeight) {
   RequestLimiter r(shares(1, 1, 1, 10));
-  for (RequestKey k = 1; k <= 300; ++k) r.ask(Time(0), k, 0, 1s);
-  EXPECT_EQ(r.waiting(), 10u);
-  const auto a = r.ask(Time(0), 1000, 1, 1s);
-  EXPECT_EQ(a.turn, RequestDecision::Queue);
-  ASSERT_EQ(a.others.size(), 1u);
-  EXPECT_EQ(a.others[0].key, 11u);  // the newest of those that wait
-  EXPECT_EQ(a.others[0].turn, RequestDecision::Reject);
-  const auto next = r.ended(1ms, 1, 1ms, false);
+  for (RequestKey k = 1; k <= 300; ++k) r.submit(Time(0), k, 0, 1s);
+  EXPECT_EQ(r.queued(), 10u);
+  const auto a = r.submit(Time(0), 1000, 1, 1s);
+  EXPECT_EQ(a.decision, RequestDecision::Queue);
+  ASSERT_EQ(a.resolved.size(), 1u);
+  EXPECT_EQ(a.resolved[0].key, 11u);  // the newest of those that wait
+  EXPECT_EQ(a.resolved[0].decision, RequestDecision::Reject);
+  const auto next = r.complete(1ms, 1, 1ms, false);
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].key, 1000u);  // its group has nothing out
 }
@@ -521,54 +522,55 @@
     now += 100us;
     for (const std::size_t g : {0u, 1u}) {
       group[++key] = g;
-      if (r.ask(now, key, g, now + 10s).turn == RequestDecision::Admit) out.push_back(key);
+      if (r.submit(now, key, g, now + 10s).decision == RequestDecision::Admit) out.push_back(key);
     }
     const std::size_t at = random(static_cast<std::uint32_t>(out.size()));
     const RequestKey done = out[at];
     out.erase(out.begin() + static_cast<std::ptrdiff_t>(at));
     ++served[group[done]];
-    for (const Answered& a : r.ended(now, done, 1ms, false))
-      if (a.turn == RequestDecision::Admit) out.push_back(a.key);
+    for (const ResolvedRequest& a : r.complete(now, done, 1ms, false))
+      if (a.decision == RequestDecision::Admit) out.push_back(a.key);
   }
   EXPECT_NEAR(static_cast<double>(served[0]) / served[1], 3.0, 0.3);
 }
 TEST(Requests, WhatCanNoLongerBeOnTimeIsDroppedFirst) {
   RequestLimiterSettings s = shares(1, 1, 4, 10);
   s.limit.kind = LimitKind::Gradient;
-  s.limit.first = s.limit.most = s.limit.least = 4;
+  s.limit.initial = s.limit.max = s.limit.min = 4;
   RequestLimiter r(s);
   RequestKey key = 0;
   Time now{};
   // It learns that a request takes 100 ms.
   for (int k = 0; k < 400; ++k) {
-    EXPECT_EQ(r.ask(now, ++key, 0, now + 1s).turn, RequestDecision::Admit);
-    r.ended(now += 100ms, key, 100ms, false);
+    EXPECT_EQ(r.submit(now, ++key, 0, now + 1s).decision, RequestDecision::Admit);
+    r.complete(now += 100ms, key, 100ms, false);
   }
-  for (int k = 0; k < 4; ++k) EXPECT_EQ(r.ask(now, ++key, 0, now + 1s).turn, RequestDecision::Admit);
-  EXPECT_EQ(r.ask(now, ++key, 0, now + 50ms).turn, RequestDecision::Reject);  // at once, not near its end
+  for (int k = 0; k < 4; ++k) EXPECT_EQ(r.submit(now, ++key, 0, now + 1s).decision, RequestDecision::Admit);
+  EXPECT_EQ(r.submit(now, ++key, 0, now + 50ms).decision,
+            RequestDecision::Reject);  // at once, not near its end
   const RequestKey first = ++key, second = ++key;
-  EXPECT_EQ(r.ask(now, first, 0, now + 150ms).turn, RequestDecision::Queue);
-  EXPECT_EQ(r.ask(now, second, 0, now + 400ms).turn, RequestDecision::Queue);
-  const auto late = r.overdue(now + 60ms);
+  EXPECT_EQ(r.submit(now, first, 0, now + 150ms).decision, RequestDecision::Queue);
+  EXPECT_EQ(r.submit(now, second, 0, now + 400ms).decision, RequestDecision::Queue);
+  const auto late = r.rejectOverdue(now + 60ms);
   ASSERT_EQ(late.size(), 1u);
   EXPECT_EQ(late[0].key, first);
-  EXPECT_EQ(late[0].turn, RequestDecision::Reject);
+  EXPECT_EQ(late[0].decision, RequestDecision::Reject);
 }
 // Each request gets exactly one word in the end, and the limit holds, whatever comes and goes.
 TEST(Requests, EachGetsOneWord) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 random(seed);
     RequestLimiterSettings s = shares(2, 1, 6, 8);
-    s.groups[1].mostOpen = 5;
+    s.groups[1].maxOpen = 5;
     RequestLimiter r(s);
     std::map<RequestKey, RequestDecision> state;  // Wait or Go
     RequestKey key = 0;
     Time now{};
-    const auto take = [&](const std::vector<Answered>& all) {
-      for (const Answered& a : all) {
+    const auto take = [&](const std::vector<ResolvedRequest>& all) {
+      for (const ResolvedRequest& a : all) {
         ASSERT_EQ(state.count(a.key), 1u);
         ASSERT_EQ(state[a.key], RequestDecision::Queue);
-        if (a.turn == RequestDecision::Admit)
+        if (a.decision == RequestDecision::Admit)
           state[a.key] = RequestDecision::Admit;
         else
           state.erase(a.key);
@@ -584,29 +586,29 @@
       };
       const auto what = random(10);
       if (what < 5) {
-        const auto a = r.ask(now, ++key, random(2), now + Time(random(20000)));
-        take(a.others);
-        if (a.turn != RequestDecision::Reject) state[key] = a.turn;
+        const auto a = r.submit(now, ++key, random(2), now + Time(random(20000)));
+        take(a.resolved);
+        if (a.decision != RequestDecision::Reject) state[key] = a.decision;
       } else if (what < 8) {
         const RequestKey done = pick(RequestDecision::Admit);
         if (done == 0) continue;
         state.erase(done);
-        take(r.ended(now, done, Time(random(5000)), random(20) == 0));
+        take(r.complete(now, done, Time(random(5000)), random(20) == 0));
       } else if (what < 9) {
         const RequestKey gone = pick(random(2) == 0 ? RequestDecision::Admit : RequestDecision::Queue);
         if (gone == 0) continue;
         state.erase(gone);
-        take(r.left(now, gone));
+        take(r.cancel(now, gone));
       } else {
-        take(r.overdue(now));
+        take(r.rejectOverdue(now));
       }
       std::size_t out = 0;
       for (const auto& [id, is] : state) out += is == RequestDecision::Admit;
-      ASSERT_EQ(r.out(), out);
-      ASSERT_EQ(r.waiting(), state.size() - out);
+      ASSERT_EQ(r.inFlight(), out);
+      ASSERT_EQ(r.queued(), state.size() - out);
       ASSERT_LE(out, 6u);
-      ASSERT_LE(r.waiting(), 8u);
-      if (r.waiting() > 0) {
+      ASSERT_LE(r.queued(), 8u);
+      if (r.queued() > 0) {
         ASSERT_EQ(out, 6u);  // nobody waits while there is room
       }
     }
@@ -616,68 +618,69 @@
 TEST(Requests, SayWhyAndKeepWhatIsOutOverAReload) {
   RequestLimiterSettings s;
   s.limit.kind = LimitKind::Fixed;
-  s.limit.first = 2;
-  s.limit.least = s.limit.most = 2;
-  s.mostWaiting = 1;
+  s.limit.initial = 2;
+  s.limit.min = s.limit.max = 2;
+  s.maxQueued = 1;
   s.groups = {{1, 2}, {1, 0}};
   RequestLimiter r(s);
   const Time late = 10s;
-  EXPECT_EQ(r.ask(1s, 1, 0, late).turn, RequestDecision::Admit);
-  EXPECT_EQ(r.ask(1s, 2, 0, late).turn, RequestDecision::Admit);
-  EXPECT_EQ(r.ask(1s, 3, 0, late).turn, RequestDecision::Reject);  // its group's cap
-  EXPECT_EQ(r.ask(1s, 4, 1, late).turn, RequestDecision::Queue);
-  EXPECT_EQ(r.ask(1s, 5, 1, late).turn, RequestDecision::Reject);  // no room to wait
-  EXPECT_EQ(r.count(0).refused[static_cast<std::size_t>(RequestRejection::Share)], 1u);
-  EXPECT_EQ(r.count(1).refused[static_cast<std::size_t>(RequestRejection::Queue)], 1u);
+  EXPECT_EQ(r.submit(1s, 1, 0, late).decision, RequestDecision::Admit);
+  EXPECT_EQ(r.submit(1s, 2, 0, late).decision, RequestDecision::Admit);
+  EXPECT_EQ(r.submit(1s, 3, 0, late).decision, RequestDecision::Reject);  // its group's cap
+  EXPECT_EQ(r.submit(1s, 4, 1, late).decision, RequestDecision::Queue);
+  EXPECT_EQ(r.submit(1s, 5, 1, late).decision, RequestDecision::Reject);  // no room to wait
+  EXPECT_EQ(r.counters(0).rejected[static_cast<std::size_t>(RequestRejection::Share)], 1u);
+  EXPECT_EQ(r.counters(1).rejected[static_cast<std::size_t>(RequestRejection::Queue)], 1u);
   s.groups = {{1, 0}};  // one group fewer: who waited waits on
   r.reload(s);
-  EXPECT_EQ(r.out(), 2u);
-  EXPECT_EQ(r.count(0).waiting, 1u);
-  const auto went = r.ended(1s, 1, 1ms, false);
+  EXPECT_EQ(r.inFlight(), 2u);
+  EXPECT_EQ(r.counters(0).queued, 1u);
+  const auto went = r.complete(1s, 1, 1ms, false);
   ASSERT_EQ(went.size(), 1u);
   EXPECT_EQ(went[0].key, 4u);
-  EXPECT_EQ(went[0].turn, RequestDecision::Admit);
+  EXPECT_EQ(went[0].decision, RequestDecision::Admit);
 }
 
 RequestLimiterSettings laneSettings() {
   RequestLimiterSettings s;
   s.limit.kind = LimitKind::Fixed;
-  s.limit.first = s.limit.least = s.limit.most = 2;
-  s.mostWaiting = 2;
+  s.limit.initial = s.limit.min = s.limit.max = 2;
+  s.maxQueued = 2;
   s.groups = {{1, 0}, {1, 3}};
   return s;
 }
 // Found in the lab: writes that queued for a crowded primary held the places of reads.
 TEST(Lanes, WhatQueuesInOneKeepsNothingFromAnother) {
   RequestQueues lanes(laneSettings());
-  for (RequestKey k = 1; k <= 4; ++k) lanes.ask(1s, k, 1, 0, 9s);
-  EXPECT_EQ(lanes.ask(1s, 5, 1, 0, 9s).turn, RequestDecision::Reject);
-  EXPECT_EQ(lanes.ask(1s, 6, 2, 0, 9s).turn, RequestDecision::Admit);
-  EXPECT_EQ(lanes.count(0).out, 3u);
-  EXPECT_EQ(lanes.count(0).waiting, 2u);
+  for (RequestKey k = 1; k <= 4; ++k) lanes.submit(1s, k, 1, 0, 9s);
+  EXPECT_EQ(lanes.submit(1s, 5, 1, 0, 9s).decision, RequestDecision::Reject);
+  EXPECT_EQ(lanes.submit(1s, 6, 2, 0, 9s).decision, RequestDecision::Admit);
+  EXPECT_EQ(lanes.counters(0).inFlight, 3u);
+  EXPECT_EQ(lanes.counters(0).queued, 2u);
 }
 TEST(Lanes, CapsOfGroupsCountOverAllOfThem) {
   RequestQueues lanes(laneSettings());
-  for (RequestKey k = 1; k <= 3; ++k) EXPECT_EQ(lanes.ask(1s, k, k, 1, 9s).turn, RequestDecision::Admit);
-  EXPECT_EQ(lanes.ask(1s, 4, 9, 1, 9s).turn, RequestDecision::Reject);
-  EXPECT_EQ(lanes.count(1).refused[static_cast<std::size_t>(RequestRejection::Share)], 1u);
-  lanes.ended(1s, 2, 1ms, false);
-  EXPECT_EQ(lanes.ask(1s, 5, 9, 1, 9s).turn, RequestDecision::Admit);
+  for (RequestKey k = 1; k <= 3; ++k)
+    EXPECT_EQ(lanes.submit(1s, k, k, 1, 9s).decision, RequestDecision::Admit);
+  EXPECT_EQ(lanes.submit(1s, 4, 9, 1, 9s).decision, RequestDecision::Reject);
+  EXPECT_EQ(lanes.counters(1).rejected[static_cast<std::size_t>(RequestRejection::Share)], 1u);
+  lanes.complete(1s, 2, 1ms, false);
+  EXPECT_EQ(lanes.submit(1s, 5, 9, 1, 9s).decision, RequestDecision::Admit);
 }
 // Clients name the groups: thousands of names must not make thousands of lanes, nor be kept for ever.
 TEST(Lanes, AreBoundedAndForgotten) {
   RequestQueues lanes(laneSettings(), 8);
   for (RequestKey k = 1; k <= 5000; ++k) {
-    lanes.ask(1s, k, k, 0, 9s);
-    lanes.left(1s, k);
+    lanes.submit(1s, k, k, 0, 9s);
+    lanes.cancel(1s, k);
   }
-  EXPECT_EQ(lanes.size(), 9u);  // and the rest
-  EXPECT_EQ(lanes.count(0).went, 5000u);
-  lanes.overdue(30s);
-  EXPECT_EQ(lanes.size(), 9u);
-  lanes.overdue(62s);
-  EXPECT_EQ(lanes.size(), 0u);
-  EXPECT_EQ(lanes.count(0).went, 5000u);  // what was counted stays counted
+  EXPECT_EQ(lanes.queueCount(), 9u);  // and the rest
+  EXPECT_EQ(lanes.counters(0).admitted, 5000u);
+  lanes.rejectOverdue(30s);
+  EXPECT_EQ(lanes.queueCount(), 9u);
+  lanes.rejectOverdue(62s);
+  EXPECT_EQ(lanes.queueCount(), 0u);
+  EXPECT_EQ(lanes.counters(0).admitted, 5000u);  // what was counted stays counted
 }
 // Against a plain account of who is where: each request has one last word, and no lane or group holds more
 // than it may.
@@ -693,10 +696,10 @@
     std::map<RequestKey, At> open;
     Time now = 1s;
     RequestKey last = 0;
-    const auto word = [&](const std::vector<Answered>& all) {
-      for (const Answered& a : all) {
+    const auto word = [&](const std::vector<ResolvedRequest>& all) {
+      for (const ResolvedRequest& a : all) {
         ASSERT_TRUE(open.count(a.key) == 1 && !open.at(a.key).out) << "seed " << seed;
-        if (a.turn == RequestDecision::Admit)
+        if (a.decision == RequestDecision::Admit)
           open.at(a.key).out = true;
         else
           open.erase(a.key);
@@ -713,20 +716,21 @@
       if (what < 5 || open.empty()) {
         const std::size_t group = random() % s.groups.size();
         const RequestKey key = ++last;
-        const auto a = lanes.ask(now, key, random() % 6, group, now + Time(random() % 200000));
-        if (a.turn != RequestDecision::Reject) open.emplace(key, At{a.turn == RequestDecision::Admit, group});
-        word(a.others);
+        const auto a = lanes.submit(now, key, random() % 6, group, now + Time(random() % 200000));
+        if (a.decision != RequestDecision::Reject)
+          open.emplace(key, At{a.decision == RequestDecision::Admit, group});
+        word(a.resolved);
       } else if (what < 7) {
         const RequestKey key = any();
         if (!open.at(key).out) continue;
         open.erase(key);
-        word(lanes.ended(now, key, 5ms, random() % 7 == 0));
+        word(lanes.complete(now, key, 5ms, random() % 7 == 0));
       } else if (what < 8) {
         const RequestKey key = any();
         open.erase(key);
-        word(lanes.left(now, key));
+        word(lanes.cancel(now, key));
       } else if (what < 9) {
-        word(lanes.overdue(now));
+        word(lanes.rejectOverdue(now));
       } else if (step % 50 == 0) {
         if (s.groups.size() == 2)
           s.groups.push_back({2, 0});
@@ -738,46 +742,46 @@
       std::map<std::size_t, std::pair<std::size_t, std::size_t>> held;
       for (const auto& [key, at] : open) ++(at.out ? held[at.group].first : held[at.group].second);
       for (std::size_t g = 0; g < s.groups.size(); ++g) {
-        ASSERT_EQ(lanes.count(g).out, held[g].first) << "seed " << seed << " step " << step;
-        ASSERT_EQ(lanes.count(g).waiting, held[g].second) << "seed " << seed << " step " << step;
+        ASSERT_EQ(lanes.counters(g).inFlight, held[g].first) << "seed " << seed << " step " << step;
+        ASSERT_EQ(lanes.counters(g).queued, held[g].second) << "seed " << seed << " step " << step;
       }
-      for (const RequestQueues::View& v : lanes.view()) ASSERT_LE(v.out, 2u);
+      for (const RequestQueues::QueueView& v : lanes.view()) ASSERT_LE(v.inFlight, 2u);
     }
   }
 }
 
 TEST(Door, GivesUpIdleOnesBeyondReservesWhenDescriptorsRunOut) {
   ConnectionAdmissionSettings s;
-  s.most = 10;
+  s.maxConnections = 10;
   s.groups.resize(2);
   s.groups[0].name = "desks";
   s.groups[0].reserve = 2;
   s.groups[1].name = "others";
   ConnectionAdmission door(s, networks({{"10.0.0.0/8", 0}}));
   for (ConnectionId id = 1; id <= 4; ++id) {
-    EXPECT_TRUE(door.arrived(1s, id, ip("10.0.0." + std::to_string(id))).admitted);
-    door.idle(1s, id);
+    EXPECT_TRUE(door.admit(1s, id, ip("10.0.0." + std::to_string(id))).admitted);
+    door.markIdle(1s, id);
   }
   for (ConnectionId id = 5; id <= 7; ++id) {
-    EXPECT_TRUE(door.arrived(1s, id, ip("192.168.0.1")).admitted);
-    if (id != 6) door.idle(2s, id);
+    EXPECT_TRUE(door.admit(1s, id, ip("192.168.0.1")).admitted);
+    if (id != 6) door.markIdle(2s, id);
   }
-  EXPECT_TRUE(door.spare(1s, 9).empty());  // idle for too short
+  EXPECT_TRUE(door.evictForExhaustion(1s, 9).empty());  // idle for too short
   // Four desks against three others: desks down to their reserve, then others; none that is at work.
-  EXPECT_EQ(door.spare(9s, 9), (std::vector<ConnectionId>{1, 2, 5, 7}));
-  EXPECT_EQ(door.held(), 3u);
+  EXPECT_EQ(door.evictForExhaustion(9s, 9), (std::vector<ConnectionId>{1, 2, 5, 7}));
+  EXPECT_EQ(door.connectionCount(), 3u);
 }
 TEST(Door, WhoIsKnownByNameIsInItsGroupWhateverItsNetwork) {
   ConnectionAdmissionSettings s;
-  s.most = 2;
+  s.maxConnections = 2;
   s.groups.resize(2);
   s.groups[0].name = "desks";
   s.groups[0].reserve = 1;
   s.groups[1].name = "others";
   ConnectionAdmission door(s, networks({}));
-  EXPECT_TRUE(door.arrived(1s, 1, ip("10.0.0.1")).admitted);
-  EXPECT_FALSE(door.arrived(1s, 2, ip("10.0.0.2")).admitted);
-  EXPECT_TRUE(door.arrived(1s, 2, ip("10.0.0.2"), 0).admitted);
+  EXPECT_TRUE(door.admit(1s, 1, ip("10.0.0.1")).admitted);
+  EXPECT_FALSE(door.admit(1s, 2, ip("10.0.0.2")).admitted);
+  EXPECT_TRUE(door.admit(1s, 2, ip("10.0.0.2"), 0).admitted);
   EXPECT_EQ(door.groupOf(2), 0u);
   door.reload(s, networks({}));
   EXPECT_EQ(door.groupOf(2), 0u);
@@ -786,49 +790,49 @@
 TEST(Ceiling, FallsByATenthOncePerWantAndClimbsByOneASecond) {
   ConnectionLimit c;
   EXPECT_EQ(c.value(1s, 100), 100u);
-  c.ranShort(1s, 80, 10);
+  c.onExhaustion(1s, 80, 10);
   EXPECT_EQ(c.value(1s, 100), 70u);
-  c.ranShort(1100ms, 80, 10);  // the same want
+  c.onExhaustion(1100ms, 80, 10);  // the same want
   EXPECT_EQ(c.value(1100ms, 100), 70u);
-  c.ranShort(2s, 65, 10);
+  c.onExhaustion(2s, 65, 10);
   EXPECT_EQ(c.value(2s, 100), 57u);
   EXPECT_EQ(c.value(12500ms, 100), 67u);
-  for (int k = 0; k < 100; ++k) c.ranShort(std::chrono::seconds(20 + k), 60, 10);
+  for (int k = 0; k < 100; ++k) c.onExhaustion(std::chrono::seconds(20 + k), 60, 10);
   EXPECT_EQ(c.value(119s, 100), 10u);  // what is reserved stays
   EXPECT_EQ(c.value(1000s, 100), 100u);
-  EXPECT_FALSE(c.bound());
+  EXPECT_FALSE(c.active());
 }
 // A reserve is worth nothing if others have taken the descriptors behind it.
 TEST(Ceiling, KeepsReservesWithinWhatThereIs) {
   ConnectionAdmissionSettings s;
-  s.most = 100;
+  s.maxConnections = 100;
   s.groups.resize(2);
   s.groups[0].name = "desks";
   s.groups[0].reserve = 10;
   s.groups[1].name = "others";
   ConnectionAdmission door(s, networks({{"10.0.0.0/8", 0}}));
   ConnectionId id = 0;
-  for (int k = 0; k < 60; ++k) EXPECT_TRUE(door.arrived(1s, ++id, ip("192.168.0.1")).admitted);
-  for (ConnectionId k = 1; k <= 50; ++k) door.idle(1s, k);
-  door.ceiling(40);
-  EXPECT_EQ(door.surplus(9s, 99).size(), 20u);
-  EXPECT_TRUE(door.arrived(9s, ++id, ip("10.0.0.1")).admitted);  // others make way: the reserve is owed
-  EXPECT_EQ(door.held(), 40u);
+  for (int k = 0; k < 60; ++k) EXPECT_TRUE(door.admit(1s, ++id, ip("192.168.0.1")).admitted);
+  for (ConnectionId k = 1; k <= 50; ++k) door.markIdle(1s, k);
+  door.setConnectionLimit(40);
+  EXPECT_EQ(door.evictSurplus(9s, 99).size(), 20u);
+  EXPECT_TRUE(door.admit(9s, ++id, ip("10.0.0.1")).admitted);  // others make way: the reserve is owed
+  EXPECT_EQ(door.connectionCount(), 40u);
 }
 
 TEST(Spells, BeginAtTheFirstAndEndAfterACalm) {
   RejectionPeriod s;
-  EXPECT_EQ(s.at(1s, 0), RejectionPeriod::Turn::None);
-  EXPECT_EQ(s.at(2s, 3), RejectionPeriod::Turn::Began);
-  EXPECT_EQ(s.at(2500ms, 4), RejectionPeriod::Turn::None);
-  EXPECT_EQ(s.at(3400ms, 4), RejectionPeriod::Turn::None);
-  EXPECT_TRUE(s.on());
-  EXPECT_EQ(s.at(3500ms, 4), RejectionPeriod::Turn::Ended);
-  EXPECT_EQ(s.within(), 4u);
-  EXPECT_EQ(s.lasted(), 500ms);
-  EXPECT_EQ(s.at(9s, 4), RejectionPeriod::Turn::None);
-  EXPECT_EQ(s.at(10s, 5), RejectionPeriod::Turn::Began);
-  EXPECT_EQ(s.within(), 1u);
+  EXPECT_EQ(s.update(1s, 0), RejectionPeriod::Transition::None);
+  EXPECT_EQ(s.update(2s, 3), RejectionPeriod::Transition::Began);
+  EXPECT_EQ(s.update(2500ms, 4), RejectionPeriod::Transition::None);
+  EXPECT_EQ(s.update(3400ms, 4), RejectionPeriod::Transition::None);
+  EXPECT_TRUE(s.active());
+  EXPECT_EQ(s.update(3500ms, 4), RejectionPeriod::Transition::Ended);
+  EXPECT_EQ(s.rejections(), 4u);
+  EXPECT_EQ(s.duration(), 500ms);
+  EXPECT_EQ(s.update(9s, 4), RejectionPeriod::Transition::None);
+  EXPECT_EQ(s.update(10s, 5), RejectionPeriod::Transition::Began);
+  EXPECT_EQ(s.rejections(), 1u);
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -219,7 +219,7 @@
   const Config c = parseSettings(read(all), "f.ini");
   ASSERT_TRUE(c.admission);
   EXPECT_EQ(c.admission->networks->size(), 5000u);
-  EXPECT_EQ(c.admission->door.groups.back().name, "others");
+  EXPECT_EQ(c.admission->connections.groups.back().name, "others");
   EXPECT_NE(faults(read(all + "10.1.0\n")).find(path + ":5003: '10.1.0' is no network"), std::string::npos);
   unlink(path.c_str());
 }
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -283,34 +283,34 @@
 }
 TEST(Arrivals, AByteHasTheTimeOfItsPart) {
   InputTimestamps a;
-  a.came(10, 1s, false);
-  a.came(5, 2s, false);
-  EXPECT_EQ(a.of(10), InputTimestamps::Time(1s));
-  EXPECT_EQ(a.of(11), InputTimestamps::Time(2s));
-  a.taken(12);
-  EXPECT_EQ(a.of(3), InputTimestamps::Time(2s));
-  a.taken(3);
-  EXPECT_EQ(a.spans(), 0u);
+  a.onReceived(10, 1s, false);
+  a.onReceived(5, 2s, false);
+  EXPECT_EQ(a.receivedAt(10), InputTimestamps::Time(1s));
+  EXPECT_EQ(a.receivedAt(11), InputTimestamps::Time(2s));
+  a.onConsumed(12);
+  EXPECT_EQ(a.receivedAt(3), InputTimestamps::Time(2s));
+  a.onConsumed(3);
+  EXPECT_EQ(a.spanCount(), 0u);
 }
 TEST(Arrivals, WhatWaitedBehindAFullInputCameWithItAtTheLatest) {
   InputTimestamps a;
-  a.came(100, 1s, true);
-  a.taken(50);
-  a.came(50, 3s, true);  // it may have been in the system all the time
-  a.taken(50);
-  a.came(20, 5s, false);  // the system has no more
-  a.came(10, 6s, false);
-  EXPECT_EQ(a.of(70), InputTimestamps::Time(1s));
-  EXPECT_EQ(a.of(71), InputTimestamps::Time(6s));
+  a.onReceived(100, 1s, true);
+  a.onConsumed(50);
+  a.onReceived(50, 3s, true);  // it may have been in the system all the time
+  a.onConsumed(50);
+  a.onReceived(20, 5s, false);  // the system has no more
+  a.onReceived(10, 6s, false);
+  EXPECT_EQ(a.receivedAt(70), InputTimestamps::Time(1s));
+  EXPECT_EQ(a.receivedAt(71), InputTimestamps::Time(6s));
 }
 TEST(Arrivals, InputThatTricklesTakesABoundedMemoryAndCountsAsEarlier) {
   InputTimestamps a;
-  for (int k = 0; k < 10000; ++k) a.came(1, InputTimestamps::Time(1s) + k * 10ms, false);
-  EXPECT_LE(a.spans(), 256u);
-  EXPECT_EQ(a.of(1), InputTimestamps::Time(1s));
-  EXPECT_LE(a.of(10000), InputTimestamps::Time(1s) + 9999 * 10ms);
-  a.taken(10000);
-  EXPECT_EQ(a.spans(), 0u);
+  for (int k = 0; k < 10000; ++k) a.onReceived(1, InputTimestamps::Time(1s) + k * 10ms, false);
+  EXPECT_LE(a.spanCount(), 256u);
+  EXPECT_EQ(a.receivedAt(1), InputTimestamps::Time(1s));
+  EXPECT_LE(a.receivedAt(10000), InputTimestamps::Time(1s) + 9999 * 10ms);
+  a.onConsumed(10000);
+  EXPECT_EQ(a.spanCount(), 0u);
 }
 // It wrote and left while it stood in the listener's backlog: what it wrote is read before its end is.
 TEST_F(SessionTest, WhoLeftBeforeItWasAcceptedIsNotServed) {
@@ -708,21 +708,21 @@
     AdmissionDecision a;
     if (full) return a;
     guests.push_back(&g);
-    a.place = guests.size();
+    a.permit = guests.size();
     return a;
   }
   AdmissionDecision userAuthenticated(AdmittedConnection&, PermitId place, const Address&,
                                       const std::string&) override {
     AdmissionDecision a;
-    a.place = place;
+    a.permit = place;
     return a;
   }
-  bool knowsNames() const override { return false; }
+  bool admitsByUser() const override { return false; }
   std::size_t maxUnadmittedConnections() const override { return 0; }
   void connectionClosed(PermitId) override {}
-  void busy(PermitId) override {}
-  void idle(PermitId) override {}
-  void served(PermitId) override {}
+  void connectionBusy(PermitId) override {}
+  void connectionIdle(PermitId) override {}
+  void connectionServed(PermitId) override {}
   void onExhaustion() override {}
   RequestId request(ResponseHandler& r, balancer::Request q, Message m, PermitId) override {
     return next.request(r, q, std::move(m));
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -369,8 +369,8 @@
 std::string_view bodyOf(const std::string& message) {
   return std::string_view(message).substr(postgres::kHead);
 }
-PreparedStatements::Said bindTo(PreparedStatements& p, std::string_view statement, std::string_view portal,
-                                std::vector<std::optional<std::string_view>> values) {
+PreparedStatements::Reply bindTo(PreparedStatements& p, std::string_view statement, std::string_view portal,
+                                 std::vector<std::optional<std::string_view>> values) {
   postgres::Bind b;
   b.statement = statement;
   b.portal = portal;
@@ -378,68 +378,68 @@
   return p.bind(bodyOf(postgres::bindMessage(b)), false, 1 << 16);
 }
 // The messages outlive the calls.
-PreparedStatements::Said parseIn(PreparedStatements& p, std::string_view name, std::string_view text,
-                                 const std::vector<std::uint32_t>& types = {}) {
+PreparedStatements::Reply parseIn(PreparedStatements& p, std::string_view name, std::string_view text,
+                                  const std::vector<std::uint32_t>& types = {}) {
   const std::string m = postgres::parseMessage(name, text, types);
   return p.parse(bodyOf(m), false);
 }
-PreparedStatements::Said executeIn(PreparedStatements& p, std::string_view portal, int most,
-                                   std::optional<PreparedStatements::Asked>& asked) {
+PreparedStatements::Reply executeIn(PreparedStatements& p, std::string_view portal, int most,
+                                    std::optional<PreparedStatements::Execution>& asked) {
   const std::string m = postgres::executeMessage({portal, most});
   return p.execute(bodyOf(m), asked);
 }
-PreparedStatements::Said describeIn(PreparedStatements& p, bool portal, std::string_view name) {
+PreparedStatements::Reply describeIn(PreparedStatements& p, bool portal, std::string_view name) {
   const std::string m = postgres::describeMessage({portal, name});
   return p.describe(bodyOf(m));
 }
 TEST(PreparedStatements, RunAsOftenAsTheyAreBound) {
   PreparedStatements p;
-  EXPECT_EQ(parseIn(p, "s", "SELECT $1", {tr::kInt4}).answer, postgres::parseComplete());
-  EXPECT_STREQ(parseIn(p, "s", "SELECT 2").code, "42P05");
-  std::optional<PreparedStatements::Asked> asked;
+  EXPECT_EQ(parseIn(p, "s", "SELECT $1", {tr::kInt4}).messages, postgres::parseComplete());
+  EXPECT_STREQ(parseIn(p, "s", "SELECT 2").errorCode, "42P05");
+  std::optional<PreparedStatements::Execution> asked;
   for (const std::string value : {"5", "6"}) {
-    EXPECT_EQ(bindTo(p, "s", "", {value}).answer, postgres::bindComplete());
-    EXPECT_EQ(describeIn(p, true, "").answer, "");  // told with the rows
-    EXPECT_FALSE(executeIn(p, "", 0, asked).code);
+    EXPECT_EQ(bindTo(p, "s", "", {value}).messages, postgres::bindComplete());
+    EXPECT_EQ(describeIn(p, true, "").messages, "");  // told with the rows
+    EXPECT_FALSE(executeIn(p, "", 0, asked).errorCode);
     ASSERT_TRUE(asked);
     EXPECT_EQ(asked->statement, "SELECT '" + value + "'");
-    EXPECT_TRUE(asked->described);
-    p.executed(std::string("\0\0", 2), false);
-    EXPECT_FALSE(p.sync().code);
+    EXPECT_TRUE(asked->sendRowDescription);
+    p.onExecuted(std::string("\0\0", 2), false);
+    EXPECT_FALSE(p.sync().errorCode);
   }
   // Once it has run, what it answers is known.
-  EXPECT_EQ(describeIn(p, false, "s").answer,
+  EXPECT_EQ(describeIn(p, false, "s").messages,
             postgres::parameterDescription({tr::kInt4}) + postgres::message('T', std::string("\0\0", 2)));
-  EXPECT_STREQ(executeIn(p, "", 0, asked).code, "34000");  // Sync ended the portal
+  EXPECT_STREQ(executeIn(p, "", 0, asked).errorCode, "34000");  // Sync ended the portal
   const std::string close = postgres::closeMessage({false, "s"});
-  EXPECT_EQ(p.close(bodyOf(close)).answer, postgres::closeComplete());
-  EXPECT_STREQ(bindTo(p, "s", "", {"5"}).code, "26000");
+  EXPECT_EQ(p.close(bodyOf(close)).messages, postgres::closeComplete());
+  EXPECT_STREQ(bindTo(p, "s", "", {"5"}).errorCode, "26000");
   EXPECT_EQ(p.bytes(), 0u);
 }
 TEST(PreparedStatements, NameWhatTheyCannotDo) {
   PreparedStatements p;
-  std::optional<PreparedStatements::Asked> asked;
+  std::optional<PreparedStatements::Execution> asked;
   parseIn(p, "", "SELECT $1, $2");
   const auto few = bindTo(p, "", "", {"5"});
-  EXPECT_STREQ(few.code, "08P01");
-  EXPECT_EQ(few.text, "bind message supplies 1 parameters, but prepared statement \"\" requires 2");
-  EXPECT_FALSE(bindTo(p, "", "p", {"5", "6"}).code);
-  EXPECT_STREQ(bindTo(p, "", "p", {"5", "6"}).code, "42P03");
+  EXPECT_STREQ(few.errorCode, "08P01");
+  EXPECT_EQ(few.errorText, "bind message supplies 1 parameters, but prepared statement \"\" requires 2");
+  EXPECT_FALSE(bindTo(p, "", "p", {"5", "6"}).errorCode);
+  EXPECT_STREQ(bindTo(p, "", "p", {"5", "6"}).errorCode, "42P03");
   describeIn(p, true, "p");
-  EXPECT_STREQ(p.settle().code, "0A000");  // a Flush before it ran
-  EXPECT_FALSE(executeIn(p, "p", 1, asked).code);
-  EXPECT_EQ(asked->mostRows, 1u);
-  p.executed({}, true);
-  EXPECT_EQ(executeIn(p, "p", 1, asked).text,
+  EXPECT_STREQ(p.flush().errorCode, "0A000");  // a Flush before it ran
+  EXPECT_FALSE(executeIn(p, "p", 1, asked).errorCode);
+  EXPECT_EQ(asked->maxRows, 1u);
+  p.onExecuted({}, true);
+  EXPECT_EQ(executeIn(p, "p", 1, asked).errorText,
             "Execute that goes on where a row limit stopped is not supported");
-  EXPECT_STREQ(p.parse("no", false).code, "08P01");
-  EXPECT_STREQ(p.describe("Xno").code, "08P01");
-  EXPECT_STREQ(parseIn(p, "big", "SELECT $65536").code, "42P02");
+  EXPECT_STREQ(p.parse("no", false).errorCode, "08P01");
+  EXPECT_STREQ(p.describe("Xno").errorCode, "08P01");
+  EXPECT_STREQ(parseIn(p, "big", "SELECT $65536").errorCode, "42P02");
 }
 TEST(PreparedStatements, AreBoundedInNumber) {
   PreparedStatements p;
   int taken = 0;
-  for (int k = 0; k < 1000; ++k) taken += !parseIn(p, "s" + std::to_string(k), "SELECT 1").code;
+  for (int k = 0; k < 1000; ++k) taken += !parseIn(p, "s" + std::to_string(k), "SELECT 1").errorCode;
   EXPECT_EQ(taken, 256);
   EXPECT_EQ(p.bytes(), 256u * 8);
 }
