--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -6,73 +6,96 @@
 namespace sablespur::admission {
 namespace {
 
-constexpr double kSmoothOne = 1.0 / 32;  // how far one latency moves the deviation
-constexpr double kGrow = 1.1;
-constexpr double kSmooth = 0.2;  // how far one window moves the limit, and what is usual
+constexpr double kDeviationWeight = 1.0 / 32;  // of one latency in the smoothed deviation
+constexpr double kWindowWeight = 0.2;          // of one window in the limit and in the typical latency
+// Growth per window while nothing queues: the limit has to be back within seconds after a failed server
+// brought it low.
+constexpr double kGrowthFactor = 1.1;
+constexpr double kMinGradient = 0.5;  // one window does not shrink the limit's target by more
 
 }  // namespace
 
-ConcurrencyLimit::ConcurrencyLimit(const ConcurrencyLimitSettings& s)
-    : s_(s), limit_(std::clamp(s.initial, s.min, s.max)) {}
+ConcurrencyLimit::ConcurrencyLimit(const ConcurrencyLimitSettings& settings)
+    : settings_(settings), limit_(std::clamp(settings.initial, settings.min, settings.max)) {}
 
-void ConcurrencyLimit::recordCompletion(Time now, Time latency, std::size_t out, bool dropped) {
-  if (s_.kind == LimitKind::Fixed) return;
-  if (!open_) {
-    open_ = true;
-    opened_ = now;
-  }
-  mostOut_ = std::max(mostOut_, out);
-  dropped_ += dropped;
-  // While half the limit is tried, what began before tells of the whole one.
-  if (!dropped && !(probing_ && now - latency < opened_)) {
+void ConcurrencyLimit::recordCompletion(Time now, Time latency, std::size_t inFlight, bool dropped) {
+  if (settings_.kind == LimitKind::Fixed) return;
+  if (!window_) window_ = Window{now};
+  Window& window = *window_;
+  window.maxInFlight = std::max(window.maxInFlight, inFlight);
+  if (dropped) ++window.dropped;
+  // While half the limit is probed, a request that began earlier was measured under the whole one.
+  const bool beganBeforeProbe = probing_ && now - latency < window.openedAt;
+  if (!dropped && !beganBeforeProbe) {
     const double us = static_cast<double>(latency.count());
-    if (usual_ > 0) deviation_ += (std::abs(us - usual_) - deviation_) * kSmoothOne;
-    sum_ += us;
-    ++samples_;
+    if (typicalLatencyUs_ > 0)
+      deviationUs_ += (std::abs(us - typicalLatencyUs_) - deviationUs_) * kDeviationWeight;
+    window.latencySumUs += us;
+    ++window.samples;
   }
-  if (now - opened_ >= s_.window && samples_ + dropped_ >= s_.minSamples) close(now);
+  if (now - window.openedAt >= settings_.window && window.samples + window.dropped >= settings_.minSamples)
+    closeWindow(now);
+}
+
+bool ConcurrencyLimit::overloaded(const Window& window) const {
+  const auto completions = static_cast<double>(window.samples + window.dropped);
+  return window.dropped > 0 &&
+         static_cast<double>(window.dropped) >= settings_.overloadDropFraction * completions;
 }
 
-void ConcurrencyLimit::close(Time now) {
-  const double mean = samples_ > 0 ? sum_ / static_cast<double>(samples_) : 0;
-  // Guards against growing where nothing pushes: a limit that was not reached has not been tried.
-  const bool overrun =
-      static_cast<double>(dropped_) >= s_.overloadDropFraction * static_cast<double>(samples_ + dropped_) &&
-      dropped_ > 0;
-  const bool pushed = 2 * static_cast<double>(mostOut_) >= limit_;
-  if (mean > 0) usual_ = usual_ > 0 ? usual_ + (mean - usual_) * kSmooth : mean;
+bool ConcurrencyLimit::limitReached(const Window& window) const {
+  return 2 * static_cast<double>(window.maxInFlight) >= limit_;
+}
+
+void ConcurrencyLimit::closeWindow(Time now) {
+  const Window window = *window_;
+  const double mean = window.meanLatencyUs();
+  if (mean > 0)
+    typicalLatencyUs_ =
+        typicalLatencyUs_ > 0 ? typicalLatencyUs_ + (mean - typicalLatencyUs_) * kWindowWeight : mean;
   double next = limit_;
-  if (s_.kind == LimitKind::Aimd) {
-    if (overrun || mean > static_cast<double>(s_.latencyBound.count()))
-      next = limit_ * s_.backoff;
-    else if (pushed)
-      next = limit_ + 1;
+  if (settings_.kind == LimitKind::Aimd) {
+    next = nextAimdLimit(window);
   } else {
-    if (mean > 0) least_ = least_ > 0 ? std::min(least_, mean) : mean;
-    const double base =
-        leastBefore_ > 0 && least_ > 0 ? std::min(leastBefore_, least_) : std::max(leastBefore_, least_);
-    if (overrun) {
-      next = limit_ * s_.backoff;
-    } else if (mean > 0) {
-      const double gradient = std::clamp(s_.tolerance * base / mean, 0.5, 1.0);
-      const double wanted = limit_ * gradient + std::sqrt(limit_);
-      // Where nothing queues it grows by a tenth a window: it has to be back within seconds after a server's
-      // failure brought it low.
-      if (!probing_ && pushed && gradient >= 1)
-        next = std::max(limit_ * kGrow, limit_ * (1 - kSmooth) + wanted * kSmooth);
-      else if (!probing_ && (pushed || wanted < limit_))
-        next = limit_ * (1 - kSmooth) + wanted * kSmooth;
-    }
-    probing_ = ++windows_ % s_.windowsPerEpoch == 0;
-    if (probing_) {
-      leastBefore_ = least_;
-      least_ = 0;
-    }
+    if (mean > 0) lowestUs_ = lowestUs_ > 0 ? std::min(lowestUs_, mean) : mean;
+    next = nextGradientLimit(window);
+    startNextEpochIfDue();
   }
-  limit_ = std::clamp(next, s_.min, s_.max);
-  opened_ = now;
-  sum_ = 0;
-  samples_ = dropped_ = mostOut_ = 0;
+  limit_ = std::clamp(next, settings_.min, settings_.max);
+  window_ = Window{now};
+}
+
+double ConcurrencyLimit::nextAimdLimit(const Window& window) const {
+  if (overloaded(window) || window.meanLatencyUs() > static_cast<double>(settings_.latencyBound.count()))
+    return limit_ * settings_.backoff;
+  return limitReached(window) ? limit_ + 1 : limit_;
+}
+
+double ConcurrencyLimit::baselineLatencyUs() const {
+  return previousLowestUs_ > 0 && lowestUs_ > 0 ? std::min(previousLowestUs_, lowestUs_)
+                                                : std::max(previousLowestUs_, lowestUs_);
+}
+
+double ConcurrencyLimit::nextGradientLimit(const Window& window) const {
+  if (overloaded(window)) return limit_ * settings_.backoff;
+  const double mean = window.meanLatencyUs();
+  if (mean <= 0 || probing_) return limit_;
+  const double gradient = std::clamp(settings_.tolerance * baselineLatencyUs() / mean, kMinGradient, 1.0);
+  // The square root leaves room for a short queue, which shows that the limit is in use.
+  const double target = limit_ * gradient + std::sqrt(limit_);
+  const double smoothed = limit_ * (1 - kWindowWeight) + target * kWindowWeight;
+  const bool reached = limitReached(window);
+  if (reached && gradient >= 1) return std::max(limit_ * kGrowthFactor, smoothed);
+  if (reached || target < limit_) return smoothed;
+  return limit_;
+}
+
+void ConcurrencyLimit::startNextEpochIfDue() {
+  ++closedWindows_;
+  probing_ = closedWindows_ % settings_.windowsPerEpoch == 0;
+  if (!probing_) return;
+  previousLowestUs_ = lowestUs_;
+  lowestUs_ = 0;
 }
 
 }  // namespace sablespur::admission
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -1,59 +1,91 @@
-// How many requests may be out at once, learned from how long they take. Free of I/O and clocks.
+// Concurrency limit: how many requests may be in flight at once, learned from their latency.
+// Pure: no I/O and no clock.
 #pragma once
 
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
+#include <cstdint>
+#include <optional>
 
-namespace sablespur::admission {
+#include "admission/time.hpp"
 
-using Time = std::chrono::microseconds;
+namespace sablespur::admission {
 
 enum class LimitKind {
-  Fixed,
-  Aimd,     // grows by one a window, shrinks by a factor when latency passes a bound or something was dropped
-  Gradient  // follows the ratio of the least latency of late to that of the last window
+  Fixed,    // always `initial`
+  Aimd,     // plus one per window; times `backoff` when the latency bound is passed or too much was dropped
+  Gradient  // follows the ratio of the lowest recent latency to that of the last window
 };
 
 struct ConcurrencyLimitSettings {
   LimitKind kind = LimitKind::Gradient;
-  double initial = 20, min = 4, max = 1000;
+  double initial = 20;
+  double min = 4;
+  double max = 1000;
   Time window = std::chrono::milliseconds(200);
-  std::size_t minSamples = 8;                          // a window with fewer says nothing and goes on
-  Time latencyBound = std::chrono::milliseconds(400);  // Aimd
-  double backoff = 0.9;                                // Aimd, and Gradient where too much was dropped
-  double overloadDropFraction = 0.1;  // of a window's ends: a few that ran out of time are no overload
-  std::size_t windowsPerEpoch = 50;   // Gradient: windows after which half the limit is tried for one
-  double tolerance = 1.5;             // Gradient: so much slower than the least is still no queue
+  std::size_t minSamples = 8;                          // a window stays open until it has as many completions
+  Time latencyBound = std::chrono::milliseconds(400);  // Aimd: mean latency of a window
+  double backoff = 0.9;                                // Aimd, and Gradient after too many drops
+  // Fraction of a window's completions; a few requests that ran out of time are no overload.
+  double overloadDropFraction = 0.1;
+  // Gradient: once in as many windows half the limit is in force for one, to measure the latency without a
+  // queue.
+  std::size_t windowsPerEpoch = 50;
+  double tolerance = 1.5;  // Gradient: latency up to so many times the lowest counts as no queue
 };
 
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(const ConcurrencyLimitSettings&);
-  // A request has ended. `out`: how many were out with it, itself included. `dropped`: its time ran out, or
-  // it was refused behind this limit. What failed early says nothing of the load and is not told here.
-  void recordCompletion(Time now, Time latency, std::size_t out, bool dropped);
+
+  // Records the end of a request. `inFlight` includes the request itself. `dropped`: it ran out of time, or
+  // was rejected behind this limit. Early failures say nothing about load and are not to be recorded.
+  void recordCompletion(Time now, Time latency, std::size_t inFlight, bool dropped);
+
+  // The limit in force now.
   std::size_t value() const {
-    return static_cast<std::size_t>(probing_ ? std::max(limit_ / 2, s_.min) : limit_);
+    return static_cast<std::size_t>(probing_ ? std::max(limit_ / 2, settings_.min) : limit_);
+  }
+  // Smoothed mean latency; zero until the first window with a sample has closed.
+  Time typicalLatency() const { return Time(static_cast<std::int64_t>(typicalLatencyUs_)); }
+  // What nearly all requests stay under: mean plus four deviations, as RFC 6298 (section 2) computes a
+  // retransmission timeout.
+  Time latencyUpperBound() const {
+    return Time(static_cast<std::int64_t>(typicalLatencyUs_ + 4 * deviationUs_));
   }
-  // Latency of late; 0: nothing is known.
-  Time typicalLatency() const { return Time(static_cast<std::int64_t>(usual_)); }
-  // What nearly all take: the mean and four deviations (as RFC 6298 reckons a time-out, section 2).
-  Time latencyUpperBound() const { return Time(static_cast<std::int64_t>(usual_ + 4 * deviation_)); }
 
  private:
-  void close(Time now);
-  const ConcurrencyLimitSettings s_;
-  double limit_, usual_ = 0, deviation_ = 0;
-  // The least mean of a window, in the epoch before and in this one. Guards against taking a queue that lasts
-  // for what is usual: half the limit, tried now and then, shows what it is without.
-  double leastBefore_ = 0, least_ = 0;
-  std::size_t windows_ = 0;
-  bool probing_ = false;
-  Time opened_{};
-  double sum_ = 0;
-  std::size_t samples_ = 0, dropped_ = 0, mostOut_ = 0;
-  bool open_ = false;
+  struct Window {
+    Time openedAt{};
+    double latencySumUs = 0;
+    std::size_t samples = 0;
+    std::size_t dropped = 0;
+    std::size_t maxInFlight = 0;
+
+    double meanLatencyUs() const { return samples > 0 ? latencySumUs / static_cast<double>(samples) : 0; }
+  };
+
+  void closeWindow(Time now);
+  bool overloaded(const Window&) const;
+  // A limit that was not nearly reached has not been tested, and does not grow.
+  bool limitReached(const Window&) const;
+  double nextAimdLimit(const Window&) const;
+  double nextGradientLimit(const Window&) const;
+  void startNextEpochIfDue();
+  double baselineLatencyUs() const;
+
+  const ConcurrencyLimitSettings settings_;
+  double limit_;
+  double typicalLatencyUs_ = 0;
+  double deviationUs_ = 0;
+  // Lowest mean latency of a window, in the previous epoch and in this one; zero: none yet. Two epochs, so
+  // that a queue that persists is not taken for the normal latency.
+  double previousLowestUs_ = 0;
+  double lowestUs_ = 0;
+  std::size_t closedWindows_ = 0;
+  bool probing_ = false;          // half the limit is in force for this window
+  std::optional<Window> window_;  // from the first completion on
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/connection_admission.cpp
+++ b/src/admission/connection_admission.cpp
@@ -3,292 +3,342 @@
 #include <algorithm>
 #include <stdexcept>
 
+#include "admission/weighted_share.hpp"
+
 namespace sablespur::admission {
 namespace {
 
-double seconds(Time t) { return static_cast<double>(t.count()) / 1e6; }
-Time time(double s) { return Time(static_cast<std::int64_t>(s * 1e6)); }
-void down(std::unordered_map<IpAddress, std::size_t>& counts, const IpAddress& a) {
-  const auto it = counts.find(a);
-  if (it != counts.end() && --it->second == 0)
-    counts.erase(it);  // guards the memory: who is gone is forgotten
+constexpr double kMicrosecondsPerSecond = 1e6;
+
+double toSeconds(Time time) { return static_cast<double>(time.count()) / kMicrosecondsPerSecond; }
+Time fromSeconds(double seconds) { return Time(static_cast<std::int64_t>(seconds * kMicrosecondsPerSecond)); }
+
+// Entries that reach zero are erased, which bounds the map by the connections that are held.
+void decrement(std::unordered_map<IpAddress, std::size_t>& counts, const IpAddress& address) {
+  const auto it = counts.find(address);
+  if (it == counts.end()) return;
+  --it->second;
+  if (it->second == 0) counts.erase(it);
 }
-std::size_t at(const std::unordered_map<IpAddress, std::size_t>& counts, const IpAddress& a) {
-  const auto it = counts.find(a);
+
+std::size_t countOf(const std::unordered_map<IpAddress, std::size_t>& counts, const IpAddress& address) {
+  const auto it = counts.find(address);
   return it == counts.end() ? 0 : it->second;
 }
 
 }  // namespace
 
-const char* rejectionReasonName(RejectionReason w) {
+const char* rejectionReasonName(RejectionReason reason) {
   static const char* const names[] = {"none", "full", "group_full", "address_full", "prefix_full", "rate"};
-  return names[static_cast<int>(w)];
+  return names[static_cast<int>(reason)];
 }
 
-ConnectionAdmission::ConnectionAdmission(ConnectionAdmissionSettings s, std::shared_ptr<const Networks> n) {
-  reload(std::move(s), std::move(n));
+ConnectionAdmission::ConnectionAdmission(ConnectionAdmissionSettings settings,
+                                         std::shared_ptr<const Networks> networks) {
+  reload(std::move(settings), std::move(networks));
+}
+
+// ---- settings -----------------------------------------------------------------------------------------
+
+void ConnectionAdmission::reload(ConnectionAdmissionSettings settings,
+                                 std::shared_ptr<const Networks> networks) {
+  if (settings.groups.empty() || settings.maxConnections == 0)
+    throw std::invalid_argument("connection admission without a group or without room");
+  std::vector<Group> groups = makeGroups(settings);
+  const auto assigned = keptAssignments(groups);
+  settings_ = std::move(settings);
+  networks_ = std::move(networks);
+  groups_ = std::move(groups);
+  for (Group& group : groups_) refreshGauges(group);
+  regroup(assigned);
 }
 
-void ConnectionAdmission::reload(ConnectionAdmissionSettings s, std::shared_ptr<const Networks> n) {
-  if (s.groups.empty() || s.maxConnections == 0)
-    throw std::invalid_argument("a door without a group or without room");
-  std::vector<Group> groups(s.groups.size());
+// The new groups, without connections, with the counters and the rate of the old ones of the same name.
+std::vector<ConnectionAdmission::Group> ConnectionAdmission::makeGroups(
+    const ConnectionAdmissionSettings& settings) const {
+  std::vector<Group> groups(settings.groups.size());
   for (std::size_t k = 0; k < groups.size(); ++k) {
-    Group& g = groups[k];
-    g.limits = s.groups[k];
-    g.tokens = g.limits.burst;
+    Group& group = groups[k];
+    group.limits = settings.groups[k];
+    group.tokens = group.limits.burst;
     for (const Group& old : groups_) {
-      if (old.limits.name != g.limits.name) continue;
-      g.count.admitted = old.count.admitted;
-      g.count.evicted = old.count.evicted;
-      g.count.rejected = old.count.rejected;
-      g.count.refusing = old.count.refusing;
-      g.tokens = std::min(old.tokens, g.limits.burst);  // a reload is no way to a fresh burst
-      g.filled = old.filled;
-      g.nextSlot = old.nextSlot;
+      if (old.limits.name != group.limits.name) continue;
+      group.counters.admitted = old.counters.admitted;
+      group.counters.evicted = old.counters.evicted;
+      group.counters.rejected = old.counters.rejected;
+      group.tokens = std::min(old.tokens, group.limits.burst);  // a reload refills no bucket
+      group.tokensAt = old.tokensAt;
+      group.nextRetryAt = old.nextRetryAt;
     }
   }
-  // Whoever was put into a group by name stays there if it still is one; the others go by their address.
-  const auto named = [&](const Connection& c) {
-    for (std::size_t k = 0; c.named && k < groups.size(); ++k)
-      if (groups[k].limits.name == groups_[c.group].limits.name) return k;
-    return groups.size();
-  };
-  std::unordered_map<ConnectionId, std::size_t> stays;
-  for (const auto& [id, c] : connections_)
-    if (const std::size_t k = named(c); k < groups.size()) stays.emplace(id, k);
-  settings_ = std::move(s);
-  networks_ = std::move(n);
-  groups_ = std::move(groups);
-  for (Group& g : groups_) count(g);
+  return groups;
+}
+
+// The new group of each assigned connection whose group is still there by name.
+std::unordered_map<ConnectionId, std::size_t> ConnectionAdmission::keptAssignments(
+    const std::vector<Group>& groups) const {
+  std::unordered_map<ConnectionId, std::size_t> kept;
+  for (const auto& [id, connection] : connections_) {
+    if (!connection.groupAssigned) continue;
+    const std::string& name = groups_[connection.group].limits.name;
+    const auto same = std::find_if(groups.begin(), groups.end(),
+                                   [&](const Group& group) { return group.limits.name == name; });
+    if (same != groups.end()) kept.emplace(id, static_cast<std::size_t>(same - groups.begin()));
+  }
+  return kept;
+}
+
+void ConnectionAdmission::regroup(const std::unordered_map<ConnectionId, std::size_t>& assigned) {
   std::vector<std::pair<Time, ConnectionId>> idle;
-  for (auto& [id, c] : connections_) {
-    const auto stay = stays.find(id);
-    c.named = stay != stays.end();
-    c.group = c.named ? stay->second : groupOf(c.address);
-    enter(id, c);
-    if (c.idle) idle.emplace_back(c.since, id);
+  for (auto& [id, connection] : connections_) {
+    const auto it = assigned.find(id);
+    connection.groupAssigned = it != assigned.end();
+    connection.group = connection.groupAssigned ? it->second : groupOf(connection.address);
+    addToGroup(connection);
+    if (connection.idle) idle.emplace_back(connection.idle->since, id);
   }
   std::sort(idle.begin(), idle.end());
   for (const auto& [since, id] : idle) {
-    Connection& c = connections_[id];
-    Group& g = groups_[c.group];
-    c.place = g.idle.insert(g.idle.end(), id);
-    count(g);
+    Connection& connection = connections_[id];
+    Group& group = groups_[connection.group];
+    connection.idle->position = group.idle.insert(group.idle.end(), id);
+    refreshGauges(group);
   }
 }
 
+// ---- what groups hold ---------------------------------------------------------------------------------
+
 std::size_t ConnectionAdmission::groupOf(ConnectionId id) const {
   const auto it = connections_.find(id);
   return it == connections_.end() ? groups_.size() : it->second.group;
 }
 
-void ConnectionAdmission::count(Group& g) {
-  g.count.idle = g.idle.size();
-  g.count.reserveRemaining = g.limits.reserve - std::min(g.limits.reserve, g.count.connections);
-}
-void ConnectionAdmission::enter(ConnectionId, Connection& c) {
-  Group& g = groups_[c.group];
-  ++g.count.connections;
-  ++g.byAddress[c.address];
-  ++g.byPrefix[prefix(c.address)];
-  count(g);
-}
-void ConnectionAdmission::leave(Connection& c) {
-  Group& g = groups_[c.group];
-  --g.count.connections;
-  down(g.byAddress, c.address);
-  down(g.byPrefix, prefix(c.address));
-  if (c.idle) g.idle.erase(c.place);
-  count(g);
-}
-
-bool ConnectionAdmission::rate(Group& g, Time now) {
-  if (g.limits.connectionsPerSecond <= 0) return true;
-  g.tokens = std::min(g.limits.burst, g.tokens + g.limits.connectionsPerSecond * seconds(now - g.filled));
-  g.filled = now;
-  if (g.tokens < 1) return false;
-  g.tokens -= 1;
-  return true;
+void ConnectionAdmission::refreshGauges(Group& group) {
+  group.counters.idle = group.idle.size();
+  group.counters.reserveRemaining =
+      group.limits.reserve - std::min(group.limits.reserve, group.counters.connections);
 }
 
-// Each is asked to come back in a slot of its own: at the group's rate, or as many within a second as it may
-// hold.
-ConnectionDecision ConnectionAdmission::refuse(Group& g, Time now, RejectionReason why) {
-  ++g.count.rejected[why];
-  g.count.refusing = true;
-  const double perSecond =
-      g.limits.connectionsPerSecond > 0
-          ? g.limits.connectionsPerSecond
-          : static_cast<double>(std::max<std::size_t>(
-                g.limits.maxConnections > 0 ? g.limits.maxConnections : settings_.maxConnections, 1));
-  const Time first = now + settings_.minRetryAfter, last = now + settings_.maxRetryAfter;
-  // Beyond the longest wait the slots begin anew: what is asked of clients is bounded.
-  if (g.nextSlot < first || g.nextSlot > last) g.nextSlot = first;
-  ConnectionDecision w;
-  w.rejection = why;
-  w.retryAfter = g.nextSlot - now;
-  g.nextSlot += std::max(time(1 / perSecond), Time(1));
-  return w;
+void ConnectionAdmission::addToGroup(const Connection& connection) {
+  Group& group = groups_[connection.group];
+  ++group.counters.connections;
+  ++group.byAddress[connection.address];
+  ++group.byPrefix[networkOf(connection.address)];
+  refreshGauges(group);
 }
 
-std::size_t ConnectionAdmission::keptForOthers(std::size_t group) const {
-  std::size_t kept = 0;
-  for (std::size_t k = 0; k < groups_.size(); ++k)
-    if (k != group) kept += groups_[k].count.reserveRemaining;
-  return kept;
-}
-
-// Of the group that holds most by its weight, beyond its reserve and beyond what the newcomer's would hold
-// then: the one that has been idle longest. The newcomer's own group may swap one for another.
-ConnectionId ConnectionAdmission::victim(Time now, std::size_t group) const {
-  const auto share = [&](std::size_t k, std::size_t held) {
-    return static_cast<double>(held) / std::max(groups_[k].limits.weight, 1e-9);
-  };
-  const double mine = share(group, groups_[group].count.connections + 1);
-  const Group* best = nullptr;
-  double most = 0;
-  for (std::size_t k = 0; k < groups_.size(); ++k) {
-    const Group& g = groups_[k];
-    if (g.idle.empty() || now - connections_.at(g.idle.front()).since < settings_.minIdleTime) continue;
-    const bool own = k == group;
-    const double theirs = share(k, g.count.connections);
-    if (!own && (g.count.connections <= g.limits.reserve || theirs <= mine)) continue;
-    if (!best || theirs > most) {
-      best = &g;
-      most = theirs;
-    }
-  }
-  return best ? best->idle.front() : 0;
-}
-
-ConnectionDecision ConnectionAdmission::admit(Time now, ConnectionId id, const IpAddress& from,
-                                              std::optional<std::size_t> group) {
-  const std::size_t k = group ? std::min(*group, groups_.size() - 1) : groupOf(from);
-  Group& g = groups_[k];
-  const GroupLimits& l = g.limits;
-  // The narrowest bound first: an abuser is told of its own, and takes nothing from its neighbours' rate.
-  if (l.maxPerAddress > 0 && at(g.byAddress, from) >= l.maxPerAddress)
-    return refuse(g, now, RejectionReason::AddressFull);
-  if (l.maxPerPrefix > 0 && at(g.byPrefix, prefix(from)) >= l.maxPerPrefix)
-    return refuse(g, now, RejectionReason::PrefixFull);
-  ConnectionDecision w;
-  const bool groupFull = l.maxConnections > 0 && g.count.connections >= l.maxConnections;
-  if (groupFull) {
-    const bool spare =
-        !g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.minIdleTime;
-    if (!spare) return refuse(g, now, RejectionReason::GroupFull);
-    w.evict = g.idle.front();
-  } else if (connections_.size() + keptForOthers(k) >= maxConnections() && g.count.reserveRemaining == 0) {
-    w.evict = victim(now, k);
-    if (w.evict == 0) return refuse(g, now, RejectionReason::Full);
-  } else if (connections_.size() >= maxConnections()) {
-    w.evict = victim(now, k);  // its reserve is owed, but others were let in by earlier settings
-    if (w.evict == 0) return refuse(g, now, RejectionReason::Full);
-  }
-  if (!rate(g, now)) return refuse(g, now, RejectionReason::Rate);
-  if (w.evict != 0) {
-    Connection& c = connections_[w.evict];
-    ++groups_[c.group].count.evicted;
-    leave(c);
-    connections_.erase(w.evict);
-  }
-  Connection c;
-  c.group = k;
-  c.address = from;
-  c.named = group.has_value();
-  enter(id, connections_.emplace(id, c).first->second);
-  ++g.count.admitted;
-  g.count.refusing = false;
-  w.admitted = true;
-  return w;
+void ConnectionAdmission::removeFromGroup(const Connection& connection) {
+  Group& group = groups_[connection.group];
+  --group.counters.connections;
+  decrement(group.byAddress, connection.address);
+  decrement(group.byPrefix, networkOf(connection.address));
+  if (connection.idle) group.idle.erase(connection.idle->position);
+  refreshGauges(group);
 }
 
 void ConnectionAdmission::remove(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
-  leave(it->second);
+  removeFromGroup(it->second);
   connections_.erase(it);
 }
 
 void ConnectionAdmission::markBusy(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || !it->second.idle) return;
-  Group& g = groups_[it->second.group];
-  g.idle.erase(it->second.place);
-  it->second.idle = false;
-  count(g);
+  Group& group = groups_[it->second.group];
+  group.idle.erase(it->second.idle->position);
+  it->second.idle.reset();
+  refreshGauges(group);
 }
 
 void ConnectionAdmission::markIdle(Time now, ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end() || it->second.idle) return;
-  Group& g = groups_[it->second.group];
-  it->second.idle = true;
-  it->second.since = now;
-  it->second.place = g.idle.insert(g.idle.end(), id);
-  count(g);
+  Group& group = groups_[it->second.group];
+  it->second.idle = IdleState{now, group.idle.insert(group.idle.end(), id)};
+  refreshGauges(group);
 }
 
-void ConnectionAdmission::assignGroup(ConnectionId id, std::size_t group) {
+void ConnectionAdmission::assignGroup(ConnectionId id, std::size_t newGroup) {
   const auto it = connections_.find(id);
-  if (it == connections_.end() || it->second.group == group || group >= groups_.size()) return;
-  Connection& c = it->second;
-  leave(c);
-  c.group = group;
-  c.named = true;
-  enter(id, c);
-  if (!c.idle) return;
-  // Into its place by time: the longest idle stands first.
-  Group& g = groups_[group];
-  auto at = g.idle.begin();
-  while (at != g.idle.end() && connections_.at(*at).since <= c.since) ++at;
-  c.place = g.idle.insert(at, id);
-  count(g);
+  if (it == connections_.end() || it->second.group == newGroup || newGroup >= groups_.size()) return;
+  Connection& connection = it->second;
+  removeFromGroup(connection);
+  connection.group = newGroup;
+  connection.groupAssigned = true;
+  addToGroup(connection);
+  if (!connection.idle) return;
+  Group& group = groups_[newGroup];
+  auto next = group.idle.begin();
+  while (next != group.idle.end() && connections_.at(*next).idle->since <= connection.idle->since) ++next;
+  connection.idle->position = group.idle.insert(next, id);
+  refreshGauges(group);
+}
+
+// ---- admission ----------------------------------------------------------------------------------------
+
+bool ConnectionAdmission::takeToken(Group& group, Time now) {
+  const GroupLimits& limits = group.limits;
+  if (limits.connectionsPerSecond <= 0) return true;
+  const double refill = limits.connectionsPerSecond * toSeconds(now - group.tokensAt);
+  group.tokens = std::min(limits.burst, group.tokens + refill);
+  group.tokensAt = now;
+  if (group.tokens < 1) return false;
+  group.tokens -= 1;
+  return true;
+}
+
+// Each rejected client gets a slot of its own: at the group's rate, or else so many per second as the group
+// may hold.
+ConnectionDecision ConnectionAdmission::reject(Group& group, Time now, RejectionReason reason) {
+  ++group.counters.rejected[reason];
+  const GroupLimits& limits = group.limits;
+  const std::size_t capacity = limits.maxConnections > 0 ? limits.maxConnections : settings_.maxConnections;
+  const double perSecond = limits.connectionsPerSecond > 0
+                               ? limits.connectionsPerSecond
+                               : static_cast<double>(std::max<std::size_t>(capacity, 1));
+  const Time first = now + settings_.minRetryAfter;
+  const Time last = now + settings_.maxRetryAfter;
+  // Past the longest wait the slots start over, so no client is told to wait longer.
+  if (group.nextRetryAt < first || group.nextRetryAt > last) group.nextRetryAt = first;
+  ConnectionDecision decision;
+  decision.rejection = reason;
+  decision.retryAfter = group.nextRetryAt - now;
+  group.nextRetryAt += std::max(fromSeconds(1 / perSecond), Time(1));
+  return decision;
+}
+
+std::size_t ConnectionAdmission::reservedForOthers(std::size_t group) const {
+  std::size_t reserved = 0;
+  for (std::size_t k = 0; k < groups_.size(); ++k)
+    if (k != group) reserved += groups_[k].counters.reserveRemaining;
+  return reserved;
+}
+
+bool ConnectionAdmission::hasEvictable(const Group& group, Time now) const {
+  return !group.idle.empty() &&
+         now - connections_.at(group.idle.front()).idle->since >= settings_.minIdleTime;
+}
+
+// The longest idle connection of the group that holds most by weight, beyond its reserve and beyond what the
+// newcomer's group would hold with it. The newcomer's own group may exchange one of its own.
+std::optional<ConnectionId> ConnectionAdmission::evictionCandidate(Time now,
+                                                                   std::size_t newcomerGroup) const {
+  const auto share = [](const Group& group, std::size_t connections) {
+    return weightedShare(connections, group.limits.weight);
+  };
+  const Group& newcomers = groups_[newcomerGroup];
+  const double newcomerShare = share(newcomers, newcomers.counters.connections + 1);
+  const Group* best = nullptr;
+  double bestShare = 0;
+  for (const Group& group : groups_) {
+    if (!hasEvictable(group, now)) continue;
+    const double groupShare = share(group, group.counters.connections);
+    const bool mayYield = &group == &newcomers ||
+                          (group.counters.connections > group.limits.reserve && groupShare > newcomerShare);
+    if (!mayYield || (best && groupShare <= bestShare)) continue;
+    best = &group;
+    bestShare = groupShare;
+  }
+  if (!best) return std::nullopt;
+  return best->idle.front();
 }
 
-void ConnectionAdmission::askBack(Group& g, std::vector<ConnectionId>& all) {
-  const ConnectionId id = g.idle.front();
-  ++g.count.evicted;
+// The narrowest limit counts first: an abuser is told of its own, and spends nothing of its neighbours' rate.
+RejectionReason ConnectionAdmission::checkAddressLimits(const Group& group, const IpAddress& address) const {
+  const GroupLimits& limits = group.limits;
+  if (limits.maxPerAddress > 0 && countOf(group.byAddress, address) >= limits.maxPerAddress)
+    return RejectionReason::AddressFull;
+  if (limits.maxPerPrefix > 0 && countOf(group.byPrefix, networkOf(address)) >= limits.maxPerPrefix)
+    return RejectionReason::PrefixFull;
+  return RejectionReason::None;
+}
+
+// None if there is room, or will be once `evict` (where it is set) has been closed.
+RejectionReason ConnectionAdmission::findRoom(Time now, std::size_t groupIndex,
+                                              std::optional<ConnectionId>& evict) const {
+  const Group& group = groups_[groupIndex];
+  if (group.limits.maxConnections > 0 && group.counters.connections >= group.limits.maxConnections) {
+    if (!hasEvictable(group, now)) return RejectionReason::GroupFull;
+    evict = group.idle.front();
+    return RejectionReason::None;
+  }
+  const bool withinReserve = group.counters.reserveRemaining > 0;
+  const std::size_t taken = connections_.size() + (withinReserve ? 0 : reservedForOthers(groupIndex));
+  if (taken < maxConnections()) return RejectionReason::None;
+  // Within its reserve a group finds no room only if others were admitted under earlier settings.
+  evict = evictionCandidate(now, groupIndex);
+  return evict ? RejectionReason::None : RejectionReason::Full;
+}
+
+ConnectionDecision ConnectionAdmission::admit(Time now, ConnectionId id, const IpAddress& address,
+                                              std::optional<std::size_t> assignedGroup) {
+  const std::size_t groupIndex =
+      assignedGroup ? std::min(*assignedGroup, groups_.size() - 1) : groupOf(address);
+  Group& group = groups_[groupIndex];
+  ConnectionDecision decision;
+  RejectionReason reason = checkAddressLimits(group, address);
+  if (reason == RejectionReason::None) reason = findRoom(now, groupIndex, decision.evict);
+  if (reason == RejectionReason::None && !takeToken(group, now)) reason = RejectionReason::Rate;
+  if (reason != RejectionReason::None) return reject(group, now, reason);
+  if (decision.evict) {
+    ++groups_[groupOf(*decision.evict)].counters.evicted;
+    remove(*decision.evict);
+  }
+  const Connection connection{groupIndex, address, assignedGroup.has_value(), std::nullopt};
+  connections_.emplace(id, connection);
+  addToGroup(connection);
+  ++group.counters.admitted;
+  decision.admitted = true;
+  return decision;
+}
+
+// ---- eviction -----------------------------------------------------------------------------------------
+
+ConnectionId ConnectionAdmission::evictLongestIdle(Group& group) {
+  const ConnectionId id = group.idle.front();
+  ++group.counters.evicted;
   remove(id);
-  all.push_back(id);
+  return id;
 }
 
-ConnectionAdmission::Group* ConnectionAdmission::widest(Time now) {
-  Group* best = nullptr;
-  const auto share = [](const Group& g) {
-    return static_cast<double>(g.count.connections) / std::max(g.limits.weight, 1e-9);
+ConnectionAdmission::Group* ConnectionAdmission::largestShare(Time now) {
+  const auto share = [](const Group& group) {
+    return weightedShare(group.counters.connections, group.limits.weight);
   };
-  for (Group& g : groups_)
-    if (!g.idle.empty() && now - connections_.at(g.idle.front()).since >= settings_.minIdleTime &&
-        g.count.connections > g.limits.reserve && (!best || share(g) > share(*best)))
-      best = &g;
-  return best;
+  Group* largest = nullptr;
+  for (Group& group : groups_) {
+    if (!hasEvictable(group, now) || group.counters.connections <= group.limits.reserve) continue;
+    if (!largest || share(group) > share(*largest)) largest = &group;
+  }
+  return largest;
 }
 
-std::vector<ConnectionId> ConnectionAdmission::evictSurplus(Time now, std::size_t most) {
-  std::vector<ConnectionId> all;
-  for (Group& g : groups_)
-    while (all.size() < most && g.limits.maxConnections > 0 &&
-           g.count.connections > g.limits.maxConnections && !g.idle.empty() &&
-           now - connections_.at(g.idle.front()).since >= settings_.minIdleTime)
-      askBack(g, all);
-  while (all.size() < most && connections_.size() > this->maxConnections()) {
-    Group* const g = widest(now);
-    if (!g) break;
-    askBack(*g, all);
+std::vector<ConnectionId> ConnectionAdmission::evictSurplus(Time now, std::size_t count) {
+  std::vector<ConnectionId> evicted;
+  for (Group& group : groups_) {
+    const std::size_t limit = group.limits.maxConnections;
+    if (limit == 0) continue;
+    while (evicted.size() < count && group.counters.connections > limit && hasEvictable(group, now))
+      evicted.push_back(evictLongestIdle(group));
+  }
+  while (evicted.size() < count && connections_.size() > maxConnections()) {
+    Group* const group = largestShare(now);
+    if (!group) break;
+    evicted.push_back(evictLongestIdle(*group));
   }
-  return all;
+  return evicted;
 }
 
-std::vector<ConnectionId> ConnectionAdmission::evictForExhaustion(Time now, std::size_t most) {
-  std::vector<ConnectionId> all;
-  while (all.size() < most) {
-    Group* const g = widest(now);
-    if (!g) break;
-    askBack(*g, all);
+std::vector<ConnectionId> ConnectionAdmission::evictForExhaustion(Time now, std::size_t count) {
+  std::vector<ConnectionId> evicted;
+  while (evicted.size() < count) {
+    Group* const group = largestShare(now);
+    if (!group) break;
+    evicted.push_back(evictLongestIdle(*group));
   }
-  return all;
+  return evicted;
 }
 
 }  // namespace sablespur::admission
--- a/src/admission/connection_limit.hpp
+++ b/src/admission/connection_limit.hpp
@@ -1,41 +1,54 @@
-// How many connections the machine really has room for, where that is less than the settings say: something
-// else holds descriptors that the account does not know. Learned as congestion windows are (RFC 5681, 3.1):
-// down by a tenth when there was none left, up by one at a time. Pure.
+// Connection limit: how many connections the machine has descriptors for, where that is fewer than the
+// settings allow because something else holds descriptors that the budget does not know of. Learned like a
+// congestion window (RFC 5681, section 3.1): down by a tenth on exhaustion, up by one at a time. Pure.
 #pragma once
 
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
+#include <optional>
 
-namespace sablespur::admission {
+#include "admission/time.hpp"
 
-using Time = std::chrono::microseconds;
+namespace sablespur::admission {
 
 class ConnectionLimit {
  public:
-  // `held` connections, and there was no descriptor for one more. Once in `kAtOnce` it counts: one want is
-  // met by many at the same time.
+  // `held` connections were open and there was no descriptor for another. The limit does not fall under
+  // `least`. Further calls within kExhaustionWindow are ignored: many connections meet one shortage.
   void onExhaustion(Time now, std::size_t held, std::size_t least) {
-    if (bound_ && now - loweredAt_ < kAtOnce) return;
-    const std::size_t from = bound_ ? std::min(value_, held) : held;
-    value_ = std::max({from - from / 10 - std::min<std::size_t>(from, 2), least, std::size_t{1}});
-    bound_ = true;
-    loweredAt_ = raisedAt_ = now;
+    if (reduced_ && now - reduced_->loweredAt < kExhaustionWindow) return;
+    const std::size_t from = reduced_ ? std::min(reduced_->limit, held) : held;
+    const std::size_t lowered = from - from / 10 - std::min<std::size_t>(from, 2);
+    reduced_ = Reduced{std::max({lowered, least, std::size_t{1}}), now, now};
   }
-  // Of so many that the settings allow.
-  std::size_t value(Time now, std::size_t most) {
-    if (!bound_) return most;
-    for (; now - raisedAt_ >= kRaise && value_ < most; raisedAt_ += kRaise) ++value_;
-    bound_ = value_ < most;
-    return std::min(value_, most);
+
+  // The limit now, at most `configured`.
+  std::size_t value(Time now, std::size_t configured) {
+    if (!reduced_) return configured;
+    while (now - reduced_->raisedAt >= kRaiseInterval && reduced_->limit < configured) {
+      ++reduced_->limit;
+      reduced_->raisedAt += kRaiseInterval;
+    }
+    if (reduced_->limit < configured) return reduced_->limit;
+    reduced_.reset();
+    return configured;
   }
-  bool active() const { return bound_; }
+
+  // The limit is under the configured one.
+  bool active() const { return reduced_.has_value(); }
 
  private:
-  static constexpr Time kAtOnce = std::chrono::milliseconds(300), kRaise = std::chrono::seconds(1);
-  bool bound_ = false;
-  std::size_t value_ = 0;
-  Time loweredAt_{}, raisedAt_{};
+  struct Reduced {
+    std::size_t limit;
+    Time loweredAt;
+    Time raisedAt;
+  };
+
+  static constexpr Time kExhaustionWindow = std::chrono::milliseconds(300);
+  static constexpr Time kRaiseInterval = std::chrono::seconds(1);
+
+  std::optional<Reduced> reduced_;
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/networks.hpp
+++ b/src/admission/networks.hpp
@@ -1,5 +1,5 @@
-// Which group an address belongs to: networks of IPv4 and IPv6, nested as they like; the longest that holds
-// it counts. Parsing and addresses are asio's. Pure.
+// Networks: maps an address to the group of the longest matching IPv4 or IPv6 prefix. Pure; addresses and
+// their parsing are asio's.
 #pragma once
 
 #include <sys/socket.h>
@@ -17,25 +17,31 @@
 
 using IpAddress = asio::ip::address;
 
-// An IPv4 address that comes mapped into IPv6 (::ffff:10.1.0.7) is the IPv4 one. Unspecified for another
-// family.
+// An IPv4-mapped IPv6 address (::ffff:10.1.0.7) becomes the IPv4 one. Unspecified (asio's default address)
+// for a family other than IPv4 and IPv6.
 IpAddress addressOf(const sockaddr*);
-// Its first bits, the others 0: what stands for a network of that size.
+// The address with all bits after the prefix cleared; `bits4` or `bits6` counts, by its family.
 IpAddress prefixOf(const IpAddress&, int bits4, int bits6);
 
 class Networks {
  public:
-  // "10.1.0.0/16", "10.1.0.7", "fd00:1::/32". False and `why`: it is none, has bits beyond its prefix, or
-  // belongs to another group already.
+  // Adds a network such as "10.1.0.0/16", "fd00:1::/32", or a single address. Returns false and sets `why` if
+  // it does not parse, has bits after its prefix, or belongs to another group already.
   bool add(std::string_view network, std::size_t group, std::string& why);
-  // The group of the longest network that holds it, else `otherwise`. Its cost hangs on how many prefix
-  // lengths there are, not on how many networks.
+  // The group of the longest network that contains the address, else `otherwise`. The cost grows with the
+  // number of different prefix lengths, not with the number of networks.
   std::size_t find(const IpAddress&, std::size_t otherwise) const;
   std::size_t size() const { return size_; }
 
  private:
   using Table = std::unordered_map<IpAddress, std::size_t>;
-  std::map<int, Table, std::greater<>> v4_, v6_;  // by prefix length, the longest first
+  using TablesByLength = std::map<int, Table, std::greater<>>;  // longest prefix first
+
+  template <typename Network>
+  bool insert(TablesByLength&, const Network&, std::size_t group, const std::string& text, std::string& why);
+
+  TablesByLength v4_;
+  TablesByLength v6_;
   std::size_t size_ = 0;
 };
 
--- a/src/admission/recent_clients.cpp
+++ b/src/admission/recent_clients.cpp
@@ -4,56 +4,59 @@
 
 namespace sablespur::admission {
 
-void RecentClients::forget(List& from, List::iterator it) {
-  const auto count = byPrefix_.find(prefix(it->address));
-  if (--count->second == 0) byPrefix_.erase(count);
-  records_.erase(it->address);
-  from.erase(it);
+void RecentClients::erase(RecordList& list, RecordList::iterator record) {
+  const auto count = countByNetwork_.find(networkOf(record->address));
+  --count->second;
+  if (count->second == 0) countByNetwork_.erase(count);
+  records_.erase(record->address);
+  list.erase(record);
 }
 
 void RecentClients::makeRoom(const IpAddress& network) {
-  const auto count = byPrefix_.find(network);
-  if (count != byPrefix_.end() && count->second >= s_.maxPerPrefix) {
-    const auto ofIt = [&](const Record& r) { return prefix(r.address) == network; };
-    const auto young = std::find_if(fresh_.begin(), fresh_.end(), ofIt);
-    if (young != fresh_.end()) return forget(fresh_, young);
-    return forget(known_, std::find_if(known_.begin(), known_.end(), ofIt));
+  const auto count = countByNetwork_.find(network);
+  if (count != countByNetwork_.end() && count->second >= settings_.maxPerPrefix) {
+    const auto inNetwork = [&](const Record& record) { return networkOf(record.address) == network; };
+    const auto candidate = std::find_if(candidates_.begin(), candidates_.end(), inNetwork);
+    if (candidate != candidates_.end()) return erase(candidates_, candidate);
+    return erase(established_, std::find_if(established_.begin(), established_.end(), inNetwork));
   }
-  if (records_.size() < s_.maxClients) return;
-  if (!fresh_.empty())
-    forget(fresh_, fresh_.begin());
-  else
-    forget(known_, known_.begin());
+  if (records_.size() < settings_.maxClients) return;
+  RecordList& list = candidates_.empty() ? established_ : candidates_;
+  erase(list, list.begin());
 }
 
-void RecentClients::recordResponse(Time now, const IpAddress& a) {
-  const auto found = records_.find(a);
-  if (found == records_.end()) {
-    makeRoom(prefix(a));
-    records_.emplace(a, fresh_.insert(fresh_.end(), Record{a, now, now, 1, false}));
-    ++byPrefix_[prefix(a)];
-    return;
-  }
+void RecentClients::insert(Time now, const IpAddress& address) {
+  const IpAddress network = networkOf(address);
+  makeRoom(network);
+  const auto record = candidates_.insert(candidates_.end(), Record{address, now, now, 1, false});
+  records_.emplace(address, record);
+  ++countByNetwork_[network];
+}
+
+void RecentClients::recordResponse(Time now, const IpAddress& address) {
+  const auto found = records_.find(address);
+  if (found == records_.end()) return insert(now, address);
   const auto it = found->second;
-  Record& r = *it;
-  if (now - r.last > s_.retention) {  // it was away for so long that it begins anew
-    r.first = now;
-    r.times = 0;
-    if (r.known) fresh_.splice(fresh_.end(), known_, it);
-    r.known = false;
+  Record& record = *it;
+  RecordList& from = listOf(record);
+  if (now - record.lastAt > settings_.retention) {  // expired: it starts over
+    record.firstAt = now;
+    record.responses = 0;
+    record.established = false;
   }
-  r.last = now;
-  ++r.times;
-  List& at = r.known ? known_ : fresh_;
-  const bool becomes = !r.known && r.times >= s_.minResponses && now - r.first >= s_.minSpan;
-  r.known = r.known || becomes;
-  List& to = r.known ? known_ : fresh_;
-  to.splice(to.end(), at, it);
+  record.lastAt = now;
+  ++record.responses;
+  if (record.responses >= settings_.minResponses && now - record.firstAt >= settings_.minSpan)
+    record.established = true;
+  RecordList& to = listOf(record);
+  to.splice(to.end(), from, it);
 }
 
-bool RecentClients::contains(Time now, const IpAddress& a) const {
-  const auto it = records_.find(a);
-  return it != records_.end() && it->second->known && now - it->second->last <= s_.retention;
+bool RecentClients::contains(Time now, const IpAddress& address) const {
+  const auto it = records_.find(address);
+  if (it == records_.end()) return false;
+  const Record& record = *it->second;
+  return record.established && now - record.lastAt <= settings_.retention;
 }
 
 }  // namespace sablespur::admission
--- a/src/admission/recent_clients.hpp
+++ b/src/admission/recent_clients.hpp
@@ -1,8 +1,8 @@
-// Who has been served before, by address: a bounded record that forgets. Free of I/O and clocks.
+// Recent clients: a bounded record of the addresses that have been served before. Pure: no I/O and no clock.
 //
-// An address is known once it was served several times over some while. Guards against an abuser that fills
-// the record: a network has room for a few only and pushes out its own; who is not known yet is forgotten
-// before anyone who is.
+// An address becomes established once it was served several times over some span. Two bounds keep an abuser
+// from filling the record: each network has room for a few addresses only and displaces its own, and
+// addresses that are not established yet are displaced before any that is.
 #pragma once
 
 #include <chrono>
@@ -11,42 +11,54 @@
 #include <unordered_map>
 
 #include "admission/networks.hpp"
+#include "admission/time.hpp"
 
 namespace sablespur::admission {
 
-using Time = std::chrono::microseconds;
-
 struct RecentClientsSettings {
-  std::size_t maxClients = 4096, maxPerPrefix = 32;
-  int prefix4 = 24, prefix6 = 64;
-  std::size_t minResponses = 3;             // served so often
-  Time minSpan = std::chrono::seconds(2);   // over so long, at least
-  Time retention = std::chrono::hours(24);  // after the last time
+  std::size_t maxClients = 4096;
+  std::size_t maxPerPrefix = 32;
+  int prefix4 = 24;  // bits of the network that an IPv4 address counts against
+  int prefix6 = 64;
+  std::size_t minResponses = 3;             // an address is established after as many responses,
+  Time minSpan = std::chrono::seconds(2);   // the last of them at least so long after the first
+  Time retention = std::chrono::hours(24);  // after the last response
 };
 
 class RecentClients {
  public:
-  explicit RecentClients(RecentClientsSettings s) : s_(s) {}
+  explicit RecentClients(RecentClientsSettings settings) : settings_(settings) {}
+
+  // A client at this address got a response from a data server.
   void recordResponse(Time now, const IpAddress&);
+  // Whether the address is established.
   bool contains(Time now, const IpAddress&) const;
+  // Addresses on record, established or not.
   std::size_t size() const { return records_.size(); }
 
  private:
   struct Record {
     IpAddress address;
-    Time first{}, last{};
-    std::size_t times = 0;
-    bool known = false;
+    Time firstAt{};
+    Time lastAt{};
+    std::size_t responses = 0;
+    bool established = false;
   };
-  using List = std::list<Record>;  // the one served last comes last
-  void forget(List&, List::iterator);
-  void makeRoom(const IpAddress& prefix);
-  IpAddress prefix(const IpAddress& a) const { return prefixOf(a, s_.prefix4, s_.prefix6); }
-
-  const RecentClientsSettings s_;
-  List fresh_, known_;
-  std::unordered_map<IpAddress, List::iterator> records_;
-  std::unordered_map<IpAddress, std::size_t> byPrefix_;
+  using RecordList = std::list<Record>;  // least recently served first
+
+  RecordList& listOf(const Record& record) { return record.established ? established_ : candidates_; }
+  void insert(Time now, const IpAddress&);
+  void erase(RecordList&, RecordList::iterator);
+  void makeRoom(const IpAddress& network);
+  IpAddress networkOf(const IpAddress& address) const {
+    return prefixOf(address, settings_.prefix4, settings_.prefix6);
+  }
+
+  const RecentClientsSettings settings_;
+  RecordList candidates_;
+  RecordList established_;
+  std::unordered_map<IpAddress, RecordList::iterator> records_;
+  std::unordered_map<IpAddress, std::size_t> countByNetwork_;
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/rejection_period.hpp
+++ b/src/admission/rejection_period.hpp
@@ -1,43 +1,53 @@
-// When a spell of refusals begins and ends: one word each, however many are refused within it. Pure.
+// Rejection period: tells when a run of rejections begins and ends, so that each is logged once however many
+// are rejected within it. Pure.
 #pragma once
 
 #include <chrono>
 #include <cstdint>
 
-namespace sablespur::admission {
+#include "admission/time.hpp"
 
-using Time = std::chrono::microseconds;
+namespace sablespur::admission {
 
 class RejectionPeriod {
  public:
-  explicit RejectionPeriod(Time calm = std::chrono::seconds(1)) : calm_(calm) {}
   enum class Transition { None, Began, Ended };
-  // `total`: refusals so far. A spell has ended once none has come for as long as `calm`.
+
+  // A period ends once nothing has been rejected for `quietTime`.
+  explicit RejectionPeriod(Time quietTime = std::chrono::seconds(1)) : quietTime_(quietTime) {}
+
+  // `total`: all rejections so far. To be called at regular intervals.
   Transition update(Time now, std::uint64_t total) {
-    if (total != total_) {
-      const bool began = !on_;
-      if (began) {
-        since_ = now;
-        before_ = total_;
-      }
-      last_ = now;
-      total_ = total;
-      on_ = true;
-      return began ? Transition::Began : Transition::None;
-    }
-    if (!on_ || now - last_ < calm_) return Transition::None;
-    on_ = false;
+    if (total != total_) return onRejections(now, total);
+    if (!active_ || now - lastAt_ < quietTime_) return Transition::None;
+    active_ = false;
     return Transition::Ended;
   }
-  bool active() const { return on_; }
-  std::uint64_t rejections() const { return total_ - before_; }  // of the spell that is on, or was last
-  Time duration() const { return last_ - since_; }
+
+  bool active() const { return active_; }
+  // Of the current period, or else of the last one.
+  std::uint64_t rejections() const { return total_ - totalBefore_; }
+  Time duration() const { return lastAt_ - firstAt_; }
 
  private:
-  Time calm_;
-  bool on_ = false;
-  std::uint64_t total_ = 0, before_ = 0;
-  Time since_{}, last_{};
+  Transition onRejections(Time now, std::uint64_t total) {
+    const bool began = !active_;
+    if (began) {
+      firstAt_ = now;
+      totalBefore_ = total_;
+    }
+    lastAt_ = now;
+    total_ = total;
+    active_ = true;
+    return began ? Transition::Began : Transition::None;
+  }
+
+  Time quietTime_;
+  bool active_ = false;
+  std::uint64_t total_ = 0;
+  std::uint64_t totalBefore_ = 0;
+  Time firstAt_{};
+  Time lastAt_{};
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/request_limiter.cpp
+++ b/src/admission/request_limiter.cpp
@@ -3,189 +3,233 @@
 #include <algorithm>
 #include <stdexcept>
 
+#include "admission/weighted_share.hpp"
+
 namespace sablespur::admission {
+namespace {
+
+// For Retry-After, while little or nothing is known of the latency.
+constexpr Time kMinLatencyEstimate = std::chrono::milliseconds(1);
 
-RequestLimiter::RequestLimiter(RequestLimiterSettings s) : s_(std::move(s)), limit_(s_.limit) {
-  if (s_.groups.empty()) throw std::invalid_argument("requests without a group");
-  for (const ShareSettings& g : s_.groups) groups_.push_back({g, 0, {}, {}});
+}  // namespace
+
+const char* requestRejectionName(RequestRejection reason) {
+  static const char* const names[] = {"share", "late", "queue"};
+  return names[static_cast<std::size_t>(reason)];
 }
 
-// What a group has of the whole by its weight; the smallest is served next.
-double RequestLimiter::share(const Group& g, std::size_t extra) const {
-  return static_cast<double>(g.out + extra) / std::max(g.settings.weight, 1e-9);
+RequestLimiter::RequestLimiter(RequestLimiterSettings settings)
+    : settings_(std::move(settings)), limit_(settings_.limit) {
+  if (settings_.groups.empty()) throw std::invalid_argument("requests without a group");
+  for (const ShareSettings& share : settings_.groups) groups_.push_back({share, 0, {}, {}});
 }
 
-// Spread: as many as wait and are out need so long; those refused come back one after another, not together.
-Time RequestLimiter::comeBack() {
-  const Time each = std::max(limit_.typicalLatency(), Time(1000));
-  const auto ahead = static_cast<double>(waiting_ + refused_++) /
+// The time that the queue and those rejected before need to be served: clients that are rejected together
+// return one after another.
+Time RequestLimiter::nextRetryAfter() {
+  const Time latency = std::max(limit_.typicalLatency(), kMinLatencyEstimate);
+  const auto ahead = static_cast<double>(queued_ + rejectedInARow_) /
                      static_cast<double>(std::max<std::size_t>(limit_.value(), 1));
-  const Time t =
-      s_.minRetryAfter + Time(static_cast<std::int64_t>(ahead * static_cast<double>(each.count())));
-  if (t <= s_.maxRetryAfter) return t;
-  refused_ = 0;
-  return s_.maxRetryAfter;
+  ++rejectedInARow_;
+  const Time wait =
+      settings_.minRetryAfter + Time(static_cast<std::int64_t>(ahead * static_cast<double>(latency.count())));
+  if (wait <= settings_.maxRetryAfter) return wait;
+  rejectedInARow_ = 0;
+  return settings_.maxRetryAfter;
 }
-ResolvedRequest RequestLimiter::refuse(RequestKey key, RequestRejection why) {
-  const auto it = open_.find(key);
-  ++groups_[it->second.group].count.rejected[static_cast<std::size_t>(why)];
-  open_.erase(it);
-  return {key, RequestDecision::Reject, comeBack()};
+
+Time RequestLimiter::reject(std::size_t group, RequestRejection reason) {
+  ++groups_[group].counters.rejected[static_cast<std::size_t>(reason)];
+  return nextRetryAfter();
 }
 
-const char* requestRejectionName(RequestRejection t) {
-  static const char* const names[] = {"share", "late", "queue"};
-  return names[static_cast<std::size_t>(t)];
+ResolvedRequest RequestLimiter::rejectQueued(RequestKey key, RequestRejection reason) {
+  const auto it = requests_.find(key);
+  const std::size_t group = it->second.group;
+  requests_.erase(it);
+  return {key, RequestDecision::Reject, reject(group, reason)};
 }
+
 RequestLimiter::Counters RequestLimiter::counters(std::size_t group) const {
-  Counters c = groups_[group].count;
-  c.inFlight = groups_[group].out;
-  c.queued = groups_[group].waiting.size();
-  return c;
-}
-void RequestLimiter::reload(RequestLimiterSettings s) {
-  if (s.groups.empty()) throw std::invalid_argument("requests without a group");
-  // Groups that are no more go on in the last one: what they have out still ends here.
-  while (groups_.size() > s.groups.size()) {
-    Group gone = std::move(groups_.back());
+  Counters counters = groups_[group].counters;
+  counters.inFlight = groups_[group].inFlight;
+  counters.queued = groups_[group].queue.size();
+  return counters;
+}
+
+void RequestLimiter::reload(RequestLimiterSettings settings) {
+  if (settings.groups.empty()) throw std::invalid_argument("requests without a group");
+  // The requests of a removed group go on in the last one, where their end is accounted for.
+  while (groups_.size() > settings.groups.size()) {
+    const Group removed = std::move(groups_.back());
     groups_.pop_back();
     Group& last = groups_.back();
-    last.out += gone.out;
-    for (const Waiting& w : gone.waiting) last.waiting.push_back(w);
-    for (auto& [key, o] : open_) o.group = std::min(o.group, groups_.size() - 1);
+    last.inFlight += removed.inFlight;
+    last.queue.insert(last.queue.end(), removed.queue.begin(), removed.queue.end());
+    for (auto& [key, request] : requests_) request.group = std::min(request.group, groups_.size() - 1);
   }
-  groups_.resize(s.groups.size());
-  for (std::size_t k = 0; k < groups_.size(); ++k) groups_[k].settings = s.groups[k];
-  last_ = 0;
-  s.limit = s_.limit;
-  s_ = std::move(s);
+  groups_.resize(settings.groups.size());
+  for (std::size_t k = 0; k < groups_.size(); ++k) groups_[k].settings = settings.groups[k];
+  lastAdmittedGroup_ = 0;
+  settings.limit = settings_.limit;
+  settings_ = std::move(settings);
+}
+
+void RequestLimiter::admit(RequestKey key, std::size_t group) {
+  requests_[key] = {group, true};
+  ++groups_[group].inFlight;
+  ++groups_[group].counters.admitted;
+  ++inFlight_;
+  lastAdmittedGroup_ = group;
 }
 
-void RequestLimiter::go(RequestKey key, std::size_t group) {
-  open_[key] = {group, true};
-  ++groups_[group].out;
-  ++groups_[group].count.admitted;
-  ++out_;
-  last_ = group;
+void RequestLimiter::enqueue(RequestKey key, std::size_t group, Time deadline) {
+  requests_[key] = {group, false};
+  groups_[group].queue.push_back({key, deadline});
+  ++groups_[group].counters.enqueued;
+  ++queued_;
 }
 
-void RequestLimiter::drop(Time now, std::vector<ResolvedRequest>& all) {
-  for (Group& g : groups_)
-    for (auto it = g.waiting.begin(); it != g.waiting.end();) {
+void RequestLimiter::rejectLate(Time now, std::vector<ResolvedRequest>& resolved) {
+  for (Group& group : groups_) {
+    auto it = group.queue.begin();
+    while (it != group.queue.end()) {
       if (it->deadline - now > limit_.latencyUpperBound()) {
         ++it;
         continue;
       }
-      --waiting_;
+      --queued_;
       const RequestKey key = it->key;
-      it = g.waiting.erase(it);
-      all.push_back(refuse(key, RequestRejection::Late));
+      it = group.queue.erase(it);
+      resolved.push_back(rejectQueued(key, RequestRejection::TooLate));
     }
+  }
 }
 
-void RequestLimiter::take(std::vector<ResolvedRequest>& all) {
-  while (waiting_ > 0 && out_ < limit_.value()) {
-    Group* next = nullptr;
-    for (std::size_t k = 1; k <= groups_.size(); ++k) {
-      Group& g = groups_[(last_ + k) % groups_.size()];
-      if (!g.waiting.empty() && (!next || share(g, 1) < share(*next, 1))) next = &g;
-    }
-    const RequestKey key = next->waiting.front().key;
-    next->waiting.pop_front();
-    --waiting_;
-    go(key, static_cast<std::size_t>(next - groups_.data()));
-    all.push_back({key, RequestDecision::Admit, Time(0)});
+RequestLimiter::Group* RequestLimiter::nextToServe() {
+  Group* next = nullptr;
+  const auto shareAfter = [](const Group& group) {
+    return weightedShare(group.inFlight + 1, group.settings.weight);
+  };
+  for (std::size_t k = 1; k <= groups_.size(); ++k) {
+    Group& group = groups_[(lastAdmittedGroup_ + k) % groups_.size()];
+    if (group.queue.empty()) continue;
+    if (!next || shareAfter(group) < shareAfter(*next)) next = &group;
+  }
+  return next;
+}
+
+void RequestLimiter::admitQueued(std::vector<ResolvedRequest>& resolved) {
+  while (queued_ > 0 && inFlight_ < limit_.value()) {
+    Group* const next = nextToServe();
+    const RequestKey key = next->queue.front().key;
+    next->queue.pop_front();
+    --queued_;
+    admit(key, static_cast<std::size_t>(next - groups_.data()));
+    resolved.push_back({key, RequestDecision::Admit, Time(0)});
   }
-  if (waiting_ == 0) refused_ = 0;
+  if (queued_ == 0) rejectedInARow_ = 0;
+}
+
+// By weight, the newcomer's request counted as queued.
+RequestLimiter::Group& RequestLimiter::longestQueue(const Group& newcomer) {
+  const auto share = [&](const Group& group) {
+    return weightedShare(group.queue.size() + (&group == &newcomer ? 1 : 0), group.settings.weight);
+  };
+  std::size_t longest = static_cast<std::size_t>(&newcomer - groups_.data());
+  for (std::size_t k = 0; k < groups_.size(); ++k) {
+    const Group& group = groups_[k];
+    if (&group != &newcomer && !group.queue.empty() && share(group) > share(groups_[longest])) longest = k;
+  }
+  return groups_[longest];
+}
+
+bool RequestLimiter::makeRoomInQueue(Time now, const Group& newcomer,
+                                     std::vector<ResolvedRequest>& resolved) {
+  if (queued_ >= settings_.maxQueued) rejectLate(now, resolved);
+  if (queued_ < settings_.maxQueued) return true;
+  Group& longest = longestQueue(newcomer);
+  if (&longest == &newcomer) return false;
+  const RequestKey displaced = longest.queue.back().key;  // the newest: it has waited least
+  longest.queue.pop_back();
+  --queued_;
+  resolved.push_back(rejectQueued(displaced, RequestRejection::QueueFull));
+  return true;
 }
 
 RequestLimiter::SubmitResult RequestLimiter::submit(Time now, RequestKey key, std::size_t group,
                                                     Time deadline) {
-  SubmitResult a;
+  SubmitResult result;
   group = std::min(group, groups_.size() - 1);
-  Group& g = groups_[group];
-  const auto turnedAway = [&](RequestRejection why) {
-    a.retryAfter = reject(group, why);
-    return a;
+  const Group& own = groups_[group];
+  const auto rejected = [&](RequestRejection reason) {
+    result.retryAfter = reject(group, reason);
+    return result;
   };
-  if (g.settings.maxOpen > 0 && g.out + g.waiting.size() >= g.settings.maxOpen)
-    return turnedAway(RequestRejection::Share);
-  if (waiting_ == 0 && out_ < limit_.value()) {
-    go(key, group);
-    a.decision = RequestDecision::Admit;
-    return a;
+  if (own.settings.maxOpen > 0 && own.inFlight + own.queue.size() >= own.settings.maxOpen)
+    return rejected(RequestRejection::GroupLimit);
+  if (queued_ == 0 && inFlight_ < limit_.value()) {
+    admit(key, group);
+    result.decision = RequestDecision::Admit;
+    return result;
   }
-  if (deadline - now <= limit_.latencyUpperBound())
-    return turnedAway(RequestRejection::Late);  // it could not be on time
-  if (waiting_ >= s_.maxQueued) drop(now, a.resolved);
-  if (waiting_ >= s_.maxQueued) {
-    // Whoever has most waiting by weight gives way, with its newest: it has waited least.
-    Group* widest = &g;
-    const auto width = [](const Group& x, std::size_t extra) {
-      return static_cast<double>(x.waiting.size() + extra) / std::max(x.settings.weight, 1e-9);
-    };
-    for (Group& x : groups_)
-      if (!x.waiting.empty() && width(x, 0) > width(*widest, widest == &g ? 1 : 0)) widest = &x;
-    if (widest == &g) return turnedAway(RequestRejection::Queue);
-    const RequestKey gives = widest->waiting.back().key;
-    widest->waiting.pop_back();
-    --waiting_;
-    a.resolved.push_back(refuse(gives, RequestRejection::Queue));
-  }
-  g.waiting.push_back({key, deadline});
-  open_[key] = {group, false};
-  ++waiting_;
-  ++g.count.enqueued;
-  a.decision = RequestDecision::Queue;
-  // A slot may be free: what stood before it has just been dropped.
-  std::vector<ResolvedRequest> went;
-  take(went);
-  for (const ResolvedRequest& w : went) {
-    if (w.key == key)
-      a.decision = RequestDecision::Admit;
+  if (deadline - now <= limit_.latencyUpperBound()) return rejected(RequestRejection::TooLate);
+  if (!makeRoomInQueue(now, own, result.resolved)) return rejected(RequestRejection::QueueFull);
+  enqueue(key, group, deadline);
+  result.decision = RequestDecision::Queue;
+  // There may be room below the limit now: what was queued before may just have been rejected.
+  std::vector<ResolvedRequest> admitted;
+  admitQueued(admitted);
+  for (const ResolvedRequest& request : admitted) {
+    if (request.key == key)
+      result.decision = RequestDecision::Admit;
     else
-      a.resolved.push_back(w);
+      result.resolved.push_back(request);
   }
-  return a;
+  return result;
 }
 
 std::vector<ResolvedRequest> RequestLimiter::complete(Time now, RequestKey key, Time latency, bool dropped) {
-  std::vector<ResolvedRequest> all;
-  const auto it = open_.find(key);
-  if (it == open_.end() || !it->second.out) return all;
-  limit_.recordCompletion(now, latency, out_, dropped);
-  --groups_[it->second.group].out;
-  --out_;
-  open_.erase(it);
-  drop(now, all);
-  take(all);
-  return all;
+  std::vector<ResolvedRequest> resolved;
+  const auto it = requests_.find(key);
+  if (it == requests_.end() || !it->second.inFlight) return resolved;
+  limit_.recordCompletion(now, latency, inFlight_, dropped);
+  --groups_[it->second.group].inFlight;
+  --inFlight_;
+  requests_.erase(it);
+  rejectLate(now, resolved);
+  admitQueued(resolved);
+  return resolved;
+}
+
+void RequestLimiter::removeFromQueue(Group& group, RequestKey key) {
+  const auto it = std::find_if(group.queue.begin(), group.queue.end(),
+                               [&](const QueuedRequest& request) { return request.key == key; });
+  group.queue.erase(it);
+  --queued_;
 }
 
 std::vector<ResolvedRequest> RequestLimiter::cancel(Time now, RequestKey key) {
-  std::vector<ResolvedRequest> all;
-  const auto it = open_.find(key);
-  if (it == open_.end()) return all;
-  Group& g = groups_[it->second.group];
-  if (it->second.out) {
-    --g.out;
-    --out_;
+  std::vector<ResolvedRequest> resolved;
+  const auto it = requests_.find(key);
+  if (it == requests_.end()) return resolved;
+  Group& group = groups_[it->second.group];
+  if (it->second.inFlight) {
+    --group.inFlight;
+    --inFlight_;
   } else {
-    const auto at =
-        std::find_if(g.waiting.begin(), g.waiting.end(), [&](const Waiting& w) { return w.key == key; });
-    g.waiting.erase(at);
-    --waiting_;
+    removeFromQueue(group, key);
   }
-  open_.erase(it);
-  drop(now, all);
-  take(all);
-  return all;
+  requests_.erase(it);
+  rejectLate(now, resolved);
+  admitQueued(resolved);
+  return resolved;
 }
 
 std::vector<ResolvedRequest> RequestLimiter::rejectOverdue(Time now) {
-  std::vector<ResolvedRequest> all;
-  drop(now, all);
-  return all;
+  std::vector<ResolvedRequest> resolved;
+  rejectLate(now, resolved);
+  return resolved;
 }
 
 }  // namespace sablespur::admission
--- a/src/admission/request_queues.cpp
+++ b/src/admission/request_queues.cpp
@@ -5,129 +5,147 @@
 namespace sablespur::admission {
 namespace {
 
-constexpr Time kQuiet = std::chrono::seconds(60);
-
-void add(RequestLimiter::Counters& to, const RequestLimiter::Counters& c) {
-  to.inFlight += c.inFlight;
-  to.queued += c.queued;
-  to.admitted += c.admitted;
-  to.enqueued += c.enqueued;
-  for (std::size_t k = 0; k < kRequestRejectionCount; ++k) to.rejected[k] += c.rejected[k];
+// An empty queue is removed when it has been unused for so long.
+constexpr Time kUnusedQueueLifetime = std::chrono::seconds(60);
+
+void add(RequestLimiter::Counters& sum, const RequestLimiter::Counters& counters) {
+  sum.inFlight += counters.inFlight;
+  sum.queued += counters.queued;
+  sum.admitted += counters.admitted;
+  sum.enqueued += counters.enqueued;
+  for (std::size_t k = 0; k < kRequestRejectionCount; ++k) sum.rejected[k] += counters.rejected[k];
 }
 
 }  // namespace
 
-RequestLimiterSettings RequestQueues::within(RequestLimiterSettings s) {
-  for (ShareSettings& g : s.groups) g.maxOpen = 0;
-  return s;
+RequestLimiterSettings RequestQueues::limiterSettings(RequestLimiterSettings settings) {
+  for (ShareSettings& share : settings.groups) share.maxOpen = 0;
+  return settings;
 }
 
-RequestQueues::RequestQueues(RequestLimiterSettings s, std::size_t mostLanes)
-    : s_(std::move(s)), most_(mostLanes), open_(s_.groups.size()), before_(s_.groups.size()) {}
+RequestQueues::RequestQueues(RequestLimiterSettings settings, std::size_t maxQueues)
+    : settings_(std::move(settings)),
+      maxQueues_(maxQueues),
+      openByGroup_(settings_.groups.size()),
+      removedCounters_(settings_.groups.size()) {}
 
 RequestQueues::Queue& RequestQueues::queueFor(Time now, QueueKey key) {
-  auto it = lanes_.find(key);
-  if (it == lanes_.end() && lanes_.size() >= most_) {
+  auto it = queues_.find(key);
+  if (it == queues_.end() && queues_.size() >= maxQueues_) {
     key = kSharedQueue;
-    it = lanes_.find(key);
+    it = queues_.find(key);
+  }
+  if (it == queues_.end()) {
+    Queue queue{key, RequestLimiter(limiterSettings(settings_)), now};
+    it = queues_.emplace(key, std::make_unique<Queue>(std::move(queue))).first;
   }
-  if (it == lanes_.end())
-    it = lanes_.emplace(key, std::make_unique<Queue>(Queue{key, RequestLimiter(within(s_)), now})).first;
-  it->second->used = now;
+  it->second->lastUsed = now;
   return *it->second;
 }
 
-void RequestQueues::close(RequestKey key) {
+void RequestQueues::forget(RequestKey key) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return;
-  --open_[it->second.group];
+  --openByGroup_[it->second.group];
   requests_.erase(it);
 }
-void RequestQueues::settle(const std::vector<ResolvedRequest>& all) {
-  for (const ResolvedRequest& a : all)
-    if (a.decision == RequestDecision::Reject) close(a.key);
+
+void RequestQueues::forgetRejected(const std::vector<ResolvedRequest>& resolved) {
+  for (const ResolvedRequest& request : resolved)
+    if (request.decision == RequestDecision::Reject) forget(request.key);
 }
 
-RequestLimiter::SubmitResult RequestQueues::submit(Time now, RequestKey key, QueueKey at, std::size_t group,
-                                                   Time deadline) {
-  group = std::min(group, open_.size() - 1);
-  Queue& l = queueFor(now, at);
-  const std::size_t most = s_.groups[group].maxOpen;
-  if (most > 0 && open_[group] >= most) {
-    RequestLimiter::SubmitResult a;
-    a.retryAfter = l.requests.reject(group, RequestRejection::Share);
-    return a;
+RequestLimiter::SubmitResult RequestQueues::submit(Time now, RequestKey key, QueueKey queueKey,
+                                                   std::size_t group, Time deadline) {
+  group = std::min(group, openByGroup_.size() - 1);
+  Queue& queue = queueFor(now, queueKey);
+  const std::size_t maxOpen = settings_.groups[group].maxOpen;
+  if (maxOpen > 0 && openByGroup_[group] >= maxOpen) {
+    RequestLimiter::SubmitResult rejected;
+    rejected.retryAfter = queue.limiter.reject(group, RequestRejection::GroupLimit);
+    return rejected;
   }
-  const RequestLimiter::SubmitResult a = l.requests.submit(now, key, group, deadline);
-  if (a.decision != RequestDecision::Reject) {
-    requests_.emplace(key, Open{&l, group});
-    ++open_[group];
+  RequestLimiter::SubmitResult result = queue.limiter.submit(now, key, group, deadline);
+  if (result.decision != RequestDecision::Reject) {
+    requests_.emplace(key, OpenRequest{&queue, group});
+    ++openByGroup_[group];
   }
-  settle(a.resolved);
-  return a;
+  forgetRejected(result.resolved);
+  return result;
 }
 
 std::vector<ResolvedRequest> RequestQueues::complete(Time now, RequestKey key, Time latency, bool dropped) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return {};
-  Queue& l = *it->second.lane;
-  l.used = now;
-  close(key);
-  std::vector<ResolvedRequest> all = l.requests.complete(now, key, latency, dropped);
-  settle(all);
-  return all;
+  Queue& queue = *it->second.queue;
+  queue.lastUsed = now;
+  forget(key);
+  std::vector<ResolvedRequest> resolved = queue.limiter.complete(now, key, latency, dropped);
+  forgetRejected(resolved);
+  return resolved;
 }
+
 std::vector<ResolvedRequest> RequestQueues::cancel(Time now, RequestKey key) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return {};
-  Queue& l = *it->second.lane;
-  close(key);
-  std::vector<ResolvedRequest> all = l.requests.cancel(now, key);
-  settle(all);
-  return all;
+  Queue& queue = *it->second.queue;
+  forget(key);
+  std::vector<ResolvedRequest> resolved = queue.limiter.cancel(now, key);
+  forgetRejected(resolved);
+  return resolved;
 }
 
 std::vector<ResolvedRequest> RequestQueues::rejectOverdue(Time now) {
-  std::vector<ResolvedRequest> all;
-  for (auto it = lanes_.begin(); it != lanes_.end();) {
-    Queue& l = *it->second;
-    const std::vector<ResolvedRequest> some = l.requests.rejectOverdue(now);
-    all.insert(all.end(), some.begin(), some.end());
-    if (l.requests.inFlight() + l.requests.queued() > 0 || now - l.used < kQuiet) {
+  std::vector<ResolvedRequest> resolved;
+  auto it = queues_.begin();
+  while (it != queues_.end()) {
+    Queue& queue = *it->second;
+    const std::vector<ResolvedRequest> overdue = queue.limiter.rejectOverdue(now);
+    resolved.insert(resolved.end(), overdue.begin(), overdue.end());
+    const bool empty = queue.limiter.inFlight() + queue.limiter.queued() == 0;
+    if (!empty || now - queue.lastUsed < kUnusedQueueLifetime) {
       ++it;
       continue;
     }
-    for (std::size_t k = 0; k < before_.size(); ++k) add(before_[k], l.requests.counters(k));
-    it = lanes_.erase(it);
+    for (std::size_t k = 0; k < removedCounters_.size(); ++k)
+      add(removedCounters_[k], queue.limiter.counters(k));
+    it = queues_.erase(it);
   }
-  settle(all);
-  return all;
+  forgetRejected(resolved);
+  return resolved;
 }
 
-void RequestQueues::reload(RequestLimiterSettings s) {
-  s.limit = s_.limit;
-  s_ = std::move(s);
-  const std::size_t last = s_.groups.size() - 1;
-  std::vector<RequestLimiter::Counters> before(s_.groups.size());
-  for (std::size_t k = 0; k < before_.size(); ++k) add(before[std::min(k, last)], before_[k]);
-  before_ = std::move(before);
-  open_.assign(s_.groups.size(), 0);
-  for (auto& [key, o] : requests_) ++open_[o.group = std::min(o.group, last)];
-  for (auto& [key, l] : lanes_) l->requests.reload(within(s_));
+void RequestQueues::reload(RequestLimiterSettings settings) {
+  settings.limit = settings_.limit;
+  settings_ = std::move(settings);
+  const std::size_t last = settings_.groups.size() - 1;
+  std::vector<RequestLimiter::Counters> removed(settings_.groups.size());
+  for (std::size_t k = 0; k < removedCounters_.size(); ++k)
+    add(removed[std::min(k, last)], removedCounters_[k]);
+  removedCounters_ = std::move(removed);
+  openByGroup_.assign(settings_.groups.size(), 0);
+  for (auto& [key, request] : requests_) {
+    request.group = std::min(request.group, last);
+    ++openByGroup_[request.group];
+  }
+  for (const auto& [key, queue] : queues_) queue->limiter.reload(limiterSettings(settings_));
 }
 
 RequestLimiter::Counters RequestQueues::counters(std::size_t group) const {
-  RequestLimiter::Counters c = before_[group];
-  for (const auto& [key, l] : lanes_) add(c, l->requests.counters(group));
-  return c;
+  RequestLimiter::Counters sum = removedCounters_[group];
+  for (const auto& [key, queue] : queues_) add(sum, queue->limiter.counters(group));
+  return sum;
 }
+
 std::vector<RequestQueues::QueueView> RequestQueues::view() const {
-  std::vector<QueueView> all;
-  for (const auto& [key, l] : lanes_)
-    all.push_back({key, l->requests.limit(), l->requests.inFlight(), l->requests.queued(),
-                   l->requests.typicalLatency()});
-  std::sort(all.begin(), all.end(), [](const QueueView& a, const QueueView& b) { return a.key < b.key; });
-  return all;
+  std::vector<QueueView> views;
+  views.reserve(queues_.size());
+  for (const auto& [key, queue] : queues_) {
+    const RequestLimiter& limiter = queue->limiter;
+    views.push_back({key, limiter.limit(), limiter.inFlight(), limiter.queued(), limiter.typicalLatency()});
+  }
+  std::sort(views.begin(), views.end(), [](const QueueView& a, const QueueView& b) { return a.key < b.key; });
+  return views;
 }
 
 }  // namespace sablespur::admission
--- a/src/admission/request_queues.hpp
+++ b/src/admission/request_queues.hpp
@@ -1,9 +1,9 @@
-// Requests by lane: what queues for one thing must not keep others from another. A lane is a group of data
-// servers and whether its primary is needed; each has a limit of its own, learned from its own latency, and a
-// queue of its own. Free of I/O and clocks.
+// Request queues: one request limiter for each thing that requests compete for, so that what queues for one
+// does not hold up the others. Pure: no I/O and no clock.
 //
-// One limit for all was measured first: writes that waited for a crowded primary held all its places, and
-// reads that idle replicas could have served were turned away (docs/measurements/admission).
+// A queue stands for a group of data servers and whether its primary is needed. With one limit for all,
+// writes that waited for a crowded primary held its slots, and reads that idle replicas could have served
+// were rejected (docs/measurements/admission).
 #pragma once
 
 #include <cstddef>
@@ -20,48 +20,58 @@
 
 class RequestQueues {
  public:
-  // Guards the memory: clients name the groups. Beyond `mostLanes` the rest share one.
-  explicit RequestQueues(RequestLimiterSettings, std::size_t mostLanes = 256);
+  struct QueueView {
+    QueueKey key;
+    std::size_t limit;
+    std::size_t inFlight;
+    std::size_t queued;
+    Time typicalLatency;
+  };
 
-  // As Requests; the caps of groups count over all lanes.
+  // Shared by all keys beyond the largest number of queues.
+  static constexpr QueueKey kSharedQueue = ~QueueKey{0};
+
+  // Clients name the groups of data servers, so the number of queues is bounded: the keys beyond `maxQueues`
+  // share one more. Throws std::invalid_argument without a group.
+  explicit RequestQueues(RequestLimiterSettings, std::size_t maxQueues = 256);
+
+  // As in RequestLimiter; ShareSettings::maxOpen counts over all queues.
   RequestLimiter::SubmitResult submit(Time now, RequestKey, QueueKey, std::size_t group, Time deadline);
   std::vector<ResolvedRequest> complete(Time now, RequestKey, Time latency, bool dropped);
   std::vector<ResolvedRequest> cancel(Time now, RequestKey);
-  std::vector<ResolvedRequest> rejectOverdue(Time now);  // and forgets lanes that have been quiet
+  // Also removes queues that have been unused for a while.
+  std::vector<ResolvedRequest> rejectOverdue(Time now);
   void reload(RequestLimiterSettings);
 
-  RequestLimiter::Counters counters(std::size_t group) const;  // over all lanes, those forgotten included
-  std::size_t groupCount() const { return open_.size(); }
-  struct QueueView {
-    QueueKey key;
-    std::size_t limit, inFlight, queued;
-    Time typicalLatency;
-  };
-  std::vector<QueueView> view() const;
-  std::size_t queueCount() const { return lanes_.size(); }
-  static constexpr QueueKey kSharedQueue = ~QueueKey{0};
+  // Over all queues, removed ones included.
+  RequestLimiter::Counters counters(std::size_t group) const;
+  std::size_t groupCount() const { return openByGroup_.size(); }
+  std::size_t queueCount() const { return queues_.size(); }
+  std::vector<QueueView> view() const;  // by key
 
  private:
   struct Queue {
     QueueKey key;
-    RequestLimiter requests;
-    Time used{};
+    RequestLimiter limiter;
+    Time lastUsed{};
   };
-  Queue& queueFor(Time now, QueueKey);
-  void settle(const std::vector<ResolvedRequest>&);  // those that have had their last word
-  void close(RequestKey);
-  static RequestLimiterSettings within(RequestLimiterSettings);  // a lane's: caps by group are ours
-
-  RequestLimiterSettings s_;
-  const std::size_t most_;
-  std::unordered_map<QueueKey, std::unique_ptr<Queue>> lanes_;
-  struct Open {
-    Queue* lane;
+  struct OpenRequest {
+    Queue* queue;
     std::size_t group;
   };
-  std::unordered_map<RequestKey, Open> requests_;
-  std::vector<std::size_t> open_;                 // by group, waiting ones included
-  std::vector<RequestLimiter::Counters> before_;  // of lanes that are forgotten
+
+  Queue& queueFor(Time now, QueueKey);
+  void forget(RequestKey);
+  void forgetRejected(const std::vector<ResolvedRequest>&);
+  // Of one queue, where the limits of groups do not apply: they are checked here, over all queues.
+  static RequestLimiterSettings limiterSettings(RequestLimiterSettings);
+
+  RequestLimiterSettings settings_;
+  const std::size_t maxQueues_;
+  std::unordered_map<QueueKey, std::unique_ptr<Queue>> queues_;
+  std::unordered_map<RequestKey, OpenRequest> requests_;
+  std::vector<std::size_t> openByGroup_;                   // in flight and queued
+  std::vector<RequestLimiter::Counters> removedCounters_;  // by group, of removed queues
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/settings.hpp
+++ b/src/admission/settings.hpp
@@ -1,4 +1,4 @@
-// All that admission is told: read and checked by config, carried out by the fronts' Gate.
+// All settings of admission control: read and checked by config, applied by the AdmissionController.
 #pragma once
 
 #include <cstddef>
@@ -14,16 +14,16 @@
 
 namespace sablespur::admission {
 
+// Groups are given by their index in connections.groups.
 struct Settings {
   ConnectionAdmissionSettings connections;
-  std::shared_ptr<const Networks> networks;  // of groups
-  Networks trustedProxies;                   // whose connections begin with a PROXY header; the group is 0
-  std::map<std::string, std::size_t> users;  // groups by the name that a client has proved
-  std::optional<std::size_t> recentClientsGroup;  // the group of addresses in no network that are known
+  std::shared_ptr<const Networks> networks;       // of the groups
+  Networks trustedProxies;                        // send a PROXY header first; each entry has group 0
+  std::map<std::string, std::size_t> users;       // group by authenticated user name
+  std::optional<std::size_t> recentClientsGroup;  // of recent clients whose address is in no network
   RecentClientsSettings recentClients;
-  std::optional<RequestLimiterSettings> requests;  // none: no limit on requests
-  // Connections that the door has not let in: being told so, proving a name, or waiting for their PROXY
-  // header.
+  std::optional<RequestLimiterSettings> requests;  // without it requests are not limited
+  // Connections held without being admitted: to be told so, to authenticate, or to send their PROXY header.
   std::size_t maxUnadmittedConnections = 0;
 };
 
--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -1,359 +1,242 @@
 #include "frontend/admission_controller.hpp"
 
 #include <algorithm>
-#include <unordered_map>
+#include <utility>
+#include <vector>
 
-#include "admission/connection_limit.hpp"
 #include "admission/rejection_period.hpp"
-#include "admission/request_queues.hpp"
 #include "admission/settings.hpp"
+#include "engine/event.hpp"
+#include "frontend/client_admission.hpp"
+#include "frontend/request_admission.hpp"
 #include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
 
-using admission::IpAddress;
 using admission::RejectionPeriod;
-using admission::RequestDecision;
-using admission::RequestLimiter;
-using admission::ResolvedRequest;
 
-// How often what waits too long, what is held beyond a cap and spells of refusals are looked at.
-constexpr Time kRound = std::chrono::milliseconds(20);
-constexpr std::size_t kSurplus = 64;   // idle connections taken back in one round
-constexpr std::size_t kShortage = 32;  // the same, when descriptors run out
+// How often queued requests, connections beyond the limits and rejection periods are checked.
+constexpr Time kSweepInterval = std::chrono::milliseconds(20);
+constexpr double kMicrosecondsPerSecond = 1e6;
 
-class AdmissionGate final : public AdmissionController {
+struct RejectionSummary {
+  std::uint64_t total = 0;
+  const char* mostFrequent = "none";  // reason
+};
+
+RejectionSummary summarize(const admission::ConnectionAdmission::Counters& counters) {
+  RejectionSummary summary;
+  std::uint64_t most = 0;
+  for (const auto& [reason, count] : counters.rejected) {
+    summary.total += count;
+    if (count <= most) continue;
+    most = count;
+    summary.mostFrequent = admission::rejectionReasonName(reason);
+  }
+  return summary;
+}
+
+RejectionSummary summarize(const admission::RequestLimiter::Counters& counters) {
+  RejectionSummary summary;
+  std::size_t most = 0;
+  for (std::size_t k = 0; k < admission::kRequestRejectionCount; ++k) {
+    summary.total += counters.rejected[k];
+    if (counters.rejected[k] > counters.rejected[most]) most = k;
+  }
+  summary.mostFrequent = admission::requestRejectionName(static_cast<admission::RequestRejection>(most));
+  return summary;
+}
+
+class DefaultAdmissionController final : public AdmissionController {
  public:
-  AdmissionGate(event_base* base, Engine& engine, RequestHandler& next, const Config& c)
+  DefaultAdmissionController(event_base* base, Engine& engine, RequestHandler& next, const Config& config)
       : engine_(engine),
         next_(next),
-        classes_(c.settings.classes),
-        s_(c.admission),
-        door_(s_->connections, s_->networks),
-        known_(s_->recentClients),
-        deliver_(event_new(
-            base, -1, 0,
-            [](evutil_socket_t, short, void* self) { static_cast<AdmissionGate*>(self)->deliver(); }, this)),
-        round_(event_new(
+        settings_(config.admission),
+        clients_(settings_),
+        rejections_(settings_->connections.groups.size()),
+        sweepTimer_(event_new(
             base, -1, EV_PERSIST,
-            [](evutil_socket_t, short, void* self) { static_cast<AdmissionGate*>(self)->round(); }, this)) {
-    if (s_->requests) requests_ = std::make_unique<admission::RequestQueues>(*s_->requests);
-    spells_.resize(2 * door_.groupCount());
-    startTimer(round_.get(), kRound);
+            [](evutil_socket_t, short, void* self) {
+              static_cast<DefaultAdmissionController*>(self)->sweep();
+            },
+            this)) {
+    if (settings_->requests)
+      requests_ = std::make_unique<RequestAdmission>(base, engine, next, config.settings.classes,
+                                                     *settings_->requests);
+    startTimer(sweepTimer_.get(), kSweepInterval);
   }
 
-  bool expectsProxyHeader(const Address& a) const override {
-    return s_->trustedProxies.size() > 0 && s_->trustedProxies.find(admission::addressOf(a.data()), 1) == 0;
+  bool expectsProxyHeader(const Address& from) const override {
+    const admission::Networks& proxies = settings_->trustedProxies;
+    return proxies.size() > 0 && proxies.find(admission::addressOf(from.data()), 1) == 0;
   }
-  bool admitsByUser() const override { return !s_->users.empty(); }
-  std::size_t maxUnadmittedConnections() const override { return s_->maxUnadmittedConnections; }
+  bool admitsByUser() const override { return !settings_->users.empty(); }
+  std::size_t maxUnadmittedConnections() const override { return settings_->maxUnadmittedConnections; }
 
-  AdmissionDecision connectionArrived(AdmittedConnection& g, const Address& from) override {
-    const IpAddress ip = admission::addressOf(from.data());
-    std::optional<std::size_t> group;
-    if (s_->recentClientsGroup && door_.groupOf(ip) == door_.groupCount() - 1 &&
-        known_.contains(engine_.now(), ip))
-      group = s_->recentClientsGroup;
-    return enter(g, ip, group);
+  AdmissionDecision connectionArrived(AdmittedConnection& connection, const Address& from) override {
+    return clients_.admit(engine_.now(), connection, admission::addressOf(from.data()));
   }
-
-  AdmissionDecision userAuthenticated(AdmittedConnection& g, PermitId place, const Address& from,
-                                      const std::string& user) override {
-    const auto it = s_->users.find(user);
-    if (place == 0) {
-      if (it != s_->users.end()) return enter(g, admission::addressOf(from.data()), it->second);
-      AdmissionDecision none;
-      none.reason = "full";
-      return none;
-    }
-    if (it != s_->users.end()) door_.assignGroup(place, it->second);
-    AdmissionDecision a;
-    a.permit = place;
-    return a;
+  AdmissionDecision userAuthenticated(AdmittedConnection& connection, std::optional<PermitId> permit,
+                                      const Address& from, const std::string& user) override {
+    return clients_.onUserAuthenticated(engine_.now(), connection, permit, admission::addressOf(from.data()),
+                                        user);
   }
-
-  void connectionClosed(PermitId place) override {
-    if (place == 0) return;
-    door_.remove(place);
-    guests_.erase(place);
+  void connectionClosed(std::optional<PermitId> permit) override {
+    if (permit) clients_.remove(*permit);
   }
-  void connectionBusy(PermitId place) override { door_.markBusy(place); }
-  void connectionIdle(PermitId place) override { door_.markIdle(engine_.now(), place); }
-  void connectionServed(PermitId place) override {
-    const auto it = guests_.find(place);
-    if (s_->recentClientsGroup && it != guests_.end())
-      known_.recordResponse(engine_.now(), it->second.address);
+  void connectionBusy(std::optional<PermitId> permit) override {
+    if (permit) clients_.markBusy(*permit);
   }
-  void onExhaustion() override {
-    std::size_t reserved = 0;
-    for (std::size_t k = 0; k < door_.groupCount(); ++k) reserved += door_.limits(k).reserve;
-    ceiling_.onExhaustion(engine_.now(), door_.connectionCount(), reserved);
-    door_.setConnectionLimit(ceiling_.value(engine_.now(), s_->connections.maxConnections));
-    for (const admission::ConnectionId id : door_.evictForExhaustion(engine_.now(), kShortage)) askBack(id);
+  void connectionIdle(std::optional<PermitId> permit) override {
+    if (permit) clients_.markIdle(engine_.now(), *permit);
   }
-
-  RequestId request(ResponseHandler& asker, balancer::Request q, Message m, PermitId place) override {
-    if (!requests_) return next_.request(asker, q, std::move(m));
-    const RequestId key = ++lastKey_;
-    auto e = std::make_unique<Entered>(*this, key, asker, q, std::move(m));
-    e->arrived = engine_.now();
-    Entered& entered = *entered_.emplace(key, std::move(e)).first->second;
-    const RequestLimiter::SubmitResult a =
-        requests_->submit(engine_.now(), key, laneOf(q), door_.groupOf(place), engine_.now() + aimOf(q));
-    if (a.decision == RequestDecision::Admit) go(entered);
-    if (a.decision == RequestDecision::Reject) refuse(key, a.retryAfter);
-    carryOut(a.resolved);
-    return key;
-  }
-  void requestCancelled(RequestId key) override {
-    if (!requests_) return next_.clientDisconnected(key);
-    const auto it = entered_.find(key);
-    if (it == entered_.end()) return;
-    if (it->second->inEngine != 0) next_.clientDisconnected(it->second->inEngine);
-    entered_.erase(it);
-    carryOut(requests_->cancel(engine_.now(), key));
+  void connectionServed(std::optional<PermitId> permit) override {
+    if (permit) clients_.recordResponse(engine_.now(), *permit);
   }
+  void onExhaustion() override { clients_.onExhaustion(engine_.now()); }
 
-  void reload(const Config& c) override {
-    if (!c.admission || c.admission->requests.has_value() != s_->requests.has_value() ||
-        (c.admission->requests && c.admission->requests->limit.kind != s_->requests->limit.kind))
-      logEvent(LogLevel::Warning, "config_restart_needed",
-               {{"key", c.admission ? "[admission] requests" : "[admission] door"}});
-    if (!c.admission) return;
-    // By name: the spell that a group is in goes on.
-    std::vector<RejectionPeriod> spells(2 * c.admission->connections.groups.size());
-    for (std::size_t k = 0; k < c.admission->connections.groups.size(); ++k)
-      for (std::size_t was = 0; was < door_.groupCount(); ++was)
-        if (door_.limits(was).name == c.admission->connections.groups[k].name) {
-          spells[2 * k] = spells_[2 * was];
-          spells[2 * k + 1] = spells_[2 * was + 1];
-        }
-    s_ = c.admission;
-    spells_ = std::move(spells);
-    door_.reload(s_->connections, s_->networks);
-    if (requests_ && s_->requests) requests_->reload(*s_->requests);
+  RequestId request(ResponseHandler& client, balancer::Request request, Message message,
+                    std::optional<PermitId> permit) override {
+    if (!requests_) return next_.request(client, request, std::move(message));
+    const admission::ConnectionAdmission& connections = clients_.connections();
+    const std::size_t group = permit ? connections.groupOf(*permit) : connections.groupCount();
+    return requests_->submit(client, request, std::move(message), group);
   }
-
-  AdmissionView view() const override {
-    AdmissionView v;
-    v.connections = door_.connectionCount();
-    v.maxConnections = door_.maxConnections();
-    v.maxUnadmittedConnections = s_->maxUnadmittedConnections;
-    v.recentClients = known_.size();
-    v.limitsRequests = requests_ != nullptr;
+  void requestCancelled(RequestId id) override {
     if (requests_)
-      for (const admission::RequestQueues::QueueView& l : requests_->view())
-        v.queues.push_back(
-            {l.key == admission::RequestQueues::kSharedQueue ? -1 : static_cast<std::int64_t>(l.key >> 1),
-             (l.key & 1) != 0, l.limit, l.inFlight, l.queued, l.typicalLatency});
-    for (std::size_t k = 0; k < door_.groupCount(); ++k) {
-      const admission::ConnectionAdmission::Counters& c = door_.count(k);
-      AdmissionView::Group g;
-      g.name = door_.limits(k).name;
-      g.connections = c.connections;
-      g.idleConnections = c.idle;
-      g.maxConnections = door_.limits(k).maxConnections;
-      g.reserve = door_.limits(k).reserve;
-      g.reserveRemaining = c.reserveRemaining;
-      g.weight = door_.limits(k).weight;
-      g.connectionsAdmitted = c.admitted;
-      g.connectionsEvicted = c.evicted;
-      for (const auto& [why, n] : c.rejected) g.connectionsRejected[admission::rejectionReasonName(why)] = n;
-      if (requests_ && k < requests_->groupCount()) {
-        const RequestLimiter::Counters r = requests_->counters(k);
-        g.requestsInFlight = r.inFlight;
-        g.requestsQueued = r.queued;
-        g.requestsAdmitted = r.admitted;
-        g.requestsEnqueued = r.enqueued;
-        for (std::size_t t = 0; t < admission::kRequestRejectionCount; ++t)
-          if (r.rejected[t] > 0)
-            g.requestsRejected[admission::requestRejectionName(static_cast<admission::RequestRejection>(t))] =
-                r.rejected[t];
-      }
-      g.rejecting = spells_[2 * k].active() || spells_[2 * k + 1].active();
-      v.groups.push_back(std::move(g));
-    }
-    return v;
+      requests_->cancel(id);
+    else
+      next_.clientDisconnected(id);
   }
 
+  void reload(const Config&) override;
+  AdmissionView view() const override;
+
  private:
-  // A request between its front and the engine. The engine answers it, and it tells the decisions how that
-  // ended before its front hears of it.
-  struct Entered final : ResponseHandler {
-    Entered(AdmissionGate& g, RequestId k, ResponseHandler& a, const balancer::Request& r, Message&& m)
-        : gate(g), key(k), asker(a), q(r), message(std::move(m)) {}
-    void served(Answer answer) override {
-      ResponseHandler& to = asker;
-      gate.ended(*this, End::Served);  // this is no more
-      to.served(std::move(answer));
-    }
-    void rejected(Time retryAfter) override {
-      ResponseHandler& to = asker;
-      gate.ended(*this, End::Refused);
-      to.rejected(retryAfter);
-    }
-    void failed() override {
-      ResponseHandler& to = asker;
-      gate.ended(*this, End::Failed);
-      to.failed();
-    }
-    AdmissionGate& gate;
-    const RequestId key;
-    ResponseHandler& asker;
-    balancer::Request q;
-    Message message;
-    RequestId inEngine = 0;  // 0: it has not gone on
-    Time arrived{}, went{};
+  // Of one group.
+  struct Rejections {
+    RejectionPeriod connections;
+    RejectionPeriod requests;
   };
-  enum class End { Served, Refused, Failed };
 
-  AdmissionDecision enter(AdmittedConnection& g, const IpAddress& ip, std::optional<std::size_t> group) {
-    const PermitId id = ++lastPlace_;
-    const admission::ConnectionDecision w = door_.admit(engine_.now(), id, ip, group);
-    AdmissionDecision a;
-    if (!w.admitted) {
-      a.reason = admission::rejectionReasonName(w.rejection);
-      a.retryAfter = w.retryAfter;
-      return a;
-    }
-    if (w.evict != 0) askBack(w.evict);
-    guests_.emplace(id, Held{&g, ip});
-    a.permit = id;
-    return a;
-  }
-  // The door has forgotten it already.
-  void askBack(admission::ConnectionId id) {
-    const auto it = guests_.find(id);
-    if (it == guests_.end()) return;
-    AdmittedConnection* const g = it->second.guest;
-    guests_.erase(it);
-    g->evict();
-  }
+  bool needsRestart(const std::shared_ptr<const admission::Settings>&) const;
+  AdmissionView::Group groupView(std::size_t group) const;
+  void sweep();
+  void logRejections(std::size_t group, const char* what, RejectionPeriod&, const RejectionSummary&);
 
-  const balancer::ClassSettings& classOf(const balancer::Request& q) const {
-    return classes_[static_cast<std::size_t>(q.classIndex)];
-  }
-  // Who has to queue does so to be answered within the aim. Later an answer may still have some worth, but a
-  // place that it takes then is one that another could have had on time.
-  Time aimOf(const balancer::Request& q) const {
-    return std::min(classOf(q).latencyObjective, q.deadline - engine_.now());
-  }
-  admission::QueueKey laneOf(const balancer::Request& q) const {
-    const balancer::Requirement need = classOf(q).requirement;
-    const bool primary = need == balancer::Requirement::Write || need == balancer::Requirement::Strong;
-    return static_cast<admission::QueueKey>(q.group) << 1 | (primary ? 1 : 0);
-  }
-  void go(Entered& e) {
-    e.went = engine_.now();
-    // How long ago the session last wrote counts from now.
-    if (e.q.sessionTokenAgeMs > 0)
-      e.q.sessionTokenAgeMs += static_cast<float>((e.went - e.arrived).count()) / 1e3f;
-    e.inEngine = next_.request(e, e.q, std::move(e.message));
-  }
-  void refuse(RequestId key, Time comeBack) {
-    refusals_.emplace_back(key, comeBack);
-    event_active(deliver_.get(), EV_TIMEOUT, 0);
-  }
-  void carryOut(const std::vector<ResolvedRequest>& all) {
-    for (const ResolvedRequest& a : all) {
-      const auto it = entered_.find(a.key);
-      if (it == entered_.end()) continue;
-      if (a.decision == RequestDecision::Admit)
-        go(*it->second);
-      else
-        refuse(a.key, a.retryAfter);
-    }
-  }
-  void ended(Entered& e, End how) {
-    const Time now = engine_.now(), latency = now - e.went;
-    // The module's own refusals, and failures before the time was up, tell of a server or a role: a limit
-    // that shrank for them would turn away what others can be served.
-    const bool late = how == End::Failed && now + kRound >= e.q.deadline;
-    const RequestId key = e.key;
-    entered_.erase(key);
-    carryOut(how == End::Served || late ? requests_->complete(now, key, latency, late)
-                                        : requests_->cancel(now, key));
-  }
-  void deliver() {
-    std::vector<std::pair<RequestId, Time>> all;
-    all.swap(refusals_);
-    for (const auto& [key, comeBack] : all) {
-      const auto it = entered_.find(key);
-      if (it == entered_.end()) continue;  // its client has left
-      ResponseHandler& asker = it->second->asker;
-      entered_.erase(it);
-      asker.rejected(comeBack);
-    }
-  }
-  void round() {
-    const Time now = engine_.now();
-    if (requests_) carryOut(requests_->rejectOverdue(now));
-    if (ceiling_.active()) door_.setConnectionLimit(ceiling_.value(now, s_->connections.maxConnections));
-    for (const admission::ConnectionId id : door_.evictSurplus(now, kSurplus)) askBack(id);
-    for (std::size_t k = 0; k < door_.groupCount(); ++k) {
-      std::uint64_t refused = 0, turned = 0;
-      std::uint64_t most = 0;
-      const char* why = "none";
-      for (const auto& [w, n] : door_.count(k).rejected) {
-        refused += n;
-        if (n > most) why = admission::rejectionReasonName(w);
-        most = std::max(most, n);
-      }
-      tell(k, "connections", spells_[2 * k], refused, why);
-      if (!requests_ || k >= requests_->groupCount()) continue;
-      const RequestLimiter::Counters c = requests_->counters(k);
-      std::size_t widest = 0;
-      for (std::size_t t = 0; t < admission::kRequestRejectionCount; ++t) {
-        turned += c.rejected[t];
-        if (c.rejected[t] > c.rejected[widest]) widest = t;
-      }
-      tell(k, "requests", spells_[2 * k + 1], turned,
-           admission::requestRejectionName(static_cast<admission::RequestRejection>(widest)));
-    }
-  }
-  void tell(std::size_t group, const char* what, RejectionPeriod& spell, std::uint64_t total,
-            const char* why) {
-    const RejectionPeriod::Transition turn = spell.update(engine_.now(), total);
-    const std::string& name = door_.limits(group).name;
-    if (turn == RejectionPeriod::Transition::Began)
-      logEvent(LogLevel::Warning, "rejection_started",
-               {{"group", name}, {"what", what}, {"mostly", why}, {"held", door_.count(group).connections}});
-    if (turn == RejectionPeriod::Transition::Ended)
-      logEvent(LogLevel::Info, "rejection_ended",
-               {{"group", name},
-                {"what", what},
-                {"refused", spell.rejections()},
-                {"seconds", static_cast<double>(spell.duration().count()) / 1e6}});
-  }
-
-  struct Held {
-    AdmittedConnection* guest;
-    IpAddress address;
-  };
   Engine& engine_;
   RequestHandler& next_;
-  const std::vector<balancer::ClassSettings> classes_;
-  std::shared_ptr<const admission::Settings> s_;
-  admission::ConnectionAdmission door_;
-  admission::RecentClients known_;
-  admission::ConnectionLimit ceiling_;
-  std::unique_ptr<admission::RequestQueues> requests_;
-  std::unordered_map<PermitId, Held> guests_;
-  std::unordered_map<RequestId, std::unique_ptr<Entered>> entered_;
-  std::vector<std::pair<RequestId, Time>> refusals_;  // to be told
-  std::vector<RejectionPeriod> spells_;               // by group: of connections, of requests
-  PermitId lastPlace_ = 0;
-  RequestId lastKey_ = 0;
-  Event deliver_, round_;
+  std::shared_ptr<const admission::Settings> settings_;
+  ClientAdmission clients_;
+  std::unique_ptr<RequestAdmission> requests_;  // null: requests are not limited
+  std::vector<Rejections> rejections_;          // by group
+  Event sweepTimer_;
 };
 
+// Whether the settings differ in what cannot change while the process runs.
+bool DefaultAdmissionController::needsRestart(
+    const std::shared_ptr<const admission::Settings>& settings) const {
+  if (!settings || settings->requests.has_value() != settings_->requests.has_value()) return true;
+  return settings->requests && settings->requests->limit.kind != settings_->requests->limit.kind;
+}
+
+void DefaultAdmissionController::reload(const Config& config) {
+  if (needsRestart(config.admission))
+    logEvent(LogLevel::Warning, "config_restart_needed",
+             {{"key", config.admission ? "[admission] requests" : "[admission] door"}});
+  if (!config.admission) return;
+  // Groups are matched by name, so that their rejection periods go on.
+  const admission::ConnectionAdmission& connections = clients_.connections();
+  const std::vector<admission::GroupLimits>& groups = config.admission->connections.groups;
+  std::vector<Rejections> rejections(groups.size());
+  for (std::size_t k = 0; k < groups.size(); ++k)
+    for (std::size_t old = 0; old < connections.groupCount(); ++old)
+      if (connections.limits(old).name == groups[k].name) rejections[k] = rejections_[old];
+  settings_ = config.admission;
+  rejections_ = std::move(rejections);
+  clients_.reload(settings_);
+  if (requests_ && settings_->requests) requests_->reload(*settings_->requests);
+}
+
+AdmissionView DefaultAdmissionController::view() const {
+  AdmissionView view;
+  view.connections = clients_.connections().connectionCount();
+  view.maxConnections = clients_.connections().maxConnections();
+  view.maxUnadmittedConnections = settings_->maxUnadmittedConnections;
+  view.recentClients = clients_.recentClientCount();
+  view.limitsRequests = requests_ != nullptr;
+  if (requests_) view.queues = requests_->queueViews();
+  for (std::size_t k = 0; k < clients_.connections().groupCount(); ++k) view.groups.push_back(groupView(k));
+  return view;
+}
+
+AdmissionView::Group DefaultAdmissionController::groupView(std::size_t group) const {
+  const admission::GroupLimits& limits = clients_.connections().limits(group);
+  const admission::ConnectionAdmission::Counters& connections = clients_.connections().counters(group);
+  AdmissionView::Group view;
+  view.name = limits.name;
+  view.weight = limits.weight;
+  view.connections = connections.connections;
+  view.idleConnections = connections.idle;
+  view.maxConnections = limits.maxConnections;
+  view.reserve = limits.reserve;
+  view.reserveRemaining = connections.reserveRemaining;
+  view.connectionsAdmitted = connections.admitted;
+  view.connectionsEvicted = connections.evicted;
+  for (const auto& [reason, count] : connections.rejected)
+    view.connectionsRejected[admission::rejectionReasonName(reason)] = count;
+  view.rejecting = rejections_[group].connections.active() || rejections_[group].requests.active();
+  if (!requests_ || group >= requests_->queues().groupCount()) return view;
+  const admission::RequestLimiter::Counters requests = requests_->queues().counters(group);
+  view.requestsInFlight = requests.inFlight;
+  view.requestsQueued = requests.queued;
+  view.requestsAdmitted = requests.admitted;
+  view.requestsEnqueued = requests.enqueued;
+  for (std::size_t k = 0; k < admission::kRequestRejectionCount; ++k) {
+    const char* const reason = admission::requestRejectionName(static_cast<admission::RequestRejection>(k));
+    if (requests.rejected[k] > 0) view.requestsRejected[reason] = requests.rejected[k];
+  }
+  return view;
+}
+
+void DefaultAdmissionController::sweep() {
+  if (requests_) requests_->sweep();
+  clients_.sweep(engine_.now());
+  const admission::ConnectionAdmission& connections = clients_.connections();
+  for (std::size_t k = 0; k < connections.groupCount(); ++k) {
+    logRejections(k, "connections", rejections_[k].connections, summarize(connections.counters(k)));
+    if (requests_ && k < requests_->queues().groupCount())
+      logRejections(k, "requests", rejections_[k].requests, summarize(requests_->queues().counters(k)));
+  }
+}
+
+void DefaultAdmissionController::logRejections(std::size_t group, const char* what, RejectionPeriod& period,
+                                               const RejectionSummary& summary) {
+  const RejectionPeriod::Transition transition = period.update(engine_.now(), summary.total);
+  const admission::ConnectionAdmission& connections = clients_.connections();
+  const std::string& name = connections.limits(group).name;
+  if (transition == RejectionPeriod::Transition::Began)
+    logEvent(LogLevel::Warning, "rejection_started",
+             {{"group", name},
+              {"what", what},
+              {"mostly", summary.mostFrequent},
+              {"held", connections.counters(group).connections}});
+  if (transition == RejectionPeriod::Transition::Ended)
+    logEvent(LogLevel::Info, "rejection_ended",
+             {{"group", name},
+              {"what", what},
+              {"refused", period.rejections()},
+              {"seconds", static_cast<double>(period.duration().count()) / kMicrosecondsPerSecond}});
+}
+
 }  // namespace
 
 std::unique_ptr<AdmissionController> createAdmissionController(event_base* base, Engine& engine,
-                                                               RequestHandler& next, const Config& c) {
-  if (!c.admission) return nullptr;
-  return std::make_unique<AdmissionGate>(base, engine, next, c);
+                                                               RequestHandler& next, const Config& config) {
+  if (!config.admission) return nullptr;
+  return std::make_unique<DefaultAdmissionController>(base, engine, next, config);
 }
 
 }  // namespace sablespur
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -1,93 +1,76 @@
-// Between the fronts of all protocols and the decisions of admission: which connections are let in, which
-// idle one makes way, which requests go on to the engine and when. The rules are admission's (src/admission);
-// the Gate gives it the time, the addresses and the outcomes, and carries out what it says.
+// Admission control between the frontends of all protocols and the engine: which connections are admitted,
+// which idle one is evicted, and which requests are forwarded when. The decisions are those of src/admission;
+// the controller supplies the time, addresses and outcomes, and carries them out.
 //
-// A front without a Gate lets everyone in as far as the account goes, and passes every request on.
+// A frontend without a controller admits every connection that the resource budget allows and forwards every
+// request.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
-#include <vector>
 
 #include "engine/engine.hpp"
+#include "frontend/admission_view.hpp"
 
 namespace sablespur {
 
-// A client's connection, as the Gate sees it.
+// A client's connection, as the controller sees it. It has to report its end (connectionClosed) before it is
+// destroyed.
 class AdmittedConnection {
  public:
   virtual ~AdmittedConnection() = default;
-  // It is idle, and its place is another's from now on: it closes once what was written has gone out. Never
+  // The connection is idle and has lost its permit: it has to close once its output has been sent. Never
   // called from within a call of its own.
   virtual void evict() = 0;
 };
 
-using PermitId = std::uint64_t;  // 0: none
+// Held by a connection that is admitted, from its admission until it closes or is evicted.
+using PermitId = std::uint64_t;
 
 struct AdmissionDecision {
-  PermitId permit = 0;          // 0: it is not let in
-  const char* reason = "none";  // not let in: the bound that was met
-  Time retryAfter{};            // not let in: after so long, spread among those refused
-};
-
-// For `sablespur status`.
-struct AdmissionView {
-  std::size_t connections = 0, maxConnections = 0, maxUnadmittedConnections = 0;
-  std::size_t recentClients = 0;  // addresses that have been served before
-  struct Group {
-    std::string name;
-    std::size_t connections = 0, idleConnections = 0, maxConnections = 0, reserve = 0, reserveRemaining = 0,
-                requestsInFlight = 0, requestsQueued = 0;
-    double weight = 1;
-    std::uint64_t connectionsAdmitted = 0, connectionsEvicted = 0, requestsAdmitted = 0, requestsEnqueued = 0;
-    std::map<std::string, std::uint64_t> connectionsRejected,
-        requestsRejected;  // connections, requests: by reason
-    bool rejecting = false;
-  };
-  std::vector<Group> groups;
-  bool limitsRequests = false;  // requests are limited
-  struct Queue {
-    std::int64_t group = 0;  // of data servers; -1: of all beyond those that are kept apart
-    bool primary = false;    // what needs the primary
-    std::size_t limit = 0, inFlight = 0, queued = 0;
-    Time typicalLatency{};  // latency of late
-  };
-  std::vector<Queue> queues;
+  std::optional<PermitId> permit;  // none: rejected
+  const char* reason = "none";     // rejected: the limit that was reached
+  Time retryAfter{};               // rejected: spread over the clients that are rejected together
 };
 
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
 
-  // Whether connections from there begin with a PROXY header.
+  // Whether connections from this address begin with a PROXY header.
   virtual bool expectsProxyHeader(const Address&) const = 0;
   virtual AdmissionDecision connectionArrived(AdmittedConnection&, const Address& from) = 0;
-  // It has proved this name. One that was not let in by its address may be by its name; one that was moves.
-  // `place`: 0, or its place.
-  virtual AdmissionDecision userAuthenticated(AdmittedConnection&, PermitId place, const Address& from,
-                                              const std::string& user) = 0;
+  // The client has authenticated. One that was rejected by its address may be admitted by its name; one that
+  // holds a permit may move to another group.
+  virtual AdmissionDecision userAuthenticated(AdmittedConnection&, std::optional<PermitId>,
+                                              const Address& from, const std::string& user) = 0;
+  // Whether a user name can make a difference.
   virtual bool admitsByUser() const = 0;
-  virtual std::size_t maxUnadmittedConnections() const = 0;  // connections that may be held without a place
-  virtual void connectionClosed(PermitId) = 0;
-  virtual void connectionBusy(PermitId) = 0;    // it has asked
-  virtual void connectionIdle(PermitId) = 0;    // it is answered, or greeted
-  virtual void connectionServed(PermitId) = 0;  // by an answer of a data server
-  // There is no descriptor: the idle connection that is asked back first makes way.
+  // Connections that a frontend may hold without a permit.
+  virtual std::size_t maxUnadmittedConnections() const = 0;
+
+  // Events of a connection; ignored without a permit.
+  virtual void connectionClosed(std::optional<PermitId>) = 0;
+  virtual void connectionBusy(std::optional<PermitId>) = 0;    // it has sent a request
+  virtual void connectionIdle(std::optional<PermitId>) = 0;    // it has its answer, or its greeting
+  virtual void connectionServed(std::optional<PermitId>) = 0;  // by an answer of a data server
+
+  // The process is out of descriptors: idle connections are evicted.
   virtual void onExhaustion() = 0;
 
-  // As Entrance::request and Entrance::left; ids are the Gate's own. What is not let on is told by
-  // Requester::refused, after this call has returned.
-  virtual RequestId request(ResponseHandler&, balancer::Request, Message, PermitId) = 0;
+  // As RequestHandler::request and clientDisconnected, with ids of the controller's own. A rejection is
+  // delivered through ResponseHandler::rejected after this call has returned.
+  virtual RequestId request(ResponseHandler&, balancer::Request, Message, std::optional<PermitId>) = 0;
   virtual void requestCancelled(RequestId) = 0;
 
   virtual void reload(const Config&) = 0;
   virtual AdmissionView view() const = 0;
 };
 
-// Null where the settings have no door.
-// Requests that are let on go to the Entrance.
+// Forwards admitted requests to the RequestHandler. Null where the settings have admission control off.
 std::unique_ptr<AdmissionController> createAdmissionController(event_base*, Engine&, RequestHandler&,
                                                                const Config&);
 
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "frontend/postgres/session.hpp"
+#include "frontend/postgres/session_common.hpp"
 #include "frontend/postgres/shutdown.hpp"
 #include "logging/log.hpp"
 #include "protocol/postgres/codec.hpp"
@@ -15,120 +16,131 @@
 namespace sablespur {
 namespace {
 
-// What a client is told that came when there was no descriptor left.
-constexpr Time kShortOf = std::chrono::milliseconds(500);
-// How often all clients are looked at for what takes too long.
-constexpr Time kRound = std::chrono::milliseconds(100);
-// How often those that are not read are asked whether their client has gone: a fifth of the 0.1 s from which
-// on nothing may begin for it.
-constexpr Time kEnds = std::chrono::milliseconds(20);
-// One line at most in so long tells of clients that sent what cannot be served.
+// Told to a client that connects when there is no descriptor left.
+constexpr Time kRetryAfterExhaustion = std::chrono::milliseconds(500);
+constexpr Time kSweepInterval = std::chrono::milliseconds(100);
+// A fifth of the 0.1 s after a client's end from which on nothing may begin for it.
+constexpr Time kDisconnectPollInterval = std::chrono::milliseconds(20);
 constexpr Time kRejectionLogInterval = std::chrono::seconds(1);
-constexpr int kAskAgain = 8;  // clients that look idle, before one is closed all the same
+// Idle clients that are asked for unread input before one is evicted all the same.
+constexpr std::size_t kMaxEvictionChecks = 8;
+constexpr std::size_t kProcessNumberLength = 4;
+constexpr std::uint32_t kProcessNumberMask = 0x7fffffff;  // process numbers are positive
 
 }  // namespace
 
-Clients::Clients(event_base* base, Engine& engine, RequestHandler& entrance, WorkerPool& workers,
-                 ResourceBudget& account, ReservedDescriptor& spare, AdmissionController* gate,
+Clients::Clients(event_base* base, Engine& engine, RequestHandler& requestHandler, WorkerPool& workers,
+                 ResourceBudget& budget, ReservedDescriptor& reserved, AdmissionController* admission,
                  const Config& config)
     : base_(base),
       engine_(engine),
-      requestHandler_(entrance),
+      requestHandler_(requestHandler),
       workers_(workers),
-      budget_(account),
-      admission_(gate),
+      budget_(budget),
+      admission_(admission),
       config_(config),
       users_(config.users) {
-  Acceptor::ConnectionHandler taker;
-  taker.accepted = [this](evutil_socket_t fd, const sockaddr* from) { onAccepted(fd, from); };
-  taker.hasRoom = [this] { return hasRoom(); };
-  taker.onExhaustion = [this] { onExhaustion(); };
-  taker.reject = [this](evutil_socket_t fd) { rejectConnection(fd, kShortOf); };
-  acceptor_ = std::make_unique<Acceptor>(base, engine.clock(), config.listen, account, spare,
-                                         std::move(taker), !config.control.none());
-  sweepTimer_.reset(event_new(
-      base, -1, EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->sweepIdle(); }, this));
-  startTimer(sweepTimer_.get(), kRound);
-  disconnectTimer_.reset(event_new(
-      base, -1, EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->detectDisconnects(); }, this));
-  stopListeningTimer_.reset(event_new(
-      base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->stopListening(); },
-      this));
-  answerDeadlineTimer_.reset(event_new(
-      base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->finishAnswers(); },
-      this));
-  exitTimer_.reset(event_new(
-      base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->done_(); }, this));
+  Acceptor::ConnectionHandler handler;
+  handler.accepted = [this](evutil_socket_t fd, const sockaddr* from) { onAccepted(fd, from); };
+  handler.hasRoom = [this] { return hasRoom(); };
+  handler.onExhaustion = [this] { onExhaustion(); };
+  handler.reject = [this](evutil_socket_t fd) { rejectConnection(fd, kRetryAfterExhaustion); };
+  acceptor_ = std::make_unique<Acceptor>(base, engine.clock(), config.listen, budget, reserved,
+                                         std::move(handler), !config.control.none());
+  const auto newTimer = [&](short flags, event_callback_fn callback) {
+    return Event(event_new(base, -1, flags, callback, this));
+  };
+  sweepTimer_ = newTimer(
+      EV_PERSIST, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->sweepIdle(); });
+  disconnectTimer_ = newTimer(EV_PERSIST, [](evutil_socket_t, short, void* self) {
+    static_cast<Clients*>(self)->detectDisconnects();
+  });
+  stopListeningTimer_ =
+      newTimer(0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->stopListening(); });
+  answerDeadlineTimer_ =
+      newTimer(0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->failOutstanding(); });
+  exitTimer_ = newTimer(0, [](evutil_socket_t, short, void* self) { static_cast<Clients*>(self)->done_(); });
+  startTimer(sweepTimer_.get(), kSweepInterval);
 }
 Clients::~Clients() = default;
 
-void Clients::setUsers(std::shared_ptr<const auth::Users> u) {
-  if (u && users_) users_ = std::move(u);
+void Clients::setUsers(std::shared_ptr<const auth::Users> users) {
+  if (users && users_) users_ = std::move(users);
 }
 
 int Clients::port() const { return acceptor_->port(); }
 
-RequestId Clients::request(ResponseHandler& asker, const balancer::Request& q, Message m, PermitId place) {
-  return admission_ ? admission_->request(asker, q, std::move(m), place)
-                    : requestHandler_.request(asker, q, std::move(m));
+// ---- requests and cancel keys -------------------------------------------------------------------------
+
+RequestId Clients::request(ResponseHandler& client, const balancer::Request& request, Message message,
+                           std::optional<PermitId> permit) {
+  if (admission_) return admission_->request(client, request, std::move(message), permit);
+  return requestHandler_.request(client, request, std::move(message));
 }
+
 void Clients::cancelRequest(RequestId id) {
-  admission_ ? admission_->requestCancelled(id) : requestHandler_.clientDisconnected(id);
+  if (admission_)
+    admission_->requestCancelled(id);
+  else
+    requestHandler_.clientDisconnected(id);
 }
 
-// Unguessable, both the number that stands for a process and the secret.
-postgres::Key Clients::newKey(Session& s, std::size_t length) {
+// Both the process number and the secret are random.
+postgres::Key Clients::newKey(Session& session, std::size_t secretLength) {
   for (;;) {
-    const std::string bytes = randomBytes(4 + length);
-    const std::uint32_t process =
-        postgres::readInt32(bytes.data()) & 0x7fffffff;  // as the numbers of processes are
-    if (process == 0 || !keys_.emplace(process, &s).second) continue;
-    return {process, bytes.substr(4)};
+    const std::string bytes = randomBytes(kProcessNumberLength + secretLength);
+    const std::uint32_t process = postgres::readInt32(bytes.data()) & kProcessNumberMask;
+    if (process == 0 || !keys_.emplace(process, &session).second) continue;
+    return {process, bytes.substr(kProcessNumberLength)};
   }
 }
+
 void Clients::cancel(const postgres::Key& key) {
   const auto it = keys_.find(key.process);
-  if (it != keys_.end() && sameSecret(it->second->key().secret, key.secret)) it->second->onCancelRequest();
+  if (it == keys_.end() || !sameSecret(it->second->key().secret, key.secret)) return;
+  it->second->onCancelRequest();
 }
 
+// ---- new connections ----------------------------------------------------------------------------------
+
 void Clients::onAccepted(evutil_socket_t fd, const sockaddr* from) {
   const Address address = Address::fromSocket(from);
-  const bool hidden = admission_ && admission_->expectsProxyHeader(address);
-  auto session = std::make_unique<Session>(*this, fd, address, hidden);
-  if (admission_ && !hidden) session->requestAdmission();
-  // Guards the descriptors: only so many are held for a moment to be told in words of their version.
-  if (admission_ && unadmittedSessions_ > admission_->maxUnadmittedConnections()) {
-    rejectConnection(fd, session->retryAfter());
-    return;
-  }
-  sessions_.emplace(session.get(), std::move(session));
+  const bool awaitProxyHeader = admission_ && admission_->expectsProxyHeader(address);
+  auto session = std::make_unique<Session>(*this, fd, address, awaitProxyHeader);
+  if (admission_ && !awaitProxyHeader) session->requestAdmission();
+  // Only so many are held without a permit, to get their error in the version that they speak.
+  if (admission_ && unadmittedSessions_ > admission_->maxUnadmittedConnections())
+    return rejectConnection(fd, session->retryAfter());
+  Session* const key = session.get();
+  sessions_.emplace(key, std::move(session));
 }
 
-// In version 3's words, whatever it speaks: there is no descriptor to hold it on until it has said so.
-void Clients::rejectConnection(evutil_socket_t fd, Time comeBack) {
-  translation::Problem p;
-  p.severity = "FATAL";
-  p.code = "53300";
-  p.text = "too many connections";
-  const auto ms = (comeBack.count() + 999) / 1000;
-  if (ms > 0) p.comeBackMs = static_cast<std::uint32_t>(ms);
-  const std::string last = postgres::Codec(0).problem(p);
-  const ssize_t sent = send(fd, last.data(), last.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-  (void)sent;  // it is the last word either way
+// In version 3, whatever the client speaks: there is no descriptor to hold the connection until it says so.
+void Clients::rejectConnection(evutil_socket_t fd, Time retryAfter) {
+  translation::Problem error = problem("FATAL", "53300", "too many connections");
+  error.comeBackMs = retryAfterMs(retryAfter);
+  const std::string message = kVersion30.problem(error);
+  // The connection ends here whether or not the error can be sent.
+  [[maybe_unused]] const ssize_t sent = send(fd, message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   shutdown(fd, SHUT_WR);
-  // Closing on unread input would reset the connection, and the word be lost; what has come is read.
+  cancelFromStartup(fd);
+}
+
+// Reads what has arrived: a close on unread input would reset the connection, and the error would be lost. A
+// CancelRequest needs no admission: without it the request would go on for nobody.
+void Clients::cancelFromStartup(evutil_socket_t fd) {
   char startup[1024];
-  ssize_t got = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
-  // A cancel needs no place: what it calls off would be tried again for nobody.
-  if (got > 0)
-    if (const auto key = postgres::parseCancel({startup, static_cast<std::size_t>(got)})) cancel(*key);
-  while (got == static_cast<ssize_t>(sizeof startup)) got = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
+  constexpr auto kSize = static_cast<ssize_t>(sizeof startup);
+  ssize_t length = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
+  if (length > 0) {
+    const auto key = postgres::parseCancel({startup, static_cast<std::size_t>(length)});
+    if (key) cancel(*key);
+  }
+  while (length == kSize) length = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
 }
 
-// Accepts while there is room, or someone to make it; the rest waits in the listener's backlog. With a Gate
-// everyone is taken, if only to be told no: it keeps to its bounds, and what is told no is bounded too.
+// Without room connections wait in the listener's backlog. An AdmissionController takes every connection, if
+// only to reject it: it keeps to limits of its own.
 bool Clients::hasRoom() { return admission_ || budget_.hasRoom(DescriptorHolder::Clients) || evictOne(); }
 
 void Clients::onExhaustion() {
@@ -138,121 +150,136 @@
     evictOne();
 }
 
-// Guards against connections that nobody uses keeping out those that ask: first what is being closed, then
-// what has never asked, then what has been idle longest.
+// ---- eviction -----------------------------------------------------------------------------------------
+
 bool Clients::evictOne() {
-  Session* const best = findEvictable(1);
-  if (best) sessions_.erase(best);
-  return best != nullptr;
+  Session* const session = findEvictable();
+  if (session) sessions_.erase(session);
+  return session != nullptr;
 }
 
-// Guards against closing on a request that has just come: what looks idle is asked once more, a few at most.
-Session* Clients::findEvictable(int least, const Session* but) {
+// The session of the highest priority, among these the one that was active longest ago. A request may just
+// have arrived, so one with unread input is passed over, a few times at most.
+Session* Clients::findEvictable() {
   const Time now = engine_.now();
-  std::vector<const Session*> asking;
-  for (int tries = 0;; ++tries) {
+  std::vector<const Session*> withInput;
+  for (;;) {
     Session* best = nullptr;
-    int most = least;
-    for (const auto& [s, owned] : sessions_) {
-      const int spare = s->evictionPriority(now);
-      if (spare < most || s == but || std::count(asking.begin(), asking.end(), s) > 0) continue;
-      if (best && spare == most && s->lastActive() >= best->lastActive()) continue;
-      best = s;
-      most = spare;
+    EvictionPriority highest = EvictionPriority::Idle;
+    for (const auto& [session, owned] : sessions_) {
+      const EvictionPriority priority = session->evictionPriority(now);
+      if (priority < highest) continue;
+      if (std::find(withInput.begin(), withInput.end(), session) != withInput.end()) continue;
+      if (best && priority == highest && session->lastActive() >= best->lastActive()) continue;
+      best = session;
+      highest = priority;
     }
-    if (!best || most == 3 || tries >= kAskAgain || !best->hasUnreadInput()) return best;
-    asking.push_back(best);
+    if (!best || highest == EvictionPriority::Closing) return best;
+    if (withInput.size() >= kMaxEvictionChecks || !best->hasUnreadInput()) return best;
+    withInput.push_back(best);
   }
 }
 
-// Guards against clients that ask once and keep their connections: the longest idle one makes way for each
-// that asks for the first time, lest their side has none left to ask on, while the table here is not even
-// full.
+// Clients that send one request and keep their connections would use up the descriptors on their side: beyond
+// the configured number the longest idle one is closed for each that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
-  if (++activeSessions_ <= config_.askingClients || admission_) return;
+  ++activeSessions_;
+  if (activeSessions_ <= config_.askingClients || admission_) return;
   const Time now = engine_.now();
-  Session* longest = nullptr;
-  for (const auto& [s, owned] : sessions_)
-    if (s != &by && s->evictionPriority(now) == 1 && (!longest || s->lastActive() < longest->lastActive()) &&
-        !s->hasUnreadInput())
-      longest = s;
-  if (longest) longest->beginClose();
+  Session* longestIdle = nullptr;
+  for (const auto& [session, owned] : sessions_) {
+    if (session == &by || session->evictionPriority(now) != EvictionPriority::Idle) continue;
+    if (longestIdle && session->lastActive() >= longestIdle->lastActive()) continue;
+    if (!session->hasUnreadInput()) longestIdle = session;
+  }
+  if (longestIdle) longestIdle->beginClose();
 }
 
 void Clients::sweepIdle() {
   const Time now = engine_.now();
-  std::vector<Session*> over;
-  for (const auto& [s, owned] : sessions_)
-    if (!s->checkIdleTimeout(now)) over.push_back(s);
-  for (Session* s : over) s->onIdleTimeout();
+  std::vector<Session*> timedOut;
+  for (const auto& [session, owned] : sessions_)
+    if (!session->checkIdleTimeout(now)) timedOut.push_back(session);
+  for (Session* session : timedOut) session->onIdleTimeout();
 }
 
-// Guards the log against clients that send nonsense at full speed: what is left out is counted.
 void Clients::logRejection(const char* code, std::string_view why, const Address& from) {
-  ++rejected_;
+  ++rejectionsSinceLog_;
   const Time now = engine_.now();
-  if (rejectionLogged_ > Time(0) && now - rejectionLogged_ < kRejectionLogInterval) return;
+  if (rejectionLoggedAt_ && now - *rejectionLoggedAt_ < kRejectionLogInterval) return;
   logEvent(LogLevel::Warning, "client_rejected",
-           {{"from", from.text()}, {"code", code}, {"why", why}, {"count", rejected_}});
-  rejectionLogged_ = now;
-  rejected_ = 0;
+           {{"from", from.text()}, {"code", code}, {"why", why}, {"count", rejectionsSinceLog_}});
+  rejectionLoggedAt_ = now;
+  rejectionsSinceLog_ = 0;
 }
 
-// Guards against a loop that never sleeps. libevent tells of a reset as readable and writable, whatever was
-// asked for (epoll.c, EPOLLERR): an event for EV_CLOSED alone is not called, and the system reports the reset
-// again at once. So what is not read is in no event, and is asked by poll(2).
-void Clients::watchForDisconnect(Session& s, bool on) {
-  if (on ? !pausedReads_.insert(&s).second : pausedReads_.erase(&s) == 0) return;
+// ---- the clients' end ---------------------------------------------------------------------------------
+
+// libevent reports a reset as readable and writable, whatever was asked for (epoll.c, EPOLLERR): a callback
+// for EV_CLOSED alone is not called, and the system reports the reset again at once, so the loop would spin.
+// Sockets that are not read are therefore in no event, and are polled.
+void Clients::watchForDisconnect(Session& session, bool on) {
+  const bool changed = on ? pausedReads_.insert(&session).second : pausedReads_.erase(&session) > 0;
+  if (!changed) return;
   if (pausedReads_.empty())
     event_del(disconnectTimer_.get());
   else if (!event_pending(disconnectTimer_.get(), EV_TIMEOUT, nullptr))
-    startTimer(disconnectTimer_.get(), kEnds);
+    startTimer(disconnectTimer_.get(), kDisconnectPollInterval);
 }
+
 void Clients::detectDisconnects() {
-  std::vector<pollfd> asked;
-  std::vector<Session*> whose(pausedReads_.begin(), pausedReads_.end());
-  for (const Session* s : whose) asked.push_back({s->socket(), POLLRDHUP, 0});
-  if (poll(asked.data(), asked.size(), 0) <= 0) return;
-  for (std::size_t k = 0; k < whose.size(); ++k)
-    if (asked[k].revents != 0) onSessionClosed(*whose[k]);
+  const std::vector<Session*> sessions(pausedReads_.begin(), pausedReads_.end());
+  std::vector<pollfd> sockets;
+  sockets.reserve(sessions.size());
+  for (const Session* session : sessions) sockets.push_back({session->socket(), POLLRDHUP, 0});
+  if (poll(sockets.data(), sockets.size(), 0) <= 0) return;
+  for (std::size_t k = 0; k < sessions.size(); ++k)
+    if (sockets[k].revents != 0) onSessionClosed(*sessions[k]);
 }
 
-void Clients::onSessionClosed(Session& s) {
-  sessions_.erase(&s);
+void Clients::onSessionClosed(Session& session) {
+  sessions_.erase(&session);
   if (acceptor_)
     acceptor_->resume();
   else if (draining_ && sessions_.empty())
     done_();
 }
 
+// ---- shutdown -----------------------------------------------------------------------------------------
+
 void Clients::drain(std::function<void()> done) {
   if (draining_) return;
   draining_ = true;
   done_ = std::move(done);
   if (!config_.control.none()) acceptor_->handOverListener();
-  Time longest{};
-  for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
-  const ShutdownTimes times = shutdownTimes(longest);
+  Time longestDeadline{};
+  for (const auto& requestClass : config_.settings.classes)
+    longestDeadline = std::max(longestDeadline, requestClass.deadline);
+  const ShutdownTimes times = shutdownTimes(longestDeadline);
   answerBy_ = engine_.now() + times.answerBy;
   startTimer(stopListeningTimer_.get(), times.stopAccepting);
   startTimer(answerDeadlineTimer_.get(), times.answerBy);
   startTimer(exitTimer_.get(), times.exit);
 }
 
+// Copied, since what is done with a session may destroy it.
+std::vector<Session*> Clients::allSessions() const {
+  std::vector<Session*> all;
+  all.reserve(sessions_.size());
+  for (const auto& [session, owned] : sessions_) all.push_back(session);
+  return all;
+}
+
 void Clients::stopListening() {
   acceptor_->drainBacklog();
   acceptor_.reset();
-  std::vector<Session*> all;
-  for (const auto& [s, owned] : sessions_) all.push_back(s);
-  for (Session* s : all) s->beginDrain();
+  for (Session* session : allSessions()) session->beginDrain();
   if (sessions_.empty()) done_();
 }
 
-void Clients::finishAnswers() {
+void Clients::failOutstanding() {
   pastAnswerDeadline_ = true;
-  std::vector<Session*> all;
-  for (const auto& [s, owned] : sessions_) all.push_back(s);
-  for (Session* s : all) s->failOutstanding();
+  for (Session* session : allSessions()) session->failOutstanding();
 }
 
 }  // namespace sablespur
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -1,11 +1,16 @@
-// Client connections: the startup, queries one at a time, answers in order.
+// The PostgreSQL client connections: listener, eviction, cancel keys, idle sweep and graceful shutdown.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
+#include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
 #include <unordered_set>
+#include <vector>
 
 #include "engine/acceptor.hpp"
 #include "engine/engine.hpp"
@@ -19,65 +24,89 @@
 
 class Session;
 
+// Owns the sessions. All references have to outlive it.
 class Clients {
  public:
-  // `gate` may be null. Throws std::runtime_error where it cannot listen.
+  // Listens at once. `admission` may be null. Throws std::runtime_error where it cannot listen.
   Clients(event_base*, Engine&, RequestHandler&, WorkerPool&, ResourceBudget&, ReservedDescriptor&,
-          AdmissionController* gate, const Config&);
+          AdmissionController* admission, const Config&);
   ~Clients();
-  // Serves on while new connections still come, then closes connections between requests and finishes what is
-  // taken, all in time for the earliest SIGKILL (shutdown.hpp). `done` follows when no connection is left.
+
+  // Graceful shutdown: serves on while new connections may still come, then closes connections between
+  // requests and finishes the requests that were read, in time for the earliest SIGKILL (shutdown.hpp).
+  // `done` is called once no connection is left, or at the latest when the exit is due.
   void drain(std::function<void()> done);
   bool draining() const { return draining_; }
   int port() const;
-  void onExhaustion();                                // there is no descriptor: an idle client makes way
-  void setUsers(std::shared_ptr<const auth::Users>);  // of logins from now on
+  // The process is out of descriptors: an idle client is evicted.
+  void onExhaustion();
+  // The users of logins from now on; ignored unless there were users before.
+  void setUsers(std::shared_ptr<const auth::Users>);
 
  private:
   friend class Session;
+
   void onAccepted(evutil_socket_t, const sockaddr*);
-  void rejectConnection(evutil_socket_t,
-                        Time comeBack);  // without reading who it is; the descriptor stays the caller's
-  void onSessionClosed(Session&);
+  // Writes an error without reading the startup; the descriptor stays the caller's.
+  void rejectConnection(evutil_socket_t, Time retryAfter);
+  void cancelFromStartup(evutil_socket_t);
+  void onSessionClosed(Session&);  // destroys it
+
   bool hasRoom();
   bool evictOne();
-  Session* findEvictable(int least, const Session* but = nullptr);  // null: none
+  Session* findEvictable();                // null: none
+  void onFirstRequest(const Session& by);  // may close another session
   void sweepIdle();
-  void onFirstRequest(const Session& by);
-  void logRejection(const char* code, std::string_view why, const Address& from);
-  void watchForDisconnect(Session&, bool on);  // of one that is not read for now
+  // Starts or stops the polling for the end of a session that is not read.
+  void watchForDisconnect(Session&, bool on);
   void detectDisconnects();
-  postgres::Key newKey(Session&, std::size_t length);  // the session takes it out of keys_ at its end
-  void cancel(const postgres::Key&);                   // by a CancelRequest; a wrong key changes nothing
+  // At most one line per interval; the others are counted.
+  void logRejection(const char* code, std::string_view why, const Address& from);
+
+  // An unguessable cancel key, which the session removes from keys_ at its end.
+  postgres::Key newKey(Session&, std::size_t secretLength);
+  // Executes a CancelRequest; a wrong key changes nothing.
+  void cancel(const postgres::Key&);
+
+  std::vector<Session*> allSessions() const;
   void stopListening();
-  void finishAnswers();
-  // The shutdown's time for final answers is over: nothing more is read.
+  void failOutstanding();
+  // The shutdown's time for answers is over: nothing more is read.
   bool pastAnswerDeadline() const { return pastAnswerDeadline_; }
 
+  // By the AdmissionController where there is one, else directly to the RequestHandler.
+  RequestId request(ResponseHandler&, const balancer::Request&, Message, std::optional<PermitId>);
+  void cancelRequest(RequestId);
+
   event_base* const base_;
   Engine& engine_;
   RequestHandler& requestHandler_;
   WorkerPool& workers_;
-  // Requests go by the Gate where there is one, else straight to the Entrance.
-  RequestId request(ResponseHandler&, const balancer::Request&, Message, PermitId);
-  void cancelRequest(RequestId);
-
   ResourceBudget& budget_;
   AdmissionController* const admission_;
   const Config& config_;
   std::shared_ptr<const auth::Users> users_;
-  std::size_t activeSessions_ = 0;      // sessions that have asked something
-  std::size_t unadmittedSessions_ = 0;  // sessions that the Gate has not let in
-  std::unique_ptr<Acceptor> acceptor_;
-  Event stopListeningTimer_, answerDeadlineTimer_, exitTimer_, sweepTimer_, disconnectTimer_;
-  std::uint64_t rejected_ = 0;  // since the last line that told of one
-  Time rejectionLogged_{};
-  bool draining_ = false, pastAnswerDeadline_ = false;
-  Time answerBy_ = Time::max();  // while it drains: no request is given a later deadline
+
+  std::size_t activeSessions_ = 0;      // that have sent a request
+  std::size_t unadmittedSessions_ = 0;  // without a permit of the AdmissionController
+  std::unique_ptr<Acceptor> acceptor_;  // null once it no longer listens
+  Event stopListeningTimer_;
+  Event answerDeadlineTimer_;
+  Event exitTimer_;
+  Event sweepTimer_;
+  Event disconnectTimer_;
+
+  std::uint64_t rejectionsSinceLog_ = 0;
+  std::optional<Time> rejectionLoggedAt_;
+
+  bool draining_ = false;
+  bool pastAnswerDeadline_ = false;
+  Time answerBy_ = Time::max();  // in a shutdown: no request gets a later deadline
   std::function<void()> done_;
-  std::unordered_set<std::string> openRequestIds_;    // of the requests that are out
-  std::unordered_map<std::uint32_t, Session*> keys_;  // by the process number that a session was told
-  std::unordered_set<Session*> pausedReads_;          // not read for now; none that has ended
+
+  std::unordered_set<std::string> openRequestIds_;    // the clients' names of the requests in flight
+  std::unordered_map<std::uint32_t, Session*> keys_;  // by the process number of the cancel key
+  std::unordered_set<Session*> pausedReads_;          // sessions that are not read for now
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
 };
 
--- a/src/frontend/postgres/login.hpp
+++ b/src/frontend/postgres/login.hpp
@@ -1,6 +1,8 @@
-// How a client is let in by a password: which message asks, what its answer means, in the version it speaks.
+// The login of a client by password: which message asks for it and what its response leads to, in the
+// client's protocol version.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <string>
@@ -13,26 +15,31 @@
 class Login {
  public:
   enum class Step {
-    Continue,
+    Continue,  // a further response is due
     Accept,
     Reject,
-    DeriveKey
-  };  // Salt: slow() is to run elsewhere, salted() gets its result
+    DeriveKey  // keyDerivation() has to run, on another thread; its result goes to onKeyDerived()
+  };
   struct StepResult {
     Step step;
-    std::string messages;  // that go to the client
+    std::string messages;  // to be sent to the client
   };
+
   virtual ~Login() = default;
+  // The message that asks for the password.
   virtual std::string initialRequest() = 0;
-  virtual StepResult onResponse(
-      std::string_view message) = 0;  // the body of a 'p' message; in 2.0 the password as it is
+  // The body of a 'p' message; in version 2.0 the password alone.
+  virtual StepResult onResponse(std::string_view message) = 0;
+  // A function of its own copies, which may outlive this object.
   virtual std::function<std::string()> keyDerivation() const = 0;
   virtual StepResult onKeyDerived(const std::string& result) = 0;
 };
 
-constexpr std::size_t kMaxLoginMessage = 4096;  // a message of one
+// Of a client's message during the login, in bytes.
+constexpr std::size_t kMaxLoginMessage = 4096;
 
-// Null and `why`: there is no method that the settings allow, this user has and this version knows.
+// Null, and `why` set, if no method is allowed by the settings, possible for this user and known to this
+// protocol version.
 std::unique_ptr<Login> createLogin(const Config&, const auth::Users&, const std::string& user, bool version2,
                                    std::string& why);
 
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -1,9 +1,15 @@
-// One client connection: its startup in whichever version it speaks, its requests one at a time, answers in
-// order. Part of front/pg; Clients owns it.
+// One client connection: its startup in the protocol version it speaks, its requests one at a time, and their
+// answers in order. Owned by Clients.
+//
+// session.cpp has the connection: reading, draining, closing, idle timeouts. The rest is in
+// session_handshake.cpp (from the PROXY header to the end of the login), session_messages.cpp (framing) and
+// session_requests.cpp (from a statement to its answer).
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -19,142 +25,195 @@
 #include "translation/settings.hpp"
 #include "translation/terms.hpp"
 
+namespace sablespur::postgres {
+struct Comment;
+}
+
 namespace sablespur {
 
 class Clients;
 
-// What is pipelined behind a request waits in the input, which is bounded.
+// How readily a client is disconnected to make room for a new one; higher goes first.
+enum class EvictionPriority {
+  Never,      // it has a request, or output to read
+  Idle,       // between two requests
+  NeverUsed,  // it has had time for its first request and has not sent one
+  Closing     // its output has been sent
+};
+
+// Requests pipelined behind the current one wait in the input buffer, which is bounded.
 class Session final : public ResponseHandler, public AdmittedConnection {
  public:
-  // `hidden`: it comes from a front, and a PROXY header tells whom it stands for.
-  Session(Clients& owner, evutil_socket_t fd, const Address& from, bool hidden);
+  // Takes over the descriptor. `awaitProxyHeader`: the connection comes from a trusted proxy, whose PROXY
+  // header names the client.
+  Session(Clients& owner, evutil_socket_t fd, const Address& from, bool awaitProxyHeader);
   ~Session() override;
 
-  // Asks the Gate for a place. Without one the client is told so once it has said what it speaks.
+  // Asks the AdmissionController for a permit. A rejected client gets an error once its startup shows which
+  // version it speaks.
   void requestAdmission();
+  // Told to a rejected client.
   Time retryAfter() const { return retryAfter_; }
   void evict() override;
 
   void served(Answer) override;
   void rejected(Time retryAfter) override;
   void failed() override;
-  // By a CancelRequest that bore this session's key: the request that is out is given up, with its one final
-  // answer.
+  // A CancelRequest bore this session's key: the current request is cancelled, with an error as its answer.
   void onCancelRequest();
 
   const postgres::Key& key() const { return key_; }
   evutil_socket_t socket() const;
-  bool idle() { return request_ == 0 && !closing_ && !awaitingSync_ && evbuffer_get_length(input()) == 0; }
-  // How readily this client gives up its place to a new one; 0: not at all.
-  int evictionPriority(Time now);
+  EvictionPriority evictionPriority(Time now);
   Time lastActive() const { return lastActive_; }
-  // Graceful: once all that was written has gone out the connection is ended for sending; what still comes is
-  // thrown away until the client closes too, or for half a second. Nothing more is taken.
+
+  // Closes gracefully: takes nothing more, shuts the connection down for sending once the output has been
+  // sent, and discards input until the client closes too or a timeout passes.
   void beginClose();
-  // The same between two requests, for the drain: what has come by then is answered first.
+  // The same between two requests, for the shutdown: what has been received until then is answered first.
   void beginDrain();
-  // The shutdown's time for answers is over: the request that is out is failed, what else was read is
-  // answered, and nothing more is read.
+  // The shutdown's time for answers is over: the current request fails, what else was read is answered, and
+  // nothing more is read.
   void failOutstanding();
-  // Something has come that was not taken yet, in the system or here.
+
+  // Whether there is input that has not been processed, here or in the socket.
   bool hasUnreadInput();
-  bool clientDisconnected() const;  // it has closed its end, whatever it wrote before that
-  // Guards against clients that hold a place and do not ask: they are owed an end within 3 s. False: this one
-  // is to be ended by timedOut().
+  // Whether the client has closed its end, whatever it sent before.
+  bool clientDisconnected() const;
+  // False: the client is silent for too long and is to be closed by onIdleTimeout(). Silent clients are owed
+  // an end within 3 s.
   bool checkIdleTimeout(Time now);
-  // With an error first, if it has left a message half sent. May destroy the session.
+  // Closes; with an error first, if a message was begun and not finished. May destroy the session.
   void onIdleTimeout();
 
  private:
-  enum class ProtocolVersion { Unknown, Version2, Version3 };  // Nothing: its startup has not come
-
+  enum class ProtocolVersion { Unknown, Version2, Version3 };  // Unknown: before the startup message
+  enum class CloseState {
+    Open,
+    Closing,   // the output is still to be sent
+    Lingering  // input is discarded until the client closes
+  };
+  // The request that the client waits for, and how its answer has to look.
+  struct CurrentRequest {
+    std::optional<RequestId> id;  // of the engine or the AdmissionController
+    std::string name;             // the client's own id of it, reserved in Clients
+    bool extended = false;        // it comes from an Execute
+    bool sendRowDescription = true;
+    std::size_t maxRows = 0;  // 0: all
+    translation::ResultFormat format;
+  };
+
+  // ---- session.cpp
   evbuffer* input() { return bufferevent_get_input(bev_.get()); }
   evbuffer* output() { return bufferevent_get_output(bev_.get()); }
-  std::string_view pull(std::size_t n);  // the first bytes of the input, in one piece
+  std::string_view pull(std::size_t length);  // the first bytes of the input, made contiguous
+  bool closing() const { return closeState_ != CloseState::Open; }
+  bool idle();
+  void setUnadmitted(bool);
 
-  static void inputChanged(evbuffer*, const evbuffer_cb_info*, void* of);
+  static void onInputChanged(evbuffer*, const evbuffer_cb_info*, void* session);
   void onEvent(short what);
   void onFlushed();
   void onReadable();
+  bool readMessage();
   Time partialMessageStart() const;
-  void rejectRemainder(std::size_t left);
+  void rejectRemainder(std::size_t length);
   void scheduleRead();
   void resumeOrDrain();
-  void discardInput();
-  bool reserveMessage(std::size_t whole);
-  void releaseMessage();
-  bool reservePrepared(std::size_t bytes);  // for what is prepared; false: there is no room
+  void setReading(bool);
 
-  // An answer or an error is written; what waits behind comes next.
-  void finishRequest();
-  void writeError(const translation::Problem&);
   void reject(const char* code, std::string_view text, bool fatal);
-  void writeReply(const PreparedStatements::Reply&);
+  void startLingeringClose();
+  void discardInput();
+  void shutdownSending();
+
+  // Memory: a message longer than what is read ahead, and the prepared statements, are reserved in the
+  // resource budget. False: there is no room.
+  bool reserveMessage(std::size_t length);
+  void releaseMessage();
+  bool reservePrepared(std::size_t bytes);
 
-  // Each takes one message, or leaves it (false) for when the rest has come.
-  bool readProxyHeader();  // of the PROXY protocol
+  // ---- session_handshake.cpp; the read functions return false to wait for more input or because the session
+  // closes
+  bool readProxyHeader();
+  bool rejectTls();
   bool readStartup();
+  bool dispatchStartup(std::uint32_t code, std::string_view packet);
   bool startVersion3(std::string_view packet);
+  bool applyStartupSettings(const postgres::Startup&);
   bool startVersion2(std::string_view packet);
-  void authenticate(const std::string& user);  // by a login, or at once
-  bool ensureAdmitted();     // by the name that it has proved, or before; else it is told no
-  void setUnadmitted(bool);  // whether it is without a place
-  void startLingeringClose();
-  void shutdownSending();
-  void setReading(bool on);
+  void authenticate(const std::string& user);
+  // Whether the client holds a permit, by its address or by its name; else it gets its error.
+  bool ensureAdmitted();
   bool readLogin();
+  std::optional<std::string> readPasswordV2();
+  std::optional<std::string> readPasswordV3();
   void applyLoginStep(const Login::StepResult&);
   void completeStartup();
   void onSettingsChanged();
 
-  bool readMessageV3();  // of version 3
-  bool readMessageV2();  // of version 2
-
+  // ---- session_messages.cpp
+  bool readMessageV3();
+  bool readMessageV2();
+  void readSimpleQuery(std::size_t length);
+  void markFirstRequest();
+  void rejectMessageType(char type);
   void handleExtended(char type, std::string_view body);
-  void markFirstRequest();                // for the first time
-  bool handleSet(std::string_view text);  // a SET, which is answered here
-  // The statement is moved on whole, NUL included; only its ends are looked at.
-  void submitStatement(Buffer statement);
-  void releaseRequestId();
+  std::optional<PreparedStatements::Execution> applyExtended(char type, std::string_view body);
+  void execute(const PreparedStatements::Execution&);
+  void writeReply(const PreparedStatements::Reply&);
+
+  // ---- session_requests.cpp
+  void submitStatement(Buffer statement);  // with its NUL
+  void answerEmptyStatement();
+  bool handleSet(std::string_view statement);  // a SET is answered here; false: it is none
+  void submitRequest(const postgres::Comment&, std::size_t tailOffset, Buffer statement);
+  balancer::Request makeRequest(const postgres::Comment&, std::size_t classIndex, evbuffer* statement) const;
+  Message makeMessage(const postgres::Comment&, std::size_t tailOffset, Buffer statement) const;
   void writeAnswer(Answer);
+  void translateAnswer(const Answer&, std::string_view messages, const std::string& columns);
+  void finishRequest();  // its answer or error is written
+  void writeError(const translation::Problem&);
+  void releaseRequestName();
 
   Clients& owner_;
   ResourceBudget::DescriptorPermit descriptor_;
   BufferEvent bev_;
-  Address from_;                      // its own, or that which a front told
-  PermitId permit_ = 0;               // with the Gate; 0: none
-  bool awaitingProxyHeader_ = false;  // its PROXY header is still to come
-  bool unadmitted_ = false;           // the Gate has not let it in
-  Time retryAfter_{};                 // what it is told then
+  Address from_;  // of the client, which a PROXY header may tell
+
+  std::optional<PermitId> permit_;
+  bool unadmitted_ = false;  // counted in Clients
+  bool awaitingProxyHeader_;
+  Time retryAfter_{};  // of the rejection
+
   ProtocolVersion version_ = ProtocolVersion::Unknown;
   const translation::ClientCodec* codec_;
   postgres::Key key_;
   std::string user_;
-  std::unique_ptr<Login> login_;  // until it is let in
+  std::unique_ptr<Login> login_;  // until it has succeeded
   WorkerPool::Ticket passwordWork_;
   translation::Side clientSettings_;
-  std::shared_ptr<const translation::Side>
-      sharedSettings_;                            // side_, where it is not what data servers take for granted
-  std::unique_ptr<PreparedStatements> prepared_;  // once it sends something of the extended sub-protocol
-  bool extended_ = false;                         // the request that is out comes from an Execute
-  bool skippingUntilSync_ = false;                // until Sync, after an error
-  bool awaitingSync_ = false;                     // a Sync is still to come
-  translation::ResultFormat resultFormat_;        // of the request that is out
-  bool sendRowDescription_ = true;                // its columns are told
-  std::size_t maxRows_ = 0;
-  bool firstRequestReceived_ = false, closing_ = false, draining_ = false;
-  bool lingering_ = false;               // its last word is said; what still comes is thrown away
-  bool readingPaused_ = false;           // until the next round
-  bool reading_ = true;                  // EV_READ is enabled; else Clients looks for the client's end
-  std::string requestName_;              // of the request that is out
-  RequestId request_ = 0;                // that is out; 0: none
-  std::size_t messageReservation_ = 0;   // of the account's bytes, for the message at hand
-  std::size_t preparedReservation_ = 0;  // the same, for what is prepared
-  std::size_t discarded_ = 0;
-  InputTimestamps inputTimestamps_;  // of what stands in the input
-  Time messageReceivedAt_{};         // when that of the message at hand came
-  Time lastActive_{};                // when it came, or had its last answer
-  Time partialMessageSince_{};  // since when there is input that makes no whole message; 0: there is none
+  // clientSettings_, where they differ from what data servers assume.
+  std::shared_ptr<const translation::Side> sharedSettings_;
+
+  std::unique_ptr<PreparedStatements> prepared_;  // from the first message of the extended protocol on
+  bool skippingUntilSync_ = false;                // after an error in the extended protocol
+  bool awaitingSync_ = false;
+  CurrentRequest request_;
+  bool firstRequestReceived_ = false;
+
+  CloseState closeState_ = CloseState::Open;
+  bool draining_ = false;
+  bool readingPaused_ = false;  // until the next idle sweep, after an error of the client
+  bool reading_ = true;         // EV_READ is enabled; else Clients polls for the client's end
+
+  std::size_t messageReservation_ = 0;   // bytes, for the message at the input's front
+  std::size_t preparedReservation_ = 0;  // bytes, for prepared statements
+  std::size_t discardedBytes_ = 0;
+  InputTimestamps inputTimestamps_;
+  Time messageReceivedAt_{};  // the last byte of the message that is processed
+  Time lastActive_{};         // connected, greeted, or given its last answer
+  std::optional<Time> partialMessageSince_;
 };
 
 }  // namespace sablespur
--- /dev/null
+++ b/src/frontend/postgres/session_handshake.cpp
@@ -0,0 +1,254 @@
+// The handshake of a session: PROXY header, startup message in any version, login.
+#include <algorithm>
+#include <cstring>
+
+#include "frontend/postgres/clients.hpp"
+#include "frontend/postgres/session.hpp"
+#include "frontend/postgres/session_common.hpp"
+#include "logging/log.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres2/pg2.hpp"
+#include "protocol/proxy_protocol/header.hpp"
+
+namespace sablespur {
+namespace {
+
+constexpr std::size_t kMaxLoggedUserName = 63;  // bytes, as PostgreSQL's identifiers (NAMEDATALEN)
+constexpr std::size_t kStartupHead = 8;         // length and code
+// A TLS record of type handshake, major version 3 (RFC 8446, section 5.1).
+constexpr std::string_view kTlsHandshake("\x16\x03", 2);
+// The alert handshake_failure, fatal (RFC 8446, section 6).
+constexpr std::string_view kTlsHandshakeFailure("\x15\x03\x01\x00\x02\x02\x28", 7);
+
+}  // namespace
+
+bool Session::readProxyHeader() {
+  const std::size_t available = std::min(evbuffer_get_length(input()), proxy_protocol::kLongestV2);
+  if (available == 0) return false;
+  const proxy_protocol::Header header = proxy_protocol::parse(pull(available));
+  if (header.bad) {
+    reject("08P01", "expected a PROXY header", true);
+    return false;
+  }
+  if (header.length == 0) return false;
+  evbuffer_drain(input(), header.length);
+  awaitingProxyHeader_ = false;
+  if (header.client) from_ = *header.client;
+  setUnadmitted(false);
+  requestAdmission();
+  return true;
+}
+
+// A TLS client that connects without asking first waits for a handshake and reads no ErrorResponse.
+bool Session::rejectTls() {
+  char head[kTlsHandshake.size()];
+  if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
+  if (std::string_view(head, sizeof head) != kTlsHandshake) return false;
+  append(output(), kTlsHandshakeFailure);
+  startLingeringClose();
+  return true;
+}
+
+bool Session::readStartup() {
+  if (rejectTls()) return false;
+  char head[kStartupHead];
+  if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
+  const std::uint32_t length = postgres::readInt32(head);
+  const std::uint32_t code = postgres::readInt32(head + 4);
+  if (length < sizeof head || length > postgres::kLongestStartup) {
+    reject("08P01", "malformed startup message", true);
+    return false;
+  }
+  if (evbuffer_get_length(input()) < length) return false;
+  if (code == postgres::kSslRequest || code == postgres::kGssEncRequest) {
+    evbuffer_drain(input(), length);
+    append(output(), "N");
+    return true;
+  }
+  const std::string packet(pull(length));
+  evbuffer_drain(input(), length);
+  return dispatchStartup(code, packet);
+}
+
+bool Session::dispatchStartup(std::uint32_t code, std::string_view packet) {
+  if (code == postgres::kCancelRequest) {
+    // The same in every version but for the key's length. There is no answer, whether the key fits or not.
+    if (const auto key = postgres::parseCancel(packet)) owner_.cancel(*key);
+    beginClose();
+    return false;
+  }
+  const std::uint32_t major = code >> 16;
+  const bool version2 = owner_.config_.version2;
+  if (major == 3) return startVersion3(packet);
+  if (major == 2 && version2) return startVersion2(packet);
+  reject("0A000",
+         version2 ? "versions 2 and 3 of the protocol are spoken here"
+                  : "only version 3 of the protocol is spoken here",
+         true);
+  return false;
+}
+
+// Settings that are not known here change nothing, so only known ones can be wrong.
+bool Session::applyStartupSettings(const postgres::Startup& startup) {
+  for (const auto& [name, value] : startup.settings) {
+    const bool known =
+        name == "standard_conforming_strings" || name == "bytea_output" || name == "client_encoding";
+    std::optional<std::string> error;
+    if (name == "options")
+      error = translation::applyOptions(clientSettings_, value);
+    else if (known)
+      error = translation::apply(clientSettings_, name, value);
+    if (!error) continue;
+    reject("22023", *error, true);
+    return false;
+  }
+  return true;
+}
+
+bool Session::startVersion3(std::string_view packet) {
+  const auto startup = postgres::parseStartup(packet);
+  if (!startup) {
+    reject("08P01", "malformed startup message", true);
+    return false;
+  }
+  if (!applyStartupSettings(*startup)) return false;
+  const int minor = postgres::agreedMinor(startup->minor);
+  if (minor != startup->minor || !startup->extensions.empty())
+    append(output(), postgres::negotiate(minor, startup->extensions));
+  version_ = ProtocolVersion::Version3;
+  if (minor > 0) codec_ = &kVersion32;
+  authenticate(startup->user);
+  return !closing();
+}
+
+bool Session::startVersion2(std::string_view packet) {
+  codec_ = &kVersion20;
+  const auto startup = pg2::parseStartup(packet);
+  // Servers of that time knew no standard_conforming_strings and no hexadecimal bytea.
+  clientSettings_.backslashes = true;
+  clientSettings_.bytea = translation::ByteaForm::Escape;
+  const auto error = startup ? translation::applyOptions(clientSettings_, startup->options) : std::nullopt;
+  if (!startup || error) {
+    reject("08P01", error ? *error : "malformed startup packet", true);
+    return false;
+  }
+  version_ = ProtocolVersion::Version2;
+  authenticate(startup->user);
+  return !closing();
+}
+
+void Session::authenticate(const std::string& user) {
+  const bool password = wantsPassword(owner_.config_);
+  // A client that was rejected by its address may still be admitted by its name, once that is proved.
+  const bool mayBeAdmittedLater = password && owner_.admission_ && owner_.admission_->admitsByUser();
+  if (owner_.admission_ && !permit_ && !mayBeAdmittedLater && !ensureAdmitted()) return;
+  if (!password) return completeStartup();
+  user_ = user;
+  std::string why;
+  login_ = createLogin(owner_.config_, *owner_.users_, user, version_ == ProtocolVersion::Version2, why);
+  if (!login_) return reject("28000", why, true);
+  append(output(), login_->initialRequest());
+}
+
+bool Session::ensureAdmitted() {
+  if (!owner_.admission_) return true;
+  if (!user_.empty() || permit_) {
+    const AdmissionDecision decision = owner_.admission_->userAuthenticated(*this, permit_, from_, user_);
+    permit_ = decision.permit;
+    if (decision.retryAfter > Time(0)) retryAfter_ = decision.retryAfter;
+    setUnadmitted(!permit_);
+  }
+  if (permit_) return true;
+  translation::Problem error = problem("FATAL", "53300", "too many connections of this client's group");
+  error.comeBackMs = retryAfterMs(retryAfter_).value_or(1);
+  writeError(error);
+  startLingeringClose();
+  return false;
+}
+
+std::optional<std::string> Session::readPasswordV2() {
+  const std::size_t available = std::min(evbuffer_get_length(input()), pg2::kLongestPassword);
+  std::size_t length = 0;
+  bool malformed = false;
+  const auto password = pg2::parsePassword(pull(available), length, malformed);
+  if (malformed) {
+    reject("08P01", "malformed password packet", true);
+    return std::nullopt;
+  }
+  if (!password) return std::nullopt;
+  std::string body(*password);
+  evbuffer_drain(input(), length);
+  return body;
+}
+
+std::optional<std::string> Session::readPasswordV3() {
+  char bytes[postgres::kHead];
+  if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes))
+    return std::nullopt;
+  const auto head = postgres::parseHead(bytes);
+  if (!head || head->type != 'p' || head->body > kMaxLoginMessage) {
+    reject("08P01", "expected a password", true);
+    return std::nullopt;
+  }
+  const std::size_t length = sizeof bytes + head->body;
+  if (evbuffer_get_length(input()) < length) return std::nullopt;
+  std::string body(pull(length).substr(sizeof bytes));
+  evbuffer_drain(input(), length);
+  return body;
+}
+
+// A password, or a SCRAM message.
+bool Session::readLogin() {
+  if (passwordWork_) return false;
+  const auto response = version_ == ProtocolVersion::Version2 ? readPasswordV2() : readPasswordV3();
+  if (!response) return false;
+  applyLoginStep(login_->onResponse(*response));
+  return !closing();
+}
+
+void Session::applyLoginStep(const Login::StepResult& result) {
+  append(output(), result.messages);
+  switch (result.step) {
+    case Login::Step::Continue:
+      return;
+    case Login::Step::Accept:
+      login_.reset();
+      if (ensureAdmitted()) completeStartup();
+      return;
+    case Login::Step::DeriveKey:
+      // Costs milliseconds, so it runs on a worker thread; the ticket cancels the callback.
+      passwordWork_ = owner_.workers_.run(login_->keyDerivation(), [this](const std::string& derived) {
+        passwordWork_.reset();
+        applyLoginStep(login_->onKeyDerived(derived));
+        if (!closing()) scheduleRead();
+      });
+      if (!passwordWork_) reject("53300", "too many logins at once", true);
+      return;
+    case Login::Step::Reject:
+      const std::string user = user_.substr(0, kMaxLoggedUserName);
+      logEvent(LogLevel::Warning, "login_failed", {{"user", user}});
+      return reject("28P01", "password authentication failed for user \"" + user + "\"", true);
+  }
+}
+
+void Session::completeStartup() {
+  key_ = owner_.newKey(*this, codec_ == &kVersion32 ? postgres::kLongKey : postgres::kShortKey);
+  if (version_ == ProtocolVersion::Version3)
+    append(output(), postgres::welcome(key_, clientSettings_.backslashes));
+  else
+    append(output(), pg2::authenticationOk() +
+                         pg2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
+                         pg2::ready());
+  lastActive_ = owner_.engine_.now();
+  onSettingsChanged();
+  if (owner_.admission_) owner_.admission_->connectionIdle(permit_);
+  resumeOrDrain();
+}
+
+void Session::onSettingsChanged() {
+  sharedSettings_ =
+      clientSettings_.backslashes ? std::make_shared<const translation::Side>(clientSettings_) : nullptr;
+  request_.format.bytea = clientSettings_.bytea;
+}
+
+}  // namespace sablespur
--- /dev/null
+++ b/src/frontend/postgres/session_messages.cpp
@@ -0,0 +1,187 @@
+// The messages of a session after its startup: framing in version 3 and 2, the extended protocol.
+#include <algorithm>
+
+#include "frontend/postgres/clients.hpp"
+#include "frontend/postgres/session.hpp"
+#include "frontend/postgres/session_common.hpp"
+#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres2/pg2.hpp"
+
+namespace sablespur {
+namespace {
+
+// Message types that are accepted: Query, Terminate, and those of the extended protocol.
+constexpr std::string_view kSimpleTypes = "QX";
+constexpr std::string_view kExtendedTypes = "QXPBDECSH";
+
+}  // namespace
+
+void Session::markFirstRequest() {
+  if (!firstRequestReceived_) owner_.onFirstRequest(*this);
+  firstRequestReceived_ = true;
+}
+
+void Session::rejectMessageType(char type) {
+  const char* text = "a message that is not supported here";
+  if (!owner_.config_.extended)
+    text = "only simple queries are spoken here";
+  else if (type == 'F')
+    text = "function calls are not supported here";
+  else if (type == 'd')
+    text = "COPY is not supported here";
+  reject("0A000", text, true);
+}
+
+bool Session::readMessageV3() {
+  char bytes[postgres::kHead];
+  if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return false;
+  const auto head = postgres::parseHead(bytes);
+  if (!head) {
+    reject("08P01", "a message's length is out of range", true);
+    return false;
+  }
+  const std::string_view accepted = owner_.config_.extended ? kExtendedTypes : kSimpleTypes;
+  if (accepted.find(head->type) == std::string_view::npos) {
+    rejectMessageType(head->type);
+    return false;
+  }
+  const std::size_t length = sizeof bytes + head->body;
+  if (!reserveMessage(length)) {
+    reject("53200", "too many long statements at once", true);
+    return false;
+  }
+  if (evbuffer_get_length(input()) < length) return false;
+  markFirstRequest();
+  messageReceivedAt_ = inputTimestamps_.receivedAt(length);
+  if (head->type == 'X') {
+    evbuffer_drain(input(), length);
+    beginClose();
+    return false;
+  }
+  if (head->type != 'Q') {
+    handleExtended(head->type, pull(length).substr(sizeof bytes));
+    return !closing();
+  }
+  evbuffer_drain(input(), sizeof bytes);
+  readSimpleQuery(head->body);
+  return true;
+}
+
+void Session::readSimpleQuery(std::size_t length) {
+  if (skippingUntilSync_) {
+    evbuffer_drain(input(), length);
+    return releaseMessage();
+  }
+  Buffer statement = newBuffer();
+  evbuffer_remove_buffer(input(), statement.get(), length);
+  if (prepared_) prepared_->onSimpleQuery();
+  submitStatement(std::move(statement));
+}
+
+// Messages of version 2 do not tell their length: a query ends at its NUL.
+bool Session::readMessageV2() {
+  const std::size_t available = evbuffer_get_length(input());
+  if (available == 0) return false;
+  char type = 0;
+  evbuffer_copyout(input(), &type, 1);
+  if (type == 'X') {
+    beginClose();
+    return false;
+  }
+  if (type != 'Q') {
+    const bool printable = type >= ' ' && type < 0x7f;
+    const std::string text =
+        std::string("a message that protocol 2.0 does not have here: '") + (printable ? type : '?') + "'";
+    reject("08P01", type == 'F' ? "function calls are not supported here" : text, true);
+    return false;
+  }
+  const auto end = evbuffer_search(input(), "", 1, nullptr);  // the first NUL
+  if (end.pos < 0) {
+    if (available >= pg2::kLongestQuery)
+      reject("08P01", "a query that does not end", true);
+    else if (available >= kReadAhead && !reserveMessage(pg2::kLongestQuery))
+      reject("53200", "too many long statements at once", true);
+    return false;
+  }
+  markFirstRequest();
+  const auto length = static_cast<std::size_t>(end.pos);  // of the text and its NUL, without the type
+  messageReceivedAt_ = inputTimestamps_.receivedAt(length + 1);
+  evbuffer_drain(input(), 1);
+  Buffer statement = newBuffer();
+  evbuffer_remove_buffer(input(), statement.get(), length);
+  submitStatement(std::move(statement));
+  return true;
+}
+
+void Session::writeReply(const PreparedStatements::Reply& reply) {
+  append(output(), reply.messages);
+  if (!reply.errorCode) return;
+  request_.extended = true;  // so that what follows is skipped until Sync
+  writeError(problem("ERROR", reply.errorCode, reply.errorText));
+  request_.extended = false;
+}
+
+// Removes the message from the input.
+void Session::handleExtended(char type, std::string_view body) {
+  const std::size_t length = postgres::kHead + body.size();
+  if (!prepared_) prepared_ = std::make_unique<PreparedStatements>();
+  awaitingSync_ = type != 'S';
+  const auto execution = applyExtended(type, body);
+  evbuffer_drain(input(), length);
+  // Prepared statements count against the same budget as long messages.
+  if (!reservePrepared(prepared_->bytes()))
+    return reject("53200", "too many prepared statements at once", true);
+  if (execution) return execute(*execution);
+  releaseMessage();
+  if (owner_.admission_ && awaitingSync_) owner_.admission_->connectionBusy(permit_);
+  if (owner_.admission_ && !awaitingSync_) owner_.admission_->connectionIdle(permit_);
+  if (type == 'S') resumeOrDrain();
+}
+
+// Set: an Execute whose statement is to be run.
+std::optional<PreparedStatements::Execution> Session::applyExtended(char type, std::string_view body) {
+  const bool backslashes = clientSettings_.backslashes;
+  std::optional<PreparedStatements::Execution> execution;
+  if (type == 'S') {
+    const PreparedStatements::Reply reply = prepared_->sync();
+    if (!skippingUntilSync_) writeReply(reply);
+    skippingUntilSync_ = false;
+    append(output(), codec_->ready());
+    return execution;
+  }
+  if (skippingUntilSync_) return execution;
+  switch (type) {
+    case 'P':
+      writeReply(prepared_->parse(body, backslashes));
+      break;
+    case 'B':
+      writeReply(prepared_->bind(body, backslashes, postgres::kLongestMessage));
+      break;
+    case 'D':
+      writeReply(prepared_->describe(body));
+      break;
+    case 'C':
+      writeReply(prepared_->close(body));
+      break;
+    case 'E':
+      writeReply(prepared_->execute(body, execution));
+      break;
+    default:
+      writeReply(prepared_->flush());
+  }
+  return execution;
+}
+
+void Session::execute(const PreparedStatements::Execution& execution) {
+  request_.extended = true;
+  request_.sendRowDescription = execution.sendRowDescription;
+  request_.maxRows = execution.maxRows;
+  request_.format = execution.resultFormat;
+  request_.format.bytea = clientSettings_.bytea;
+  Buffer statement = newBuffer();
+  append(statement.get(), execution.statement);
+  evbuffer_add(statement.get(), "", 1);
+  submitStatement(std::move(statement));
+}
+
+}  // namespace sablespur
--- /dev/null
+++ b/src/frontend/postgres/session_requests.cpp
@@ -0,0 +1,257 @@
+// The requests of a session: from a statement to the engine, and from the answer to the client.
+#include <algorithm>
+
+#include "frontend/postgres/clients.hpp"
+#include "frontend/postgres/session.hpp"
+#include "frontend/postgres/session_common.hpp"
+#include "logging/log.hpp"
+#include "protocol/postgres/pg.hpp"
+
+namespace sablespur {
+namespace {
+
+constexpr std::size_t kMaxTail = 512;   // bytes at a statement's end that hold its comment
+constexpr std::size_t kMaxStart = 256;  // bytes at a statement's start that hold the quoted key
+constexpr std::size_t kMaxSetLength = 1024;
+constexpr std::uint32_t kMaxClientDeadlineMs = 3600 * 1000;
+constexpr float kMinSessionTokenAgeMs = 0.001f;  // zero stands for no token
+// A translated answer may be twice as long as the original, and longer by this, which matters for short ones.
+constexpr std::size_t kTranslationAllowance = 64 << 10;
+
+// FNV-1a, 64 bits.
+std::uint64_t hashOf(std::string_view text) {
+  std::uint64_t hash = 0xcbf29ce484222325ull;
+  for (const unsigned char byte : text) {
+    hash ^= byte;
+    hash *= 0x100000001b3ull;
+  }
+  return hash;
+}
+
+std::string_view contiguous(evbuffer* buffer) {
+  const std::size_t length = evbuffer_get_length(buffer);
+  return {reinterpret_cast<const char*>(evbuffer_pullup(buffer, -1)), length};
+}
+
+// The body of the RowDescription at an answer's front; empty if there is none. `drain` removes the message.
+std::string takeRowDescription(evbuffer* answer, bool drain) {
+  char bytes[postgres::kHead];
+  if (evbuffer_copyout(answer, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return {};
+  if (bytes[0] != 'T') return {};
+  const auto head = postgres::parseHead(bytes);
+  const std::size_t length = sizeof bytes + head->body;
+  const auto* const message = evbuffer_pullup(answer, static_cast<ev_ssize_t>(length));
+  std::string body(reinterpret_cast<const char*>(message) + sizeof bytes, head->body);
+  if (drain) evbuffer_drain(answer, length);
+  return body;
+}
+
+}  // namespace
+
+// ---- to the engine ------------------------------------------------------------------------------------
+
+void Session::submitStatement(Buffer statement) {
+  const std::size_t length = evbuffer_get_length(statement.get());
+  char tail[kMaxTail];
+  const std::size_t tailLength = std::min(length, kMaxTail);
+  const std::size_t tailOffset = length - tailLength;
+  evbuffer_ptr from;
+  evbuffer_ptr_set(statement.get(), &from, tailOffset, EVBUFFER_PTR_SET);
+  evbuffer_copyout_from(statement.get(), &from, tail, tailLength);
+  // A data server closes the connection on what it cannot read: the only NUL has to be the last byte.
+  const auto firstNul = evbuffer_search(statement.get(), "", 1, nullptr).pos;
+  if (tailLength == 0 || firstNul != static_cast<ev_ssize_t>(length) - 1)
+    return reject("08P01", "a query's end is not where its length says", true);
+  const std::string_view text(tail, tailLength - 1);
+  if (tailOffset == 0 && text.find_first_not_of(" \t\r\n;") == std::string_view::npos)
+    return answerEmptyStatement();
+  const postgres::Comment comment = postgres::parseComment(text);
+  if (!comment.fault) return submitRequest(comment, tailOffset, std::move(statement));
+  if (length < kMaxSetLength && handleSet(contiguous(statement.get()).substr(0, length - 1))) return;
+  reject("42601", comment.fault, false);
+}
+
+void Session::answerEmptyStatement() {
+  if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
+  append(output(), codec_->emptyStatement());
+  finishRequest();
+}
+
+bool Session::handleSet(std::string_view statement) {
+  const auto setting = translation::parseSet(statement);
+  if (!setting) return false;
+  const auto& [name, value] = *setting;
+  if (const auto error = translation::apply(clientSettings_, name, value)) {
+    reject("22023", *error, false);
+    return true;
+  }
+  onSettingsChanged();
+  if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
+  append(output(), codec_->completed("SET"));
+  if (name == "standard_conforming_strings" && version_ == ProtocolVersion::Version3)
+    append(output(), postgres::parameterStatus(name, clientSettings_.backslashes ? "off" : "on"));
+  finishRequest();
+  return true;
+}
+
+void Session::submitRequest(const postgres::Comment& comment, std::size_t tailOffset, Buffer statement) {
+  // The client may have sent its request and left before it was accepted or read; libevent reports the end
+  // only after the bytes before it.
+  if (clientDisconnected()) return startLingeringClose();
+  // Data servers tell requests apart by this id, so only one at a time may bear it.
+  std::string name(comment.id);
+  if (owner_.openRequestIds_.count(name) > 0)
+    return reject("42710", "this id is that of an open request", false);
+  const auto& classes = owner_.config_.classes;
+  const auto requestClass = std::find(classes.begin(), classes.end(), comment.cls);
+  if (requestClass == classes.end()) return reject("42704", "unknown class", false);
+  const auto classIndex = static_cast<std::size_t>(requestClass - classes.begin());
+
+  const Time now = owner_.engine_.now();
+  const balancer::Request request = makeRequest(comment, classIndex, statement.get());
+  Message message = makeMessage(comment, tailOffset, std::move(statement));
+  owner_.openRequestIds_.insert(name);
+  request_.name = std::move(name);
+  if (owner_.admission_) owner_.admission_->connectionBusy(permit_);
+  request_.id = owner_.request(*this, request, std::move(message), permit_);
+  if (tracing())
+    logEvent(
+        LogLevel::Trace, "request_accepted",
+        {{"r", *request_.id}, {"id", request_.name}, {"left_ms", (request.deadline - now).count() / 1000}});
+}
+
+balancer::Request Session::makeRequest(const postgres::Comment& comment, std::size_t classIndex,
+                                       evbuffer* statement) const {
+  balancer::Request request;
+  request.classIndex = static_cast<int>(classIndex);
+  request.group = comment.cluster;
+  // The client's time runs from its last byte, also while the request waits behind others here.
+  Time allowed = owner_.config_.settings.classes[classIndex].deadline;
+  if (comment.waitLength > 0)
+    allowed = std::chrono::milliseconds(std::min(comment.waitMs, kMaxClientDeadlineMs));
+  request.deadline = std::min(messageReceivedAt_ + allowed, owner_.answerBy_);
+  if (comment.after > 0) {
+    const double nowMs = static_cast<double>(owner_.engine_.unixNow().count()) / 1e3;
+    const auto ageMs = static_cast<float>(nowMs - static_cast<double>(comment.after));
+    request.sessionTokenAgeMs = std::max(kMinSessionTokenAgeMs, ageMs);
+  }
+  if (!owner_.config_.sessions) return request;
+  char start[kMaxStart];
+  const auto length = std::max<ev_ssize_t>(evbuffer_copyout(statement, start, sizeof start), 0);
+  const std::string_view key = postgres::parseKey({start, static_cast<std::size_t>(length)});
+  if (!key.empty()) request.session = std::max<std::uint64_t>(hashOf(key), 1);  // 0 stands for no session
+  return request;
+}
+
+// The statement is cut in two where the digits of the client's deadline stand, so that each attempt tells the
+// time that is left.
+Message Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
+                             Buffer statement) const {
+  Message message{newBuffer(), std::move(statement), sharedSettings_, {}, {}};
+  message.clockOffset = owner_.engine_.clockOffset();
+  if (owner_.config_.store) {
+    message.id = std::string(comment.id);
+    message.key = std::string(comment.key);
+  }
+  if (comment.waitLength > 0) {
+    evbuffer_remove_buffer(message.after.get(), message.before.get(), tailOffset + comment.waitAt);
+    evbuffer_drain(message.after.get(), comment.waitLength);
+  }
+  return message;
+}
+
+// ---- to the client ------------------------------------------------------------------------------------
+
+void Session::served(Answer answer) {
+  request_.id.reset();
+  if (owner_.admission_) owner_.admission_->connectionServed(permit_);
+  writeAnswer(std::move(answer));
+  finishRequest();
+}
+
+void Session::rejected(Time retryAfter) {
+  request_.id.reset();
+  translation::Problem error = problem("ERROR", "53300", "no data server can take this request now");
+  error.comeBackMs = retryAfterMs(retryAfter);
+  writeError(error);
+  finishRequest();
+}
+
+void Session::failed() {
+  request_.id.reset();
+  writeError(problem("ERROR", "40003", "the request may have run; its outcome is unknown"));
+  finishRequest();
+}
+
+void Session::onCancelRequest() {
+  if (!request_.id) return;  // it has been answered
+  owner_.cancelRequest(*request_.id);
+  request_.id.reset();
+  writeError(problem("ERROR", "57014", "canceling statement due to user request"));
+  finishRequest();
+}
+
+void Session::writeError(const translation::Problem& error) {
+  append(output(), codec_->problem(error));
+  skippingUntilSync_ = request_.extended;
+}
+
+void Session::writeAnswer(Answer answer) {
+  evbuffer* const messages = answer.messages.get();
+  if (answer.problem) return writeError(answer.reader->problem(contiguous(messages)));
+  const bool fromVersion3 = answer.reader == &postgres::reader();
+  const bool sameForm = version_ == ProtocolVersion::Version3 && fromVersion3 && request_.format.plain() &&
+                        request_.maxRows == 0;
+  // Where client and data server speak the same form the buffers are moved without being read.
+  if (!request_.extended && sameForm) {
+    evbuffer_add_buffer(output(), messages);
+    return;
+  }
+  std::string columns;
+  if (request_.extended && fromVersion3)
+    columns = takeRowDescription(messages, sameForm && !request_.sendRowDescription);
+  if (request_.extended && request_.sendRowDescription && columns.empty())
+    append(output(), postgres::noData());
+  if (!sameForm) return translateAnswer(answer, contiguous(messages), columns);
+  evbuffer_add_buffer(output(), messages);
+  prepared_->onExecuted(columns, false);
+}
+
+void Session::translateAnswer(const Answer& answer, std::string_view messages, const std::string& columns) {
+  const std::size_t maxLength = 2 * messages.size() + kTranslationAllowance;
+  translation::Conversion conversion(*codec_, request_.format, request_.sendRowDescription, maxLength,
+                                     request_.maxRows);
+  if (!answer.reader->answer(messages, conversion)) {
+    const std::string why = conversion.why().empty() ? "a malformed answer" : conversion.why();
+    logEvent(LogLevel::Warning, "answer_not_translated", {{"why", why}});
+    return writeError(problem("ERROR", "22P03", "the answer cannot be told: " + why));
+  }
+  std::string translated = conversion.take();
+  if (translated.size() > kReadAhead)
+    appendLong(output(), std::move(translated));
+  else
+    append(output(), translated);
+  if (!request_.extended) return;
+  if (conversion.suspended()) append(output(), postgres::portalSuspended());
+  prepared_->onExecuted(columns, conversion.suspended());
+}
+
+void Session::finishRequest() {
+  releaseRequestName();
+  releaseMessage();
+  lastActive_ = owner_.engine_.now();
+  partialMessageSince_.reset();  // what waits behind is looked at next
+  if (!request_.extended) append(output(), codec_->ready());
+  request_ = {};
+  if (clientSettings_.bytea) request_.format.bytea = clientSettings_.bytea;
+  // Within a batch it is not idle yet: Sync and ReadyForQuery are still to come.
+  if (owner_.admission_ && !awaitingSync_) owner_.admission_->connectionIdle(permit_);
+  resumeOrDrain();
+}
+
+void Session::releaseRequestName() {
+  if (!request_.name.empty()) owner_.openRequestIds_.erase(request_.name);
+  request_.name.clear();
+}
+
+}  // namespace sablespur
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -167,7 +167,7 @@
   }
   EXPECT_EQ(let, 70u);
   for (std::size_t k = 0; k < 30; ++k) EXPECT_TRUE(door.admit(1s, ++id, ip(host("10.1", k))).admitted);
-  EXPECT_EQ(door.count(kDesks).reserveRemaining, 0u);
+  EXPECT_EQ(door.counters(kDesks).reserveRemaining, 0u);
   // All is taken now, and nobody is idle: the next desk waits like anyone.
   EXPECT_EQ(door.admit(1s, ++id, ip("10.1.9.9")).rejection, RejectionReason::Full);
 }
@@ -188,7 +188,7 @@
   door.markBusy(3);
   EXPECT_EQ(door.admit(3s, 12, ip("10.1.0.2")).rejection, RejectionReason::Full);
   EXPECT_EQ(door.connectionCount(), 10u);
-  EXPECT_EQ(door.count(kApps).evicted, 1u);
+  EXPECT_EQ(door.counters(kApps).evicted, 1u);
 }
 TEST(Door, AnAppTakesNoDesksPlace) {
   ConnectionAdmission door(settings(4), museum());
@@ -245,10 +245,10 @@
   ConnectionAdmissionSettings s = settings(100);
   s.groups[kApps].maxConnections = 10;
   door.reload(s, museum());
-  EXPECT_EQ(door.count(kApps).connections, 20u);
+  EXPECT_EQ(door.counters(kApps).connections, 20u);
   EXPECT_EQ(door.evictSurplus(2s, 4), (std::vector<ConnectionId>{12, 11, 10, 9}));  // longest idle first
   EXPECT_EQ(door.evictSurplus(2s, 100).size(), 6u);
-  EXPECT_EQ(door.count(kApps).connections, 10u);
+  EXPECT_EQ(door.counters(kApps).connections, 10u);
   EXPECT_TRUE(door.evictSurplus(2s, 100).empty());
   EXPECT_FALSE(door.admit(1ms, 50, ip("10.2.9.9")).admitted);
 }
@@ -258,15 +258,15 @@
   ASSERT_TRUE(door.admit(Time(0), 2, ip("10.2.0.2")).admitted);
   door.markIdle(Time(5), 1);
   door.assignGroup(2, kElse);
-  EXPECT_EQ(door.count(kApps).connections, 1u);
+  EXPECT_EQ(door.counters(kApps).connections, 1u);
   door.reload(settings(10), networks({{"10.2.0.0/16", kDesks}}));
   EXPECT_EQ(door.groupOf(1), kDesks);
   EXPECT_EQ(door.groupOf(2), kElse);
-  EXPECT_EQ(door.count(kDesks).idle, 1u);
+  EXPECT_EQ(door.counters(kDesks).idle, 1u);
   door.markBusy(1);
   door.remove(1);
   door.remove(2);
-  for (std::size_t g = 0; g < door.groupCount(); ++g) EXPECT_EQ(door.count(g).connections, 0u);
+  for (std::size_t g = 0; g < door.groupCount(); ++g) EXPECT_EQ(door.counters(g).connections, 0u);
 }
 // The reserve is new and others hold everything: who is idle makes way at once.
 TEST(Door, AReserveThatIsOwedIsTakenBack) {
@@ -331,11 +331,11 @@
         const IpAddress from = ip(host(nets[random(3)], random(12)));
         const std::size_t group = door.groupOf(0) - 1;  // the last one
         const ConnectionDecision w = door.admit(now, ++id, from);
-        if (w.evict != 0) {
+        if (w.evict) {
           ASSERT_TRUE(w.admitted);
-          ASSERT_EQ(model.count(w.evict), 1u);
-          ASSERT_TRUE(model[w.evict].idle);
-          model.erase(w.evict);
+          ASSERT_EQ(model.count(*w.evict), 1u);
+          ASSERT_TRUE(model[*w.evict].idle);
+          model.erase(*w.evict);
         }
         if (w.admitted) model[id] = {from, false};
         ASSERT_EQ(group, kElse);
@@ -360,13 +360,13 @@
       ASSERT_EQ(door.connectionCount(), model.size());
       ASSERT_LE(model.size(), 40u);
       ASSERT_LE(held[kApps], 25u);
-      for (std::size_t g = 0; g < 3; ++g) ASSERT_EQ(door.count(g).connections, held[g]);
+      for (std::size_t g = 0; g < 3; ++g) ASSERT_EQ(door.counters(g).connections, held[g]);
       for (const auto& [a, n] : byAddress)
         if (a.to_string().rfind("10.2.", 0) == 0) {
           ASSERT_LE(n, 4u);
         }
       // What the reserve still owes is free.
-      ASSERT_GE(40u - model.size(), door.count(kDesks).reserveRemaining);
+      ASSERT_GE(40u - model.size(), door.counters(kDesks).reserveRemaining);
     }
   }
 }
@@ -629,8 +629,8 @@
   EXPECT_EQ(r.submit(1s, 3, 0, late).decision, RequestDecision::Reject);  // its group's cap
   EXPECT_EQ(r.submit(1s, 4, 1, late).decision, RequestDecision::Queue);
   EXPECT_EQ(r.submit(1s, 5, 1, late).decision, RequestDecision::Reject);  // no room to wait
-  EXPECT_EQ(r.counters(0).rejected[static_cast<std::size_t>(RequestRejection::Share)], 1u);
-  EXPECT_EQ(r.counters(1).rejected[static_cast<std::size_t>(RequestRejection::Queue)], 1u);
+  EXPECT_EQ(r.counters(0).rejected[static_cast<std::size_t>(RequestRejection::GroupLimit)], 1u);
+  EXPECT_EQ(r.counters(1).rejected[static_cast<std::size_t>(RequestRejection::QueueFull)], 1u);
   s.groups = {{1, 0}};  // one group fewer: who waited waits on
   r.reload(s);
   EXPECT_EQ(r.inFlight(), 2u);
@@ -663,7 +663,7 @@
   for (RequestKey k = 1; k <= 3; ++k)
     EXPECT_EQ(lanes.submit(1s, k, k, 1, 9s).decision, RequestDecision::Admit);
   EXPECT_EQ(lanes.submit(1s, 4, 9, 1, 9s).decision, RequestDecision::Reject);
-  EXPECT_EQ(lanes.counters(1).rejected[static_cast<std::size_t>(RequestRejection::Share)], 1u);
+  EXPECT_EQ(lanes.counters(1).rejected[static_cast<std::size_t>(RequestRejection::GroupLimit)], 1u);
   lanes.complete(1s, 2, 1ms, false);
   EXPECT_EQ(lanes.submit(1s, 5, 9, 1, 9s).decision, RequestDecision::Admit);
 }
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -711,20 +711,20 @@
     a.permit = guests.size();
     return a;
   }
-  AdmissionDecision userAuthenticated(AdmittedConnection&, PermitId place, const Address&,
+  AdmissionDecision userAuthenticated(AdmittedConnection&, std::optional<PermitId> permit, const Address&,
                                       const std::string&) override {
     AdmissionDecision a;
-    a.permit = place;
+    a.permit = permit;
     return a;
   }
   bool admitsByUser() const override { return false; }
   std::size_t maxUnadmittedConnections() const override { return 0; }
-  void connectionClosed(PermitId) override {}
-  void connectionBusy(PermitId) override {}
-  void connectionIdle(PermitId) override {}
-  void connectionServed(PermitId) override {}
+  void connectionClosed(std::optional<PermitId>) override {}
+  void connectionBusy(std::optional<PermitId>) override {}
+  void connectionIdle(std::optional<PermitId>) override {}
+  void connectionServed(std::optional<PermitId>) override {}
   void onExhaustion() override {}
-  RequestId request(ResponseHandler& r, balancer::Request q, Message m, PermitId) override {
+  RequestId request(ResponseHandler& r, balancer::Request q, Message m, std::optional<PermitId>) override {
     return next.request(r, q, std::move(m));
   }
   void requestCancelled(RequestId id) override { next.clientDisconnected(id); }
