--- a/src/admission/request_queues.cpp
+++ b/src/admission/request_queues.cpp
@@ -5,128 +5,147 @@
 namespace sablespur::admission {
 namespace {
 
-constexpr Time kQuiet = std::chrono::seconds(60);
-
-void add(RequestLimiter::Count& to, const RequestLimiter::Count& c) {
-  to.out += c.out;
-  to.waiting += c.waiting;
-  to.went += c.went;
-  to.waited += c.waited;
-  for (std::size_t k = 0; k < kTurned; ++k) to.refused[k] += c.refused[k];
+// An empty queue is removed when it has been unused for so long.
+constexpr Time kUnusedQueueLifetime = std::chrono::seconds(60);
+
+void add(RequestLimiter::Counters& sum, const RequestLimiter::Counters& counters) {
+  sum.inFlight += counters.inFlight;
+  sum.queued += counters.queued;
+  sum.admitted += counters.admitted;
+  sum.enqueued += counters.enqueued;
+  for (std::size_t k = 0; k < kRequestRejectionCount; ++k) sum.rejected[k] += counters.rejected[k];
 }
 
 }  // namespace
 
-RequestLimiterSettings RequestQueues::within(RequestLimiterSettings s) {
-  for (ShareSettings& g : s.groups) g.mostOpen = 0;
-  return s;
+RequestLimiterSettings RequestQueues::limiterSettings(RequestLimiterSettings settings) {
+  for (ShareSettings& share : settings.groups) share.maxOpen = 0;
+  return settings;
 }
 
-RequestQueues::RequestQueues(RequestLimiterSettings s, std::size_t mostLanes)
-    : s_(std::move(s)), most_(mostLanes), open_(s_.groups.size()), before_(s_.groups.size()) {}
+RequestQueues::RequestQueues(RequestLimiterSettings settings, std::size_t maxQueues)
+    : settings_(std::move(settings)),
+      maxQueues_(maxQueues),
+      openByGroup_(settings_.groups.size()),
+      removedCounters_(settings_.groups.size()) {}
 
-RequestQueues::Lane& RequestQueues::lane(Time now, QueueKey key) {
-  auto it = lanes_.find(key);
-  if (it == lanes_.end() && lanes_.size() >= most_) {
-    key = kRest;
-    it = lanes_.find(key);
+RequestQueues::Queue& RequestQueues::queueFor(Time now, QueueKey key) {
+  auto it = queues_.find(key);
+  if (it == queues_.end() && queues_.size() >= maxQueues_) {
+    key = kSharedQueue;
+    it = queues_.find(key);
+  }
+  if (it == queues_.end()) {
+    Queue queue{key, RequestLimiter(limiterSettings(settings_)), now};
+    it = queues_.emplace(key, std::make_unique<Queue>(std::move(queue))).first;
   }
-  if (it == lanes_.end())
-    it = lanes_.emplace(key, std::make_unique<Lane>(Lane{key, RequestLimiter(within(s_)), now})).first;
-  it->second->used = now;
+  it->second->lastUsed = now;
   return *it->second;
 }
 
-void RequestQueues::close(RequestKey key) {
+void RequestQueues::forget(RequestKey key) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return;
-  --open_[it->second.group];
+  --openByGroup_[it->second.group];
   requests_.erase(it);
 }
-void RequestQueues::settle(const std::vector<Answered>& all) {
-  for (const Answered& a : all)
-    if (a.turn == RequestDecision::Reject) close(a.key);
+
+void RequestQueues::forgetRejected(const std::vector<ResolvedRequest>& resolved) {
+  for (const ResolvedRequest& request : resolved)
+    if (request.decision == RequestDecision::Reject) forget(request.key);
 }
 
-RequestLimiter::Asked RequestQueues::ask(Time now, RequestKey key, QueueKey at, std::size_t group,
-                                         Time deadline) {
-  group = std::min(group, open_.size() - 1);
-  Lane& l = lane(now, at);
-  const std::size_t most = s_.groups[group].mostOpen;
-  if (most > 0 && open_[group] >= most) {
-    RequestLimiter::Asked a;
-    a.comeBack = l.requests.turnAway(group, RequestRejection::Share);
-    return a;
+RequestLimiter::SubmitResult RequestQueues::submit(Time now, RequestKey key, QueueKey queueKey,
+                                                   std::size_t group, Time deadline) {
+  group = std::min(group, openByGroup_.size() - 1);
+  Queue& queue = queueFor(now, queueKey);
+  const std::size_t maxOpen = settings_.groups[group].maxOpen;
+  if (maxOpen > 0 && openByGroup_[group] >= maxOpen) {
+    RequestLimiter::SubmitResult rejected;
+    rejected.retryAfter = queue.limiter.reject(group, RequestRejection::GroupLimit);
+    return rejected;
   }
-  const RequestLimiter::Asked a = l.requests.ask(now, key, group, deadline);
-  if (a.turn != RequestDecision::Reject) {
-    requests_.emplace(key, Open{&l, group});
-    ++open_[group];
+  RequestLimiter::SubmitResult result = queue.limiter.submit(now, key, group, deadline);
+  if (result.decision != RequestDecision::Reject) {
+    requests_.emplace(key, OpenRequest{&queue, group});
+    ++openByGroup_[group];
   }
-  settle(a.others);
-  return a;
+  forgetRejected(result.resolved);
+  return result;
 }
 
-std::vector<Answered> RequestQueues::ended(Time now, RequestKey key, Time latency, bool dropped) {
+std::vector<ResolvedRequest> RequestQueues::complete(Time now, RequestKey key, Time latency, bool dropped) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return {};
-  Lane& l = *it->second.lane;
-  l.used = now;
-  close(key);
-  std::vector<Answered> all = l.requests.ended(now, key, latency, dropped);
-  settle(all);
-  return all;
+  Queue& queue = *it->second.queue;
+  queue.lastUsed = now;
+  forget(key);
+  std::vector<ResolvedRequest> resolved = queue.limiter.complete(now, key, latency, dropped);
+  forgetRejected(resolved);
+  return resolved;
 }
-std::vector<Answered> RequestQueues::left(Time now, RequestKey key) {
+
+std::vector<ResolvedRequest> RequestQueues::cancel(Time now, RequestKey key) {
   const auto it = requests_.find(key);
   if (it == requests_.end()) return {};
-  Lane& l = *it->second.lane;
-  close(key);
-  std::vector<Answered> all = l.requests.left(now, key);
-  settle(all);
-  return all;
+  Queue& queue = *it->second.queue;
+  forget(key);
+  std::vector<ResolvedRequest> resolved = queue.limiter.cancel(now, key);
+  forgetRejected(resolved);
+  return resolved;
 }
 
-std::vector<Answered> RequestQueues::overdue(Time now) {
-  std::vector<Answered> all;
-  for (auto it = lanes_.begin(); it != lanes_.end();) {
-    Lane& l = *it->second;
-    const std::vector<Answered> some = l.requests.overdue(now);
-    all.insert(all.end(), some.begin(), some.end());
-    if (l.requests.out() + l.requests.waiting() > 0 || now - l.used < kQuiet) {
+std::vector<ResolvedRequest> RequestQueues::rejectOverdue(Time now) {
+  std::vector<ResolvedRequest> resolved;
+  auto it = queues_.begin();
+  while (it != queues_.end()) {
+    Queue& queue = *it->second;
+    const std::vector<ResolvedRequest> overdue = queue.limiter.rejectOverdue(now);
+    resolved.insert(resolved.end(), overdue.begin(), overdue.end());
+    const bool empty = queue.limiter.inFlight() + queue.limiter.queued() == 0;
+    if (!empty || now - queue.lastUsed < kUnusedQueueLifetime) {
       ++it;
       continue;
     }
-    for (std::size_t k = 0; k < before_.size(); ++k) add(before_[k], l.requests.count(k));
-    it = lanes_.erase(it);
+    for (std::size_t k = 0; k < removedCounters_.size(); ++k)
+      add(removedCounters_[k], queue.limiter.counters(k));
+    it = queues_.erase(it);
   }
-  settle(all);
-  return all;
+  forgetRejected(resolved);
+  return resolved;
 }
 
-void RequestQueues::reload(RequestLimiterSettings s) {
-  s.limit = s_.limit;
-  s_ = std::move(s);
-  const std::size_t last = s_.groups.size() - 1;
-  std::vector<RequestLimiter::Count> before(s_.groups.size());
-  for (std::size_t k = 0; k < before_.size(); ++k) add(before[std::min(k, last)], before_[k]);
-  before_ = std::move(before);
-  open_.assign(s_.groups.size(), 0);
-  for (auto& [key, o] : requests_) ++open_[o.group = std::min(o.group, last)];
-  for (auto& [key, l] : lanes_) l->requests.reload(within(s_));
+void RequestQueues::reload(RequestLimiterSettings settings) {
+  settings.limit = settings_.limit;
+  settings_ = std::move(settings);
+  const std::size_t last = settings_.groups.size() - 1;
+  std::vector<RequestLimiter::Counters> removed(settings_.groups.size());
+  for (std::size_t k = 0; k < removedCounters_.size(); ++k)
+    add(removed[std::min(k, last)], removedCounters_[k]);
+  removedCounters_ = std::move(removed);
+  openByGroup_.assign(settings_.groups.size(), 0);
+  for (auto& [key, request] : requests_) {
+    request.group = std::min(request.group, last);
+    ++openByGroup_[request.group];
+  }
+  for (const auto& [key, queue] : queues_) queue->limiter.reload(limiterSettings(settings_));
 }
 
-RequestLimiter::Count RequestQueues::count(std::size_t group) const {
-  RequestLimiter::Count c = before_[group];
-  for (const auto& [key, l] : lanes_) add(c, l->requests.count(group));
-  return c;
+RequestLimiter::Counters RequestQueues::counters(std::size_t group) const {
+  RequestLimiter::Counters sum = removedCounters_[group];
+  for (const auto& [key, queue] : queues_) add(sum, queue->limiter.counters(group));
+  return sum;
 }
-std::vector<RequestQueues::View> RequestQueues::view() const {
-  std::vector<View> all;
-  for (const auto& [key, l] : lanes_)
-    all.push_back({key, l->requests.limit(), l->requests.out(), l->requests.waiting(), l->requests.usual()});
-  std::sort(all.begin(), all.end(), [](const View& a, const View& b) { return a.lane < b.lane; });
-  return all;
+
+std::vector<RequestQueues::QueueView> RequestQueues::view() const {
+  std::vector<QueueView> views;
+  views.reserve(queues_.size());
+  for (const auto& [key, queue] : queues_) {
+    const RequestLimiter& limiter = queue->limiter;
+    views.push_back({key, limiter.limit(), limiter.inFlight(), limiter.queued(), limiter.typicalLatency()});
+  }
+  std::sort(views.begin(), views.end(), [](const QueueView& a, const QueueView& b) { return a.key < b.key; });
+  return views;
 }
 
 }  // namespace sablespur::admission
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -124,20 +124,20 @@
   void addGroupLimits(const AdmissionGroupDraft& group) {
     admission::GroupLimits limits;
     limits.name = group.name;
-    limits.most = group.maxConnections;
-    limits.mostByAddress = group.maxConnectionsPerAddress;
-    limits.mostByPrefix = group.maxConnectionsPerNetwork;
-    limits.perSecond = group.connectionsPerSecond;
+    limits.maxConnections = group.maxConnections;
+    limits.maxPerAddress = group.maxConnectionsPerAddress;
+    limits.maxPerPrefix = group.maxConnectionsPerNetwork;
+    limits.connectionsPerSecond = group.connectionsPerSecond;
     limits.burst = group.connectionBurst;
     limits.reserve = group.reservedConnections;
     limits.weight = group.weight;
-    settings_->door.groups.push_back(std::move(limits));
+    settings_->connections.groups.push_back(std::move(limits));
   }
 
   void addClientIdentity() {
     std::string problem;
     for (const std::string& network : draft_.clients.proxyProtocolNetworks)
-      if (!settings_->fronts.add(network, 0, problem))
+      if (!settings_->trustedProxies.add(network, 0, problem))
         report(kSection, "fronts", {problem, "write networks such as 10.0.0.7 or fd00:1::/64"});
     const std::string& name = draft_.clients.recentClientsGroup;
     if (name.empty()) return;
@@ -147,44 +147,44 @@
       report(kSection, "served_before",
              {"there is no [admission_group " + name + "]", "name a group that has a section"});
     else
-      settings_->servedBefore = static_cast<std::size_t>(group - groups_.begin());
+      settings_->recentClientsGroup = static_cast<std::size_t>(group - groups_.begin());
   }
 
   // False where no connection is left for admitted clients.
   bool setConnectionLimits() {
     const std::size_t clients = config_.clientConnections;
     const std::size_t unadmitted = draft_.connections.maxUnadmitted;
-    settings_->antechamber =
+    settings_->maxUnadmittedConnections =
         unadmitted > 0 ? unadmitted : std::max(clients / kUnadmittedDivisor, kMinUnadmitted);
-    if (settings_->antechamber >= clients) {
+    if (settings_->maxUnadmittedConnections >= clients) {
       report(kSection, "antechamber",
              {"it leaves no room: the limits have " + std::to_string(clients) + " places for clients",
               "make it smaller, or raise [limits] descriptors and memory"});
       return false;
     }
-    const std::size_t available = clients - settings_->antechamber;
+    const std::size_t available = clients - settings_->maxUnadmittedConnections;
     const std::size_t wanted = draft_.connections.maxConnections;
-    settings_->door.most = wanted > 0 ? std::min(wanted, available) : available;
+    settings_->connections.maxConnections = wanted > 0 ? std::min(wanted, available) : available;
     std::size_t reserved = 0;
     for (const AdmissionGroupDraft& group : groups_) reserved += group.reservedConnections;
-    if (reserved > settings_->door.most)
+    if (reserved > settings_->connections.maxConnections)
       report(kSection, "connections",
              {"the groups' reserves come to " + std::to_string(reserved) + ", and there are " +
-                  std::to_string(settings_->door.most) + " places",
+                  std::to_string(settings_->connections.maxConnections) + " places",
               "make reserves smaller, or raise connections and [limits] descriptors"});
     return true;
   }
 
   void setConnectionTerms() {
     const ConnectionAdmissionDraft& connections = draft_.connections;
-    settings_->door.prefix4 = connections.networkBitsV4;
-    settings_->door.prefix6 = connections.networkBitsV6;
-    settings_->known.prefix4 = connections.networkBitsV4;
-    settings_->known.prefix6 = connections.networkBitsV6;
-    settings_->door.comeBackLeast = connections.minRetryAfter;
-    settings_->door.comeBackMost = connections.maxRetryAfter;
-    settings_->door.idleLeast = connections.minIdle;
-    settings_->known.most = draft_.clients.maxRecentClients;
+    settings_->connections.prefix4 = connections.networkBitsV4;
+    settings_->connections.prefix6 = connections.networkBitsV6;
+    settings_->recentClients.prefix4 = connections.networkBitsV4;
+    settings_->recentClients.prefix6 = connections.networkBitsV6;
+    settings_->connections.minRetryAfter = connections.minRetryAfter;
+    settings_->connections.maxRetryAfter = connections.maxRetryAfter;
+    settings_->connections.minIdleTime = connections.minIdle;
+    settings_->recentClients.maxClients = draft_.clients.maxRecentClients;
     if (connections.maxRetryAfter < connections.minRetryAfter)
       report(kSection, "come_back_most", {"it is shorter than come_back_least", "make it at least that"});
     if (draft_.requests.maxRetryAfter < draft_.requests.minRetryAfter)
@@ -199,14 +199,14 @@
     const bool fixed = requests.limit.kind == admission::LimitKind::Fixed;
     if (!fixed && draft.max < draft.min)
       report(kSection, "limit_most", {"it is less than limit_least", "make it at least that"});
-    requests.limit.first = static_cast<double>(draft.initial);
-    requests.limit.least = static_cast<double>(fixed ? draft.initial : draft.min);
-    requests.limit.most = static_cast<double>(fixed ? draft.initial : std::max(draft.max, draft.min));
-    requests.limit.bound = draft.latencyBound;
+    requests.limit.initial = static_cast<double>(draft.initial);
+    requests.limit.min = static_cast<double>(fixed ? draft.initial : draft.min);
+    requests.limit.max = static_cast<double>(fixed ? draft.initial : std::max(draft.max, draft.min));
+    requests.limit.latencyBound = draft.latencyBound;
     requests.limit.tolerance = draft.tolerance;
-    requests.mostWaiting = draft.maxWaiting;
-    requests.comeBackLeast = draft.minRetryAfter;
-    requests.comeBackMost = draft.maxRetryAfter;
+    requests.maxQueued = draft.maxWaiting;
+    requests.minRetryAfter = draft.minRetryAfter;
+    requests.maxRetryAfter = draft.maxRetryAfter;
     for (const AdmissionGroupDraft& group : groups_)
       requests.groups.push_back({group.weight, group.maxRequests});
     settings_->requests = std::move(requests);
