--- a/fuzz/dns.cpp
+++ b/fuzz/dns.cpp
@@ -14,7 +14,7 @@
     for (const dns::Record& r : *section) {
       if (r.name.empty() || r.ttl > 0x7fffffff) std::abort();
       dns::firstLabel(r.name);
-      dns::within(r.name, "example.org.");
+      dns::isWithin(r.name, "example.org.");
       if (const auto* name = std::get_if<dns::Name>(&r.data);
           name && !name->empty() && !dns::parseName(*name))
         std::abort();  // a name that was read is a name
--- a/fuzz/extended.cpp
+++ b/fuzz/extended.cpp
@@ -22,7 +22,7 @@
   }
   if (const auto k = postgres::parseCancel(text); k && postgres::cancel(*k) != text) std::abort();
   if (const auto k = postgres::parseKeyData(text);
-      k && std::string_view(postgres::keyData(*k)).substr(postgres::kHead) != text)
+      k && std::string_view(postgres::keyData(*k)).substr(postgres::kHeaderSize) != text)
     std::abort();
   if (const auto minor = postgres::parseNegotiate(text); minor && (*minor < 0 || *minor > 0xffff))
     std::abort();
@@ -30,25 +30,26 @@
   postgres::parseSaslInitial(text);
   postgres::offersScram(text);
   postgres::parseParse(text);
-  postgres::parseTarget(text);
+  postgres::parseDescribeTarget(text);
   postgres::parseExecute(text);
   if (const auto b = postgres::parseBind(text)) {
     const std::string m = postgres::bindMessage(*b);
-    if (std::string_view(m).substr(postgres::kHead) != text) std::abort();  // read back, it is the same
+    if (std::string_view(m).substr(postgres::kHeaderSize) != text) std::abort();  // read back, it is the same
   }
   const postgres::Codec three(0);
-  const pg2::Codec two;
+  const postgres2::Codec two;
   for (const translation::ClientCodec* codec : {static_cast<const translation::ClientCodec*>(&three),
                                                 static_cast<const translation::ClientCodec*>(&two)})
     for (const std::int16_t format : {0, 1}) {
-      translation::Conversion c(*codec, {translation::ByteaForm::Escape, {format}}, true, 4096, 3);
+      translation::AnswerConverter c(*codec, {translation::ByteaForm::Escape, {format}}, true, 4096, 3);
       const bool good = postgres::readAnswer(text, c);
-      if (!c.why().empty() && good) std::abort();
+      if (!c.failure().empty() && good) std::abort();
       if (c.take().size() > 4096) std::abort();
     }
-  const auto p = postgres::readProblem(text);
+  const auto p = postgres::parseErrorReport(text);
   if (!p.code.empty() &&
-      postgres::readProblem(std::string_view(three.problem(p)).substr(postgres::kHead)).code != p.code)
+      postgres::parseErrorReport(std::string_view(three.errorResponse(p)).substr(postgres::kHeaderSize))
+              .code != p.code)
     std::abort();
   return 0;
 }
--- a/fuzz/pg2.cpp
+++ b/fuzz/pg2.cpp
@@ -9,20 +9,20 @@
 
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
-  pg2::parseCancel(text);
-  if (const auto s = pg2::parseStartup(text))
-    if (const auto again = pg2::parseStartup(pg2::startup(*s));
+  postgres2::parseCancel(text);
+  if (const auto s = postgres2::parseStartup(text))
+    if (const auto again = postgres2::parseStartup(postgres2::startup(*s));
         !again || again->user != s->user.substr(0, 31))
       std::abort();
   bool bad = false;
   std::size_t taken = 0;
-  if (const auto p = pg2::parsePassword(text, taken, bad); p && (taken > size || p->size() >= taken))
+  if (const auto p = postgres2::parsePassword(text, taken, bad); p && (taken > size || p->size() >= taken))
     std::abort();
-  for (std::string_view in = text; const auto sent = pg2::parseSent(in, bad);) {
+  for (std::string_view in = text; const auto sent = postgres2::parseClientMessage(in, bad);) {
     if (bad || sent->size == 0 || sent->size > in.size()) std::abort();
     in.remove_prefix(sent->size);
   }
-  pg2::Reader reader;
+  postgres2::Reader reader;
   for (std::string_view in = text; const auto m = reader.take(in, taken, bad);) {
     if (bad || taken == 0 || taken > in.size()) std::abort();
     in.remove_prefix(taken);
--- a/fuzz/scram.cpp
+++ b/fuzz/scram.cpp
@@ -12,7 +12,7 @@
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   std::string why;
   auth::ScramClient client("user", "clientnonce");
-  if (const auto c = client.challenged(text, why); c && c->iterations > auth::kMostIterations) std::abort();
+  if (const auto c = client.readChallenge(text, why); c && c->iterations > auth::kMaxIterations) std::abort();
   client.final("a salted password of thirty-two b");
   if (client.verify(text, why)) std::abort();
   static const auth::Verifier verifier = auth::makeVerifier("pencil", "salt", 1);
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -174,15 +174,15 @@
     evbuffer* const in = bufferevent_get_input(bev_.get());
     if (speaker_) return readAsDesk(in);
     for (;;) {
-      char bytes[postgres::kHead];
+      char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
-      const auto head = postgres::parseHead(bytes);
+      const auto head = postgres::parseHeader(bytes);
       if (!head) return ended();
-      const std::size_t whole = sizeof bytes + head->body;
+      const std::size_t whole = sizeof bytes + head->bodySize;
       if (evbuffer_get_length(in) < whole) return;
       const auto* const at =
           reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(whole)));
-      take(head->type, {at + sizeof bytes, head->body});
+      take(head->type, {at + sizeof bytes, head->bodySize});
       evbuffer_drain(in, whole);
       if (head->type == 'Z' && ready()) return;  // this object may be no more
     }
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -80,15 +80,15 @@
   void read() {
     evbuffer* const from = bufferevent_get_input(bev.get());
     for (;;) {
-      char bytes[postgres::kHead];
+      char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(from, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
-      const auto head = postgres::parseHead(bytes);
+      const auto head = postgres::parseHeader(bytes);
       if (!head) return gone();
-      const std::size_t whole = sizeof bytes + head->body;
+      const std::size_t whole = sizeof bytes + head->bodySize;
       if (evbuffer_get_length(from) < whole) return;
       const auto* const first =
           reinterpret_cast<const char*>(evbuffer_pullup(from, static_cast<ev_ssize_t>(whole)));
-      take(head->type, {first + sizeof bytes, head->body});
+      take(head->type, {first + sizeof bytes, head->bodySize});
       evbuffer_drain(from, whole);
       if (head->type != 'Z') continue;
       if (!in) {
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -86,7 +86,7 @@
   Setter put(T& to, Read<V> (*read)(std::string_view)) {
     return [this, &to, read](const IniEntry& e) {
       const auto v = read(e.value);
-      if (const Wrong* w = std::get_if<Wrong>(&v))
+      if (const ValueError* w = std::get_if<ValueError>(&v))
         fault(e.line, section_->title() + " " + e.key, w->problem, w->fix);
       else
         to = static_cast<T>(std::get<V>(v));
@@ -275,7 +275,7 @@
 
   std::optional<Time> at(const IniEntry& e, const std::string& word) {
     const auto t = readTime(word);
-    if (const Wrong* w = std::get_if<Wrong>(&t)) {
+    if (const ValueError* w = std::get_if<ValueError>(&t)) {
       fault(e.line, "[script]", w->problem,
             "a line is TIME ACTION, or from TIME every TIME until TIME ACTION");
       return std::nullopt;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -123,15 +123,15 @@
         put(bev_.get(), postgres::greeting());
         continue;
       }
-      char bytes[postgres::kHead];
+      char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
-      const auto head = postgres::parseHead(bytes);
+      const auto head = postgres::parseHeader(bytes);
       if (!head || head->type == 'X') return gone();
-      if (have < sizeof bytes + head->body) return;
+      if (have < sizeof bytes + head->bodySize) return;
       const auto* const at = reinterpret_cast<const char*>(
-          evbuffer_pullup(in, static_cast<ev_ssize_t>(sizeof bytes + head->body)));
-      const std::string text(at + sizeof bytes, head->body > 0 ? head->body - 1 : 0);
-      evbuffer_drain(in, sizeof bytes + head->body);
+          evbuffer_pullup(in, static_cast<ev_ssize_t>(sizeof bytes + head->bodySize)));
+      const std::string text(at + sizeof bytes, head->bodySize > 0 ? head->bodySize - 1 : 0);
+      evbuffer_drain(in, sizeof bytes + head->bodySize);
       if (head->type != 'Q') return gone();
       query(text);
     }
@@ -208,7 +208,7 @@
                  row(report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
     }
     const postgres::Comment comment = postgres::parseComment(text);
-    const ClassModel* const cls = comment.fault ? nullptr : s_.fleet_.find(std::string(comment.cls));
+    const ClassModel* const cls = comment.fault ? nullptr : s_.fleet_.find(std::string(comment.className));
     if (!cls) return error("08P01", "not in this form");
     const bool primary = s_.fleet_.primary(s_.group_) == &s_;
     id_ = std::string(comment.id);
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -123,7 +123,7 @@
 }
 
 std::string ServerSpeaker::problem(const char* code, const char* text) const {
-  translation::Problem p;
+  translation::ErrorReport p;
   p.code = code;
   p.text = text;
   if (generation_.chatty) {
@@ -131,7 +131,7 @@
     p.table = "rows";
     p.constraint = "rows_pkey";
   }
-  return postgres::Codec(generation_.chatty ? 2 : 0).problem(p);
+  return postgres::Codec(generation_.chatty ? 2 : 0).errorResponse(p);
 }
 
 std::optional<std::string> ServerSpeaker::literal(std::string_view s, std::size_t at) const {
--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -190,16 +190,16 @@
           {*dns::instanceName(i.label, service_), Type::Srv, i.ttl, dns::Srv{0, 0, i.port, target(i)}});
   };
   const auto txt = [&](const ServiceInstance& i, std::vector<Record>& to) {
-    const auto strings = i.txt.empty() ? dns::Strings{""} : i.txt;
+    const auto strings = i.txt.empty() ? dns::TxtStrings{""} : i.txt;
     if (i.hasTxt) to.push_back({*dns::instanceName(i.label, service_), Type::Txt, i.ttl, strings});
   };
   const auto addresses = [&](const ServiceInstance& i, std::vector<Record>& to, bool v4, bool v6) {
     for (const std::string& text : i.addresses) {
       char bytes[16];
       if (v4 && inet_pton(AF_INET, text.c_str(), bytes) == 1)
-        to.push_back({target(i), Type::A, i.ttl, dns::Bytes{{bytes, 4}}});
+        to.push_back({target(i), Type::A, i.ttl, dns::AddressBytes{{bytes, 4}}});
       if (v6 && inet_pton(AF_INET6, text.c_str(), bytes) == 1)
-        to.push_back({target(i), Type::Aaaa, i.ttl, dns::Bytes{{bytes, 16}}});
+        to.push_back({target(i), Type::Aaaa, i.ttl, dns::AddressBytes{{bytes, 16}}});
     }
   };
   bool exists = q.name == domain_;
@@ -237,7 +237,7 @@
   if (!q || q->response || !q->question) return {};
   ++(tcp ? counts_.tcp : counts_.udp);
   ++counts_.types[q->question->type];
-  const std::size_t most = tcp ? dns::kLongestMessage : std::max<std::size_t>(q->udpPayload, kPlainUdp);
+  const std::size_t most = tcp ? dns::kMaxMessageSize : std::max<std::size_t>(q->udpPayload, kPlainUdp);
   dns::Message m = records(*q->question);
   m.id = q->id;
   m.response = m.authoritative = true;
--- a/lab/rogue.cpp
+++ b/lab/rogue.cpp
@@ -83,12 +83,12 @@
     const auto& srv = std::get<dns::Srv>(r.data);
     for (const dns::Record& o : m->additionals) {
       if (o.type == dns::Type::Txt && o.name == r.name)
-        for (const std::string& t : std::get<dns::Strings>(o.data))
+        for (const std::string& t : std::get<dns::TxtStrings>(o.data))
           if (t.rfind("group=", 0) == 0) s.group = t.substr(6);
       if (o.type == dns::Type::A && o.name == srv.target) {
         s.address.sin_family = AF_INET;
         s.address.sin_port = htons(srv.port);
-        std::get<dns::Bytes>(o.data).bytes.copy(reinterpret_cast<char*>(&s.address.sin_addr), 4);
+        std::get<dns::AddressBytes>(o.data).bytes.copy(reinterpret_cast<char*>(&s.address.sin_addr), 4);
       }
     }
     found.push_back(s);
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -29,7 +29,8 @@
 }
 
 std::string Speaker::hello() const {
-  if (version_ == Version::V20) return pg2::startup({pg2::kVersion, who_.database, who_.user, who_.options});
+  if (version_ == Version::V20)
+    return postgres2::startup({postgres2::kVersion, who_.database, who_.user, who_.options});
   postgres::Startup s;
   s.minor = version_ == Version::V32 ? 2 : 0;
   s.user = who_.user;
@@ -39,7 +40,7 @@
   return postgres::startup(s);
 }
 std::string Speaker::query(std::string_view statement) const {
-  return version_ == Version::V20 ? pg2::query(statement) : postgres::query(statement);
+  return version_ == Version::V20 ? postgres2::query(statement) : postgres::query(statement);
 }
 std::string Speaker::extended(std::string_view statement, const std::vector<Bound>& bound,
                               bool binaryResults) const {
@@ -50,13 +51,13 @@
     b.formats.push_back(p.binary ? 1 : 0);
     b.values.push_back(p.value ? std::optional<std::string_view>(*p.value) : std::nullopt);
   }
-  if (binaryResults) b.results = {1};
+  if (binaryResults) b.resultFormats = {1};
   return postgres::parseMessage("", statement, types) + postgres::bindMessage(b) +
          postgres::describeMessage({true, ""}) + postgres::executeMessage({"", 0}) + postgres::syncMessage();
 }
 std::string Speaker::cancel() const { return cancelWith(process_, secret_); }
 std::string Speaker::cancelWith(std::uint32_t process, std::string_view secret) const {
-  if (version_ == Version::V20) return pg2::cancel({process, postgres::readInt32(secret.data())});
+  if (version_ == Version::V20) return postgres2::cancel({process, postgres::readInt32(secret.data())});
   return postgres::cancel({process, std::string(secret)});
 }
 
@@ -73,7 +74,7 @@
 // A login's request. False: it cannot be met.
 bool Speaker::login(std::uint32_t request, std::string_view body, std::string& send) {
   const auto say = [&](const std::string& text) {
-    send += version_ == Version::V20 ? pg2::password(text) : withType('p', text + '\0');
+    send += version_ == Version::V20 ? postgres2::password(text) : withType('p', text + '\0');
   };
   switch (request) {
     case 0:
@@ -85,17 +86,17 @@
       say(auth::md5Answer(auth::md5Stored(who_.user, who_.password), body.substr(0, 4)));
       return true;
     case 10: {
-      if (body.find(auth::kScram) == std::string_view::npos) return false;
+      if (body.find(auth::kScramMechanism) == std::string_view::npos) return false;
       login_ =
           std::make_shared<Login>(Login{auth::ScramClient("", "standinnonce" + std::to_string(std::rand()))});
       const std::string first = login_->scram.first();
-      std::string m = std::string(auth::kScram) + '\0';
+      std::string m = std::string(auth::kScramMechanism) + '\0';
       for (int shift = 24; shift >= 0; shift -= 8) m.push_back(static_cast<char>(first.size() >> shift));
       send += withType('p', m + first);
       return true;
     }
     case 11: {
-      const auto c = login_ ? login_->scram.challenged(body, why_) : std::nullopt;
+      const auto c = login_ ? login_->scram.readChallenge(body, why_) : std::nullopt;
       if (!c) return false;
       // Salted once for all connections: a burst of logins must not measure the stand-in's own work.
       static std::map<std::string, std::string> salted;
@@ -112,8 +113,8 @@
 }
 
 Speaker::Got Speaker::take2(std::string& in, std::string& send) {
-  if (!reader_) reader_ = std::make_shared<pg2::Reader>();
-  auto& reader = *static_cast<pg2::Reader*>(reader_.get());
+  if (!reader_) reader_ = std::make_shared<postgres2::Reader>();
+  auto& reader = *static_cast<postgres2::Reader*>(reader_.get());
   std::size_t size = 0;
   bool bad = false;
   while (const auto m = reader.take(in, size, bad)) {
--- a/src/auth/scram.cpp
+++ b/src/auth/scram.cpp
@@ -45,7 +45,7 @@
 };
 std::optional<std::vector<Attribute>> attributes(std::string_view text) {
   std::vector<Attribute> all;
-  if (text.size() > kLongestScram) return std::nullopt;
+  if (text.size() > kMaxScramMessage) return std::nullopt;
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(','), text.size());
     const std::string_view one = text.substr(0, end);
@@ -83,7 +83,7 @@
   return out;
 }
 std::optional<std::string> fromBase64(std::string_view s) {
-  if (s.size() % 4 != 0 || s.size() > kLongestScram) return std::nullopt;
+  if (s.size() % 4 != 0 || s.size() > kMaxScramMessage) return std::nullopt;
   std::size_t padding = 0;
   while (padding < 2 && padding < s.size() && s[s.size() - 1 - padding] == '=') ++padding;
   for (const char c : s.substr(0, s.size() - padding))
@@ -97,7 +97,7 @@
 }
 
 std::string saltPassword(std::string_view password, std::string_view salt, std::uint32_t iterations) {
-  unsigned char out[kKey];
+  unsigned char out[kKeySize];
   PKCS5_PBKDF2_HMAC(password.data(), static_cast<int>(password.size()), bytes(salt),
                     static_cast<int>(salt.size()), static_cast<int>(iterations), EVP_sha256(), sizeof out,
                     out);
@@ -105,7 +105,7 @@
 }
 
 std::string Verifier::text() const {
-  return std::string(kScram) + "$" + std::to_string(iterations) + ":" + toBase64(salt) + "$" +
+  return std::string(kScramMechanism) + "$" + std::to_string(iterations) + ":" + toBase64(salt) + "$" +
          toBase64(storedKey) + ":" + toBase64(serverKey);
 }
 
@@ -127,9 +127,9 @@
   const auto salt = fromBase64(text.substr(colon + 1, dollar - colon - 1));
   const auto stored = fromBase64(text.substr(dollar + 1, last - dollar - 1)),
              server = fromBase64(text.substr(last + 1));
-  if (error != std::errc() || stop != text.data() + colon || v.iterations < kLeastIterations ||
-      v.iterations > kMostIterations || !salt || salt->empty() || !stored || stored->size() != kKey ||
-      !server || server->size() != kKey)
+  if (error != std::errc() || stop != text.data() + colon || v.iterations < kMinIterations ||
+      v.iterations > kMaxIterations || !salt || salt->empty() || !stored || stored->size() != kKeySize ||
+      !server || server->size() != kKeySize)
     return std::nullopt;
   v.salt = *salt;
   v.storedKey = *stored;
@@ -143,8 +143,8 @@
   return "n,,n=" + escaped(user_) + ",r=" + nonce_;
 }
 
-std::optional<ScramClient::Challenge> ScramClient::challenged(std::string_view serverFirst,
-                                                              std::string& why) {
+std::optional<ScramClient::Challenge> ScramClient::readChallenge(std::string_view serverFirst,
+                                                                 std::string& why) {
   const auto a = attributes(serverFirst);
   const auto wrong = [&](const char* what) {
     why = what;
@@ -162,17 +162,17 @@
   const auto [stop, error] = std::from_chars(count.data(), count.data() + count.size(), c.iterations);
   if (!salt || salt->empty() || error != std::errc() || stop != count.data() + count.size())
     return wrong("a malformed challenge");
-  if (c.iterations < kLeastIterations || c.iterations > kMostIterations)
+  if (c.iterations < kMinIterations || c.iterations > kMaxIterations)
     return wrong("an iteration count out of range");
   c.salt = *salt;
   firstBare_ = "n=" + escaped(user_) + ",r=" + nonce_;
   serverFirst_ = std::string(serverFirst);
-  combined_ = std::string(nonce);
+  combinedNonce_ = std::string(nonce);
   return c;
 }
 
 std::string ScramClient::final(std::string_view salted) {
-  const std::string without = "c=biws,r=" + combined_;  // base64 of "n,,"
+  const std::string without = "c=biws,r=" + combinedNonce_;  // base64 of "n,,"
   const std::string auth = firstBare_ + "," + serverFirst_ + "," + without;
   const std::string clientKey = hmac(salted, "Client Key");
   const std::string proof = exclusiveOr(clientKey, hmac(digest(EVP_sha256(), clientKey), auth));
@@ -199,18 +199,18 @@
     return std::nullopt;
   };
   // gs2 header: "n,," or "y,,"; with an authorization name or channel binding there is nothing here to do.
-  if (m.size() > kLongestScram || m.size() < 3) return wrong("a malformed first message");
+  if (m.size() > kMaxScramMessage || m.size() < 3) return wrong("a malformed first message");
   if (m[0] == 'p') return wrong("channel binding is not spoken here");
   if ((m[0] != 'n' && m[0] != 'y') || m.substr(1, 2) != ",,") return wrong("a malformed first message");
-  gs2_ = std::string(m.substr(0, 3));
+  gs2Header_ = std::string(m.substr(0, 3));
   const std::string_view bare = m.substr(3);
   const auto a = attributes(bare);
   if (!a || a->size() < 2 || (*a)[0].name != 'n' || (*a)[1].name != 'r' || !printable((*a)[1].value))
     return wrong("a malformed first message");
   clientFirstBare_ = std::string(bare);
-  combined_ = std::string((*a)[1].value) + nonce_;
+  combinedNonce_ = std::string((*a)[1].value) + nonce_;
   serverFirst_ =
-      "r=" + combined_ + ",s=" + toBase64(verifier_.salt) + ",i=" + std::to_string(verifier_.iterations);
+      "r=" + combinedNonce_ + ",s=" + toBase64(verifier_.salt) + ",i=" + std::to_string(verifier_.iterations);
   return serverFirst_;
 }
 
@@ -224,10 +224,10 @@
   if (serverFirst_.empty() || !a || a->size() < 3 || (*a)[0].name != 'c' || (*a)[1].name != 'r' ||
       at == std::string_view::npos)
     return wrong("a malformed last message");
-  if ((*a)[0].value != toBase64(gs2_)) return wrong("another binding than at first");
-  if ((*a)[1].value != combined_) return wrong("another nonce than at first");
+  if ((*a)[0].value != toBase64(gs2Header_)) return wrong("another binding than at first");
+  if ((*a)[1].value != combinedNonce_) return wrong("another nonce than at first");
   const auto proof = fromBase64(m.substr(at + 3));
-  if (!proof || proof->size() != kKey) return wrong("a malformed proof");
+  if (!proof || proof->size() != kKeySize) return wrong("a malformed proof");
   const std::string auth = clientFirstBare_ + "," + serverFirst_ + "," + std::string(m.substr(0, at));
   const std::string clientKey = exclusiveOr(*proof, hmac(verifier_.storedKey, auth));
   if (!sameSecret(digest(EVP_sha256(), clientKey), verifier_.storedKey)) return wrong("a wrong password");
--- a/src/auth/scram.hpp
+++ b/src/auth/scram.hpp
@@ -13,10 +13,10 @@
 
 namespace sablespur::auth {
 
-constexpr const char* kScram = "SCRAM-SHA-256";
-constexpr std::size_t kKey = 32, kLongestScram = 2048;
+constexpr const char* kScramMechanism = "SCRAM-SHA-256";
+constexpr std::size_t kKeySize = 32, kMaxScramMessage = 2048;
 // A server may ask for any count; each is so many HMACs of ours. Guards against one that asks for billions.
-constexpr std::uint32_t kLeastIterations = 1, kMostIterations = 1000000;
+constexpr std::uint32_t kMinIterations = 1, kMaxIterations = 1000000;
 
 // Compares in a time that tells nothing of where they differ.
 bool sameSecret(std::string_view a, std::string_view b);
@@ -44,7 +44,7 @@
     std::string salt;
     std::uint32_t iterations = 0;
   };
-  std::optional<Challenge> challenged(std::string_view serverFirst, std::string& why);
+  std::optional<Challenge> readChallenge(std::string_view serverFirst, std::string& why);
   // With the password salted by that challenge.
   std::string final(std::string_view saltedPassword);
   // Whether the server knows the password, too.
@@ -52,7 +52,7 @@
 
  private:
   const std::string user_, nonce_;
-  std::string firstBare_, serverFirst_, combined_, serverSignature_;
+  std::string firstBare_, serverFirst_, combinedNonce_, serverSignature_;
 };
 
 // The side that lets in.
@@ -68,7 +68,7 @@
  private:
   const Verifier verifier_;
   const std::string nonce_;
-  std::string gs2_, clientFirstBare_, serverFirst_, combined_;
+  std::string gs2Header_, clientFirstBare_, serverFirst_, combinedNonce_;
 };
 
 // PostgreSQL's MD5 logins: "md5" and hex of md5(md5(password user) salt); `stored` is "md5" and hex of the
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -210,20 +210,20 @@
     while (evbuffer_get_length(in) > 0) {
       if (!dialing && !(job && job->written && flushed()))
         return owner_.spoilt(*this, "what nobody asked for");
-      char bytes[postgres::kHead];
+      char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) break;
-      const auto head = postgres::parseHead(bytes);
+      const auto head = postgres::parseHeader(bytes);
       // Judged by its head, before the rest is read: it may promise gigabytes.
-      if (!head || !due(head->type) || head->body > longest(head->type))
+      if (!head || !due(head->type) || head->bodySize > longest(head->type))
         return owner_.spoilt(*this, "a message that is none");
-      const std::size_t whole = sizeof bytes + head->body;
+      const std::size_t whole = sizeof bytes + head->bodySize;
       if (!dialing && evbuffer_get_length(answer_.get()) + whole > kLongestAnswer)
         return owner_.tooLong(*this);
       if (evbuffer_get_length(in) < whole) break;
       // Only the answer's own messages go on to the client. A row is moved, its value unread, but for a
       // probe's.
       if (head->type == 'D' && !job->probe()) {
-        if (!(strict() ? isValue(in, head->body) : isRow(in, head->body)))
+        if (!(strict() ? isValue(in, head->bodySize) : isRow(in, head->bodySize)))
           return owner_.spoilt(*this, "a malformed row");
         stage_ = Stage::Row;
         evbuffer_remove_buffer(in, answer_.get(), whole);
@@ -231,7 +231,7 @@
       }
       const char* const at =
           reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(whole)));
-      const std::string_view body(at + sizeof bytes, head->body);
+      const std::string_view body(at + sizeof bytes, head->bodySize);
       if (!take(head->type, body)) return;  // this connection is no more
       if (head->type == 'T' || head->type == 'C')
         evbuffer_remove_buffer(in, answer_.get(), whole);
@@ -252,21 +252,21 @@
   bool strict() const { return job->probe() || !owner_.config_.anyRows; }
   std::size_t longest(char type) const {
     const bool any = !dialing && !strict();
-    if (type == 'D') return any ? postgres::kLongestMessage : postgres::kRowHead + postgres::kLongestValue;
-    return any && type == 'T' ? postgres::kLongestMessage : postgres::kLongestNote;
+    if (type == 'D') return any ? postgres::kMaxMessage : postgres::kRowHeaderSize + postgres::kMaxValue;
+    return any && type == 'T' ? postgres::kMaxMessage : postgres::kMaxOtherMessage;
   }
   static bool isValue(evbuffer* in, std::size_t body) {
-    char row[postgres::kHead + postgres::kRowHead];
-    char columns[postgres::kRowHead];
+    char row[postgres::kHeaderSize + postgres::kRowHeaderSize];
+    char columns[postgres::kRowHeaderSize];
     const bool enough = evbuffer_copyout(in, row, sizeof row) == static_cast<ev_ssize_t>(sizeof row);
-    std::copy(row + postgres::kHead, row + sizeof row, columns);
-    return enough && postgres::isRowHead(columns, body);
+    std::copy(row + postgres::kHeaderSize, row + sizeof row, columns);
+    return enough && postgres::isRowHeader(columns, body);
   }
   // Whether the lengths within a row fit; the values are not looked at.
   bool isRow(evbuffer* in, std::size_t body) const {
     evbuffer_ptr at;
     char n[4];
-    if (body < 2 || evbuffer_ptr_set(in, &at, postgres::kHead, EVBUFFER_PTR_SET) != 0 ||
+    if (body < 2 || evbuffer_ptr_set(in, &at, postgres::kHeaderSize, EVBUFFER_PTR_SET) != 0 ||
         evbuffer_copyout_from(in, &at, n, 2) != 2 ||
         (static_cast<unsigned char>(n[0]) << 8 | static_cast<unsigned char>(n[1])) !=
             static_cast<int>(columns_))
@@ -376,7 +376,8 @@
         stage_ = Stage::Row;
         return true;
       case 'C':
-        if (!postgres::isTag(body, strict() && !job->probe())) return malformed("a malformed completion");
+        if (!postgres::isCommandTag(body, strict() && !job->probe()))
+          return malformed("a malformed completion");
         stage_ = Stage::Complete;
         return true;
       case 'v': {
@@ -735,7 +736,7 @@
                     length = before + (before > 0 ? digits.size() : 0) +
                              evbuffer_get_length(j.message->after.get());
   const Buffer query = newBuffer();
-  append(query.get(), postgres::queryHead(length));
+  append(query.get(), postgres::queryHeader(length));
   evbuffer_add_buffer_reference(query.get(), j.message->before.get());
   if (before > 0) append(query.get(), digits);  // else the statement does not say how long it waits
   evbuffer_add_buffer_reference(query.get(), j.message->after.get());
@@ -760,7 +761,7 @@
   statement.pop_back();  // its NUL
   const std::string there =
       translation::rewriteLiterals(statement, !j.on->backslashes(), j.on->backslashes());
-  if (there.size() + 1 > postgres::kLongestMessage) return tooLong(*j.on);
+  if (there.size() + 1 > postgres::kMaxMessage) return tooLong(*j.on);
   const Buffer query = newBuffer();
   append(query.get(), postgres::query(there));
   j.on->writeAtOnce(query.get(), now);
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -31,27 +31,27 @@
       case postgres::kAuthSasl:
         if (!guest_.allows(auth::Method::Scram) || !postgres::offersScram(data))
           return {Next::Out, {}, "it offers no SASL mechanism that is allowed here"};
-        return {Next::Send, postgres::saslInitial(guest_.scramFirst()), {}};
+        return {Next::Send, postgres::saslInitialResponse(guest_.scramFirst()), {}};
       case postgres::kAuthSaslContinue:
-        challenge_ = guest_.challenged(data, why);
+        challenge_ = guest_.readChallenge(data, why);
         return challenge_ ? Said{Next::Salt, {}, {}} : Said{Next::Out, {}, why};
       case postgres::kAuthSaslFinal:
-        return guest_.verified(data, why) ? Said{Next::Wait, {}, {}} : Said{Next::Out, {}, why};
+        return guest_.verifyServer(data, why) ? Said{Next::Wait, {}, {}} : Said{Next::Out, {}, why};
       default:
         return {Next::Out, {}, "it wants a login that is not spoken here: " + std::to_string(code)};
     }
   }
-  std::function<std::string()> slow() const override { return guest_.slow(*challenge_); }
+  std::function<std::string()> slow() const override { return guest_.saltingWork(*challenge_); }
   std::string challenge() const override {
     return challenge_ ? std::to_string(challenge_->iterations) + ":" + challenge_->salt : std::string();
   }
   Said salted(const std::string& result) override {
     return {Next::Send, postgres::saslResponse(guest_.scramFinal(result)), {}};
   }
-  bool mayEnter() const override { return guest_.mayEnter(); }
+  bool mayEnter() const override { return guest_.serverTrusted(); }
 
  private:
-  auth::Guest guest_;
+  auth::ClientAuthenticator guest_;
   std::optional<auth::ScramClient::Challenge> challenge_;
 };
 
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -19,7 +19,7 @@
 
 std::shared_ptr<const admission::Settings> makeAdmission(const AdmissionDraft& a, const AdmissionContext& c) {
   auto s = std::make_shared<admission::Settings>();
-  const auto wrong = [&](const std::string& title, const char* key, Wrong w) {
+  const auto wrong = [&](const std::string& title, const char* key, ValueError w) {
     c.fault(c.line(title, key), title + (key ? std::string(" ") + key : ""), std::move(w));
   };
   const std::string self = "[admission]";
--- a/src/config/admission.hpp
+++ b/src/config/admission.hpp
@@ -17,7 +17,7 @@
   std::size_t clients = 0;  // connections that the limits leave for clients
   bool passwords = false;   // clients prove their names
   std::function<int(const std::string& title, const char* key)> line;
-  std::function<void(int line, std::string where, Wrong)> fault;
+  std::function<void(int line, std::string where, ValueError)> fault;
   std::function<std::optional<std::string>(const std::string& name)> file;  // its text
 };
 
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -53,7 +53,7 @@
   }
 
  private:
-  void fault(int line, std::string where, Wrong w) {
+  void fault(int line, std::string where, ValueError w) {
     faults_.push_back({path_, line, std::move(where), std::move(w.problem), std::move(w.fix)});
   }
 
@@ -112,7 +112,7 @@
         continue;
       }
       auto value = readValue(key, entry ? entry->value : key.fallback);
-      if (Wrong* w = std::get_if<Wrong>(&value))
+      if (ValueError* w = std::get_if<ValueError>(&value))
         fault(entry ? entry->line : 0, where, std::move(*w));
       else
         key.set(d, std::get<KeyValue>(value));
@@ -216,7 +216,7 @@
         if (s.title() == title) return key ? lineOf(s, key) : s.line;
       return 0;
     };
-    context.fault = [this](int line, std::string where, Wrong w) {
+    context.fault = [this](int line, std::string where, ValueError w) {
       fault(line, std::move(where), std::move(w));
     };
     context.file = [this](const std::string& name) { return text(beside(name)); };
@@ -393,7 +393,7 @@
     const IniSection* section = nullptr;
     for (const IniSection& s : file_.sections)
       if (s.type == "dnssd") section = &s;
-    const auto wrong = [&](const char* key, Wrong w) {
+    const auto wrong = [&](const char* key, ValueError w) {
       fault(section ? lineOf(*section, key) : sectionLine("discovery"), std::string("[dnssd] ") + key,
             std::move(w));
     };
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -647,7 +647,7 @@
 
 template <typename T>
 Read<KeyValue> widen(const Read<T>& r) {
-  if (const Wrong* w = std::get_if<Wrong>(&r)) return *w;
+  if (const ValueError* w = std::get_if<ValueError>(&r)) return *w;
   return KeyValue(std::get<T>(r));
 }
 
@@ -664,8 +664,8 @@
 
 Read<KeyValue> readAddress(const std::string& text) {
   if (const auto a = Address::parse(text)) return KeyValue(*a);
-  return Wrong{"'" + text + "' is no address with a port",
-               "write it as 10.1.0.18:5432 or [fd00::18]:5432; names are not looked up here"};
+  return ValueError{"'" + text + "' is no address with a port",
+                    "write it as 10.1.0.18:5432 or [fd00::18]:5432; names are not looked up here"};
 }
 
 Read<KeyValue> readAny(const Key& key, const std::string& text) {
@@ -676,7 +676,7 @@
       std::vector<Address> all;
       for (const std::string& item : words(text, ',')) {
         const auto one = readAddress(item);
-        if (const Wrong* w = std::get_if<Wrong>(&one)) return *w;
+        if (const ValueError* w = std::get_if<ValueError>(&one)) return *w;
         all.push_back(std::get<Address>(std::get<KeyValue>(one)));
       }
       return KeyValue(all);
@@ -701,8 +701,8 @@
       const char* const end = text.data() + text.size();
       const auto [stop, error] = std::from_chars(text.data(), end, v, 16);
       if (error == std::errc() && stop == end) return KeyValue(v);
-      return Wrong{"'" + text + "' is no hexadecimal number",
-                   "write up to 16 of 0 to 9 and a to f, or random"};
+      return ValueError{"'" + text + "' is no hexadecimal number",
+                        "write up to 16 of 0 to 9 and a to f, or random"};
     }
     case Kind::Choice: {
       const std::vector<std::string> all = words(key.choices, ' ');
@@ -710,8 +710,8 @@
       std::string list;
       for (const std::string& w : all) list += (list.empty() ? "" : ", ") + w;
       const std::string near = nearestWord(text, all.data(), all.data() + all.size());
-      return Wrong{"'" + text + "' is none of " + list,
-                   near.empty() ? "write one of them" : "did you mean '" + near + "'?"};
+      return ValueError{"'" + text + "' is none of " + list,
+                        near.empty() ? "write one of them" : "did you mean '" + near + "'?"};
     }
     case Kind::Domain: {
       if (text.empty()) return KeyValue(text);
@@ -725,13 +725,14 @@
         good = good && label <= 63;
       }
       if (good) return KeyValue(text);
-      return Wrong{"'" + text + "' is no domain name",
-                   "write labels of letters, digits, - and _ with dots between, such as ruwi.example.org"};
+      return ValueError{
+          "'" + text + "' is no domain name",
+          "write labels of letters, digits, - and _ with dots between, such as ruwi.example.org"};
     }
     case Kind::Text:
       break;
   }
-  if (text.empty() && !key.fallback) return Wrong{"it is empty", "give it a value"};
+  if (text.empty() && !key.fallback) return ValueError{"it is empty", "give it a value"};
   return KeyValue(text);
 }
 
@@ -790,11 +791,11 @@
 
 Read<KeyValue> readValue(const Key& key, const std::string& text) {
   Read<KeyValue> value = readAny(key, text);
-  if (std::holds_alternative<Wrong>(value) || key.least == key.most) return value;
+  if (std::holds_alternative<ValueError>(value) || key.least == key.most) return value;
   const double v = std::visit(InBase{}, std::get<KeyValue>(value));
   if (v >= key.least && v <= key.most) return value;
-  return Wrong{"'" + text + "' is out of range",
-               "write " + writeBound(key.kind, key.least) + " to " + writeBound(key.kind, key.most)};
+  return ValueError{"'" + text + "' is out of range",
+                    "write " + writeBound(key.kind, key.least) + " to " + writeBound(key.kind, key.most)};
 }
 
 std::string settingsPage() {
--- a/src/discovery/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -176,7 +176,7 @@
   for (const Record& r : records) {
     const Question q{r.name, r.type};
     if (q == ptr_ || r.type == Type::Soa || sets_.count(q) == 0) continue;
-    if (additional && !dns::within(r.name, domain_)) continue;
+    if (additional && !dns::isWithin(r.name, domain_)) continue;
     const auto [it, fresh] = found.try_emplace(q, std::vector<Data>(), r.ttl);
     it->second.first.push_back(r.data);
     it->second.second = std::min(it->second.second, r.ttl);
@@ -190,7 +190,7 @@
   // alone, it has no older one.
   std::map<Name, std::pair<std::vector<Data>, std::uint32_t>> newer;
   for (const Record& r : records) {
-    if (r.type != Type::Aaaa || !dns::within(r.name, domain_)) continue;
+    if (r.type != Type::Aaaa || !dns::isWithin(r.name, domain_)) continue;
     if (sets_.count({r.name, Type::A}) == 0 || found.count({r.name, Type::A}) > 0) continue;
     auto& entry = newer.try_emplace(r.name, std::vector<Data>(), r.ttl).first->second;
     entry.first.push_back(r.data);
@@ -245,7 +245,7 @@
         r.type == Type::Ptr && r.name == ptr_.name ? std::get_if<Name>(&r.data) : nullptr;
     if (!name) continue;
     ttl = names.empty() ? r.ttl : std::min(ttl, r.ttl);
-    if (!dns::within(*name, ptr_.name) || *name == ptr_.name)
+    if (!dns::isWithin(*name, ptr_.name) || *name == ptr_.name)
       faults_[*name] = "named by PTR, and no instance of the service";
     else if (names.size() < kMostInstances && seen.insert(*name).second)
       names.push_back(*name);
@@ -328,7 +328,7 @@
   if (addresses->state == Set::State::Absent) fault = "its target " + target + " has no address";
   if (addresses->state != Set::State::Known) return;
   std::vector<std::string> bytes;
-  for (const Data& d : addresses->data) bytes.push_back(std::get<dns::Bytes>(d).bytes);
+  for (const Data& d : addresses->data) bytes.push_back(std::get<dns::AddressBytes>(d).bytes);
   std::sort(bytes.begin(), bytes.end());
   // Of several addresses one is taken, and kept while it is there: the others are ways to the same server.
   Address& chosen = chosen_[name];
@@ -342,7 +342,7 @@
   i.address = chosen;
   std::vector<std::string> strings;
   for (const Data& d : txt.data)
-    for (const std::string& s : std::get<dns::Strings>(d)) strings.push_back(s);
+    for (const std::string& s : std::get<dns::TxtStrings>(d)) strings.push_back(s);
   if (const auto wrong = readTxt(strings, groups_, settings_.defaultGroup, i))
     fault = "TXT: " + *wrong;
   else
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -20,7 +20,7 @@
 
 namespace sablespur::translation {
 class AnswerReader;
-struct Side;
+struct SessionSettings;
 }  // namespace sablespur::translation
 
 namespace sablespur {
@@ -32,7 +32,7 @@
 // A request as it goes on to a member; between the two parts stands what is left of its time, in ms.
 struct Message {
   Buffer before, after;
-  std::shared_ptr<const translation::Side>
+  std::shared_ptr<const translation::SessionSettings>
       from;             // what its writer said of itself; null: what everyone takes for granted
   std::string id, key;  // as its writer named it, and its idempotency key; empty: none
   Time clockOffset{};   // Engine::clockOffset() when the request's tokenMs was counted
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -105,13 +105,13 @@
 
 // In version 3's words, whatever it speaks: there is no descriptor to hold it on until it has said so.
 void Clients::turnAway(evutil_socket_t fd, Time comeBack) {
-  translation::Problem p;
+  translation::ErrorReport p;
   p.severity = "FATAL";
   p.code = "53300";
   p.text = "too many connections";
   const auto ms = (comeBack.count() + 999) / 1000;
-  if (ms > 0) p.comeBackMs = static_cast<std::uint32_t>(ms);
-  const std::string last = postgres::Codec(0).problem(p);
+  if (ms > 0) p.retryAfterMs = static_cast<std::uint32_t>(ms);
+  const std::string last = postgres::Codec(0).errorResponse(p);
   const ssize_t sent = send(fd, last.data(), last.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   (void)sent;  // it is the last word either way
   shutdown(fd, SHUT_WR);
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -16,14 +16,14 @@
 
 class ByPassword final : public Login {
  public:
-  ByPassword(auth::Host host, bool version2) : host_(std::move(host)), version2_(version2) {}
+  ByPassword(auth::ServerAuthenticator host, bool version2) : host_(std::move(host)), version2_(version2) {}
 
   std::string ask() override {
     switch (*host_.method()) {
       case auth::Method::Cleartext:
-        return version2_ ? pg2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
+        return version2_ ? postgres2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
       case auth::Method::Md5:
-        return version2_ ? pg2::askMd5(host_.salt())
+        return version2_ ? postgres2::askMd5(host_.salt())
                          : postgres::authentication(postgres::kAuthMd5, host_.salt());
       default:
         break;
@@ -39,20 +39,21 @@
     }
     if (!word) return {Next::Out, {}};
     begun_ = true;
-    return said(host_.take(*word));
+    return said(host_.receive(*word));
   }
-  std::function<std::string()> slow() const override { return host_.slow(); }
-  Said salted(const std::string& result) override { return said(host_.salted(result)); }
+  std::function<std::string()> slow() const override { return host_.saltingWork(); }
+  Said salted(const std::string& result) override { return said(host_.passwordSalted(result)); }
 
  private:
-  Said said(auth::Next n) {
-    const std::string& word = host_.say();
-    if (n == auth::Next::Ask) return {Next::Ask, postgres::authentication(postgres::kAuthSaslContinue, word)};
-    if (n == auth::Next::In)
+  Said said(auth::AuthenticationStep n) {
+    const std::string& word = host_.response();
+    if (n == auth::AuthenticationStep::Continue)
+      return {Next::Ask, postgres::authentication(postgres::kAuthSaslContinue, word)};
+    if (n == auth::AuthenticationStep::Accepted)
       return {Next::In, word.empty() ? "" : postgres::authentication(postgres::kAuthSaslFinal, word)};
-    return {n == auth::Next::Salt ? Next::Salt : Next::Out, {}};
+    return {n == auth::AuthenticationStep::SaltPassword ? Next::Salt : Next::Out, {}};
   }
-  auth::Host host_;
+  auth::ServerAuthenticator host_;
   const bool version2_;
   bool begun_ = false;
 };
@@ -69,7 +70,7 @@
                                  std::string& why) {
 #ifdef SABLESPUR_AUTH
   static const std::string secret = randomBytes(32);  // of this process
-  auth::Host host(users, user, config.logins, !version2, secret, nonce(), randomBytes(4));
+  auth::ServerAuthenticator host(users, user, config.logins, !version2, secret, nonce(), randomBytes(4));
   if (host.method()) return std::make_unique<ByPassword>(std::move(host), version2);
 #endif
   why = "no way to log in that this client and this user have in common";
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -35,15 +35,15 @@
 constexpr std::size_t kLongestSet = 1024, kLongestName = 63;
 
 const postgres::Codec kVersion30(0), kVersion32(2);
-const pg2::Codec kVersion20;
+const postgres2::Codec kVersion20;
 
 std::uint64_t fnv1a(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ull;
   for (const unsigned char c : text) h = (h ^ c) * 0x100000001b3ull;
   return h;
 }
-translation::Problem problem(const char* severity, const char* code, std::string_view text) {
-  translation::Problem p;
+translation::ErrorReport problem(const char* severity, const char* code, std::string_view text) {
+  translation::ErrorReport p;
   p.severity = severity;
   p.code = code;
   p.text = std::string(text);
@@ -108,8 +108,8 @@
     outside(place_ == 0);
   }
   if (place_ != 0) return true;
-  translation::Problem p = problem("FATAL", "53300", "too many connections of this client's group");
-  p.comeBackMs = static_cast<std::uint32_t>(std::max<std::int64_t>((comeBack_.count() + 999) / 1000, 1));
+  translation::ErrorReport p = problem("FATAL", "53300", "too many connections of this client's group");
+  p.retryAfterMs = static_cast<std::uint32_t>(std::max<std::int64_t>((comeBack_.count() + 999) / 1000, 1));
   tell(p);
   lingers();
   return false;
@@ -129,9 +129,9 @@
 }
 void Session::rejected(Time retryAfter) {
   request_ = 0;
-  translation::Problem p = problem("ERROR", "53300", "no data server can take this request now");
+  translation::ErrorReport p = problem("ERROR", "53300", "no data server can take this request now");
   const auto ms = (retryAfter.count() + 999) / 1000;
-  if (ms > 0) p.comeBackMs = static_cast<std::uint32_t>(ms);
+  if (ms > 0) p.retryAfterMs = static_cast<std::uint32_t>(ms);
   tell(p);
   answered();
 }
@@ -148,8 +148,8 @@
   answered();
 }
 
-void Session::tell(const translation::Problem& p) {
-  append(output(), codec_->problem(p));
+void Session::tell(const translation::ErrorReport& p) {
+  append(output(), codec_->errorResponse(p));
   skipping_ = extended_;
 }
 
@@ -161,7 +161,7 @@
   const auto whole = [&] {
     return std::string_view(reinterpret_cast<const char*>(evbuffer_pullup(from, -1)), length);
   };
-  if (answer.problem) return tell(answer.reader->problem(whole()));
+  if (answer.problem) return tell(answer.reader->readError(whole()));
   const bool same = speaks_ == Speaks::Version3 && answer.reader == &postgres::reader() && wanted_.plain() &&
                     mostRows_ == 0;
   if (same && !extended_) {
@@ -170,12 +170,12 @@
   }
   std::string columns;
   if (extended_ && answer.reader == &postgres::reader()) {
-    char bytes[postgres::kHead];
+    char bytes[postgres::kHeaderSize];
     if (evbuffer_copyout(from, bytes, sizeof bytes) == sizeof bytes && bytes[0] == 'T') {
-      const auto head = postgres::parseHead(bytes);
-      const auto* const at = evbuffer_pullup(from, static_cast<ev_ssize_t>(sizeof bytes + head->body));
-      columns.assign(reinterpret_cast<const char*>(at) + sizeof bytes, head->body);
-      if (same && !described_) evbuffer_drain(from, sizeof bytes + head->body);
+      const auto head = postgres::parseHeader(bytes);
+      const auto* const at = evbuffer_pullup(from, static_cast<ev_ssize_t>(sizeof bytes + head->bodySize));
+      columns.assign(reinterpret_cast<const char*>(at) + sizeof bytes, head->bodySize);
+      if (same && !described_) evbuffer_drain(from, sizeof bytes + head->bodySize);
     }
   }
   if (extended_ && described_ && columns.empty()) append(output(), postgres::noData());
@@ -183,9 +183,9 @@
     evbuffer_add_buffer(output(), from);
     return prepared_->executed(columns, false);
   }
-  translation::Conversion conversion(*codec_, wanted_, described_, 2 * length + kGrowth, mostRows_);
-  if (!answer.reader->answer(whole(), conversion)) {
-    const std::string why = conversion.why().empty() ? "a malformed answer" : conversion.why();
+  translation::AnswerConverter conversion(*codec_, wanted_, described_, 2 * length + kGrowth, mostRows_);
+  if (!answer.reader->read(whole(), conversion)) {
+    const std::string why = conversion.failure().empty() ? "a malformed answer" : conversion.failure();
     logEvent(LogLevel::Warning, "answer_not_translated", {{"why", why}});
     return tell(problem("ERROR", "22P03", "the answer cannot be told: " + why));
   }
@@ -395,10 +395,10 @@
 
 // ---- the startup --------------------------------------------------------------------------------------
 bool Session::takeHeader() {
-  const std::size_t have = std::min(evbuffer_get_length(input()), proxy_protocol::kLongestV2);
+  const std::size_t have = std::min(evbuffer_get_length(input()), proxy_protocol::kMaxVersion2Size);
   if (have == 0) return false;
   const proxy_protocol::Header h = proxy_protocol::parse(pull(have));
-  if (h.bad) {
+  if (h.malformed) {
     reject("08P01", "expected a PROXY header", true);
     return false;
   }
@@ -422,7 +422,7 @@
   }
   if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
   const std::uint32_t length = postgres::readInt32(head), code = postgres::readInt32(head + 4);
-  if (length < sizeof head || length > postgres::kLongestStartup) {
+  if (length < sizeof head || length > postgres::kMaxStartup) {
     reject("08P01", "malformed startup message", true);
     return false;
   }
@@ -477,7 +477,7 @@
 
 bool Session::takeVersion2(std::string_view packet) {
   codec_ = &kVersion20;
-  const auto s = pg2::parseStartup(packet);
+  const auto s = postgres2::parseStartup(packet);
   side_.backslashes = true;  // in its time nothing else was known
   side_.bytea = translation::ByteaForm::Escape;
   const auto why = s ? translation::applyOptions(side_, s->options) : std::nullopt;
@@ -508,9 +508,9 @@
   std::size_t whole = 0;
   std::string_view body;
   if (speaks_ == Speaks::Version2) {
-    const std::size_t have = std::min(evbuffer_get_length(input()), pg2::kLongestPassword);
+    const std::size_t have = std::min(evbuffer_get_length(input()), postgres2::kMaxPassword);
     bool bad = false;
-    const auto password = pg2::parsePassword(pull(have), whole, bad);
+    const auto password = postgres2::parsePassword(pull(have), whole, bad);
     if (bad) {
       reject("08P01", "malformed password packet", true);
       return false;
@@ -518,14 +518,14 @@
     if (!password) return false;
     body = *password;
   } else {
-    char bytes[postgres::kHead];
+    char bytes[postgres::kHeaderSize];
     if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return false;
-    const auto head = postgres::parseHead(bytes);
-    if (!head || head->type != 'p' || head->body > kLongestLogin) {
+    const auto head = postgres::parseHeader(bytes);
+    if (!head || head->type != 'p' || head->bodySize > kLongestLogin) {
       reject("08P01", "expected a password", true);
       return false;
     }
-    whole = sizeof bytes + head->body;
+    whole = sizeof bytes + head->bodySize;
     if (evbuffer_get_length(input()) < whole) return false;
     body = pull(whole).substr(sizeof bytes);
   }
@@ -561,10 +561,10 @@
 void Session::welcome() {
   key_ = owner_.newKey(*this, codec_ == &kVersion32 ? postgres::kLongKey : postgres::kShortKey);
   append(output(), speaks_ == Speaks::Version3
-                       ? postgres::welcome(key_, side_.backslashes)
-                       : pg2::authenticationOk() +
-                             pg2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
-                             pg2::ready());
+                       ? postgres::loginComplete(key_, side_.backslashes)
+                       : postgres2::authenticationOk() +
+                             postgres2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
+                             postgres2::ready());
   lastActive_ = owner_.engine_.now();
   sideTold();
   if (owner_.gate_) owner_.gate_->idle(place_);
@@ -572,7 +572,7 @@
 }
 
 void Session::sideTold() {
-  told_ = side_.backslashes ? std::make_shared<const translation::Side>(side_) : nullptr;
+  told_ = side_.backslashes ? std::make_shared<const translation::SessionSettings>(side_) : nullptr;
   wanted_.bytea = side_.bytea;
 }
 
@@ -583,9 +583,9 @@
 }
 
 bool Session::takeMessage() {
-  char bytes[postgres::kHead];
+  char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return false;
-  const auto head = postgres::parseHead(bytes);
+  const auto head = postgres::parseHeader(bytes);
   if (!head) {
     reject("08P01", "a message's length is out of range", true);
     return false;
@@ -600,7 +600,7 @@
            true);
     return false;
   }
-  const std::size_t whole = sizeof bytes + head->body;
+  const std::size_t whole = sizeof bytes + head->bodySize;
   if (!reserve(whole)) {
     reject("53200", "too many long statements at once", true);
     return false;
@@ -620,12 +620,12 @@
   }
   evbuffer_drain(input(), sizeof bytes);
   if (skipping_) {
-    evbuffer_drain(input(), head->body);
+    evbuffer_drain(input(), head->bodySize);
     release();
     return true;
   }
   Buffer statement = newBuffer();
-  evbuffer_remove_buffer(input(), statement.get(), head->body);
+  evbuffer_remove_buffer(input(), statement.get(), head->bodySize);
   if (prepared_) prepared_->simpleQuery();
   takeStatement(std::move(statement));
   return true;
@@ -649,9 +649,9 @@
   }
   const auto end = evbuffer_search(input(), "", 1, nullptr);  // the first NUL
   if (end.pos < 0) {
-    if (have >= pg2::kLongestQuery)
+    if (have >= postgres2::kMaxQuery)
       reject("08P01", "a query that does not end", true);
-    else if (have >= kReadAhead && !reserve(pg2::kLongestQuery))
+    else if (have >= kReadAhead && !reserve(postgres2::kMaxQuery))
       reject("53200", "too many long statements at once", true);
     return false;
   }
@@ -673,7 +673,7 @@
 }
 
 void Session::takeExtended(char type, std::string_view body) {
-  const std::size_t whole = postgres::kHead + body.size();
+  const std::size_t whole = postgres::kHeaderSize + body.size();
   if (!prepared_) prepared_ = std::make_unique<PreparedStatements>();
   PreparedStatements& p = *prepared_;
   std::optional<PreparedStatements::Asked> asked;
@@ -689,7 +689,7 @@
         take(p.parse(body, side_.backslashes));
         break;
       case 'B':
-        take(p.bind(body, side_.backslashes, postgres::kLongestMessage));
+        take(p.bind(body, side_.backslashes, postgres::kMaxMessage));
         break;
       case 'D':
         take(p.describe(body));
@@ -733,7 +733,7 @@
   }
   sideTold();
   if (extended_ && described_) append(output(), postgres::noData());
-  append(output(), codec_->completed("SET"));
+  append(output(), codec_->commandComplete("SET"));
   if (set->first == "standard_conforming_strings" && speaks_ == Speaks::Version3)
     append(output(), postgres::parameterStatus(set->first, side_.backslashes ? "off" : "on"));
   answered();
@@ -753,7 +753,7 @@
   const std::string_view text(tail, n - 1);
   if (n == length && text.find_first_not_of(" \t\r\n;") == std::string_view::npos) {
     if (extended_ && described_) append(output(), postgres::noData());
-    append(output(), codec_->emptyStatement());
+    append(output(), codec_->emptyQueryResponse());
     return answered();
   }
   const postgres::Comment comment = postgres::parseComment(text);
@@ -770,7 +770,7 @@
   std::string id(comment.id);
   if (owner_.openIds_.count(id) > 0) return reject("42710", "this id is that of an open request", false);
   const auto& classes = owner_.config_.classes;
-  const auto cls = std::find(classes.begin(), classes.end(), comment.cls);
+  const auto cls = std::find(classes.begin(), classes.end(), comment.className);
   if (cls == classes.end()) return reject("42704", "unknown class", false);
 
   const Time now = owner_.engine_.now();
@@ -779,9 +779,10 @@
   q.group = comment.cluster;
   const auto& settings = owner_.config_.settings.classes[static_cast<std::size_t>(q.classIndex)];
   // Its client's time runs from its last byte, also while it stands behind others here.
-  q.deadline = lastByte_ + (comment.waitLength > 0
-                                ? Time(std::chrono::milliseconds(std::min(comment.waitMs, kLongestWaitMs)))
-                                : settings.deadline);
+  q.deadline =
+      lastByte_ + (comment.timeLeftLength > 0
+                       ? Time(std::chrono::milliseconds(std::min(comment.timeLeftMs, kLongestWaitMs)))
+                       : settings.deadline);
   q.deadline = std::min(q.deadline, owner_.answerBy_);
   if (comment.after > 0)
     q.sessionTokenAgeMs =
@@ -800,9 +801,9 @@
     message.id = id;
     message.key = comment.key;
   }
-  if (comment.waitLength > 0) {
-    evbuffer_remove_buffer(message.after.get(), message.before.get(), length - n + comment.waitAt);
-    evbuffer_drain(message.after.get(), comment.waitLength);
+  if (comment.timeLeftLength > 0) {
+    evbuffer_remove_buffer(message.after.get(), message.before.get(), length - n + comment.timeLeftOffset);
+    evbuffer_drain(message.after.get(), comment.timeLeftLength);
   }
   owner_.openIds_.insert(id);
   id_ = std::move(id);
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -87,7 +87,7 @@
 
   // An answer or an error is written; what waits behind comes next.
   void answered();
-  void tell(const translation::Problem&);
+  void tell(const translation::ErrorReport&);
   void reject(const char* code, std::string_view text, bool fatal);
   void take(const PreparedStatements::Said&);
 
@@ -132,8 +132,8 @@
   std::string user_;
   std::unique_ptr<Login> login_;  // until it is let in
   WorkerPool::Ticket salting_;
-  translation::Side side_;
-  std::shared_ptr<const translation::Side>
+  translation::SessionSettings side_;
+  std::shared_ptr<const translation::SessionSettings>
       told_;                                      // side_, where it is not what data servers take for granted
   std::unique_ptr<PreparedStatements> prepared_;  // once it sends something of the extended sub-protocol
   bool extended_ = false;                         // the request that is out comes from an Execute
--- a/src/protocol/dns/message.cpp
+++ b/src/protocol/dns/message.cpp
@@ -74,7 +74,7 @@
       r.data = Srv{number16(rr, 0), number16(rr, 1), number16(rr, 2), nameOf(ldns_rr_rdf(rr, 3))};
       break;
     case Type::Txt: {
-      Strings all;
+      TxtStrings all;
       for (std::size_t k = 0; k < ldns_rr_rd_count(rr); ++k) {
         const std::string one = bytesOf(ldns_rr_rdf(rr, k));  // its length, then its bytes
         if (!one.empty()) all.push_back(one.substr(1));
@@ -86,7 +86,7 @@
     case Type::Aaaa: {
       std::string bytes = bytesOf(ldns_rr_rdf(rr, 0));
       if (bytes.size() != (r.type == Type::A ? 4u : 16u)) return std::nullopt;
-      r.data = Bytes{std::move(bytes)};
+      r.data = AddressBytes{std::move(bytes)};
       break;
     }
     case Type::Soa:
@@ -115,7 +115,7 @@
     return ldns_rr_push_rdf(rr, rdf16(s.priority)) && ldns_rr_push_rdf(rr, rdf16(s.weight)) &&
            ldns_rr_push_rdf(rr, rdf16(s.port)) && name(s.target);
   }
-  bool operator()(const Strings& all) const {
+  bool operator()(const TxtStrings& all) const {
     for (const std::string& one : all) {
       const std::string cut = one.substr(0, 255);
       std::string bytes(1, static_cast<char>(cut.size()));
@@ -125,7 +125,7 @@
     }
     return true;
   }
-  bool operator()(const Bytes& b) const {
+  bool operator()(const AddressBytes& b) const {
     const auto type = b.bytes.size() == 4 ? LDNS_RDF_TYPE_A : LDNS_RDF_TYPE_AAAA;
     return ldns_rr_push_rdf(rr, ldns_rdf_new_frm_data(type, b.bytes.size(), b.bytes.data()));
   }
@@ -222,7 +222,7 @@
   return label;
 }
 
-bool within(const Name& name, const Name& domain) {
+bool isWithin(const Name& name, const Name& domain) {
   if (name == domain || domain == ".") return true;
   if (name.size() <= domain.size() + 1) return false;
   std::size_t at = name.size() - domain.size();
@@ -253,7 +253,7 @@
     return std::nullopt;
   };
   if (bytes.size() < kHead) return none("shorter than a head");
-  if (bytes.size() > kLongestMessage) return none("longer than a message may be");
+  if (bytes.size() > kMaxMessageSize) return none("longer than a message may be");
   ldns_pkt* raw = nullptr;
   const ldns_status status =
       ldns_wire2pkt(&raw, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
--- a/src/protocol/dns/message.hpp
+++ b/src/protocol/dns/message.hpp
@@ -47,11 +47,11 @@
 struct Soa {  // of a negative answer
   std::uint32_t serial = 0, minimum = 0;
 };
-struct Bytes {  // A, AAAA: 4 or 16 bytes, network order
+struct AddressBytes {  // A, AAAA: 4 or 16 bytes, network order
   std::string bytes;
 };
-using Strings = std::vector<std::string>;  // TXT
-using Data = std::variant<Name, Srv, Strings, Bytes, Soa>;
+using TxtStrings = std::vector<std::string>;  // TXT
+using Data = std::variant<Name, Srv, TxtStrings, AddressBytes, Soa>;
 
 struct Record {
   Name name;
@@ -69,21 +69,21 @@
   std::uint16_t udpPayload = 0;                           // EDNS0: what the sender takes; 0: it speaks none
 };
 
-constexpr std::size_t kLongestMessage = 65535;
+constexpr std::size_t kMaxMessageSize = 65535;
 
 // The same name, in the form that a Name has; nothing where the text is no name (a label over 63 bytes, a
 // whole over 255, an empty label).
 std::optional<Name> parseName(std::string_view text);
 // A service instance's name from its label, whatever bytes that holds, and the service's name.
 std::optional<Name> instanceName(std::string_view label, const Name& service);
-std::string firstLabel(const Name&);                // unescaped
-bool within(const Name& name, const Name& domain);  // below it, or the same
+std::string firstLabel(const Name&);                  // unescaped
+bool isWithin(const Name& name, const Name& domain);  // below it, or the same
 
 // A query with RD set. udpPayload 0: without EDNS0.
 std::string encodeQuery(std::uint16_t id, const Question&, std::uint16_t udpPayload);
 // The whole message; what does not fit into `most` bytes is left out: additionals first, without a word;
 // where answers or authorities do not fit either, all records go and TC is set (RFC 2181 section 9).
-std::string encode(const Message&, std::size_t most = kLongestMessage);
+std::string encode(const Message&, std::size_t most = kMaxMessageSize);
 // Nothing where the bytes are no message (compression loops, counts that lie, lengths past the end); `why`
 // then says what was wrong.
 std::optional<Message> parse(std::string_view bytes, std::string* why = nullptr);
--- a/src/protocol/http/http.cpp
+++ b/src/protocol/http/http.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::string get(std::string_view target, std::string_view host) {
+std::string formatGet(std::string_view target, std::string_view host) {
   std::string text("GET ");
   text.append(target)
       .append(" HTTP/1.1\r\nHost: ")
@@ -25,29 +25,29 @@
   return text;
 }
 
-bool Response::headEnds() {
+bool Response::endHead() {
   if (status_ >= 100 && status_ < 200) {  // an interim response; the real one follows
-    at_ = At::Status;
+    state_ = State::Status;
     return true;
   }
-  if (status_ == 204 || status_ == 304 || (!chunked_ && counted_ && left_ == 0))
-    at_ = At::End;
+  if (status_ == 204 || status_ == 304 || (!chunked_ && hasLength_ && bytesLeft_ == 0))
+    state_ = State::End;
   else
-    at_ = chunked_ ? At::Size : counted_ ? At::Counted : At::Rest;
+    state_ = chunked_ ? State::Size : hasLength_ ? State::Counted : State::Rest;
   return true;
 }
 
-bool Response::line(std::string_view text) {
+bool Response::parseLine(std::string_view text) {
   const char* const end = text.data() + text.size();
-  switch (at_) {
-    case At::Status:
+  switch (state_) {
+    case State::Status:
       if (text.size() < 12 || text.substr(0, 7) != "HTTP/1.") return false;
       if (std::from_chars(text.data() + 9, text.data() + 12, status_).ptr != text.data() + 12) return false;
-      chunked_ = counted_ = false;
-      at_ = At::Header;
+      chunked_ = hasLength_ = false;
+      state_ = State::Header;
       return true;
-    case At::Header: {
-      if (text.empty()) return headEnds();
+    case State::Header: {
+      if (text.empty()) return endHead();
       const std::size_t colon = text.find(':');
       if (colon == std::string_view::npos) return false;
       std::string_view value = text.substr(colon + 1);
@@ -58,23 +58,23 @@
         if (!sameName(value, "chunked")) return false;
         chunked_ = true;
       } else if (sameName(name, "Content-Length")) {
-        counted_ = true;
-        const auto [stop, error] = std::from_chars(value.data(), value.data() + value.size(), left_);
+        hasLength_ = true;
+        const auto [stop, error] = std::from_chars(value.data(), value.data() + value.size(), bytesLeft_);
         return error == std::errc() && stop == value.data() + value.size();
       }
       return true;
     }
-    case At::Size: {
-      const auto [stop, error] = std::from_chars(text.data(), end, left_, 16);
+    case State::Size: {
+      const auto [stop, error] = std::from_chars(text.data(), end, bytesLeft_, 16);
       if (error != std::errc() || (stop != end && *stop != ';' && *stop != ' ')) return false;
-      at_ = left_ > 0 ? At::Chunk : At::Trailer;
+      state_ = bytesLeft_ > 0 ? State::Chunk : State::Trailer;
       return true;
     }
-    case At::ChunkEnd:
-      at_ = At::Size;
+    case State::ChunkEnd:
+      state_ = State::Size;
       return text.empty();
-    case At::Trailer:
-      if (text.empty()) at_ = At::End;
+    case State::Trailer:
+      if (text.empty()) state_ = State::End;
       return true;
     default:
       return false;
@@ -83,12 +83,13 @@
 
 bool Response::feed(std::string_view bytes, std::string& body) {
   while (!bytes.empty()) {
-    if (at_ == At::End) return false;  // nothing more was asked for
-    if (at_ == At::Chunk || at_ == At::Counted || at_ == At::Rest) {
-      const std::size_t n = at_ == At::Rest ? bytes.size() : std::min(left_, bytes.size());
+    if (state_ == State::End) return false;  // nothing more was asked for
+    if (state_ == State::Chunk || state_ == State::Counted || state_ == State::Rest) {
+      const std::size_t n = state_ == State::Rest ? bytes.size() : std::min(bytesLeft_, bytes.size());
       body.append(bytes.substr(0, n));
       bytes.remove_prefix(n);
-      if (at_ != At::Rest && (left_ -= n) == 0) at_ = at_ == At::Chunk ? At::ChunkEnd : At::End;
+      if (state_ != State::Rest && (bytesLeft_ -= n) == 0)
+        state_ = state_ == State::Chunk ? State::ChunkEnd : State::End;
       continue;
     }
     const std::size_t end = bytes.find('\n');
@@ -100,7 +101,7 @@
     if (!line_.empty() && line_.back() == '\r') line_.pop_back();
     std::string text;
     text.swap(line_);
-    if (!line(text)) return false;
+    if (!parseLine(text)) return false;
   }
   return true;
 }
--- a/src/protocol/http/http.hpp
+++ b/src/protocol/http/http.hpp
@@ -8,25 +8,25 @@
 
 namespace sablespur::http {
 
-std::string get(std::string_view target, std::string_view host);
+std::string formatGet(std::string_view target, std::string_view host);
 
 class Response {
  public:
   // Takes the next bytes and appends what they hold of the body. False: no HTTP that is understood here.
   bool feed(std::string_view bytes, std::string& body);
-  int status() const { return status_; }        // 0 before the head has come
-  bool done() const { return at_ == At::End; }  // the body is whole
+  int status() const { return status_; }                  // 0 before the head has come
+  bool complete() const { return state_ == State::End; }  // the body is whole
 
  private:
-  enum class At { Status, Header, Size, Chunk, ChunkEnd, Trailer, Counted, Rest, End };
-  bool line(std::string_view text);
-  bool headEnds();
+  enum class State { Status, Header, Size, Chunk, ChunkEnd, Trailer, Counted, Rest, End };
+  bool parseLine(std::string_view text);
+  bool endHead();
 
-  At at_ = At::Status;
+  State state_ = State::Status;
   std::string line_;  // a line that has not ended yet
   int status_ = 0;
-  bool chunked_ = false, counted_ = false;
-  std::size_t left_ = 0;  // bytes to come of this chunk or of the counted body
+  bool chunked_ = false, hasLength_ = false;
+  std::size_t bytesLeft_ = 0;  // bytes to come of this chunk or of the counted body
 };
 
 }  // namespace sablespur::http
--- a/src/protocol/postgres/codec.cpp
+++ b/src/protocol/postgres/codec.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using translation::Column;
-using translation::Problem;
+using translation::ErrorReport;
 using translation::Value;
 
 constexpr std::size_t kColumnTail = 18;  // table, column, type, size, modifier, format
@@ -41,17 +41,17 @@
 
 struct Field {
   char letter;
-  std::string Problem::*text;
+  std::string ErrorReport::*text;
 };
 // Those of 7.4, when 3.0 was new, then those that came later.
-constexpr Field kFirstFields[] = {{'S', &Problem::severity}, {'C', &Problem::code},
-                                  {'M', &Problem::text},     {'D', &Problem::detail},
-                                  {'H', &Problem::hint},     {'P', &Problem::position}};
-constexpr Field kLaterFields[] = {{'s', &Problem::schema},
-                                  {'t', &Problem::table},
-                                  {'c', &Problem::column},
-                                  {'d', &Problem::type},
-                                  {'n', &Problem::constraint}};
+constexpr Field kFirstFields[] = {{'S', &ErrorReport::severity}, {'C', &ErrorReport::code},
+                                  {'M', &ErrorReport::text},     {'D', &ErrorReport::detail},
+                                  {'H', &ErrorReport::hint},     {'P', &ErrorReport::position}};
+constexpr Field kLaterFields[] = {{'s', &ErrorReport::schema},
+                                  {'t', &ErrorReport::table},
+                                  {'c', &ErrorReport::column},
+                                  {'d', &ErrorReport::type},
+                                  {'n', &ErrorReport::constraint}};
 
 }  // namespace
 
@@ -70,10 +70,10 @@
   return message('T', body);
 }
 
-void Codec::addRow(std::string& to, const std::vector<Value>& values, bool) const {
+void Codec::appendRow(std::string& to, const std::vector<Value>& values, bool) const {
   std::size_t size = 2;
   for (const Value& v : values) size += 4 + (v ? v->size() : 0);
-  to.reserve(to.size() + kHead + size);
+  to.reserve(to.size() + kHeaderSize + size);
   to.push_back('D');
   put32(to, static_cast<std::uint32_t>(size + 4));
   put16(to, values.size());
@@ -83,11 +83,13 @@
   }
 }
 
-std::string Codec::completed(std::string_view tag) const { return message('C', std::string(tag) + '\0'); }
-std::string Codec::emptyStatement() const { return message('I', {}); }
+std::string Codec::commandComplete(std::string_view tag) const {
+  return message('C', std::string(tag) + '\0');
+}
+std::string Codec::emptyQueryResponse() const { return message('I', {}); }
 std::string Codec::ready() const { return readyForQuery(); }
 
-std::string Codec::problem(const Problem& p) const {
+std::string Codec::errorResponse(const ErrorReport& p) const {
   std::string body;
   const auto put = [&](char letter, const std::string& text) {
     if (text.empty()) return;
@@ -98,7 +100,7 @@
     put(f.letter, p.*f.text);
     if (f.letter == 'S') put('V', p.severity);
     // When to come back is a number alone in the detail, for programs.
-    if (f.letter == 'D' && p.detail.empty() && p.comeBackMs) put('D', std::to_string(*p.comeBackMs));
+    if (f.letter == 'D' && p.detail.empty() && p.retryAfterMs) put('D', std::to_string(*p.retryAfterMs));
   }
   if (minor_ > 0)
     for (const Field& f : kLaterFields) put(f.letter, p.*f.text);
@@ -110,7 +112,7 @@
   columns.clear();
   if (body.size() < 2) return false;
   const std::size_t n = read16(body, 0);
-  if (n > translation::kMostColumns) return false;
+  if (n > translation::kMaxColumns) return false;
   body.remove_prefix(2);
   for (std::size_t k = 0; k < n; ++k) {
     const std::size_t end = body.find('\0');
@@ -136,19 +138,19 @@
 bool readAnswer(std::string_view in, translation::AnswerConsumer& taker) {
   std::vector<Value> values;
   std::vector<Column> columns;
-  while (in.size() >= kHead) {
-    char bytes[kHead];
-    std::copy_n(in.data(), kHead, bytes);
-    const auto head = parseHead(bytes);
-    if (!head || in.size() - kHead < head->body) return false;
-    const std::string_view body = in.substr(kHead, head->body);
-    in.remove_prefix(kHead + head->body);
+  while (in.size() >= kHeaderSize) {
+    char bytes[kHeaderSize];
+    std::copy_n(in.data(), kHeaderSize, bytes);
+    const auto head = parseHeader(bytes);
+    if (!head || in.size() - kHeaderSize < head->bodySize) return false;
+    const std::string_view body = in.substr(kHeaderSize, head->bodySize);
+    in.remove_prefix(kHeaderSize + head->bodySize);
     if (head->type == 'T') {
       if (!readColumns(body, columns) || !taker.columns(columns)) return false;
     } else if (head->type == 'D') {
       if (!readRow(body, values) || !taker.row(values)) return false;
     } else if (head->type == 'C') {
-      return in.empty() && isTag(body, false) && taker.completed(body.substr(0, body.size() - 1));
+      return in.empty() && isCommandTag(body, false) && taker.completed(body.substr(0, body.size() - 1));
     } else {
       return false;
     }
@@ -159,11 +161,11 @@
 namespace {
 class Reader final : public translation::AnswerReader {
  public:
-  bool answer(std::string_view messages, translation::AnswerConsumer& taker) const override {
+  bool read(std::string_view messages, translation::AnswerConsumer& taker) const override {
     return readAnswer(messages, taker);
   }
-  Problem problem(std::string_view messages) const override {
-    return readProblem(messages.substr(std::min(kHead, messages.size())));
+  ErrorReport readError(std::string_view messages) const override {
+    return parseErrorReport(messages.substr(std::min(kHeaderSize, messages.size())));
   }
 };
 }  // namespace
@@ -172,8 +174,8 @@
   return one;
 }
 
-Problem readProblem(std::string_view body) {
-  Problem p;
+ErrorReport parseErrorReport(std::string_view body) {
+  ErrorReport p;
   p.severity.clear();
   std::string nonLocalized;
   while (!body.empty() && body[0] != '\0') {
--- a/src/protocol/postgres/codec.hpp
+++ b/src/protocol/postgres/codec.hpp
@@ -14,10 +14,10 @@
  public:
   explicit Codec(int minor) : minor_(minor) {}
   std::string columns(const std::vector<translation::Column>&) const override;
-  void addRow(std::string& to, const std::vector<translation::Value>&, bool binary) const override;
-  std::string completed(std::string_view tag) const override;
-  std::string emptyStatement() const override;
-  std::string problem(const translation::Problem&) const override;
+  void appendRow(std::string& to, const std::vector<translation::Value>&, bool binary) const override;
+  std::string commandComplete(std::string_view tag) const override;
+  std::string emptyQueryResponse() const override;
+  std::string errorResponse(const translation::ErrorReport&) const override;
   std::string ready() const override;
 
  private:
@@ -36,6 +36,6 @@
 bool isRow(std::string_view body, std::size_t columns);
 // The body of an ErrorResponse; fields that are not known are passed over. Its code is empty where it is
 // malformed.
-translation::Problem readProblem(std::string_view body);
+translation::ErrorReport parseErrorReport(std::string_view body);
 
 }  // namespace sablespur::postgres
--- a/src/protocol/postgres/extended.cpp
+++ b/src/protocol/postgres/extended.cpp
@@ -92,16 +92,16 @@
     else
       m.values.emplace_back(b.bytes(length));
   }
-  m.results = numbers(b);
+  m.resultFormats = numbers(b);
   // A format code for each parameter, for all, or none.
   const bool fits = m.formats.size() <= 1 || m.formats.size() == m.values.size();
   return b.done() && fits ? std::make_optional(std::move(m)) : std::nullopt;
 }
 
-std::optional<Target> parseTarget(std::string_view body) {
+std::optional<DescribeTarget> parseDescribeTarget(std::string_view body) {
   Body b(body);
   const std::string_view kind = b.bytes(1);
-  Target t;
+  DescribeTarget t;
   t.name = b.text();
   if (!b.done() || (kind[0] != 'S' && kind[0] != 'P')) return std::nullopt;
   t.portal = kind[0] == 'P';
@@ -112,8 +112,8 @@
   Body b(body);
   Execute e;
   e.portal = b.text();
-  e.most = static_cast<std::int32_t>(b.number32());
-  return b.done() && e.most >= 0 ? std::make_optional(e) : std::nullopt;
+  e.maxRows = static_cast<std::int32_t>(b.number32());
+  return b.done() && e.maxRows >= 0 ? std::make_optional(e) : std::nullopt;
 }
 
 std::string parseComplete() { return message('1', {}); }
@@ -148,23 +148,23 @@
     put32(body, v ? static_cast<std::uint32_t>(v->size()) : 0xffffffff);
     if (v) body.append(*v);
   }
-  put16(body, static_cast<std::uint16_t>(m.results.size()));
-  for (const std::int16_t f : m.results) put16(body, static_cast<std::uint16_t>(f));
+  put16(body, static_cast<std::uint16_t>(m.resultFormats.size()));
+  for (const std::int16_t f : m.resultFormats) put16(body, static_cast<std::uint16_t>(f));
   return message('B', body);
 }
 namespace {
-std::string targeted(char type, const Target& t) {
+std::string targeted(char type, const DescribeTarget& t) {
   std::string body(1, t.portal ? 'P' : 'S');
   putText(body, t.name);
   return message(type, body);
 }
 }  // namespace
-std::string describeMessage(const Target& t) { return targeted('D', t); }
-std::string closeMessage(const Target& t) { return targeted('C', t); }
+std::string describeMessage(const DescribeTarget& t) { return targeted('D', t); }
+std::string closeMessage(const DescribeTarget& t) { return targeted('C', t); }
 std::string executeMessage(const Execute& e) {
   std::string body;
   putText(body, e.portal);
-  put32(body, static_cast<std::uint32_t>(e.most));
+  put32(body, static_cast<std::uint32_t>(e.maxRows));
   return message('E', body);
 }
 std::string syncMessage() { return message('S', {}); }
--- a/src/protocol/postgres/extended.hpp
+++ b/src/protocol/postgres/extended.hpp
@@ -18,22 +18,22 @@
   std::string_view portal, statement;
   std::vector<std::int16_t> formats;                    // none: all text; one: of all; else one each
   std::vector<std::optional<std::string_view>> values;  // nothing: NULL
-  std::vector<std::int16_t> results;                    // as formats
+  std::vector<std::int16_t> resultFormats;              // as formats
   bool binary(std::size_t parameter) const;
 };
-struct Target {  // of Describe and Close
+struct DescribeTarget {  // of Describe and Close
   bool portal = false;
   std::string_view name;
 };
 struct Execute {
   std::string_view portal;
-  std::int32_t most = 0;  // rows; 0: all
+  std::int32_t maxRows = 0;  // rows; 0: all
 };
 
 // Nothing: the body does not have the message's form.
 std::optional<Parse> parseParse(std::string_view body);
 std::optional<Bind> parseBind(std::string_view body);
-std::optional<Target> parseTarget(std::string_view body);
+std::optional<DescribeTarget> parseDescribeTarget(std::string_view body);
 std::optional<Execute> parseExecute(std::string_view body);
 
 std::string parseComplete();
@@ -47,8 +47,8 @@
 std::string parseMessage(std::string_view name, std::string_view statement,
                          const std::vector<std::uint32_t>& types);
 std::string bindMessage(const Bind&);
-std::string describeMessage(const Target&);
-std::string closeMessage(const Target&);
+std::string describeMessage(const DescribeTarget&);
+std::string closeMessage(const DescribeTarget&);
 std::string executeMessage(const Execute&);
 std::string syncMessage();
 std::string flushMessage();
--- a/src/protocol/postgres/login.cpp
+++ b/src/protocol/postgres/login.cpp
@@ -28,7 +28,7 @@
 }
 
 std::string passwordMessage(std::string_view text) { return message('p', std::string(text) + '\0'); }
-std::string saslInitial(std::string_view first) {
+std::string saslInitialResponse(std::string_view first) {
   std::string body(kMechanism);
   put32(body, static_cast<std::uint32_t>(first.size()));
   return message('p', body.append(first));
--- a/src/protocol/postgres/login.hpp
+++ b/src/protocol/postgres/login.hpp
@@ -23,7 +23,7 @@
 bool offersScram(std::string_view mechanisms);  // its data: names, each with its NUL, and a NUL behind
 
 std::string passwordMessage(std::string_view text);  // of a text, with its NUL
-std::string saslInitial(std::string_view first);
+std::string saslInitialResponse(std::string_view first);
 std::string saslResponse(std::string_view word);
 // The body of a 'p' message as a text; nothing: it does not end with its only NUL.
 std::optional<std::string_view> parsePassword(std::string_view body);
--- a/src/protocol/postgres/pg.cpp
+++ b/src/protocol/postgres/pg.cpp
@@ -27,13 +27,13 @@
   return v;
 }
 
-std::optional<Head> parseHead(const char (&bytes)[kHead]) {
+std::optional<MessageHeader> parseHeader(const char (&bytes)[kHeaderSize]) {
   const std::uint32_t length = readInt32(bytes + 1);
-  if (length < 4 || length > kLongestMessage) return std::nullopt;
-  return Head{bytes[0], length - 4};
+  if (length < 4 || length > kMaxMessage) return std::nullopt;
+  return MessageHeader{bytes[0], length - 4};
 }
 
-std::string queryHead(std::size_t length) {
+std::string queryHeader(std::size_t length) {
   std::string head(1, 'Q');
   put32(head, static_cast<std::uint32_t>(length + 4));
   return head;
@@ -112,11 +112,11 @@
   body.remove_prefix(2);
   return takeText(body) && body.size() == kColumnTail;
 }
-bool isRowHead(const char (&bytes)[kRowHead], std::size_t body) {
-  return bytes[0] == 0 && bytes[1] == 1 && body >= kRowHead && body - kRowHead <= kLongestValue &&
-         readInt32(bytes + 2) == body - kRowHead;
+bool isRowHeader(const char (&bytes)[kRowHeaderSize], std::size_t body) {
+  return bytes[0] == 0 && bytes[1] == 1 && body >= kRowHeaderSize && body - kRowHeaderSize <= kMaxValue &&
+         readInt32(bytes + 2) == body - kRowHeaderSize;
 }
-bool isTag(std::string_view body, bool oneRow) {
+bool isCommandTag(std::string_view body, bool oneRow) {
   if (body.empty() || body.find('\0') != body.size() - 1) return false;
   body.remove_suffix(1);
   return !oneRow || (body.size() > 2 && body.substr(body.size() - 2) == " 1");
@@ -156,13 +156,13 @@
     if (name == "id") {
       c.id = value;
     } else if (name == "c") {
-      c.cls = value;
+      c.className = value;
     } else if (name == "k") {
       c.key = value;
     } else if (name == "d") {
-      if (!toNumber(value, c.waitMs)) c.fault = "d is no number of milliseconds";
-      c.waitAt = eq + 1;
-      c.waitLength = value.size();
+      if (!toNumber(value, c.timeLeftMs)) c.fault = "d is no number of milliseconds";
+      c.timeLeftOffset = eq + 1;
+      c.timeLeftLength = value.size();
     } else if (name == "cluster") {
       cluster = toNumber(value, c.cluster) && c.cluster <= kLargestCluster;
     } else if (name == "after") {
--- a/src/protocol/postgres/pg.hpp
+++ b/src/protocol/postgres/pg.hpp
@@ -11,30 +11,30 @@
 
 namespace sablespur::postgres {
 
-constexpr std::size_t kHead = 5;                    // type and length of a message
-constexpr std::size_t kLongestMessage = 160 << 10;  // a value of 64 KiB in hex, and the statement round it
-constexpr std::size_t kLongestStartup = 4096;
-constexpr std::size_t kLongestValue = 64 << 10,
-                      kRowHead = 6;         // of a DataRow: columns, the length of the first
-constexpr std::size_t kLongestNote = 4096;  // any other message of a data server
+constexpr std::size_t kHeaderSize = 5;          // type and length of a message
+constexpr std::size_t kMaxMessage = 160 << 10;  // a value of 64 KiB in hex, and the statement round it
+constexpr std::size_t kMaxStartup = 4096;
+constexpr std::size_t kMaxValue = 64 << 10,
+                      kRowHeaderSize = 6;       // of a DataRow: columns, the length of the first
+constexpr std::size_t kMaxOtherMessage = 4096;  // any other message of a data server
 constexpr std::uint32_t kVersion3 = 196608, kSslRequest = 80877103, kGssEncRequest = 80877104,
                         kCancelRequest = 80877102;
 
 std::uint32_t readInt32(const char* p);
 
-struct Head {
+struct MessageHeader {
   char type;
-  std::size_t body;  // bytes after the head
+  std::size_t bodySize;  // bytes after the head
 };
 // Nothing: a length that no message of this protocol has here.
-std::optional<Head> parseHead(const char (&bytes)[kHead]);
+std::optional<MessageHeader> parseHeader(const char (&bytes)[kHeaderSize]);
 
 // Messages.
 std::string message(char type, std::string_view body);
 std::string startup(std::string_view user, std::string_view database);
 std::string parameterStatus(std::string_view name, std::string_view value);
 std::string query(std::string_view statement);
-std::string queryHead(std::size_t length);  // of a Query whose statement, NUL included, is that long
+std::string queryHeader(std::size_t length);  // of a Query whose statement, NUL included, is that long
 std::string readyForQuery();
 std::string greeting();  // what answers a startup message, ReadyForQuery included
 std::string error(const char* severity, const char* code, std::string_view text,
@@ -46,8 +46,9 @@
 ErrorFields parseError(std::string_view body);  // all empty where the body is malformed
 // Whether a data server's message has the form that an answer of one row with one column has.
 bool isRowDescription(std::string_view body);
-bool isRowHead(const char (&bytes)[kRowHead], std::size_t body);  // the head of a DataRow of that length
-bool isTag(std::string_view body, bool oneRow);                   // CommandComplete
+bool isRowHeader(const char (&bytes)[kRowHeaderSize],
+                 std::size_t body);                     // the head of a DataRow of that length
+bool isCommandTag(std::string_view body, bool oneRow);  // CommandComplete
 // Name and value; empty where the body is malformed.
 std::pair<std::string_view, std::string_view> parseParameter(std::string_view body);
 // The only column of a DataRow; nothing where the row is malformed, has other columns or holds NULL.
@@ -55,9 +56,9 @@
 
 // What the comment at the end of a statement says. Offsets count from the start of the text given.
 struct Comment {
-  std::string_view id, cls, key;           // key: empty where there is none
-  std::uint32_t waitMs = 0;                // d
-  std::size_t waitAt = 0, waitLength = 0;  // where its digits stand; 0 digits: it has none
+  std::string_view id, className, key;                 // key: empty where there is none
+  std::uint32_t timeLeftMs = 0;                        // d
+  std::size_t timeLeftOffset = 0, timeLeftLength = 0;  // where its digits stand; 0 digits: it has none
   std::uint32_t cluster = 0;
   std::int64_t after = 0;  // Unix ms; 0: none
   const char* fault = nullptr;
--- a/src/protocol/postgres/startup.cpp
+++ b/src/protocol/postgres/startup.cpp
@@ -100,7 +100,7 @@
   return Key{readInt32(p.data() + 8), std::string(p.substr(12))};
 }
 
-std::string welcome(const Key& key, bool backslashes) {
+std::string loginComplete(const Key& key, bool backslashes) {
   using namespace std::string_view_literals;
   std::string m = message('R', "\0\0\0\0"sv);
   const auto tell = [&](std::string_view name, std::string_view value) {
--- a/src/protocol/postgres/startup.hpp
+++ b/src/protocol/postgres/startup.hpp
@@ -44,6 +44,6 @@
 std::optional<Key> parseCancel(std::string_view packet);  // length included
 
 // What answers a startup once the client is let in: AuthenticationOk, parameters, its key, ReadyForQuery.
-std::string welcome(const Key&, bool backslashes);
+std::string loginComplete(const Key&, bool backslashes);
 
 }  // namespace sablespur::postgres
--- a/src/protocol/postgres2/pg2.cpp
+++ b/src/protocol/postgres2/pg2.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace sablespur::pg2 {
+namespace sablespur::postgres2 {
 namespace {
 
 // Of the startup packet: database, user, command line options, unused, tty.
@@ -75,25 +75,25 @@
   return p;
 }
 
-std::optional<Sent> parseSent(std::string_view in, bool& bad) {
+std::optional<ClientMessage> parseClientMessage(std::string_view in, bool& bad) {
   bad = false;
   if (in.empty()) return std::nullopt;
-  if (in[0] == 'X') return Sent{'X', {}, 1};
-  if (in[0] == 'F') return Sent{'F', {}, 1};
+  if (in[0] == 'X') return ClientMessage{'X', {}, 1};
+  if (in[0] == 'F') return ClientMessage{'F', {}, 1};
   if (in[0] != 'Q') {
     bad = true;
     return std::nullopt;
   }
   const std::size_t end = in.find('\0', 1);
   if (end == std::string_view::npos) {
-    bad = in.size() > kLongestQuery;
+    bad = in.size() > kMaxQuery;
     return std::nullopt;
   }
-  if (end > kLongestQuery) {
+  if (end > kMaxQuery) {
     bad = true;
     return std::nullopt;
   }
-  return Sent{'Q', in.substr(1, end - 1), end + 1};
+  return ClientMessage{'Q', in.substr(1, end - 1), end + 1};
 }
 std::string query(std::string_view statement) { return one('Q', statement); }
 
@@ -101,7 +101,7 @@
   bad = false;
   if (in.size() < 4) return std::nullopt;
   const std::uint32_t length = get32(in, 0);
-  if (length < 5 || length > kLongestPassword) {
+  if (length < 5 || length > kMaxPassword) {
     bad = true;
     return std::nullopt;
   }
@@ -148,7 +148,7 @@
 
 // A bit a column, from the highest of the first byte on: 1 is a value, 0 is null. A text's length counts
 // itself, a binary one's does not.
-void addRow(std::string& to, const std::vector<Value>& values, bool binary) {
+void appendRow(std::string& to, const std::vector<Value>& values, bool binary) {
   std::size_t size = 1 + (values.size() + 7) / 8;
   for (const Value& v : values) size += v ? 4 + v->size() : 0;
   to.reserve(to.size() + size);
@@ -166,7 +166,7 @@
 }
 std::string row(const std::vector<Value>& values, bool binary) {
   std::string one;
-  addRow(one, values, binary);
+  appendRow(one, values, binary);
   return one;
 }
 
@@ -223,7 +223,7 @@
       if (!have(2)) return std::nullopt;
       const std::size_t n = get16(in, at);
       at += 2;
-      bad = n > kMostColumns;
+      bad = n > kMaxColumns;
       for (std::size_t k = 0; k < n && !bad; ++k) {
         Column c;
         if (!text(c.name) || !have(10)) return std::nullopt;
@@ -268,4 +268,4 @@
   return m;
 }
 
-}  // namespace sablespur::pg2
+}  // namespace sablespur::postgres2
--- a/src/protocol/postgres2/pg2.hpp
+++ b/src/protocol/postgres2/pg2.hpp
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <vector>
 
-namespace sablespur::pg2 {
+namespace sablespur::postgres2 {
 
 constexpr std::size_t kStartupLength = 296, kCancelLength = 16;
 constexpr std::uint32_t kVersion = 2u << 16, kCancelCode = 80877102;
-constexpr std::size_t kLongestQuery = 160 << 10, kLongestPassword = 1024, kMostColumns = 1600;
+constexpr std::size_t kMaxQuery = 160 << 10, kMaxPassword = 1024, kMaxColumns = 1600;
 
 struct Startup {
   std::uint32_t version = kVersion;  // the minor one may differ
@@ -31,12 +31,12 @@
 
 // What a client sends after the startup. Nothing: it has not all come; `bad`: it cannot be read, and there is
 // no way back into step, since nothing says where it ends.
-struct Sent {
+struct ClientMessage {
   char type = 0;          // Q, X; F is known by name alone
   std::string_view text;  // of Q, without its NUL
   std::size_t size = 0;   // of the whole message
 };
-std::optional<Sent> parseSent(std::string_view in, bool& bad);
+std::optional<ClientMessage> parseClientMessage(std::string_view in, bool& bad);
 std::string query(std::string_view statement);
 // A password comes without a type: its length, then the text and a NUL.
 std::optional<std::string_view> parsePassword(std::string_view in, std::size_t& size, bool& bad);
@@ -62,7 +62,7 @@
 std::string error(std::string_view text);  // one string; a line feed ends it by custom
 std::string notice(std::string_view text);
 std::string rowDescription(const std::vector<Column>&);
-void addRow(std::string& to, const std::vector<Value>&, bool binary);  // behind what stands there
+void appendRow(std::string& to, const std::vector<Value>&, bool binary);  // behind what stands there
 std::string row(const std::vector<Value>&, bool binary);
 
 // Reads a server's messages, one at a time; rows need the columns that were described before. For stand-in
@@ -84,4 +84,4 @@
   std::size_t columns_ = 0;
 };
 
-}  // namespace sablespur::pg2
+}  // namespace sablespur::postgres2
--- a/src/protocol/proxy_protocol/header.cpp
+++ b/src/protocol/proxy_protocol/header.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view kSignature("\r\n\r\n\0\r\nQUIT\n", 12);
-constexpr std::string_view kWord = "PROXY ";
+constexpr std::string_view kVersion1Prefix = "PROXY ";
 
 bool begins(std::string_view bytes, std::string_view with) {
   const std::size_t n = std::min(bytes.size(), with.size());
@@ -16,7 +16,7 @@
 }
 Header bad() {
   Header h;
-  h.bad = true;
+  h.malformed = true;
   return h;
 }
 bool readPort(std::string_view text) {
@@ -29,8 +29,8 @@
 
 // "PROXY TCP4 203.0.113.7 10.0.0.1 51000 5432\r\n"
 Header parse1(std::string_view bytes) {
-  const std::size_t end = bytes.substr(0, kLongestV1).find("\r\n");
-  if (end == std::string_view::npos) return bytes.size() < kLongestV1 ? Header() : bad();
+  const std::size_t end = bytes.substr(0, kMaxVersion1Size).find("\r\n");
+  if (end == std::string_view::npos) return bytes.size() < kMaxVersion1Size ? Header() : bad();
   std::vector<std::string_view> words;
   std::string_view line = bytes.substr(0, end);
   for (std::size_t at = 0; at <= line.size();) {
@@ -54,20 +54,20 @@
 
 // Section 2.2: signature, 0x2V, family and transport, length, addresses, TLVs.
 Header parse2(std::string_view bytes) {
-  if (bytes.size() < kHeadV2) return {};
+  if (bytes.size() < kVersion2HeaderSize) return {};
   const auto byte = [&](std::size_t k) { return static_cast<unsigned char>(bytes[k]); };
   const std::size_t body = static_cast<std::size_t>(byte(14)) << 8 | byte(15);
   const unsigned version = byte(12) >> 4, command = byte(12) & 15, family = byte(13) >> 4;
-  if (version != 2 || command > 1 || kHeadV2 + body > kLongestV2) return bad();
-  if (bytes.size() < kHeadV2 + body) return {};
+  if (version != 2 || command > 1 || kVersion2HeaderSize + body > kMaxVersion2Size) return bad();
+  if (bytes.size() < kVersion2HeaderSize + body) return {};
   Header h;
-  h.length = kHeadV2 + body;
+  h.length = kVersion2HeaderSize + body;
   if (command == 0) return h;  // LOCAL: a check of the front's own
   const std::size_t each = family == 1 ? 4 : family == 2 ? 16 : 0;
   if (each == 0) return h;  // UNSPEC or a UNIX socket
   if (body < 2 * each + 4) return bad();
-  const std::size_t port = kHeadV2 + 2 * each;
-  h.client = Address::fromBytes(bytes.substr(kHeadV2, each),
+  const std::size_t port = kVersion2HeaderSize + 2 * each;
+  h.client = Address::fromBytes(bytes.substr(kVersion2HeaderSize, each),
                                 static_cast<std::uint16_t>(byte(port) << 8 | byte(port + 1)));
   return h;
 }
@@ -90,16 +90,16 @@
 
 Header parse(std::string_view bytes) {
   if (begins(bytes, kSignature)) return parse2(bytes);
-  if (begins(bytes, kWord)) return parse1(bytes);
+  if (begins(bytes, kVersion1Prefix)) return parse1(bytes);
   return bad();
 }
 
-std::string version1(const Address& client, const Address& server) {
+std::string formatVersion1(const Address& client, const Address& server) {
   return "PROXY TCP" + std::string(client.v6() ? "6 " : "4 ") + host(client) + " " + host(server) + " " +
          std::to_string(client.port()) + " " + std::to_string(server.port()) + "\r\n";
 }
 
-std::string version2(const Address& client, const Address& server) {
+std::string formatVersion2(const Address& client, const Address& server) {
   std::string s(kSignature);
   const std::string a = raw(client), b = raw(server);
   const std::size_t body = a.size() + b.size() + 4;
--- a/src/protocol/tds/packet.cpp
+++ b/src/protocol/tds/packet.cpp
@@ -34,19 +34,20 @@
 
 }  // namespace
 
-std::optional<Header> parseHeader(const char (&bytes)[kHeader]) {
-  const std::string_view s(bytes, kHeader);
+std::optional<Header> parseHeader(const char (&bytes)[kHeaderSize]) {
+  const std::string_view s(bytes, kHeaderSize);
   Header h;
   h.length = big16(s, 2);
-  if (!known(byte(s, 0)) || h.length < kHeader || h.length > kMostPacket) return std::nullopt;
+  if (!known(byte(s, 0)) || h.length < kHeaderSize || h.length > kMaxPacketSize) return std::nullopt;
   h.type = static_cast<Type>(byte(s, 0));
   h.status = byte(s, 1);
   h.session = static_cast<std::uint16_t>(big16(s, 4));
   return h;
 }
 
-std::string packets(Type type, std::string_view message, std::size_t packetSize, std::uint16_t session) {
-  const std::size_t room = std::clamp(packetSize, kLeastPacket, kMostPacket) - kHeader;
+std::string formatPackets(Type type, std::string_view message, std::size_t packetSize,
+                          std::uint16_t session) {
+  const std::size_t room = std::clamp(packetSize, kMinPacketSize, kMaxPacketSize) - kHeaderSize;
   std::string out;
   std::uint8_t number = 1;
   do {
@@ -54,7 +55,7 @@
     message.remove_prefix(part.size());
     out.push_back(static_cast<char>(type));
     out.push_back(static_cast<char>(message.empty() ? kLast : 0));
-    putBig16(out, kHeader + part.size());
+    putBig16(out, kHeaderSize + part.size());
     putBig16(out, session);
     out.push_back(static_cast<char>(number++));
     out.push_back('\0');
@@ -63,56 +64,56 @@
   return out;
 }
 
-Assembler::Got Assembler::bad(const char* why) {
+MessageAssembler::Result MessageAssembler::fail(const char* why) {
   fault_ = why;
-  return Got::Fault;
+  return Result::Fault;
 }
 
-Assembler::Got Assembler::take(std::string_view& in) {
-  if (fault_) return Got::Fault;
+MessageAssembler::Result MessageAssembler::consume(std::string_view& in) {
+  if (fault_) return Result::Fault;
   if (done_) {
     message_.clear();
     done_ = false;
   }
   while (true) {
-    if (left_ == 0) {
-      const std::size_t n = std::min(kHeader - head_.size(), in.size());
+    if (bytesLeft_ == 0) {
+      const std::size_t n = std::min(kHeaderSize - head_.size(), in.size());
       head_ += in.substr(0, n);
       in.remove_prefix(n);
-      if (head_.size() < kHeader) return Got::More;
-      char bytes[kHeader];
+      if (head_.size() < kHeaderSize) return Result::Incomplete;
+      char bytes[kHeaderSize];
       std::copy(head_.begin(), head_.end(), bytes);
       head_.clear();
       const auto h = parseHeader(bytes);
-      if (!h) return bad("no packet of this protocol");
-      if (h->length > packetSize_) return bad("a packet longer than agreed on");
-      if (amid_ && h->type != type_) return bad("another message amid one");
-      if (message_.size() + h->length - kHeader > most_) return bad("a message too long");
-      if (!amid_) {
+      if (!h) return fail("no packet of this protocol");
+      if (h->length > packetSize_) return fail("a packet longer than agreed on");
+      if (inMessage_ && h->type != type_) return fail("another message amid one");
+      if (message_.size() + h->length - kHeaderSize > maxMessage_) return fail("a message too long");
+      if (!inMessage_) {
         type_ = h->type;
         status_ = h->status;
       }
-      amid_ = true;
+      inMessage_ = true;
       packet_ = *h;
-      left_ = h->length - kHeader;
+      bytesLeft_ = h->length - kHeaderSize;
     }
-    const std::size_t n = std::min(left_, in.size());
+    const std::size_t n = std::min(bytesLeft_, in.size());
     message_ += in.substr(0, n);
     in.remove_prefix(n);
-    left_ -= n;
-    if (left_ > 0) return Got::More;
+    bytesLeft_ -= n;
+    if (bytesLeft_ > 0) return Result::Incomplete;
     if ((packet_.status & kLast) == 0) {
-      if (in.empty()) return Got::More;
+      if (in.empty()) return Result::Incomplete;
       continue;
     }
-    amid_ = false;
+    inMessage_ = false;
     if ((packet_.status & kIgnore) != 0) {
       message_.clear();
-      if (in.empty()) return Got::More;
+      if (in.empty()) return Result::Incomplete;
       continue;
     }
     done_ = true;
-    return Got::Message;
+    return Result::Message;
   }
 }
 
@@ -143,7 +144,7 @@
   return p;
 }
 
-std::string preLogin(const PreLogin& p) {
+std::string formatPreLogin(const PreLogin& p) {
   std::string head, values;
   constexpr std::size_t kOptions = 3;
   const auto option = [&](std::uint8_t name, const std::string& value) {
--- a/src/protocol/tds/packet.hpp
+++ b/src/protocol/tds/packet.hpp
@@ -10,7 +10,8 @@
 
 namespace sablespur::tds {
 
-constexpr std::size_t kHeader = 8, kLeastPacket = 512, kMostPacket = 32767, kFirstPacket = 4096;
+constexpr std::size_t kHeaderSize = 8, kMinPacketSize = 512, kMaxPacketSize = 32767,
+                      kInitialPacketSize = 4096;
 
 enum class Type : std::uint8_t {
   SqlBatch = 1,
@@ -33,40 +34,40 @@
 };
 // Nothing: no packet of this protocol begins like this. Numbers of packets and windows are not looked at, as
 // the specification has it.
-std::optional<Header> parseHeader(const char (&bytes)[kHeader]);
+std::optional<Header> parseHeader(const char (&bytes)[kHeaderSize]);
 
 // A message in packets of that size at most; an empty one is one packet.
-std::string packets(Type, std::string_view message, std::size_t packetSize, std::uint16_t session = 0);
+std::string formatPackets(Type, std::string_view message, std::size_t packetSize, std::uint16_t session = 0);
 
 // Puts messages together from bytes that come in pieces of any size.
-class Assembler {
+class MessageAssembler {
  public:
   // A packet longer than the one agreed on, or a message longer than `most`, is a fault.
-  Assembler(std::size_t packetSize, std::size_t most) : packetSize_(packetSize), most_(most) {}
+  MessageAssembler(std::size_t packetSize, std::size_t most) : packetSize_(packetSize), maxMessage_(most) {}
   void packetSize(std::size_t n) { packetSize_ = n; }  // once the login has agreed on another
 
-  enum class Got { More, Message, Fault };
+  enum class Result { Incomplete, Message, Fault };
   // Takes what it can off the front of `in`. After Message: type(), message() until the next call. A message
   // that its sender took back (the ignore bit on its last packet) is passed over.
-  Got take(std::string_view& in);
+  Result consume(std::string_view& in);
   Type type() const { return type_; }
   std::uint8_t status() const {
     return status_;
   }  // of the first packet: whether the connection is to be reset
   const std::string& message() const { return message_; }
   const char* fault() const { return fault_; }
-  bool amid() const { return amid_ || !head_.empty(); }  // part of one has come
+  bool inMessage() const { return inMessage_ || !head_.empty(); }  // part of one has come
 
  private:
-  Got bad(const char* why);
+  Result fail(const char* why);
   std::size_t packetSize_;
-  const std::size_t most_;
+  const std::size_t maxMessage_;
   std::string head_, message_;
-  std::size_t left_ = 0;  // of the packet under way
+  std::size_t bytesLeft_ = 0;  // of the packet under way
   Header packet_;
   Type type_ = Type::SqlBatch;
   std::uint8_t status_ = 0;
-  bool amid_ = false, done_ = false;
+  bool inMessage_ = false, done_ = false;
   const char* fault_ = nullptr;
 };
 
@@ -77,6 +78,6 @@
   bool mars = false;
 };
 std::optional<PreLogin> parsePreLogin(std::string_view message);  // nothing: its offsets or lengths lie
-std::string preLogin(const PreLogin&);
+std::string formatPreLogin(const PreLogin&);
 
 }  // namespace sablespur::tds
--- a/src/support/units.cpp
+++ b/src/support/units.cpp
@@ -38,7 +38,7 @@
   return nullptr;
 }
 
-Wrong wrong(std::string_view text, const std::string& why, const char* fix) {
+ValueError wrong(std::string_view text, const std::string& why, const char* fix) {
   return {"'" + std::string(text) + "' " + why, fix};
 }
 
--- a/src/support/units.hpp
+++ b/src/support/units.hpp
@@ -10,11 +10,11 @@
 
 namespace sablespur {
 
-struct Wrong {
+struct ValueError {
   std::string problem, fix;
 };
 template <typename T>
-using Read = std::variant<T, Wrong>;
+using Read = std::variant<T, ValueError>;
 
 Read<std::chrono::microseconds> readTime(std::string_view);  // 200us, 1.5s, 2min; "0" alone needs no unit
 Read<std::uint64_t> readSize(std::string_view);              // 512B, 64KB, 32MB, 1GB; powers of 1024
--- a/src/translation/answer.cpp
+++ b/src/translation/answer.cpp
@@ -79,28 +79,28 @@
   }
 }
 
-bool Conversion::fail(std::string why) {
-  why_ = std::move(why);
+bool AnswerConverter::fail(std::string why) {
+  failure_ = std::move(why);
   out_.clear();
   return false;
 }
 
-bool Conversion::wantsBinary(std::size_t column) const {
-  const auto& r = wanted_.results;
+bool AnswerConverter::wantsBinary(std::size_t column) const {
+  const auto& r = format_.columnFormats;
   if (r.empty()) return false;
   return r.size() == 1 ? r[0] == 1 : column < r.size() && r[column] == 1;
 }
 
 // Guards the memory: an answer grows when its form changes.
-bool Conversion::put(const std::string& message) {
-  if (out_.size() + message.size() > most_) return fail(kTooLong);
+bool AnswerConverter::append(const std::string& message) {
+  if (out_.size() + message.size() > maxBytes_) return fail(kTooLong);
   out_ += message;
   return true;
 }
 
-bool Conversion::columns(const std::vector<Column>& columns) {
-  if (wanted_.results.size() > 1 && wanted_.results.size() != columns.size())
-    return fail("formats for " + std::to_string(wanted_.results.size()) + " columns where there are " +
+bool AnswerConverter::columns(const std::vector<Column>& columns) {
+  if (format_.columnFormats.size() > 1 && format_.columnFormats.size() != columns.size())
+    return fail("formats for " + std::to_string(format_.columnFormats.size()) + " columns where there are " +
                 std::to_string(columns.size()));
   std::vector<Column> told = columns;
   for (std::size_t k = 0; k < told.size(); ++k) {
@@ -108,12 +108,12 @@
     told[k].binary = wantsBinary(k);
     binary_.push_back(told[k].binary);
   }
-  return !described_ || put(codec_.columns(told));
+  return !described_ || append(codec_.columns(told));
 }
 
-bool Conversion::row(const std::vector<Value>& values) {
+bool AnswerConverter::row(const std::vector<Value>& values) {
   if (values.size() != types_.size()) return fail("a row of other columns than were described");
-  if (mostRows_ > 0 && rows_ == mostRows_) {
+  if (maxRows_ > 0 && rows_ == maxRows_) {
     suspended_ = true;
     return true;
   }
@@ -130,23 +130,25 @@
         return fail("a value of type " + std::to_string(types_[k]) + " that cannot be told in binary");
       changed[k] = std::move(*bytes);
       row[k] = changed[k];
-    } else if (types_[k] == kBytea && wanted_.bytea) {
+    } else if (types_[k] == kBytea && format_.bytea) {
       const auto bytes = readBytea(*values[k]);
       if (!bytes) return fail("a bytea that is in neither of its forms");
-      if (byteaLength(*wanted_.bytea, *bytes) > most_)
+      if (byteaLength(*format_.bytea, *bytes) > maxBytes_)
         return fail("a value that is too long in the form that was asked for");
-      changed[k] = writeBytea(*wanted_.bytea, *bytes);
+      changed[k] = writeBytea(*format_.bytea, *bytes);
       row[k] = changed[k];
     }
   }
   // Bounded before it is written.
   std::size_t size = kRowMost;
   for (const Value& v : row) size += kValueMost + (v ? v->size() : 0);
-  if (out_.size() + size > most_) return fail(kTooLong);
-  codec_.addRow(out_, row, binary);
+  if (out_.size() + size > maxBytes_) return fail(kTooLong);
+  codec_.appendRow(out_, row, binary);
   return true;
 }
 
-bool Conversion::completed(std::string_view tag) { return suspended_ || put(codec_.completed(tag)); }
+bool AnswerConverter::completed(std::string_view tag) {
+  return suspended_ || append(codec_.commandComplete(tag));
+}
 
 }  // namespace sablespur::translation
--- a/src/translation/scanner.cpp
+++ b/src/translation/scanner.cpp
@@ -25,7 +25,7 @@
       ++at;
     }
   }
-  whole_ = false;
+  complete_ = false;
   return text_.size();
 }
 
@@ -46,7 +46,7 @@
       ++at;
     }
   }
-  whole_ = false;
+  complete_ = false;
   return text_.size();
 }
 
@@ -106,7 +106,7 @@
       if (tag != at) {
         if (!starts) return take(at, Token::Plain);
         const std::size_t end = text_.find(text_.substr(at, tag - at), tag);
-        if (end == std::string_view::npos) whole_ = false;
+        if (end == std::string_view::npos) complete_ = false;
         return take(end == std::string_view::npos ? text_.size() : end + (tag - at), Token::Dollar);
       }
     }
--- a/src/translation/scanner.hpp
+++ b/src/translation/scanner.hpp
@@ -27,7 +27,7 @@
   // The next token and its text; pieces follow each other without gaps. A string or comment without its end
   // runs to the statement's end, and `whole` then says false.
   Token next(std::string_view& piece);
-  bool whole() const { return whole_; }
+  bool complete() const { return complete_; }
 
  private:
   std::size_t quoted(std::size_t at, char quote, bool escapes);
@@ -38,7 +38,7 @@
   const std::string_view text_;
   const bool backslashes_;
   std::size_t at_ = 0;
-  bool whole_ = true;
+  bool complete_ = true;
 };
 
 }  // namespace sablespur::translation
--- a/src/translation/settings.cpp
+++ b/src/translation/settings.cpp
@@ -52,7 +52,7 @@
   return std::make_pair(std::move(name), std::string(rest));
 }
 
-std::optional<std::string> apply(Side& side, const std::string& name, const std::string& given) {
+std::optional<std::string> apply(SessionSettings& side, const std::string& name, const std::string& given) {
   const std::string value = lower(given);
   const auto wrong = [&] { return "invalid value for parameter \"" + name + "\": \"" + given + "\""; };
   if (name == "standard_conforming_strings") {
@@ -81,7 +81,7 @@
   return "setting \"" + name + "\" is not supported here";
 }
 
-std::optional<std::string> applyOptions(Side& side, std::string_view options) {
+std::optional<std::string> applyOptions(SessionSettings& side, std::string_view options) {
   while (!(options = trim(options)).empty()) {
     std::size_t end = 0;
     while (end < options.size() && !blank(options[end])) ++end;
--- a/src/translation/settings.hpp
+++ b/src/translation/settings.hpp
@@ -10,7 +10,7 @@
 
 namespace sablespur::translation {
 
-struct Side {
+struct SessionSettings {
   bool backslashes = false;        // they escape in '...': standard_conforming_strings is off
   std::optional<ByteaForm> bytea;  // bytea_output; nothing: not said
 };
@@ -20,9 +20,9 @@
 
 // Takes a setting over. What is wrong with it, or nothing; what is known and changes nothing here is taken as
 // well.
-std::optional<std::string> apply(Side&, const std::string& name, const std::string& value);
+std::optional<std::string> apply(SessionSettings&, const std::string& name, const std::string& value);
 
 // "-c name=value --name=value" of a startup's options, taken over in order.
-std::optional<std::string> applyOptions(Side&, std::string_view options);
+std::optional<std::string> applyOptions(SessionSettings&, std::string_view options);
 
 }  // namespace sablespur::translation
--- a/src/translation/terms.hpp
+++ b/src/translation/terms.hpp
@@ -23,7 +23,7 @@
 };
 using Value = std::optional<std::string_view>;  // nothing: null
 
-constexpr std::size_t kMostColumns = 1600;
+constexpr std::size_t kMaxColumns = 1600;
 
 // Takes an answer piece by piece: columns, where it has any, its rows, then its tag ("SELECT 2"). What is
 // given lives as long as the call. False: it goes no further.
@@ -36,19 +36,19 @@
 };
 
 // Why there is no answer. Texts that are empty were not told.
-struct Problem {
+struct ErrorReport {
   std::string severity = "ERROR", code, text, detail, hint, position;
   std::string schema, table, column, type, constraint;  // since 9.3
-  std::optional<std::uint32_t> comeBackMs;              // when to come back with the same request
+  std::optional<std::uint32_t> retryAfterMs;            // when to come back with the same request
 };
 
 // Reads what a server answered. Which one an answer came with tells its form.
 class AnswerReader {
  public:
   virtual ~AnswerReader() = default;
-  virtual bool answer(std::string_view messages,
-                      AnswerConsumer&) const = 0;                // false: malformed, or the taker said so
-  virtual Problem problem(std::string_view messages) const = 0;  // one error; no code: malformed
+  virtual bool read(std::string_view messages,
+                    AnswerConsumer&) const = 0;  // false: malformed, or the taker said so
+  virtual ErrorReport readError(std::string_view messages) const = 0;  // one error; no code: malformed
 };
 
 // Writes for a client, each call whole messages.
@@ -57,15 +57,15 @@
   virtual ~ClientCodec() = default;
   virtual std::string columns(const std::vector<Column>&) const = 0;
   // Behind what stands there: rows may be long, and each copy of one shows. binary: all values are.
-  virtual void addRow(std::string& to, const std::vector<Value>&, bool binary) const = 0;
+  virtual void appendRow(std::string& to, const std::vector<Value>&, bool binary) const = 0;
   std::string row(const std::vector<Value>& values, bool binary) const {
     std::string one;
-    addRow(one, values, binary);
+    appendRow(one, values, binary);
     return one;
   }
-  virtual std::string completed(std::string_view tag) const = 0;
-  virtual std::string emptyStatement() const = 0;
-  virtual std::string problem(const Problem&) const = 0;
+  virtual std::string commandComplete(std::string_view tag) const = 0;
+  virtual std::string emptyQueryResponse() const = 0;
+  virtual std::string errorResponse(const ErrorReport&) const = 0;
   virtual std::string ready() const = 0;
 };
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -248,9 +248,9 @@
        {std::uint64_t{1}, std::uint64_t{1023}, std::uint64_t{24} << 20, std::uint64_t{3} << 30})
     EXPECT_EQ(std::get<std::uint64_t>(readSize(writeSize(n))), n);
   EXPECT_EQ(std::get<microseconds>(readTime("1.5 s")), microseconds(1500000));
-  EXPECT_TRUE(std::holds_alternative<Wrong>(readTime("1e400s")));
-  EXPECT_TRUE(std::holds_alternative<Wrong>(readTime("99999999999h")));
-  EXPECT_TRUE(std::holds_alternative<Wrong>(readSize("0.3B")));
+  EXPECT_TRUE(std::holds_alternative<ValueError>(readTime("1e400s")));
+  EXPECT_TRUE(std::holds_alternative<ValueError>(readTime("99999999999h")));
+  EXPECT_TRUE(std::holds_alternative<ValueError>(readSize("0.3B")));
 }
 
 // The operators' page is printed from the table of keys; `sablespur check --keys` writes it anew.
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -37,8 +37,8 @@
   const auto name = *dns::instanceName("Hall 1. (east)", kPtr);
   m.answers.push_back({kPtr, Type::Ptr, 7, name});
   m.additionals.push_back({name, Type::Srv, 8, dns::Srv{1, 2, 5432, "h.ruwi.example.org."}});
-  m.additionals.push_back({name, Type::Txt, 9, dns::Strings{"group=3", "zone=a b"}});
-  m.additionals.push_back({"h.ruwi.example.org.", Type::A, 10, dns::Bytes{v4("10.1.2.3")}});
+  m.additionals.push_back({name, Type::Txt, 9, dns::TxtStrings{"group=3", "zone=a b"}});
+  m.additionals.push_back({"h.ruwi.example.org.", Type::A, 10, dns::AddressBytes{v4("10.1.2.3")}});
   m.udpPayload = 1232;
   return m;
 }
@@ -58,8 +58,8 @@
   EXPECT_EQ(srv.weight, 2);
   EXPECT_EQ(srv.port, 5432);
   EXPECT_EQ(srv.target, "h.ruwi.example.org.");
-  EXPECT_EQ(std::get<dns::Strings>(m->additionals[1].data), (dns::Strings{"group=3", "zone=a b"}));
-  EXPECT_EQ(std::get<dns::Bytes>(m->additionals[2].data).bytes, v4("10.1.2.3"));
+  EXPECT_EQ(std::get<dns::TxtStrings>(m->additionals[1].data), (dns::TxtStrings{"group=3", "zone=a b"}));
+  EXPECT_EQ(std::get<dns::AddressBytes>(m->additionals[2].data).bytes, v4("10.1.2.3"));
 }
 TEST(Dns, WhatHasNoRoomIsLeftOutByTheRules) {
   const auto all = dns::encode(sample());
@@ -84,10 +84,10 @@
   for (const std::string& label : {std::string("a.b"), std::string("\\"), std::string("\"x;@$()"),
                                    std::string("caf\xc3\xa9"), std::string("a\0b", 3), std::string("007")})
     EXPECT_EQ(dns::firstLabel(dns::instanceName(label, kPtr).value()), label);
-  EXPECT_TRUE(dns::within("a.ruwi.example.org.", "ruwi.example.org."));
-  EXPECT_FALSE(dns::within("xruwi.example.org.", "ruwi.example.org."));
-  EXPECT_FALSE(dns::within("a\\.ruwi.example.org.", "ruwi.example.org."));
-  EXPECT_TRUE(dns::within("a\\\\.ruwi.example.org.", "ruwi.example.org."));
+  EXPECT_TRUE(dns::isWithin("a.ruwi.example.org.", "ruwi.example.org."));
+  EXPECT_FALSE(dns::isWithin("xruwi.example.org.", "ruwi.example.org."));
+  EXPECT_FALSE(dns::isWithin("a\\.ruwi.example.org.", "ruwi.example.org."));
+  EXPECT_TRUE(dns::isWithin("a\\\\.ruwi.example.org.", "ruwi.example.org."));
 }
 TEST(Dns, WhatIsNoMessageIsNone) {
   std::string why;
@@ -203,8 +203,9 @@
       m.answers.push_back({kPtr, Type::Ptr, ttl, n});
       if (!additionals) continue;
       m.additionals.push_back({n, Type::Srv, ttl, dns::Srv{0, 0, 5432, "h-" + l + ".ruwi.example.org."}});
-      m.additionals.push_back({n, Type::Txt, ttl, dns::Strings{"zone=a"}});
-      m.additionals.push_back({"h-" + l + ".ruwi.example.org.", Type::A, ttl, dns::Bytes{v4("10.0.0.1")}});
+      m.additionals.push_back({n, Type::Txt, ttl, dns::TxtStrings{"zone=a"}});
+      m.additionals.push_back(
+          {"h-" + l + ".ruwi.example.org.", Type::A, ttl, dns::AddressBytes{v4("10.0.0.1")}});
     }
     if (labels.empty()) m.rcode = dns::Rcode::NxDomain;
     return m;
@@ -252,7 +253,7 @@
   EXPECT_EQ(asked(), "16 33");
   const auto n = *dns::instanceName("s-1", kPtr);
   dns::Message txt = reply({n, Type::Txt});
-  txt.answers.push_back({n, Type::Txt, 5, dns::Strings{"group=4"}});
+  txt.answers.push_back({n, Type::Txt, 5, dns::TxtStrings{"group=4"}});
   answer(txt);
   dns::Message srv = reply({n, Type::Srv});
   srv.answers.push_back({n, Type::Srv, 5, dns::Srv{5, 0, 1, "far.ruwi.example.org."}});
@@ -261,14 +262,14 @@
   EXPECT_EQ(whole(), "");  // the target has no address yet
   EXPECT_EQ(asked(), "1");
   dns::Message a = reply({"h.ruwi.example.org.", Type::A});
-  a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::Bytes{v4("10.0.0.9")}});
-  a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::Bytes{v4("10.0.0.2")}});
+  a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::AddressBytes{v4("10.0.0.9")}});
+  a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::AddressBytes{v4("10.0.0.2")}});
   answer(a);
   ASSERT_EQ(whole(), "s-1");
   EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.2:5432");
   EXPECT_EQ(d->instances()[0].group, 4u);
   // Of two addresses the one in use stays, though another now comes first.
-  a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::Bytes{v4("10.0.0.1")}});
+  a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::AddressBytes{v4("10.0.0.1")}});
   answer(a);
   EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.2:5432");
   a.answers.erase(a.answers.begin() + 1);
@@ -341,7 +342,7 @@
   asked();
   dns::Message m = ptr({"s-1"}, 5);
   std::get<dns::Srv>(m.additionals[0].data).target = "h.elsewhere.example.";
-  m.additionals.push_back({"h.elsewhere.example.", Type::A, 5, dns::Bytes{v4("10.9.9.9")}});
+  m.additionals.push_back({"h.elsewhere.example.", Type::A, 5, dns::AddressBytes{v4("10.9.9.9")}});
   m.answers.push_back({kPtr, Type::Ptr, 5, dns::Name("x.elsewhere.example.")});
   answer(m);
   EXPECT_EQ(whole(), "");
@@ -351,7 +352,7 @@
 TEST_F(DirectoryTest, AnInstanceWithAFaultIsLeftOutAlone) {
   asked();
   dns::Message m = ptr({"s-1", "s-2", "s-3"}, 5);
-  m.additionals[1].data = dns::Strings{"weight=heavy"};
+  m.additionals[1].data = dns::TxtStrings{"weight=heavy"};
   std::get<dns::Srv>(m.additionals[3].data).target = ".";
   answer(m);
   EXPECT_EQ(whole(), "s-3");
@@ -367,7 +368,7 @@
   asked();
   dns::Message m = ptr({"s-1"}, 5);
   m.additionals[2].type = Type::Aaaa;
-  m.additionals[2].data = dns::Bytes{std::string(15, '\0') + "\1"};
+  m.additionals[2].data = dns::AddressBytes{std::string(15, '\0') + "\1"};
   answer(m);
   ASSERT_EQ(whole(), "s-1");
   EXPECT_EQ(d->instances()[0].address.text(), "[::1]:5432");
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -273,11 +273,11 @@
                 client6 = *Address::parse("[2001:db8::7]:51000"),
                 server6 = *Address::parse("[2001:db8::1]:5432");
   for (const std::string& whole :
-       {proxy_protocol::version1(client, server), proxy_protocol::version2(client, server),
-        proxy_protocol::version1(client6, server6), proxy_protocol::version2(client6, server6)}) {
+       {proxy_protocol::formatVersion1(client, server), proxy_protocol::formatVersion2(client, server),
+        proxy_protocol::formatVersion1(client6, server6), proxy_protocol::formatVersion2(client6, server6)}) {
     for (std::size_t n = 0; n < whole.size(); ++n) {
       const auto h = proxy_protocol::parse(std::string_view(whole).substr(0, n));
-      EXPECT_FALSE(h.bad) << n;
+      EXPECT_FALSE(h.malformed) << n;
       EXPECT_EQ(h.length, 0u) << n;
     }
     const auto h = proxy_protocol::parse(whole + "more");
@@ -288,7 +288,7 @@
 }
 TEST(ProxyProtocol, WhatIsNoHeaderIsBad) {
   const std::string v2 =
-      proxy_protocol::version2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
+      proxy_protocol::formatVersion2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
   std::string version3 = v2, command = v2, shorter = v2, longer = v2;
   version3[12] = '\x31';
   command[12] = '\x22';
@@ -301,14 +301,14 @@
         std::string("PROXY TCP6 1.2.3.4 5.6.7.8 1 2\r\n"), std::string("PROXY TCP4 1.2.3.4 5.6.7.8  1 2\r\n"),
         std::string("PROXY UDP4 1.2.3.4 5.6.7.8 1 2\r\n"), "PROXY " + std::string(200, 'x'), version3,
         command, shorter, longer})
-    EXPECT_TRUE(proxy_protocol::parse(bad).bad) << bad;
+    EXPECT_TRUE(proxy_protocol::parse(bad).malformed) << bad;
   std::string local = v2, unix_ = v2;
   local[12] = '\x20';
   unix_[13] = '\x31';
   for (const std::string& none :
        {local, unix_, std::string("PROXY UNKNOWN\r\n"), std::string("PROXY UNKNOWN ::1 x\r\n")}) {
     const auto h = proxy_protocol::parse(none);
-    EXPECT_FALSE(h.bad);
+    EXPECT_FALSE(h.malformed);
     EXPECT_EQ(h.length, none.size());
     EXPECT_FALSE(h.client);
   }
--- a/tests/logins_test.cpp
+++ b/tests/logins_test.cpp
@@ -130,10 +130,10 @@
   const auth::Users users = auth::Users::parse(line("desk", "pencil"), faults);
   const std::string secret(32, 's');
   const auto first = [&](const std::string& name) {
-    auth::Host h(users, name, {auth::Method::Scram}, true, secret, "nonce", "salt");
+    auth::ServerAuthenticator h(users, name, {auth::Method::Scram}, true, secret, "nonce", "salt");
     EXPECT_EQ(h.method(), auth::Method::Scram);
-    EXPECT_EQ(h.take("n,,n=,r=clientnonce"), auth::Next::Ask);
-    return h.say();
+    EXPECT_EQ(h.receive("n,,n=,r=clientnonce"), auth::AuthenticationStep::Continue);
+    return h.response();
   };
   EXPECT_EQ(first("nobody").size(), first("desk").size());
   EXPECT_EQ(first("nobody"), first("nobody"));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -18,9 +18,9 @@
   const postgres::Comment c = postgres::parseComment(text);
   ASSERT_EQ(c.fault, nullptr);
   EXPECT_EQ(c.id, "9b1f");
-  EXPECT_EQ(c.cls, "basket");
-  EXPECT_EQ(c.waitMs, 480u);
-  EXPECT_EQ(text.substr(c.waitAt, c.waitLength), "480");
+  EXPECT_EQ(c.className, "basket");
+  EXPECT_EQ(c.timeLeftMs, 480u);
+  EXPECT_EQ(text.substr(c.timeLeftOffset, c.timeLeftLength), "480");
   EXPECT_EQ(c.cluster, 2u);
   EXPECT_EQ(c.after, 1767225600123);
   EXPECT_EQ(postgres::parseKey(text), "a/*b*/");
@@ -32,19 +32,19 @@
         "/* id=1,cluster=1,d=1e3 */", "/* id=1,cluster=1,d= */", "/* id=1,cluster=1,d=99999999999 */",
         "/* id=1,cluster=1,after=soon */", "*/ id=1,cluster=2 /*", "/*/"})
     EXPECT_NE(postgres::parseComment(text).fault, nullptr) << text;
-  EXPECT_EQ(postgres::parseComment("/* id=1,cluster=1 */").waitLength, 0u);
+  EXPECT_EQ(postgres::parseComment("/* id=1,cluster=1 */").timeLeftLength, 0u);
 }
 TEST(Pg, HeadsOutOfRangeAreNone) {
   const auto head = [](std::uint32_t n) {
-    const char bytes[postgres::kHead] = {'Q', static_cast<char>(n >> 24), static_cast<char>(n >> 16),
-                                         static_cast<char>(n >> 8), static_cast<char>(n)};
-    return postgres::parseHead(bytes);
+    const char bytes[postgres::kHeaderSize] = {'Q', static_cast<char>(n >> 24), static_cast<char>(n >> 16),
+                                               static_cast<char>(n >> 8), static_cast<char>(n)};
+    return postgres::parseHeader(bytes);
   };
   EXPECT_FALSE(head(3));
   EXPECT_FALSE(head(0xffffffff));
-  EXPECT_FALSE(head(postgres::kLongestMessage + 1));
+  EXPECT_FALSE(head(postgres::kMaxMessage + 1));
   ASSERT_TRUE(head(4));
-  EXPECT_EQ(head(4)->body, 0u);
+  EXPECT_EQ(head(4)->bodySize, 0u);
   EXPECT_TRUE(head(2 * 65536 + 512));  // the longest value in hex
 }
 TEST(Pg, ErrorsAndRowsAreReadAsWritten) {
@@ -67,14 +67,14 @@
   EXPECT_TRUE(postgres::isRowDescription("\0\1blob\0"s + std::string(18, '\0')));
   EXPECT_FALSE(postgres::isRowDescription("\0\1blob\0"s + std::string(17, '\0')));
   EXPECT_FALSE(postgres::isRowDescription("\0\2blob\0"s + std::string(18, '\0')));
-  EXPECT_TRUE(postgres::isTag("INSERT 0 1\0"sv, true));
-  EXPECT_TRUE(postgres::isTag("SHOW\0"sv, false));
-  EXPECT_FALSE(postgres::isTag("SELECT 0\0"sv, true));
-  EXPECT_FALSE(postgres::isTag("SELECT 1"sv, true));
-  EXPECT_FALSE(postgres::isTag("SELECT\0 1\0"sv, true));
-  EXPECT_TRUE(postgres::isRowHead({0, 1, 0, 1, 0, 0}, 6 + 65536));
-  EXPECT_FALSE(postgres::isRowHead({0, 1, 0, 1, 0, 1}, 6 + 65537));
-  EXPECT_FALSE(postgres::isRowHead({0, 1, 0, 0, 0, 5}, 6 + 4));
+  EXPECT_TRUE(postgres::isCommandTag("INSERT 0 1\0"sv, true));
+  EXPECT_TRUE(postgres::isCommandTag("SHOW\0"sv, false));
+  EXPECT_FALSE(postgres::isCommandTag("SELECT 0\0"sv, true));
+  EXPECT_FALSE(postgres::isCommandTag("SELECT 1"sv, true));
+  EXPECT_FALSE(postgres::isCommandTag("SELECT\0 1\0"sv, true));
+  EXPECT_TRUE(postgres::isRowHeader({0, 1, 0, 1, 0, 0}, 6 + 65536));
+  EXPECT_FALSE(postgres::isRowHeader({0, 1, 0, 1, 0, 1}, 6 + 65537));
+  EXPECT_FALSE(postgres::isRowHeader({0, 1, 0, 0, 0, 5}, 6 + 4));
 }
 
 TEST(Http, ChunksMayBeSplitAnywhere) {
@@ -88,21 +88,21 @@
       ASSERT_TRUE(r.feed(std::string_view(text).substr(at, step), body)) << step;
     EXPECT_EQ(r.status(), 200);
     EXPECT_EQ(body, "{\"a\":1}\n\n0123456\r\n") << step;
-    EXPECT_TRUE(r.done());
+    EXPECT_TRUE(r.complete());
   }
 }
 TEST(Http, CountedAndEmptyBodiesEnd) {
   http::Response r;
   std::string body;
   EXPECT_TRUE(r.feed("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\ndo", body));
-  EXPECT_FALSE(r.done());
+  EXPECT_FALSE(r.complete());
   EXPECT_TRUE(r.feed("wn", body));
-  EXPECT_TRUE(r.done());
+  EXPECT_TRUE(r.complete());
   EXPECT_EQ(r.status(), 503);
   EXPECT_EQ(body, "down");
   http::Response none;
   EXPECT_TRUE(none.feed("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", body));
-  EXPECT_TRUE(none.done());
+  EXPECT_TRUE(none.complete());
 }
 TEST(Http, WhatIsNoHttpIsToldAtOnce) {
   for (const std::string& text :
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -612,16 +612,16 @@
     for (const std::string& t : texts)
       values.push_back(t == "NULL" ? translation::Value() : translation::Value(t));
     const postgres::Codec codec(2);
-    put(c->fd, codec.columns(columns) + codec.row(values, false) + codec.completed("SELECT 1") + role +
+    put(c->fd, codec.columns(columns) + codec.row(values, false) + codec.commandComplete("SELECT 1") + role +
                    postgres::readyForQuery());
   } else if (what == "done") {
-    put(c->fd, postgres::Codec(2).completed(rest) + role + postgres::readyForQuery());
+    put(c->fd, postgres::Codec(2).commandComplete(rest) + role + postgres::readyForQuery());
   } else if (what == "problem") {  // as a server of today puts it
-    translation::Problem p;
+    translation::ErrorReport p;
     std::istringstream(rest) >> p.code >> p.text;
     p.table = "rows";
     p.hint = "look there";
-    put(c->fd, postgres::Codec(2).problem(p) + role + postgres::readyForQuery());
+    put(c->fd, postgres::Codec(2).errorResponse(p) + role + postgres::readyForQuery());
   } else if (what == "part") {
     const std::string whole = row(value(rest));
     put(c->fd, whole.substr(0, whole.size() - 2));
@@ -949,7 +949,7 @@
     says += parameter(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
   c.greeted = true;
   const std::string greeting =
-      postgres::welcome({c.number, "abcd"}, false);  // its own word after what it takes for granted
+      postgres::loginComplete({c.number, "abcd"}, false);  // its own word after what it takes for granted
   put(c.fd, greeting.substr(0, greeting.size() - 6) + says + postgres::readyForQuery());
 }
 
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -178,7 +178,7 @@
     evbuffer* const in = bufferevent_get_input(c.stream.get());
     evbuffer* const out = bufferevent_get_output(c.stream.get());
     for (;;) {
-      char head[postgres::kHead];
+      char head[postgres::kHeaderSize];
       if (evbuffer_copyout(in, head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) break;
       const std::size_t whole = c.greeted ? 1 + postgres::readInt32(head + 1) : postgres::readInt32(head);
       if (evbuffer_get_length(in) < whole || (!c.greeted && !greets)) break;
@@ -191,7 +191,8 @@
         append(out, row("x0=1.0,x1=1,inflight=0") + postgres::message('C', std::string("SHOW\0", 5)) +
                         postgres::readyForQuery());
       } else {
-        statements.push_back(message.substr(postgres::kHead, message.size() - postgres::kHead - 1));
+        statements.push_back(
+            message.substr(postgres::kHeaderSize, message.size() - postgres::kHeaderSize - 1));
         ++c.owed;
       }
     }
--- a/tests/tds_test.cpp
+++ b/tests/tds_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMost = 1 << 20;
-using Got = Assembler::Got;
+using Got = MessageAssembler::Result;
 
 std::string text(std::size_t n) {
   std::string s;
@@ -22,46 +22,48 @@
 TEST(TdsPackets, AMessageOfAnyLengthComesBackFromPacketsOfAnySize) {
   for (const std::size_t size : {512u, 513u, 4096u, 32767u})
     for (const std::size_t n : {0u, 1u, 503u, 504u, 505u, 1008u, 65536u}) {
-      const std::string bytes = packets(Type::SqlBatch, text(n), size, 7);
-      Assembler a(size, kMost);
+      const std::string bytes = formatPackets(Type::SqlBatch, text(n), size, 7);
+      MessageAssembler a(size, kMost);
       std::string_view in = bytes;
-      ASSERT_EQ(a.take(in), Got::Message) << size << " " << n;
+      ASSERT_EQ(a.consume(in), Got::Message) << size << " " << n;
       EXPECT_EQ(a.message(), text(n));
       EXPECT_EQ(a.type(), Type::SqlBatch);
       EXPECT_TRUE(in.empty());
-      EXPECT_EQ(bytes.size(),
-                n + kHeader * std::max<std::size_t>(1, (n + size - kHeader - 1) / (size - kHeader)));
+      EXPECT_EQ(bytes.size(), n + kHeaderSize * std::max<std::size_t>(
+                                                    1, (n + size - kHeaderSize - 1) / (size - kHeaderSize)));
     }
 }
 TEST(TdsPackets, CutAtEveryByteTheyAreTheSame) {
-  const std::string bytes = packets(Type::Rpc, text(1500), 512) + packets(Type::Attention, "", 512);
+  const std::string bytes =
+      formatPackets(Type::Rpc, text(1500), 512) + formatPackets(Type::Attention, "", 512);
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    Assembler a(512, kMost);
+    MessageAssembler a(512, kMost);
     std::vector<std::string> got;
     for (std::string_view in :
          {std::string_view(bytes).substr(0, cut), std::string_view(bytes).substr(cut)}) {
-      Got g = Got::More;
-      while ((g = a.take(in)) == Got::Message) got.push_back(a.message());
-      ASSERT_EQ(g, Got::More) << cut;
+      Got g = Got::Incomplete;
+      while ((g = a.consume(in)) == Got::Message) got.push_back(a.message());
+      ASSERT_EQ(g, Got::Incomplete) << cut;
     }
     ASSERT_EQ(got.size(), 2u) << cut;
     EXPECT_EQ(got[0], text(1500));
     EXPECT_EQ(got[1], "");
-    EXPECT_FALSE(a.amid());
+    EXPECT_FALSE(a.inMessage());
   }
 }
 TEST(TdsPackets, WhatLiesIsAFaultAndStaysOne) {
   const auto fault = [](std::string bytes, std::size_t size, std::size_t most) {
-    Assembler a(size, most);
+    MessageAssembler a(size, most);
     std::string_view in = bytes;
-    if (a.take(in) != Got::Fault) return std::string("none");
+    if (a.consume(in) != Got::Fault) return std::string("none");
     std::string_view good = "";
-    EXPECT_EQ(a.take(good), Got::Fault);
+    EXPECT_EQ(a.consume(good), Got::Fault);
     return std::string(a.fault());
   };
-  EXPECT_EQ(fault(packets(Type::SqlBatch, text(600), 4096), 512, kMost), "a packet longer than agreed on");
-  EXPECT_EQ(fault(packets(Type::SqlBatch, text(5000), 512), 512, 4000), "a message too long");
-  std::string mixed = packets(Type::SqlBatch, text(600), 512);
+  EXPECT_EQ(fault(formatPackets(Type::SqlBatch, text(600), 4096), 512, kMost),
+            "a packet longer than agreed on");
+  EXPECT_EQ(fault(formatPackets(Type::SqlBatch, text(5000), 512), 512, 4000), "a message too long");
+  std::string mixed = formatPackets(Type::SqlBatch, text(600), 512);
   mixed[512] = static_cast<char>(Type::Rpc);
   EXPECT_EQ(fault(mixed, 512, kMost), "another message amid one");
   EXPECT_EQ(fault(std::string("\x01\x01\x00\x07\0\0\0\0", 8), 512, kMost), "no packet of this protocol");
@@ -69,12 +71,12 @@
       << "a PostgreSQL hello";
 }
 TEST(TdsPackets, AMessageThatWasTakenBackIsPassedOver) {
-  std::string bytes = packets(Type::SqlBatch, text(600), 512);
+  std::string bytes = formatPackets(Type::SqlBatch, text(600), 512);
   bytes[512 + 1] = kLast | kIgnore;
-  bytes += packets(Type::SqlBatch, "next", 512);
-  Assembler a(512, kMost);
+  bytes += formatPackets(Type::SqlBatch, "next", 512);
+  MessageAssembler a(512, kMost);
   std::string_view in = bytes;
-  ASSERT_EQ(a.take(in), Got::Message);
+  ASSERT_EQ(a.consume(in), Got::Message);
   EXPECT_EQ(a.message(), "next");
 }
 TEST(TdsPreLogin, ComesBackAndNoCutOfItIsOne) {
@@ -82,7 +84,7 @@
   p.version = 0x0f000fa0;
   p.encryption = Encryption::Off;
   p.mars = true;
-  const std::string m = preLogin(p);
+  const std::string m = formatPreLogin(p);
   const auto back = parsePreLogin(m);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->version, p.version);
@@ -96,11 +98,11 @@
 TEST(TdsPackets, NoBytesAreMoreThanAFault) {
   pcg64 random(1);
   for (int round = 0; round < 2000; ++round) {
-    std::string bytes = packets(Type::Rpc, text(random() % 1200), 512);
+    std::string bytes = formatPackets(Type::Rpc, text(random() % 1200), 512);
     for (int k = 0; k < 3; ++k) bytes[random() % bytes.size()] = static_cast<char>(random());
-    Assembler a(512, 4096);
+    MessageAssembler a(512, 4096);
     std::string_view in = bytes;
-    while (a.take(in) == Got::Message) parsePreLogin(a.message());
+    while (a.consume(in) == Got::Message) parsePreLogin(a.message());
     EXPECT_LE(a.message().size(), 4096u);
   }
 }
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -36,7 +36,7 @@
     joined += piece;
   }
   EXPECT_EQ(joined, statement);  // pieces follow each other without gaps
-  return all + (s.whole() ? "" : "!");
+  return all + (s.complete() ? "" : "!");
 }
 TEST(Scanner, FindsStringsNamesCommentsAndParameters) {
   EXPECT_EQ(tokens("SELECT 'a''b', E'a\\'b', \"x'y\", $1 -- $2 'q\n, /* 'a' /* $3 */ */ $tag$ '$1' $tag$"),
@@ -127,62 +127,64 @@
 
 // ---- protocol 2.0 -------------------------------------------------------------------------------------
 TEST(Pg2, StartupAndCancelHaveTheirFixedForm) {
-  pg2::Startup s;
+  postgres2::Startup s;
   s.database = "ledger";
   s.user = std::string(40, 'u');  // cut to what the field holds
   s.options = "-o x";
-  const std::string packet = pg2::startup(s);
-  ASSERT_EQ(packet.size(), pg2::kStartupLength);
-  const auto back = pg2::parseStartup(packet);
+  const std::string packet = postgres2::startup(s);
+  ASSERT_EQ(packet.size(), postgres2::kStartupLength);
+  const auto back = postgres2::parseStartup(packet);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->database, "ledger");
   EXPECT_EQ(back->user, std::string(31, 'u'));
   EXPECT_EQ(back->options, "-o x");
-  EXPECT_FALSE(pg2::parseStartup(packet.substr(1)));
+  EXPECT_FALSE(postgres2::parseStartup(packet.substr(1)));
   std::string three = packet;
   three[5] = 3;
-  EXPECT_FALSE(pg2::parseStartup(three));
-  const auto c = pg2::parseCancel(pg2::cancel({7, 0xdeadbeef}));
+  EXPECT_FALSE(postgres2::parseStartup(three));
+  const auto c = postgres2::parseCancel(postgres2::cancel({7, 0xdeadbeef}));
   ASSERT_TRUE(c);
   EXPECT_EQ(c->process, 7u);
   EXPECT_EQ(c->key, 0xdeadbeefu);
-  EXPECT_FALSE(pg2::parseCancel(pg2::cancel({7, 1}) + "x"));
+  EXPECT_FALSE(postgres2::parseCancel(postgres2::cancel({7, 1}) + "x"));
 }
 TEST(Pg2, WhatClientsSendEndsWithItsNul) {
   bool bad = false;
-  const std::string q = pg2::query("SELECT 1");
-  for (std::size_t n = 0; n < q.size(); ++n) EXPECT_FALSE(pg2::parseSent(q.substr(0, n), bad)) << n;
+  const std::string q = postgres2::query("SELECT 1");
+  for (std::size_t n = 0; n < q.size(); ++n)
+    EXPECT_FALSE(postgres2::parseClientMessage(q.substr(0, n), bad)) << n;
   const std::string two = q + "X";
-  const auto sent = pg2::parseSent(two, bad);
+  const auto sent = postgres2::parseClientMessage(two, bad);
   ASSERT_TRUE(sent);
   EXPECT_EQ(sent->text, "SELECT 1");
   EXPECT_EQ(sent->size, q.size());
-  EXPECT_FALSE(pg2::parseSent("P\0\0\0\5", bad));  // only 3.0 knows it
+  EXPECT_FALSE(postgres2::parseClientMessage("P\0\0\0\5", bad));  // only 3.0 knows it
   EXPECT_TRUE(bad);
-  EXPECT_FALSE(pg2::parseSent("Q" + std::string(pg2::kLongestQuery + 1, 'x'), bad));
+  EXPECT_FALSE(postgres2::parseClientMessage("Q" + std::string(postgres2::kMaxQuery + 1, 'x'), bad));
   EXPECT_TRUE(bad);
   std::size_t size = 0;
-  EXPECT_EQ(pg2::parsePassword(pg2::password("geheim"), size, bad), "geheim");
+  EXPECT_EQ(postgres2::parsePassword(postgres2::password("geheim"), size, bad), "geheim");
   EXPECT_EQ(size, 11u);
-  EXPECT_FALSE(pg2::parsePassword("\xff\xff\xff\xff", size, bad));
+  EXPECT_FALSE(postgres2::parsePassword("\xff\xff\xff\xff", size, bad));
   EXPECT_TRUE(bad);
 }
 TEST(Pg2, RowsBearABitmapOfWhatIsNull) {
-  std::vector<pg2::Column> columns;
-  std::vector<pg2::Value> values;
+  std::vector<postgres2::Column> columns;
+  std::vector<postgres2::Value> values;
   for (int k = 0; k < 9; ++k) {
     columns.push_back({"c" + std::to_string(k), 25, -1, -1});
-    values.push_back(k % 3 == 1 ? pg2::Value() : pg2::Value("v"));
+    values.push_back(k % 3 == 1 ? postgres2::Value() : postgres2::Value("v"));
   }
   values[8] = "";
-  EXPECT_EQ(pg2::row(values, false).substr(0, 3), "D\xb6\x80");
+  EXPECT_EQ(postgres2::row(values, false).substr(0, 3), "D\xb6\x80");
   for (const bool binary : {false, true}) {
-    const std::string stream = pg2::cursor() + pg2::rowDescription(columns) + pg2::row(values, binary) +
-                               pg2::completed("SELECT") + pg2::notice("n") + pg2::error("ERROR:  e\n") +
-                               pg2::keyData({1, 2}) + pg2::askMd5("salt") + pg2::ready();
+    const std::string stream = postgres2::cursor() + postgres2::rowDescription(columns) +
+                               postgres2::row(values, binary) + postgres2::completed("SELECT") +
+                               postgres2::notice("n") + postgres2::error("ERROR:  e\n") +
+                               postgres2::keyData({1, 2}) + postgres2::askMd5("salt") + postgres2::ready();
     // In pieces of any size.
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
-      pg2::Reader reader;
+      postgres2::Reader reader;
       std::string in = stream.substr(0, cut), types;
       std::vector<std::optional<std::string>> row;
       for (int half = 0; half < 2; ++half) {
@@ -207,7 +209,7 @@
 // ---- the extended sub-protocol ------------------------------------------------------------------------
 TEST(Extended, MessagesReadBackAndLyingCountsAreNone) {
   const std::string p = postgres::parseMessage("s1", "SELECT $1", {23, 0});
-  const auto parse = postgres::parseParse(std::string_view(p).substr(postgres::kHead));
+  const auto parse = postgres::parseParse(std::string_view(p).substr(postgres::kHeaderSize));
   ASSERT_TRUE(parse);
   EXPECT_EQ(parse->statement, "SELECT $1");
   EXPECT_EQ(parse->types, (std::vector<std::uint32_t>{23, 0}));
@@ -215,9 +217,9 @@
   b.statement = "s1";
   b.formats = {0, 1, 1};
   b.values = {"text"sv, "\0\1"sv, std::nullopt};
-  b.results = {1};
+  b.resultFormats = {1};
   const std::string m = postgres::bindMessage(b);
-  const std::string_view body = std::string_view(m).substr(postgres::kHead);
+  const std::string_view body = std::string_view(m).substr(postgres::kHeaderSize);
   const auto back = postgres::parseBind(body);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->values[0], "text");
@@ -227,12 +229,12 @@
   for (std::size_t n = 0; n < body.size(); ++n) EXPECT_FALSE(postgres::parseBind(body.substr(0, n))) << n;
   b.formats = {0, 1};  // neither none, one nor all
   const std::string unfit = postgres::bindMessage(b);
-  EXPECT_FALSE(postgres::parseBind(std::string_view(unfit).substr(postgres::kHead)));
+  EXPECT_FALSE(postgres::parseBind(std::string_view(unfit).substr(postgres::kHeaderSize)));
   EXPECT_FALSE(postgres::parseBind("\0\0\xff\xff\0\0"sv));
   const std::string d = postgres::describeMessage({true, "p"}), e = postgres::executeMessage({"p", 5});
-  EXPECT_TRUE(postgres::parseTarget(std::string_view(d).substr(postgres::kHead))->portal);
-  EXPECT_EQ(postgres::parseExecute(std::string_view(e).substr(postgres::kHead))->most, 5);
-  EXPECT_FALSE(postgres::parseTarget("Xp\0"sv));
+  EXPECT_TRUE(postgres::parseDescribeTarget(std::string_view(d).substr(postgres::kHeaderSize))->portal);
+  EXPECT_EQ(postgres::parseExecute(std::string_view(e).substr(postgres::kHeaderSize))->maxRows, 5);
+  EXPECT_FALSE(postgres::parseDescribeTarget("Xp\0"sv));
 }
 
 // ---- answers between forms ----------------------------------------------------------------------------
@@ -250,15 +252,15 @@
     for (const auto& v : r) values.push_back(v ? tr::Value(*v) : tr::Value());
     all += server.row(values, false);
   }
-  return all + server.completed(tag);
+  return all + server.commandComplete(tag);
 }
 TEST(Answers, GoToVersion2WithItsBitmapAndItsTag) {
-  const pg2::Codec two;
-  tr::Conversion c(two, {tr::ByteaForm::Escape, {}}, true, 1 << 20);
+  const postgres2::Codec two;
+  tr::AnswerConverter c(two, {tr::ByteaForm::Escape, {}}, true, 1 << 20);
   ASSERT_TRUE(postgres::readAnswer(
       serverAnswer({tr::kInt4, tr::kBytea}, {{"7", "\\x41ff"}, {std::nullopt, "A\\000"}}, "SELECT 2"), c));
   const std::string out = c.take();
-  pg2::Reader reader;
+  postgres2::Reader reader;
   std::string types;
   std::vector<Row> rows;
   std::size_t size = 0;
@@ -275,7 +277,7 @@
 }
 TEST(Answers, ComeInBinaryWhereThatIsWanted) {
   const postgres::Codec three(0);
-  tr::Conversion c(three, {std::nullopt, {1, 0}}, false, 1 << 20);
+  tr::AnswerConverter c(three, {std::nullopt, {1, 0}}, false, 1 << 20);
   ASSERT_TRUE(postgres::readAnswer(
       serverAnswer({tr::kInt4, tr::kText}, {{"-5", "-5"}, {std::nullopt, ""}}, "SELECT 2"), c));
   EXPECT_EQ(c.take(), postgres::message('D', "\0\2\0\0\0\4\xff\xff\xff\xfb\0\0\0\2-5"sv) +
@@ -304,10 +306,10 @@
 TEST(Answers, AFailureLeavesNoHalfAnswer) {
   const postgres::Codec three(0);
   const auto why = [&](const std::string& answer, tr::ResultFormat wanted, std::size_t most) {
-    tr::Conversion c(three, std::move(wanted), true, most);
+    tr::AnswerConverter c(three, std::move(wanted), true, most);
     EXPECT_FALSE(postgres::readAnswer(answer, c));
     EXPECT_EQ(c.take(), "");
-    return c.why();
+    return c.failure();
   };
   EXPECT_EQ(why(serverAnswer({tr::kBytea}, {{"\\x41"}, {"\\x4"}}, "SELECT 2"), {tr::ByteaForm::Escape, {}},
                 1 << 20),
@@ -320,15 +322,15 @@
   EXPECT_EQ(why(serverAnswer({tr::kInt4}, {{"1"}}, "SELECT 1"), {std::nullopt, {1, 0}}, 1 << 20),
             "formats for 2 columns where there are 1");
   // The row itself is turned down, before it is written.
-  tr::Conversion early(three, {}, false, 100);
+  tr::AnswerConverter early(three, {}, false, 100);
   EXPECT_TRUE(early.columns({{"a", tr::kText, -1, -1, false}}));
   EXPECT_FALSE(early.row({std::string_view(big)}));
-  tr::Conversion enough(three, {tr::ByteaForm::Escape, {}}, true, 129 << 10);
+  tr::AnswerConverter enough(three, {tr::ByteaForm::Escape, {}}, true, 129 << 10);
   EXPECT_TRUE(postgres::readAnswer(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), enough));
 }
 TEST(Answers, StopAtARowLimitAndSaySo) {
   const postgres::Codec three(0);
-  tr::Conversion c(three, {}, false, 1 << 20, 2);
+  tr::AnswerConverter c(three, {}, false, 1 << 20, 2);
   ASSERT_TRUE(postgres::readAnswer(serverAnswer({tr::kText}, {{"1"}, {"2"}, {"3"}}, "SELECT 3"), c));
   EXPECT_TRUE(c.suspended());
   EXPECT_EQ(c.take(),
@@ -338,36 +340,36 @@
   const postgres::Codec three(0);
   const std::string good = serverAnswer({tr::kText}, {{"1"}}, "SELECT 1");
   for (std::size_t n = 0; n < good.size(); ++n) {
-    tr::Conversion c(three, {}, true, 1 << 20);
+    tr::AnswerConverter c(three, {}, true, 1 << 20);
     EXPECT_FALSE(postgres::readAnswer(std::string_view(good).substr(0, n), c)) << n;
   }
-  tr::Conversion again(three, {}, true, 1 << 20);
+  tr::AnswerConverter again(three, {}, true, 1 << 20);
   EXPECT_FALSE(postgres::readAnswer(good + good, again));
 }
 TEST(Problems, SayWhatEachVersionCanRead) {
-  tr::Problem p;
+  tr::ErrorReport p;
   p.code = "53300";
   p.text = "no room";
-  p.comeBackMs = 250;
-  EXPECT_EQ(postgres::Codec(0).problem(p),
+  p.retryAfterMs = 250;
+  EXPECT_EQ(postgres::Codec(0).errorResponse(p),
             postgres::message('E', "SERROR\0VERROR\0C53300\0Mno room\0D250\0\0"sv));
-  EXPECT_EQ(pg2::Codec().problem(p), "EERROR:  no room\nRETRY:  250 ms\n\0"sv);
+  EXPECT_EQ(postgres2::Codec().errorResponse(p), "EERROR:  no room\nRETRY:  250 ms\n\0"sv);
   // A newer server's fields: 3.0 gets those of its time, 3.2 gets all, what nobody knows is passed over.
   const auto q =
-      postgres::readProblem("SFEHLER\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0Zodd\0\0"sv);
+      postgres::parseErrorReport("SFEHLER\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0Zodd\0\0"sv);
   EXPECT_EQ(q.severity, "ERROR");
-  EXPECT_EQ(postgres::Codec(0).problem(q),
+  EXPECT_EQ(postgres::Codec(0).errorResponse(q),
             postgres::message('E', "SERROR\0VERROR\0C23505\0Mtwice\0Dof it\0\0"sv));
-  EXPECT_EQ(postgres::Codec(2).problem(q),
+  EXPECT_EQ(postgres::Codec(2).errorResponse(q),
             postgres::message('E', "SERROR\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0\0"sv));
-  EXPECT_EQ(pg2::Codec().problem(q), "EERROR:  twice\nDETAIL:  of it\n\0"sv);
-  EXPECT_EQ(postgres::readProblem("SERROR\0C2350\0Mtwice\0\0"sv).code, "");
-  EXPECT_EQ(postgres::readProblem("SERROR\0C23505\0Mtwice"sv).code, "");
+  EXPECT_EQ(postgres2::Codec().errorResponse(q), "EERROR:  twice\nDETAIL:  of it\n\0"sv);
+  EXPECT_EQ(postgres::parseErrorReport("SERROR\0C2350\0Mtwice\0\0"sv).code, "");
+  EXPECT_EQ(postgres::parseErrorReport("SERROR\0C23505\0Mtwice"sv).code, "");
 }
 
 // ---- prepared statements and portals ------------------------------------------------------------------
 std::string_view bodyOf(const std::string& message) {
-  return std::string_view(message).substr(postgres::kHead);
+  return std::string_view(message).substr(postgres::kHeaderSize);
 }
 PreparedStatements::Said bindTo(PreparedStatements& p, std::string_view statement, std::string_view portal,
                                 std::vector<std::optional<std::string_view>> values) {
@@ -446,7 +448,7 @@
 
 // ---- settings that a side tells -----------------------------------------------------------------------
 TEST(Sides, TellTheirSettingsBySetOrAtTheStart) {
-  tr::Side side;
+  tr::SessionSettings side;
   EXPECT_EQ(tr::parseSet("SET Bytea_Output TO 'escape';"), std::make_pair("bytea_output"s, "escape"s));
   EXPECT_EQ(tr::parseSet("set session DateStyle='ISO, MDY'"), std::make_pair("datestyle"s, "ISO, MDY"s));
   for (const char* no :
@@ -511,7 +513,7 @@
   auth::ScramClient c("user", kClientNonce);
   EXPECT_EQ(c.first(), "n,,n=user,r=rOprNGfwEbeRWgbNEkqO");
   std::string why;
-  const auto challenge = c.challenged(kServerFirst, why);
+  const auto challenge = c.readChallenge(kServerFirst, why);
   ASSERT_TRUE(challenge) << why;
   EXPECT_EQ(c.final(auth::saltPassword("pencil", challenge->salt, challenge->iterations)),
             "c=biws,r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,p=dHzbZapWIk4jUhN+"
@@ -526,7 +528,7 @@
   const auto fault = [](const std::string& m) {
     auth::ScramClient c("user", kClientNonce);
     std::string why;
-    EXPECT_FALSE(c.challenged(m, why)) << m;
+    EXPECT_FALSE(c.readChallenge(m, why)) << m;
     return why;
   };
   EXPECT_EQ(fault("r=another,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096"), "a nonce that is not ours");
@@ -557,7 +559,7 @@
     std::string why;
     const auto first = s.first(c.first(), why);
     if (!first) return "first: " + why;
-    const auto challenge = c.challenged(*first, why);
+    const auto challenge = c.readChallenge(*first, why);
     if (!challenge) return "challenge: " + why;
     std::string final = c.final(auth::saltPassword(password, challenge->salt, challenge->iterations));
     spoil(final);
