--- a/src/protocol/http/http.cpp
+++ b/src/protocol/http/http.cpp
@@ -3,17 +3,25 @@
 #include <algorithm>
 #include <cctype>
 #include <charconv>
+#include <utility>
 
 namespace sablespur::http {
 namespace {
 
-constexpr std::size_t kLongestLine = 8192;
+constexpr std::size_t kMaxLine = 8192;  // bytes; bounds what a peer can make us hold
 
 bool sameName(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
 
+std::string_view trimmed(std::string_view text) {
+  const auto blank = [](char c) { return c == ' ' || c == '\t'; };
+  while (!text.empty() && blank(text.front())) text.remove_prefix(1);
+  while (!text.empty() && blank(text.back())) text.remove_suffix(1);
+  return text;
+}
+
 }  // namespace
 
 std::string formatGet(std::string_view target, std::string_view host) {
@@ -25,83 +33,114 @@
   return text;
 }
 
-bool Response::endHead() {
-  if (status_ >= 100 && status_ < 200) {  // an interim response; the real one follows
-    state_ = State::Status;
+void Response::endHeaders() {
+  const bool interim = status_ >= 100 && status_ < 200;
+  const bool withoutBody = status_ == 204 || status_ == 304;
+  if (interim)
+    state_ = State::StatusLine;
+  else if (withoutBody || (!chunked_ && hasLength_ && bytesLeft_ == 0))
+    state_ = State::Complete;
+  else if (chunked_)
+    state_ = State::ChunkSize;
+  else
+    state_ = hasLength_ ? State::SizedBody : State::BodyUntilClose;
+}
+
+// "HTTP/1.1 200 OK"
+bool Response::parseStatusLine(std::string_view line) {
+  constexpr std::size_t kCode = 9;
+  constexpr std::size_t kCodeEnd = 12;
+  if (line.size() < kCodeEnd || line.substr(0, 7) != "HTTP/1.") return false;
+  const char* const codeEnd = line.data() + kCodeEnd;
+  if (std::from_chars(line.data() + kCode, codeEnd, status_).ptr != codeEnd) return false;
+  chunked_ = false;
+  hasLength_ = false;
+  state_ = State::HeaderLine;
+  return true;
+}
+
+bool Response::parseHeaderLine(std::string_view line) {
+  if (line.empty()) {
+    endHeaders();
     return true;
   }
-  if (status_ == 204 || status_ == 304 || (!chunked_ && hasLength_ && bytesLeft_ == 0))
-    state_ = State::End;
-  else
-    state_ = chunked_ ? State::Size : hasLength_ ? State::Counted : State::Rest;
+  const std::size_t colon = line.find(':');
+  if (colon == std::string_view::npos) return false;
+  const std::string_view name = line.substr(0, colon);
+  const std::string_view value = trimmed(line.substr(colon + 1));
+  if (sameName(name, "Transfer-Encoding")) {
+    chunked_ = sameName(value, "chunked");
+    return chunked_;
+  }
+  if (sameName(name, "Content-Length")) {
+    hasLength_ = true;
+    const char* const end = value.data() + value.size();
+    const auto [stop, error] = std::from_chars(value.data(), end, bytesLeft_);
+    return error == std::errc() && stop == end;
+  }
   return true;
 }
 
-bool Response::parseLine(std::string_view text) {
-  const char* const end = text.data() + text.size();
+bool Response::parseChunkSize(std::string_view line) {
+  const char* const end = line.data() + line.size();
+  const auto [stop, error] = std::from_chars(line.data(), end, bytesLeft_, 16);
+  // Extensions may follow the size.
+  if (error != std::errc() || (stop != end && *stop != ';' && *stop != ' ')) return false;
+  state_ = bytesLeft_ > 0 ? State::ChunkData : State::Trailer;
+  return true;
+}
+
+bool Response::parseLine(std::string_view line) {
   switch (state_) {
-    case State::Status:
-      if (text.size() < 12 || text.substr(0, 7) != "HTTP/1.") return false;
-      if (std::from_chars(text.data() + 9, text.data() + 12, status_).ptr != text.data() + 12) return false;
-      chunked_ = hasLength_ = false;
-      state_ = State::Header;
-      return true;
-    case State::Header: {
-      if (text.empty()) return endHead();
-      const std::size_t colon = text.find(':');
-      if (colon == std::string_view::npos) return false;
-      std::string_view value = text.substr(colon + 1);
-      while (!value.empty() && (value.front() == ' ' || value.front() == '\t')) value.remove_prefix(1);
-      while (!value.empty() && (value.back() == ' ' || value.back() == '\t')) value.remove_suffix(1);
-      const std::string_view name = text.substr(0, colon);
-      if (sameName(name, "Transfer-Encoding")) {
-        if (!sameName(value, "chunked")) return false;
-        chunked_ = true;
-      } else if (sameName(name, "Content-Length")) {
-        hasLength_ = true;
-        const auto [stop, error] = std::from_chars(value.data(), value.data() + value.size(), bytesLeft_);
-        return error == std::errc() && stop == value.data() + value.size();
-      }
-      return true;
-    }
-    case State::Size: {
-      const auto [stop, error] = std::from_chars(text.data(), end, bytesLeft_, 16);
-      if (error != std::errc() || (stop != end && *stop != ';' && *stop != ' ')) return false;
-      state_ = bytesLeft_ > 0 ? State::Chunk : State::Trailer;
-      return true;
-    }
+    case State::StatusLine:
+      return parseStatusLine(line);
+    case State::HeaderLine:
+      return parseHeaderLine(line);
+    case State::ChunkSize:
+      return parseChunkSize(line);
     case State::ChunkEnd:
-      state_ = State::Size;
-      return text.empty();
+      state_ = State::ChunkSize;
+      return line.empty();
     case State::Trailer:
-      if (text.empty()) state_ = State::End;
+      if (line.empty()) state_ = State::Complete;
       return true;
     default:
       return false;
   }
 }
 
+bool Response::inBody() const {
+  return state_ == State::ChunkData || state_ == State::SizedBody || state_ == State::BodyUntilClose;
+}
+
+std::size_t Response::takeBody(std::string_view bytes, std::string& body) {
+  if (state_ == State::BodyUntilClose) {
+    body.append(bytes);
+    return bytes.size();
+  }
+  const std::size_t taken = std::min(bytesLeft_, bytes.size());
+  body.append(bytes.substr(0, taken));
+  bytesLeft_ -= taken;
+  if (bytesLeft_ == 0) state_ = state_ == State::ChunkData ? State::ChunkEnd : State::Complete;
+  return taken;
+}
+
 bool Response::feed(std::string_view bytes, std::string& body) {
   while (!bytes.empty()) {
-    if (state_ == State::End) return false;  // nothing more was asked for
-    if (state_ == State::Chunk || state_ == State::Counted || state_ == State::Rest) {
-      const std::size_t n = state_ == State::Rest ? bytes.size() : std::min(bytesLeft_, bytes.size());
-      body.append(bytes.substr(0, n));
-      bytes.remove_prefix(n);
-      if (state_ != State::Rest && (bytesLeft_ -= n) == 0)
-        state_ = state_ == State::Chunk ? State::ChunkEnd : State::End;
+    if (state_ == State::Complete) return false;  // only one response was asked for
+    if (inBody()) {
+      bytes.remove_prefix(takeBody(bytes, body));
       continue;
     }
     const std::size_t end = bytes.find('\n');
     const std::string_view part = bytes.substr(0, end);
-    if (line_.size() + part.size() > kLongestLine) return false;
+    if (line_.size() + part.size() > kMaxLine) return false;
     line_.append(part);
     if (end == std::string_view::npos) return true;
     bytes.remove_prefix(end + 1);
     if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-    std::string text;
-    text.swap(line_);
-    if (!parseLine(text)) return false;
+    const std::string line = std::exchange(line_, {});
+    if (!parseLine(line)) return false;
   }
   return true;
 }
--- a/src/protocol/http/http.hpp
+++ b/src/protocol/http/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 responses as discovery sends them: the head, then a body that is chunked, counted or runs to the
-// end of the connection. Pure: bytes in, body out, wherever the bytes happen to be split.
+// HTTP/1.1 as the registry client needs it: a GET request and an incremental parser of responses (RFC 9112).
+// A body may be chunked, have a Content-Length, or run to the end of the connection. Pure: no sockets.
 #pragma once
 
 #include <cstddef>
@@ -8,25 +8,47 @@
 
 namespace sablespur::http {
 
+// A GET request with its final empty line. `target` and `host` are written as they are.
 std::string formatGet(std::string_view target, std::string_view host);
 
+// Parses one response from bytes that arrive in pieces of any size. Interim responses (1xx) are skipped.
 class Response {
  public:
-  // Takes the next bytes and appends what they hold of the body. False: no HTTP that is understood here.
+  // Parses the next bytes and appends the part of the body that they hold. Returns false when they are not
+  // HTTP as described above, a line exceeds 8 KiB, or bytes follow the end of the body; the connection is
+  // then of no further use.
   bool feed(std::string_view bytes, std::string& body);
-  int status() const { return status_; }                  // 0 before the head has come
-  bool complete() const { return state_ == State::End; }  // the body is whole
+  int status() const { return status_; }                       // 0 until the status line was parsed
+  bool complete() const { return state_ == State::Complete; }  // the whole body was parsed
 
  private:
-  enum class State { Status, Header, Size, Chunk, ChunkEnd, Trailer, Counted, Rest, End };
-  bool parseLine(std::string_view text);
-  bool endHead();
+  enum class State {
+    StatusLine,
+    HeaderLine,
+    ChunkSize,
+    ChunkData,
+    ChunkEnd,
+    Trailer,
+    SizedBody,       // as long as Content-Length says
+    BodyUntilClose,  // neither chunked nor sized: it ends with the connection
+    Complete
+  };
+  // Each returns false where the line is malformed. A line comes without its end.
+  bool parseLine(std::string_view line);
+  bool parseStatusLine(std::string_view line);
+  bool parseHeaderLine(std::string_view line);
+  bool parseChunkSize(std::string_view line);
+  void endHeaders();
 
-  State state_ = State::Status;
-  std::string line_;  // a line that has not ended yet
+  bool inBody() const;
+  std::size_t takeBody(std::string_view bytes, std::string& body);  // returns how many bytes belong to it
+
+  State state_ = State::StatusLine;
+  std::string line_;  // the part of the current line that has arrived
   int status_ = 0;
-  bool chunked_ = false, hasLength_ = false;
-  std::size_t bytesLeft_ = 0;  // bytes to come of this chunk or of the counted body
+  bool chunked_ = false;
+  bool hasLength_ = false;     // there is a Content-Length
+  std::size_t bytesLeft_ = 0;  // of this chunk, or of a body with a Content-Length
 };
 
 }  // namespace sablespur::http
