--- a/src/protocol/proxy_protocol/header.cpp
+++ b/src/protocol/proxy_protocol/header.cpp
@@ -14,7 +14,7 @@
   const std::size_t n = std::min(bytes.size(), with.size());
   return bytes.substr(0, n) == with.substr(0, n);
 }
-Header bad() {
+Header malformedHeader() {
   Header h;
   h.malformed = true;
   return h;
@@ -30,7 +30,7 @@
 // "PROXY TCP4 203.0.113.7 10.0.0.1 51000 5432\r\n"
 Header parse1(std::string_view bytes) {
   const std::size_t end = bytes.substr(0, kMaxVersion1Size).find("\r\n");
-  if (end == std::string_view::npos) return bytes.size() < kMaxVersion1Size ? Header() : bad();
+  if (end == std::string_view::npos) return bytes.size() < kMaxVersion1Size ? Header() : malformedHeader();
   std::vector<std::string_view> words;
   std::string_view line = bytes.substr(0, end);
   for (std::size_t at = 0; at <= line.size();) {
@@ -40,15 +40,16 @@
   }
   Header h;
   h.length = end + 2;
-  if (words.size() >= 2 && words[1] == "UNKNOWN") return h;  // what stands behind it is to be ignored
-  if (words.size() != 6 || (words[1] != "TCP4" && words[1] != "TCP6")) return bad();
+  if (words.size() >= 2 && words[1] == "UNKNOWN")
+    return h;  // section 2.1: the rest of the line is to be ignored
+  if (words.size() != 6 || (words[1] != "TCP4" && words[1] != "TCP6")) return malformedHeader();
   const bool six = words[1] == "TCP6";
   const auto address = [&](std::string_view host, std::string_view port) -> std::optional<Address> {
     if (!readPort(port) || (host.find(':') != std::string_view::npos) != six) return std::nullopt;
     return Address::parse((six ? "[" : "") + std::string(host) + (six ? "]:" : ":") + std::string(port));
   };
   h.client = address(words[2], words[4]);
-  if (!h.client || !address(words[3], words[5])) return bad();
+  if (!h.client || !address(words[3], words[5])) return malformedHeader();
   return h;
 }
 
@@ -57,15 +58,17 @@
   if (bytes.size() < kVersion2HeaderSize) return {};
   const auto byte = [&](std::size_t k) { return static_cast<unsigned char>(bytes[k]); };
   const std::size_t body = static_cast<std::size_t>(byte(14)) << 8 | byte(15);
-  const unsigned version = byte(12) >> 4, command = byte(12) & 15, family = byte(13) >> 4;
-  if (version != 2 || command > 1 || kVersion2HeaderSize + body > kMaxVersion2Size) return bad();
+  const unsigned version = byte(12) >> 4;
+  const unsigned command = byte(12) & 15;
+  const unsigned family = byte(13) >> 4;
+  if (version != 2 || command > 1 || kVersion2HeaderSize + body > kMaxVersion2Size) return malformedHeader();
   if (bytes.size() < kVersion2HeaderSize + body) return {};
   Header h;
   h.length = kVersion2HeaderSize + body;
-  if (command == 0) return h;  // LOCAL: a check of the front's own
+  if (command == 0) return h;  // LOCAL: the sending proxy checks this one, for no client
   const std::size_t each = family == 1 ? 4 : family == 2 ? 16 : 0;
   if (each == 0) return h;  // UNSPEC or a UNIX socket
-  if (body < 2 * each + 4) return bad();
+  if (body < 2 * each + 4) return malformedHeader();
   const std::size_t port = kVersion2HeaderSize + 2 * each;
   h.client = Address::fromBytes(bytes.substr(kVersion2HeaderSize, each),
                                 static_cast<std::uint16_t>(byte(port) << 8 | byte(port + 1)));
@@ -77,7 +80,8 @@
   const std::size_t colon = text.rfind(':');
   return a.v6() ? text.substr(1, colon - 2) : text.substr(0, colon);
 }
-std::string raw(const Address& a) {
+// In network byte order, 4 or 16 bytes.
+std::string addressBytes(const Address& a) {
   if (a.v6()) {
     const auto* const in = reinterpret_cast<const sockaddr_in6*>(a.data());
     return {reinterpret_cast<const char*>(&in->sin6_addr), 16};
@@ -91,7 +95,7 @@
 Header parse(std::string_view bytes) {
   if (begins(bytes, kSignature)) return parse2(bytes);
   if (begins(bytes, kVersion1Prefix)) return parse1(bytes);
-  return bad();
+  return malformedHeader();
 }
 
 std::string formatVersion1(const Address& client, const Address& server) {
@@ -101,13 +105,14 @@
 
 std::string formatVersion2(const Address& client, const Address& server) {
   std::string s(kSignature);
-  const std::string a = raw(client), b = raw(server);
-  const std::size_t body = a.size() + b.size() + 4;
+  const std::string source = addressBytes(client);
+  const std::string destination = addressBytes(server);
+  const std::size_t body = source.size() + destination.size() + 2 * sizeof(std::uint16_t);
   s += '\x21';
   s += client.v6() ? '\x21' : '\x11';
   s += static_cast<char>(body >> 8);
   s += static_cast<char>(body);
-  s += a + b;
+  s += source + destination;
   for (const std::uint16_t port : {client.port(), server.port()}) {
     s += static_cast<char>(port >> 8);
     s += static_cast<char>(port);
