--- a/src/backend/postgres/answer_parser.cpp
+++ b/src/backend/postgres/answer_parser.cpp
@@ -88,7 +88,7 @@
 
 // Whether the DataRow has the described number of columns and their lengths fit; values are not looked at.
 bool AnswerParser::isRow(evbuffer* input, std::size_t body) const {
-  evbuffer_ptr at;
+  evbuffer_ptr at{};
   char bytes[kValueLengthLength];
   if (body < kColumnCountLength || evbuffer_ptr_set(input, &at, postgres::kHead, EVBUFFER_PTR_SET) != 0 ||
       !peek(input, at, bytes, kColumnCountLength))
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -21,42 +21,42 @@
 class PasswordLogin final : public ServerLogin {
  public:
   explicit PasswordLogin(const Config& c)
-      : guest_(c.serverUser, c.serverPassword, c.serverLogins, auth::toBase64(randomBytes(kNonceLength))) {}
+      : client_(c.serverUser, c.serverPassword, c.serverLogins, auth::toBase64(randomBytes(kNonceLength))) {}
 
   Step request(std::uint32_t code, std::string_view data) override {
     std::string why;
     switch (code) {
       case postgres::kAuthCleartext:
-        if (!guest_.allows(auth::Method::Cleartext))
+        if (!client_.allows(auth::Method::Cleartext))
           return {Action::Fail, {}, "it wants the password in cleartext"};
-        return {Action::Send, postgres::passwordMessage(guest_.cleartext()), {}};
+        return {Action::Send, postgres::passwordMessage(client_.cleartext()), {}};
       case postgres::kAuthMd5:
-        if (!guest_.allows(auth::Method::Md5) || data.size() != 4) return {Action::Fail, {}, "it wants MD5"};
-        return {Action::Send, postgres::passwordMessage(guest_.md5(data)), {}};
+        if (!client_.allows(auth::Method::Md5) || data.size() != 4) return {Action::Fail, {}, "it wants MD5"};
+        return {Action::Send, postgres::passwordMessage(client_.md5(data)), {}};
       case postgres::kAuthSasl:
-        if (!guest_.allows(auth::Method::Scram) || !postgres::offersScram(data))
+        if (!client_.allows(auth::Method::Scram) || !postgres::offersScram(data))
           return {Action::Fail, {}, "it offers no SASL mechanism that is allowed here"};
-        return {Action::Send, postgres::saslInitial(guest_.scramFirst()), {}};
+        return {Action::Send, postgres::saslInitial(client_.scramFirst()), {}};
       case postgres::kAuthSaslContinue:
-        challenge_ = guest_.challenged(data, why);
+        challenge_ = client_.challenged(data, why);
         return challenge_ ? Step{Action::DeriveKey, {}, {}} : Step{Action::Fail, {}, why};
       case postgres::kAuthSaslFinal:
-        return guest_.verified(data, why) ? Step{Action::Wait, {}, {}} : Step{Action::Fail, {}, why};
+        return client_.verified(data, why) ? Step{Action::Wait, {}, {}} : Step{Action::Fail, {}, why};
       default:
         return {Action::Fail, {}, "it wants a login that is not spoken here: " + std::to_string(code)};
     }
   }
-  std::function<std::string()> keyDerivation() const override { return guest_.slow(*challenge_); }
+  std::function<std::string()> keyDerivation() const override { return client_.slow(*challenge_); }
   std::string challenge() const override {
     return challenge_ ? std::to_string(challenge_->iterations) + ":" + challenge_->salt : std::string();
   }
   Step keyDerived(const std::string& result) override {
-    return {Action::Send, postgres::saslResponse(guest_.scramFinal(result)), {}};
+    return {Action::Send, postgres::saslResponse(client_.scramFinal(result)), {}};
   }
-  bool acceptsAuthenticationOk() const override { return guest_.mayEnter(); }
+  bool acceptsAuthenticationOk() const override { return client_.mayEnter(); }
 
  private:
-  auth::Guest guest_;
+  auth::Guest client_;
   std::optional<auth::ScramClient::Challenge> challenge_;
 };
 
