--- a/src/backend/postgres/dial_schedule.hpp
+++ b/src/backend/postgres/dial_schedule.hpp
@@ -4,6 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 #include <functional>
+#include <utility>
 
 #include "config/config.hpp"
 #include "engine/engine.hpp"
