--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -105,7 +105,7 @@
   }
 
   RequestId request(ResponseHandler& handler, balancer::Request request, Message message) override {
-    return requests_.request(handler, std::move(request), std::move(message));
+    return requests_.request(handler, request, std::move(message));
   }
   void clientDisconnected(RequestId id) override { requests_.clientDisconnected(id); }
 
--- a/src/recovery/coordinator.hpp
+++ b/src/recovery/coordinator.hpp
@@ -1,10 +1,10 @@
-// What a proxy does with its recovery's decisions (src/recovery): it reads the snapshot of the run before,
-// asks other proxies, lets requests on in the order of return, and writes the next snapshots.
+// Carries out a proxy's recovery after a start: loads the snapshot of the previous run, exchanges state with
+// other proxies, admits requests as endpoints prove ready, and writes further snapshots.
 //
-// Stands in three places. Before the engine: requests that no data server is ready for are turned away at
-// once. Between the source of the list and the engine: where it tells no starts, members count as
-// just started, since after a loss of power they may be. Beside the engine: what answers and probes tell is
-// its evidence, and the next snapshot's figures. Once service has returned only the last is left.
+// It sits in three places. In front of the engine it rejects requests that no endpoint is ready for. Between
+// discovery and the engine it marks endpoints as just started where discovery reports no start times, since
+// after a power loss they may be. Beside the engine it observes responses and health checks: its evidence and
+// the figures of the next snapshot. After recovery only the last is left.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 }
 namespace sablespur {
 
-// The way to other proxies: by index among them, this one left out.
+// Datagrams to other proxies, which are numbered from 0 without this one.
 struct PeerTransport {
   std::size_t peers = 0;
   std::function<void(std::size_t, const std::string&)> send;
@@ -29,25 +29,27 @@
 
 // For `sablespur status`.
 struct RecoveryView {
-  std::string snapshot;  // read, none, refused
+  std::string snapshot;  // of the previous run: read, none, refused
   std::string state;     // asking, returning, returned
   std::uint64_t epoch = 0, sequence = 0, peerStatesAccepted = 0, peerStatesRejected = 0, requestsRejected = 0,
                 snapshotsWritten = 0, snapshotsFailed = 0;
   bool joinedEpoch = false;
-  Time duration{};  // until service had returned
+  Time duration{};  // of the recovery; 0 until it has ended
 };
 
 class RecoveryCoordinator : public RequestHandler, public EndpointListConsumer, public ReplicationObserver {
  public:
-  // A head from a proxy; datagrams that are none are dropped.
+  // A snapshot header from a proxy; other datagrams are ignored.
   virtual void peerDatagramReceived(std::size_t peer, std::string_view datagram) = 0;
-  // When a connection to this member may be opened in advance after a start: the fleet's dials, shared.
-  virtual Time connectDelay(const std::string& member) const = 0;
+  // How long after the start a connection to this endpoint may be opened in advance. The connect rate of the
+  // settings is shared by all proxies.
+  virtual Time connectDelay(const std::string& endpoint) const = 0;
   virtual RecoveryView view() const = 0;
 };
 
-// Reads the snapshot and puts its members into `known`, so it is called before Engine::start. Null where the
-// settings have no store, or switch it off. `next`: who else is told what answers show; may be null.
+// Loads the snapshot (blocking) and puts its endpoints into Config::known, so call it before Engine::start.
+// Returns null where the settings have no store or switch recovery off. `next` gets each observation, too; it
+// may be null. All references have to outlive the result.
 std::unique_ptr<RecoveryCoordinator> createRecoveryCoordinator(event_base*, Engine&, WorkerPool&, Config&,
                                                                const PeerTransport&,
                                                                ReplicationObserver* next);
--- a/src/recovery/peer_state_exchange.cpp
+++ b/src/recovery/peer_state_exchange.cpp
@@ -5,8 +5,9 @@
 namespace sablespur::recovery {
 namespace {
 
-constexpr std::size_t kFixedBytes = 1 + 1 + 4 + 8 + 8 + 8, kBytesPerPrimary = 4 + 5;
-constexpr std::size_t kMaxClaimsPerGroup = 8;  // of a group: whoever tells more is not listened to for those
+constexpr std::size_t kFixedBytes = 1 + 1 + 4 + 8 + 8 + 8;
+constexpr std::size_t kBytesPerPrimary = 4 + 5;
+constexpr std::size_t kMaxClaimsPerGroup = 8;  // further ones are ignored, which bounds the memory
 
 void put(std::string& to, std::uint64_t v, int bytes) {
   for (int k = bytes - 1; k >= 0; --k) to += static_cast<char>(v >> (8 * k));
@@ -70,7 +71,7 @@
   for (const SnapshotHeader::Primary& p : own.primaries)
     recordClaim(p.group, {p.tag, own.epoch, own.sequence, own.wallMs});
   if (policy_.peers == 0) round_ = policy_.rounds;
-  // All proxies together start at once at the most.
+  // Assumes the worst case, that all proxies start at once.
   const double questions =
       static_cast<double>((policy_.peers + 1) * policy_.fanout) * static_cast<double>(policy_.rounds);
   const double spread = questions / policy_.fleetRequestsPerSecond;
@@ -94,8 +95,7 @@
 std::vector<std::size_t> PeerStateExchange::duePeers(Time now) {
   std::vector<std::size_t> ask;
   if (round_ >= policy_.rounds || now < nextDue_) return ask;
-  // Those that have not answered yet, others in each round: a peer that is gone must not be all that is
-  // asked.
+  // Only peers that have not responded, and others in each round, since those of one round may all be gone.
   const std::size_t first = static_cast<std::size_t>(randomNumber(2) % policy_.peers);
   const std::size_t from = first + static_cast<std::size_t>(round_) * policy_.fanout;
   for (std::size_t k = 0; k < policy_.peers && ask.size() < policy_.fanout; ++k) {
@@ -125,7 +125,8 @@
   return true;
 }
 
-// Those who serve were there all along. Guards against one that comes late into an epoch that others began.
+// Peers that serve have been running all along, so their epoch is joined; otherwise a proxy that starts late
+// would begin another epoch beside theirs.
 std::uint64_t PeerStateExchange::epoch() const {
   return servingEpoch_ >= ownEpoch_ && servingEpoch_ > 0 ? servingEpoch_ : newestEpoch_ + 1;
 }
--- a/src/recovery/peer_state_exchange.hpp
+++ b/src/recovery/peer_state_exchange.hpp
@@ -1,12 +1,12 @@
-// What a proxy asks other proxies after its start, and whose word it takes: pure, no sockets and no clock.
+// Which peers a proxy queries after its start and which responses it accepts. Pure: no sockets and no clock.
 //
-// A head says of what a proxy knows how new it is: the fleet's epoch, its snapshot's sequence and time, and
-// who was primary. A few peers are asked, in few rounds, at moments of this proxy's own, so that a fleet that
-// starts at once sends a bounded number of datagrams a second however large it is.
+// A snapshot header says how recent a proxy's knowledge is: the fleet's epoch, its snapshot's sequence and
+// time, and the primaries. A few peers are queried in a few rounds at random moments, so that a fleet that
+// starts at once sends a bounded number of datagrams a second, however large it is.
 //
-// Nobody's word makes a primary. A claim says which data server to expect; the newest claim that a data
-// server itself confirms wins. A head of an older epoch than one's own, or from the future, is not believed,
-// and without any answer all goes on the same: data servers are asked either way.
+// No peer can make an endpoint primary. A claim names the endpoint to expect; the newest claim that the
+// endpoint itself confirms wins. A header of an epoch older than one's own, or from the future, is rejected.
+// Without any response recovery goes on the same: endpoints are queried either way.
 #pragma once
 
 #include <chrono>
@@ -22,56 +22,57 @@
 using Time = std::chrono::microseconds;
 
 struct SnapshotHeader {
-  bool isRequest = false;   // an answer is wanted; else it is one
-  bool serving = false;     // its sender has entered its epoch: who asks joins it
-  std::uint32_t nonce = 0;  // of the question; an answer brings it back
-  std::uint64_t epoch = 0, sequence = 0;
-  std::int64_t wallMs = 0;
+  bool isRequest = false;   // else a response
+  bool serving = false;     // the sender has entered its epoch, which the requester joins
+  std::uint32_t nonce = 0;  // chosen by the requester, copied into the response
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
+  std::int64_t wallMs = 0;  // Unix time of the snapshot or, if serving, of the response
   struct Primary {
     std::uint32_t group = 0;
-    std::uint64_t tag = 0;  // of the member's name (cluster::tagOf)
+    std::uint64_t tag = 0;  // cluster::endpointTag of its name
   };
-  std::vector<Primary> primaries;  // those beyond what a datagram holds are left out
+  std::vector<Primary> primaries;  // as many as a datagram holds are sent
 };
-constexpr std::size_t kMaxSnapshotHeaderBytes = 256;  // bytes: the platform takes no more
-constexpr char kSnapshotHeaderVersion = 2;            // the datagram's first byte; 1 is for hints
+constexpr std::size_t kMaxSnapshotHeaderBytes = 256;  // the largest datagram that the platform delivers
+constexpr char kSnapshotHeaderVersion = 2;            // the datagram's first byte; gossip has 1
 std::string encode(const SnapshotHeader&);
-std::optional<SnapshotHeader> decodeSnapshotHeader(
-    std::string_view datagram);  // nothing where the bytes are no head
+// Nothing where the datagram is no well-formed header.
+std::optional<SnapshotHeader> decodeSnapshotHeader(std::string_view datagram);
 
 struct PeerStateExchangePolicy {
-  std::size_t peers = 0;   // others, by index from 0
-  std::size_t fanout = 3;  // asked in each round
+  std::size_t peers = 0;   // other proxies, numbered from 0
+  std::size_t fanout = 3;  // queried in each round
   int rounds = 3;
   Time roundInterval = std::chrono::milliseconds(150);
-  double fleetRequestsPerSecond = 1000;           // questions of all proxies together that start at once
-  Time clockTolerance = std::chrono::seconds(2);  // clocks of two machines may differ so much
+  double fleetRequestsPerSecond = 1000;           // bound for all proxies that start at once
+  Time clockTolerance = std::chrono::seconds(2);  // between two machines' wall clocks
 };
 
 class PeerStateExchange {
  public:
-  // What this proxy's own snapshot says; an empty head where there is none.
+  // `own`: the header of this proxy's snapshot; empty where there is none.
   PeerStateExchange(const PeerStateExchangePolicy&, std::uint64_t seed, Time now, const SnapshotHeader& own);
 
-  std::vector<std::size_t> duePeers(Time now);  // peers to be asked now
-  std::optional<Time> nextDue() const;          // when due has something to say; nothing: never again
+  std::vector<std::size_t> duePeers(Time now);  // to be queried now
+  std::optional<Time> nextDue() const;          // when duePeers is to be called; nothing: never again
   std::uint32_t nonce() const { return nonce_; }
-  // True: it is believed.
+  // Whether the response is accepted. nowMs: Unix time.
   bool responseReceived(std::size_t peer, const SnapshotHeader&, std::int64_t nowMs);
   bool finished(Time now) const { return !nextDue() && now >= endsAt_; }
 
-  // The epoch to go on in, once it is over: that of those who serve; else one more than any that was told.
+  // The epoch to enter once finished(): that of the peers that serve, else one more than the newest reported.
   std::uint64_t epoch() const;
   bool joined() const { return servingEpoch_ > 0; }
   std::size_t acceptedResponses() const { return acceptedResponses_; }
   std::size_t rejectedResponses() const { return rejectedResponses_; }
 
-  // Data servers that are said to be primary of the group, the newest claim first.
+  // Tags of the endpoints claimed to be the group's primary, the newest claim first.
   std::vector<std::uint64_t> primaryClaims(std::uint32_t group) const;
-  // A data server answered as primary. The epoch of the newest claim that named it; nothing: nobody had. A
-  // later call replaces an earlier one only where its claim is as new.
+  // The endpoint responded as primary. Returns the epoch of the newest claim that named it, if there is one.
+  // A later confirmation replaces an earlier one only if its claim is at least as new.
   std::optional<std::uint64_t> confirmPrimary(std::uint32_t group, std::uint64_t tag);
-  std::optional<std::uint64_t> confirmedPrimary(std::uint32_t group) const;  // that was confirmed
+  std::optional<std::uint64_t> confirmedPrimary(std::uint32_t group) const;
 
  private:
   struct Claim {
@@ -88,10 +89,13 @@
   const std::uint64_t seed_;
   const std::uint32_t nonce_;
   const std::uint64_t ownEpoch_;
-  Time nextDue_{}, endsAt_{};
+  Time nextDue_{};
+  Time endsAt_{};
   int round_ = 0;
-  std::uint64_t newestEpoch_, servingEpoch_ = 0;  // epochs
-  std::size_t acceptedResponses_ = 0, rejectedResponses_ = 0;
+  std::uint64_t newestEpoch_;       // reported by any accepted response or the own snapshot
+  std::uint64_t servingEpoch_ = 0;  // newest of the peers that serve; 0: none does
+  std::size_t acceptedResponses_ = 0;
+  std::size_t rejectedResponses_ = 0;
   std::vector<bool> responded_;
   std::map<std::uint32_t, std::vector<Claim>> claims_;
   struct Confirmed {
--- a/src/recovery/recovery_admission.cpp
+++ b/src/recovery/recovery_admission.cpp
@@ -6,11 +6,15 @@
 namespace sablespur::recovery {
 namespace {
 
-constexpr Time kMinPrimaryDiscoveryInterval = std::chrono::milliseconds(100),
-               kMaxPrimaryDiscoveryInterval = std::chrono::seconds(2);
-constexpr Time kDecreaseInterval = std::chrono::milliseconds(200);  // one trouble shrinks the window once
-constexpr double kWindowDecreaseFactor = 0.7, kHeadroomFactor = 2, kLatencyEwmaWeight = 0.2,
-                 kInitialWindowFraction = 0.25;
+constexpr Time kMinPrimaryDiscoveryInterval = std::chrono::milliseconds(100);
+constexpr Time kMaxPrimaryDiscoveryInterval = std::chrono::seconds(2);
+constexpr Time kDecreaseInterval =
+    std::chrono::milliseconds(200);  // so that one fault decreases the window once
+constexpr double kWindowDecreaseFactor = 0.7;
+constexpr double kHeadroomFactor = 2;            // of the window over the usual concurrency
+constexpr double kInitialWindowFraction = 0.25;  // of the usual concurrency
+constexpr Time kTypicalRequestTime =
+    std::chrono::milliseconds(50);        // after which part of a full window is free
 constexpr std::size_t kMaxGroups = 4096;  // clients may name groups that do not exist
 
 std::uint64_t mix(std::uint64_t x) {
@@ -44,10 +48,10 @@
   return g;
 }
 
-// A quarter of what was usual at once: half of the servers may be gone, and those that are back are cold.
-void RecoveryAdmission::setUsualConcurrency(std::uint32_t group, double out) {
+// Starts at a quarter of the usual concurrency: half of the endpoints may be gone, and the others are cold.
+void RecoveryAdmission::setUsualConcurrency(std::uint32_t group, double inFlight) {
   GroupState& g = groupState(group);
-  g.usualConcurrency = std::max(0.0, out);
+  g.usualConcurrency = std::max(0.0, inFlight);
   g.window =
       std::clamp(kInitialWindowFraction * g.usualConcurrency, policy_.initialWindow, policy_.maxWindow / 2);
 }
@@ -69,19 +73,19 @@
   GroupState& g = groupState(group);
   if (g.phase == RecoveryPhase::Complete) return {true, {}};
   const auto later = [&](Time about) {
-    // Guards against all that were turned away coming back together: each has a moment of its own, and the
-    // more there are for the room, the longer they are spread.
+    // Clients that were rejected must not all return together: each gets a random time, from a range that
+    // grows with their number per slot of the window.
     ++g.rejectedSinceServed;
-    const double crowd =
+    const double pressure =
         std::min(16.0, 1 + static_cast<double>(g.rejectedSinceServed) / std::max(1.0, g.window));
-    const double most = std::clamp(static_cast<double>(about.count()) * crowd,
+    const double most = std::clamp(static_cast<double>(about.count()) * pressure,
                                    2.0 * static_cast<double>(policy_.minRetryAfter.count()),
                                    static_cast<double>(policy_.maxRetryAfter.count()));
     const double least = static_cast<double>(policy_.minRetryAfter.count());
     return Decision{false, Time(static_cast<std::int64_t>(least + randomFraction() * (most - least)))};
   };
   if (write && g.phase < RecoveryPhase::Writing) {
-    // The primary is not known: one in a while goes on, and by it the module asks who is.
+    // The primary is not known: a write now and then is admitted, by which the balancer finds it.
     if (now < g.nextPrimaryDiscovery) return later(g.nextPrimaryDiscovery - now);
     const Time pause = std::clamp(policy_.primaryDiscoveryInterval * std::max(1, policy_.proxies),
                                   kMinPrimaryDiscoveryInterval, kMaxPrimaryDiscoveryInterval);
@@ -90,7 +94,7 @@
     ++g.inFlight;
     return {true, {}};
   }
-  if (g.inFlight >= static_cast<int>(g.window)) return later(g.latency);
+  if (g.inFlight >= static_cast<int>(g.window)) return later(kTypicalRequestTime);
   ++g.inFlight;
   return {true, {}};
 }
@@ -103,12 +107,12 @@
   if (g.phase == RecoveryPhase::Complete) return;
   if (end == RequestEnd::Served) {
     g.rejectedSinceServed = 0;
-    g.window += 1;  // for each answer: twice as much in the time of one
-    // What was usual goes through, with room to spare; or as much as any start can need.
-    const bool room =
+    g.window += 1;  // per response, so the window doubles in a round trip (slow start)
+    // The usual concurrency is admitted, with headroom, or as much as any start needs.
+    const bool sufficient =
         g.window >= policy_.maxWindow ||
         (g.usualConcurrency > 0 && g.window >= kHeadroomFactor * g.usualConcurrency + policy_.initialWindow);
-    if (room && g.phase == RecoveryPhase::Writing) advanceTo(now, group, g, RecoveryPhase::Complete);
+    if (sufficient && g.phase == RecoveryPhase::Writing) advanceTo(now, group, g, RecoveryPhase::Complete);
   } else if (end != RequestEnd::ClientDisconnected && now >= g.nextDecrease) {
     g.window = std::max(policy_.initialWindow, kWindowDecreaseFactor * g.window);
     g.nextDecrease = now + kDecreaseInterval;
@@ -135,14 +139,15 @@
   return all;
 }
 
-Time connectDelay(const std::string& member, const std::string& self, const std::vector<std::string>& proxies,
-                  double dialsPerSecond) {
-  const std::uint64_t m = hashText(member), own = mix(m ^ hashText(self));
+Time connectDelay(const std::string& endpoint, const std::string& self,
+                  const std::vector<std::string>& proxies, double dialsPerSecond) {
+  const std::uint64_t endpointHash = hashText(endpoint);
+  const std::uint64_t ownRank = mix(endpointHash ^ hashText(self));
   std::size_t before = 0;
   for (const std::string& p : proxies) {
     if (p == self) continue;
-    const std::uint64_t other = mix(m ^ hashText(p));
-    before += other < own || (other == own && p < self);
+    const std::uint64_t other = mix(endpointHash ^ hashText(p));
+    before += other < ownRank || (other == ownRank && p < self);
   }
   return Time(static_cast<std::int64_t>(static_cast<double>(before) / dialsPerSecond * 1e6));
 }
--- a/src/recovery/recovery_request_handler.cpp
+++ b/src/recovery/recovery_request_handler.cpp
@@ -64,14 +64,14 @@
 
 RequestId RecoveryRequestHandler::request(ResponseHandler& handler, balancer::Request request,
                                           Message message) {
-  if (finished_) return engine_.request(handler, std::move(request), std::move(message));
+  if (finished_) return engine_.request(handler, request, std::move(message));
   const balancer::ClassSettings& settings = classes_[static_cast<std::size_t>(request.classIndex)];
   const bool write = settings.requirement == balancer::Requirement::Write;
   const std::uint32_t group = request.group;
   const RecoveryAdmission::Decision decision = admission_.admit(engine_.now(), group, write);
   if (!decision.admitted) return reject(handler, decision.retryAfter);
   auto admitted = std::make_unique<AdmittedRequest>(*this, handler, group, write);
-  const RequestId id = engine_.request(*admitted, std::move(request), std::move(message));
+  const RequestId id = engine_.request(*admitted, request, std::move(message));
   admitted->id = id;
   admitted_.emplace(id, std::move(admitted));
   return id;
--- a/src/recovery/snapshot.cpp
+++ b/src/recovery/snapshot.cpp
@@ -30,10 +30,44 @@
   return std::isfinite(v) && v > 0 ? v : 0;
 }
 
+// The CBOR after the first line, once version, length and checksum have been found right.
+std::string_view verifiedBody(std::string_view file) {
+  if (file.size() > kMaxSnapshotBytes) throw SnapshotError("longer than any snapshot", kMaxSnapshotBytes);
+  if (file.size() < kFirstLineBytes) throw SnapshotError("cut within its first line", file.size());
+  int version = 0;
+  unsigned long long length = 0;
+  unsigned long long checksum = 0;
+  const std::string first(file.substr(0, kFirstLineBytes));
+  if (std::sscanf(first.c_str(), "sablespur-snapshot %2d %8llx %16llx", &version, &length, &checksum) != 3)
+    throw SnapshotError("no snapshot", 0);
+  if (version > kVersion) throw SnapshotError("written by a later version", 0);
+  const std::string_view body = file.substr(kFirstLineBytes);
+  if (body.size() < length) throw SnapshotError("cut", file.size());
+  if (body.size() > length) throw SnapshotError("more follows than was written", kFirstLineBytes + length);
+  // Compared as a whole: a bit that changed in the padding is corruption, too.
+  if (encodeFirstLine(body) != first) throw SnapshotError("its checksum is another", kFirstLineBytes);
+  return body;
+}
+
+EndpointRecord decodeEndpoint(const Json& j) {
+  EndpointRecord endpoint;
+  endpoint.name = j.at("n");
+  endpoint.address = j.at("a");
+  endpoint.zone = j.at("z");
+  endpoint.group = j.at("g");
+  endpoint.weight = readPositive(j, "w");
+  endpoint.startedMs = j.at("s");
+  endpoint.latencyUs = readPositive(j, "l");
+  endpoint.responsesPerSecond = readPositive(j, "r");
+  endpoint.positionMs = j.at("p");
+  return endpoint;
+}
+
 }  // namespace
 
 std::string encode(const Snapshot& s) {
-  Json members = Json::array(), primaries = Json::array();
+  Json members = Json::array();
+  Json primaries = Json::array();
   for (const EndpointRecord& m : s.endpoints) {
     if (members.size() >= kMaxSnapshotEndpoints) break;
     members.push_back({{"n", m.name},
@@ -58,42 +92,20 @@
 }
 
 Snapshot decode(std::string_view file) {
-  if (file.size() > kMaxSnapshotBytes) throw SnapshotError("longer than any snapshot", kMaxSnapshotBytes);
-  if (file.size() < kFirstLineBytes) throw SnapshotError("cut within its first line", file.size());
-  int version = 0;
-  unsigned long long length = 0, sum = 0;
-  const std::string first(file.substr(0, kFirstLineBytes));
-  if (std::sscanf(first.c_str(), "sablespur-snapshot %2d %8llx %16llx", &version, &length, &sum) != 3)
-    throw SnapshotError("no snapshot", 0);
-  if (version > kVersion) throw SnapshotError("written by a later version", 0);
-  const std::string_view body = file.substr(kFirstLineBytes);
-  if (body.size() < length) throw SnapshotError("cut", file.size());
-  if (body.size() > length) throw SnapshotError("more follows than was written", kFirstLineBytes + length);
-  // The head is made anew: a bit that changed in its blanks is damage, too.
-  if (encodeFirstLine(body) != first) throw SnapshotError("its checksum is another", kFirstLineBytes);
+  const std::string_view body = verifiedBody(file);
   try {
     const Json j = Json::from_cbor(body.begin(), body.end());
-    Snapshot s;
-    s.epoch = j.at("e");
-    s.sequence = j.at("q");
-    s.wallMs = j.at("t");
+    Snapshot snapshot;
+    snapshot.epoch = j.at("e");
+    snapshot.sequence = j.at("q");
+    snapshot.wallMs = j.at("t");
     for (const Json& m : j.at("m")) {
-      EndpointRecord f;
-      f.name = m.at("n");
-      f.address = m.at("a");
-      f.zone = m.at("z");
-      f.group = m.at("g");
-      f.weight = readPositive(m, "w");
-      f.startedMs = m.at("s");
-      f.latencyUs = readPositive(m, "l");
-      f.responsesPerSecond = readPositive(m, "r");
-      f.positionMs = m.at("p");
-      s.endpoints.push_back(std::move(f));
-      if (s.endpoints.size() > kMaxSnapshotEndpoints)
+      snapshot.endpoints.push_back(decodeEndpoint(m));
+      if (snapshot.endpoints.size() > kMaxSnapshotEndpoints)
         throw SnapshotError("more members than any snapshot", kFirstLineBytes);
     }
-    for (const Json& p : j.at("p")) s.primaries.push_back({p.at("g"), p.at("n"), p.at("t")});
-    return s;
+    for (const Json& p : j.at("p")) snapshot.primaries.push_back({p.at("g"), p.at("n"), p.at("t")});
+    return snapshot;
   } catch (const Json::exception& e) {
     throw SnapshotError(std::string("not the form of its version: ") + e.what(), kFirstLineBytes);
   }
--- a/src/recovery/snapshot.hpp
+++ b/src/recovery/snapshot.hpp
@@ -1,7 +1,7 @@
-// What a proxy writes down of what it has learned, for its next start: pure, no files and no clock.
+// What a proxy records of its endpoints for its next start, and the stored form. Pure: no files and no clock.
 //
-// A snapshot is a record of the past and nothing else. What of it may still be relied on is for trust.hpp to
-// say. Members and figures are by the member's name, which is what the list of data servers knows it by.
+// A snapshot is a record of the past. What of it may still be relied on is decided in
+// snapshot_validation.hpp. Endpoints are identified by name, as in the endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -17,32 +17,33 @@
   std::uint32_t group = 0;
   double weight = 1;
   std::int64_t startedMs = 0;     // Unix time; 0: long ago
-  double latencyUs = 0;           // mean of its answers; 0: none yet
-  double responsesPerSecond = 0;  // answers a second that it gave this proxy, of late
-  std::int64_t positionMs = 0;    // how far its data were seen to go, Unix time; 0: never seen
+  double latencyUs = 0;           // mean of its responses; 0: none yet
+  double responsesPerSecond = 0;  // to this proxy, recently
+  std::int64_t positionMs = 0;    // replication position as Unix time; 0: none seen
 };
 struct PrimaryRecord {
   std::uint32_t group = 0;
   std::string endpoint;
-  std::int64_t seenMs = 0;  // when a data server last answered as primary
+  std::int64_t seenMs = 0;  // Unix time of its last response as primary
 };
 struct Snapshot {
-  std::uint64_t epoch = 0;     // of the fleet: one more after each time that none of it was there to ask
-  std::uint64_t sequence = 0;  // of this proxy's snapshots, never less than the one before
-  std::int64_t wallMs = 0;     // when it was taken
+  std::uint64_t epoch = 0;     // of the fleet: grows by one when no proxy is left that serves
+  std::uint64_t sequence = 0;  // of this proxy's snapshots, increasing
+  std::int64_t wallMs = 0;     // Unix time when it was taken
   std::vector<EndpointRecord> endpoints;
   std::vector<PrimaryRecord> primaries;
 };
 
-// Bounds of what is written and of what is read: whatever the file holds, reading it costs no more.
-constexpr std::size_t kMaxSnapshotEndpoints = 10000, kMaxSnapshotBytes = 8u << 20;
+// Bounds of what is written and of what is read, so that no file costs more to read.
+constexpr std::size_t kMaxSnapshotEndpoints = 10000;
+constexpr std::size_t kMaxSnapshotBytes = 8u << 20;
 
-// The file's form: a head line with the version, the length and a checksum (XXH3) of what follows, then CBOR
-// (RFC 8949). Members beyond the bound are left out.
+// The stored form: a first line with the version, the length and a checksum (XXH3) of the rest, then CBOR
+// (RFC 8949). Endpoints beyond the bound are left out.
 std::string encode(const Snapshot&);
 
-// The file is not as it was written: cut short, spoilt, or of a later version. `at` is the first byte that is
-// wrong, as far as that can be told.
+// The bytes are no snapshot of a known version: truncated, corrupt or written by a later version. `offset` is
+// that of the first wrong byte, as far as it can be determined.
 struct SnapshotError : std::runtime_error {
   SnapshotError(const std::string& what, std::size_t at) : runtime_error(what), offset(at) {}
   std::size_t offset;
--- a/src/recovery/snapshot_validation.cpp
+++ b/src/recovery/snapshot_validation.cpp
@@ -7,55 +7,68 @@
 namespace sablespur::recovery {
 namespace {
 
-// A geometric mean: one member a hundred times slower than its kin must not speak for them.
+// Geometric, so that one endpoint a hundred times slower than the rest hardly moves it.
 struct GeometricMean {
-  double sum = 0, n = 0;
+  double logSum = 0;
+  double count = 0;
   void add(double v) {
-    if (v > 0) sum += std::log(v), n += 1;
+    if (v <= 0) return;
+    logSum += std::log(v);
+    count += 1;
   }
-  double value() const { return n > 0 ? std::exp(sum / n) : 0; }
+  double value() const { return count > 0 ? std::exp(logSum / count) : 0; }
 };
 struct GroupMeans {
-  GeometricMean latency, rate;
+  GeometricMean latency;
+  GeometricMean rate;
+  void add(const EndpointRecord& endpoint) {
+    latency.add(endpoint.latencyUs);
+    rate.add(endpoint.responsesPerSecond);
+  }
 };
 
-double shrinkToward(double own, double kin, double weight) {
-  if (own <= 0 || kin <= 0) return own > 0 && weight > 0 ? own : kin;
-  return std::exp(weight * std::log(own) + (1 - weight) * std::log(kin));
+// The weighted geometric mean of an endpoint's own figure and that of its group.
+double shrinkToward(double own, double group, double ownWeight) {
+  if (own <= 0 || group <= 0) return own > 0 && ownWeight > 0 ? own : group;
+  return std::exp(ownWeight * std::log(own) + (1 - ownWeight) * std::log(group));
 }
 
 }  // namespace
 
-RecoveredState validateSnapshot(const Snapshot& s, std::int64_t nowMs,
+RecoveredState validateSnapshot(const Snapshot& snapshot, std::int64_t nowMs,
                                 const SnapshotValidationPolicy& policy) {
-  RecoveredState b;
-  b.epoch = s.epoch;
-  b.sequence = s.sequence;
-  const std::int64_t aheadMs = policy.clockTolerance.count() / 1000;
-  b.fromFuture = s.wallMs > nowMs + aheadMs;
-  b.age = b.fromFuture ? Time(0) : std::chrono::milliseconds(std::max<std::int64_t>(0, nowMs - s.wallMs));
-  b.ownWeight = b.fromFuture
-                    ? 0
-                    : std::exp2(-static_cast<double>(b.age.count()) /
-                                static_cast<double>(std::max<Time::rep>(1, policy.halfLife.count())));
+  RecoveredState state;
+  state.epoch = snapshot.epoch;
+  state.sequence = snapshot.sequence;
+  const std::int64_t toleranceMs = policy.clockTolerance.count() / 1000;
+  state.fromFuture = snapshot.wallMs > nowMs + toleranceMs;
+  state.age = state.fromFuture
+                  ? Time(0)
+                  : std::chrono::milliseconds(std::max<std::int64_t>(0, nowMs - snapshot.wallMs));
+  state.ownWeight = state.fromFuture
+                        ? 0
+                        : std::exp2(-static_cast<double>(state.age.count()) /
+                                    static_cast<double>(std::max<Time::rep>(1, policy.halfLife.count())));
   std::map<std::uint32_t, GroupMeans> groups;
   GroupMeans all;
-  for (const EndpointRecord& m : s.endpoints)
-    for (GroupMeans* const k : {&groups[m.group], &all})
-      k->latency.add(m.latencyUs), k->rate.add(m.responsesPerSecond);
-  for (EndpointRecord m : s.endpoints) {
-    const GroupMeans& own = groups[m.group];
-    const GroupMeans& latency = own.latency.n > 1 ? own : all;
-    const GroupMeans& rate = own.rate.n > 1 ? own : all;
-    m.latencyUs = shrinkToward(m.latencyUs, latency.latency.value(), b.ownWeight);
-    m.responsesPerSecond = shrinkToward(m.responsesPerSecond, rate.rate.value(), b.ownWeight);
-    m.positionMs = 0;
-    // A start that is yet to come is the machine's clock set back: then it counts as just started.
-    if (m.startedMs > nowMs + aheadMs) m.startedMs = nowMs;
-    b.endpoints.push_back(std::move(m));
+  for (const EndpointRecord& endpoint : snapshot.endpoints) {
+    groups[endpoint.group].add(endpoint);
+    all.add(endpoint);
+  }
+  for (EndpointRecord endpoint : snapshot.endpoints) {
+    const GroupMeans& own = groups[endpoint.group];
+    const GroupMeans& latency = own.latency.count > 1 ? own : all;
+    const GroupMeans& rate = own.rate.count > 1 ? own : all;
+    endpoint.latencyUs = shrinkToward(endpoint.latencyUs, latency.latency.value(), state.ownWeight);
+    endpoint.responsesPerSecond =
+        shrinkToward(endpoint.responsesPerSecond, rate.rate.value(), state.ownWeight);
+    endpoint.positionMs = 0;
+    // A start in the future means that the wall clock was set back: the endpoint counts as just started.
+    if (endpoint.startedMs > nowMs + toleranceMs) endpoint.startedMs = nowMs;
+    state.endpoints.push_back(std::move(endpoint));
   }
-  b.primaryCandidates = s.primaries;
-  return b;
+  state.primaryCandidates = snapshot.primaries;
+  return state;
 }
 
 }  // namespace sablespur::recovery
--- a/src/recovery/snapshot_validation.hpp
+++ b/src/recovery/snapshot_validation.hpp
@@ -1,14 +1,14 @@
-// What of a snapshot a proxy may go by after a start, by the kind of fact: pure.
+// Which facts of a snapshot a proxy may rely on after a start, by their kind. Pure.
 //
-//   kept          the names of members and where they were, the epoch, the sequence: at worst a member is
-//   gone,
-//                 which the list tells; keyed writes and bans have files of their own, and are kept as well
-//   kept, aged    latencies and rates: drawn toward those of the member's kin (its group, else all) by their
-//   age unconfirmed   who was primary: whom to ask first, and no more never         positions, health: a data
-//   server that lost power may come back behind where it had been seen
+//   kept              names and addresses of endpoints, epoch, sequence: at worst an endpoint is gone, which
+//                     the endpoint list reports. (Keyed writes and suspended endpoints have files of their
+//                     own.)
+//   kept, aged        latencies and rates: drawn toward those of the endpoint's group, else of all endpoints
+//   kept, unconfirmed primaries: which endpoint to query first, and no more
+//   dropped           positions and health: after a power loss an endpoint may be behind its last position
 //
-// Anchors: Raft's snapshots say what was, and a term says whose word is newer (Ongaro and Ousterhout, 2014);
-// a FoundationDB recovery begins a new epoch and asks before it serves.
+// Sources: Raft's snapshots record the past, and the term says which node is newer (Ongaro and Ousterhout,
+// 2014); a FoundationDB recovery enters a new epoch before it serves.
 #pragma once
 
 #include <chrono>
@@ -22,21 +22,22 @@
 using Time = std::chrono::microseconds;
 
 struct SnapshotValidationPolicy {
-  Time halfLife = std::chrono::minutes(10);  // after which a figure counts half, its kin's the other half
-  Time clockTolerance =
-      std::chrono::seconds(2);  // a snapshot so much after now is from the future: its age is unknown
+  Time halfLife = std::chrono::minutes(10);  // of the weight of an endpoint's own figures
+  // A snapshot that lies further ahead of the wall clock has no known age.
+  Time clockTolerance = std::chrono::seconds(2);
 };
 
 struct RecoveredState {
-  std::uint64_t epoch = 0, sequence = 0;  // of the snapshot
-  Time age{};                             // 0 where it is from the future
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
+  Time age{};  // 0 if fromFuture
   bool fromFuture = false;
-  double ownWeight = 0;                          // of a member's own figures; 0: its kin's alone
-  std::vector<EndpointRecord> endpoints;         // figures aged, positions gone
-  std::vector<PrimaryRecord> primaryCandidates;  // to be asked first; not primaries
+  double ownWeight = 0;                          // of an endpoint's own figures against its group's; 0 to 1
+  std::vector<EndpointRecord> endpoints;         // figures aged, positions dropped
+  std::vector<PrimaryRecord> primaryCandidates;  // to be queried first
 };
 
-// nowMs: Unix time, as the machine has it now.
+// nowMs: Unix time by the machine's wall clock.
 RecoveredState validateSnapshot(const Snapshot&, std::int64_t nowMs, const SnapshotValidationPolicy&);
 
 }  // namespace sablespur::recovery
