--- a/src/durability/backlog.hpp
+++ b/src/durability/backlog.hpp
@@ -1,8 +1,8 @@
 // Operations whose commit failed and which still have to be recorded: they are kept in memory, in order, and
 // applied once the database is open again. Pure; not thread-safe.
 //
-// What is dropped for want of room only makes the ledger stricter: a key without an outcome counts as one
-// that may have run.
+// What is dropped when it is full only makes the store stricter: a key without an outcome counts as one that
+// may have been executed.
 #pragma once
 
 #include <cstddef>
--- a/src/durability/group_commit_writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -1,11 +1,11 @@
-// The ledger on a thread of its own. Operations that come while a commit is under way go into the next one
-// together (group commit), so a slow disk makes for larger groups and not for a longer queue.
+// Runs the idempotency store on a thread of its own. Operations that arrive during a commit go into the next
+// one together (group commit), so a slow disk makes larger groups, not a longer queue.
 //
-// The loop never waits for it. What is asked brings one call back in the loop: carried out and durable, or
-// lost. Lost means that nothing may rely on it; it may be on the disk all the same. A disk that fails is
-// opened again by itself, at first after kRetryLeast, at last every kRetryMost; until then everything is told
-// as lost at once. What such operations were to record is kept in memory (backlog.hpp) and recorded when the
-// disk is back, or at the end in one last try.
+// The event loop never waits for it. A submitted operation brings one call back in the loop: applied and
+// durable, or lost. Lost means that nothing may rely on it; it may be on the disk all the same. After a disk
+// error the store is reopened with exponential backoff between kRetryLeast and kRetryMost; until then every
+// operation is lost at once. Its record is kept in memory (backlog.hpp) and applied when the disk is back, or
+// at the end in one last attempt.
 #pragma once
 
 #include <atomic>
@@ -25,11 +25,12 @@
   // Called in the loop when the state changes: why it is down, or nothing.
   using StateCallback = std::function<void(State, const std::string& why)>;
   using Completion = std::function<void(bool durable, OperationResult)>;
-  // Whoever holds this still wants the answer; once it is gone `Done` is not called. The operation stands.
+  // Held by the caller that waits for the completion; once it is released the completion is not called. The
+  // operation is applied all the same.
   struct Interest {};
   using Ticket = std::shared_ptr<Interest>;
 
-  // Opens the ledger before it returns. Throws StoreError but for Failed, which leaves it Down and trying.
+  // Opens the store before it returns. Throws StoreError but for Failed, which leaves it Down and trying.
   GroupCommitWriter(event_base*, const IdempotencyStoreSettings&, StateCallback, FileHook* = nullptr);
   ~GroupCommitWriter();  // carries out what waits, within a second
   GroupCommitWriter(const GroupCommitWriter&) = delete;
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -1,21 +1,20 @@
-// Between the fronts (or the Gate) and the engine, where there is a store: what of a keyed write must be
-// durable before what. The rules are the ledger's (src/durability/rules.hpp); here they meet requests,
-// attempts and time.
+// In front of the engine, where the settings have a store: what of a keyed write must be durable before what.
+// The rules are in src/durability/rules.hpp; this applies them to requests, attempts and time.
 //
-//   a keyed write      its intent is durable before the engine hears of it, so before any byte of it is sent;
-//                      its outcome is durable before its answer goes out
-//   a write of a       its position is durable before its answer goes out
-//   session without key
-//   a read of a        what it saw is noted, and nobody waits for that; after a start it first asks what the
-//   session            session had seen
-//   all else           goes straight through
+//   a keyed write          its intent is durable before the engine gets it, so before any byte of it is sent;
+//                          its outcome is durable before its response goes out
+//   a session's write      its position is durable before its response goes out
+//   without a key
+//   a session's read       the position that it saw is recorded without waiting; after a start it first reads
+//                          the session's position from the store
+//   any other request      passes unchanged
 //
-// Of a key one request is under way at a time; others that come meanwhile wait for its end, and are then
-// judged.
+// One request of a key is in flight at a time; the others wait for its end and are decided then.
 //
-// Refusals and failures are told at once: where their record is lost, the ledger only knows less, and is
-// stricter. While the store is down, or a commit takes longer than its patience, keyed writes are refused at
-// once and told when to come back; reads go on, those of sessions to where nothing older can be seen.
+// Rejections and failures are delivered without waiting for the disk: if their record is lost, the store
+// knows less and is stricter. While the store is down, or a commit takes longer than the commit timeout,
+// keyed writes are rejected with a Retry-After; reads go on, those of sessions to endpoints that are up to
+// date.
 #pragma once
 
 #include <cstdint>
@@ -46,10 +45,10 @@
   virtual IdempotencyView view() const = 0;
 };
 
-// Null where the settings have no store. Opens it before it returns; throws std::runtime_error where it may
-// not be opened (another process has it, or it is damaged and is not to be set aside). `reader` reads the
-// answers that are kept.
-// `next`: what takes the requests on, the engine or what stands before it.
+// Null where the settings have no store. Opens the store before it returns; throws std::runtime_error if it
+// can't be opened (another process holds it, or it is damaged and the settings don't let it be set aside).
+// `reader` reads stored responses; `next` handles the requests, the engine or what is in front of it. All
+// references have to outlive the result.
 std::unique_ptr<IdempotencyHandler> createIdempotencyHandler(event_base*, Engine&, RequestHandler& next,
                                                              const Config&,
                                                              const translation::AnswerReader& reader,
--- a/src/durability/idempotency_store.hpp
+++ b/src/durability/idempotency_store.hpp
@@ -1,15 +1,14 @@
-// The ledger: what is known of keyed writes and of sessions, over a Database. A group of operations is
-// applied as one durable commit. The rules are in rules.hpp; here is where the records stand and for how
-// long.
+// What is known of keyed writes and of sessions, over a Database. A group of operations is applied as one
+// durable commit. The rules are in rules.hpp; this is where the records are stored, and for how long.
 //
 // Keys of the database, by their first byte:
 //   !commit  !clock  !totals  !format      the store's own
 //   e EPOCH                                an EpochRecord; EPOCH and all numbers below big-endian, 8 bytes
 //   k KEY                                  a KeyRecord
 //   s SESSION                              a SessionRecord
-//   x EXPIRES k KEY,  x EXPIRES s SESSION  when each may be forgotten; no value
+//   x EXPIRES k KEY,  x EXPIRES s SESSION  the index by expiry; no value
 //
-// Not thread-safe: one thread owns it (writer.hpp).
+// Not thread-safe: one thread owns it (group_commit_writer.hpp).
 #pragma once
 
 #include <functional>
--- a/src/durability/rules.hpp
+++ b/src/durability/rules.hpp
@@ -1,4 +1,5 @@
-// What may be done with a keyed write, given what the ledger holds of its key. Pure.
+// Whether a keyed write may be executed or retried, given the record of its key, and how the record changes.
+// Pure.
 #pragma once
 
 #include <optional>
@@ -8,7 +9,7 @@
 
 namespace sablespur::durability {
 
-// A keyed write as it comes.
+// A keyed write as it arrives.
 struct KeyedRequest {
   std::string id, key, className;
   std::uint32_t group = 0;
@@ -27,10 +28,10 @@
   Disposition disposition = Disposition::Execute;
   Time sinceFirstSend{};  // Again: since the first send, at most
 };
-// `gapAt`: LedgerClock's.
+// `gapAt`: StoreClock::gapAt(). The record is null for a key that is not known.
 KeyDecision decide(const KeyRecord*, const KeyedRequest&, Time now, Time gapAt);
 
-// The record once the verdict is carried out; for Run of a key whose attempts never ran, a new beginning.
+// The record after the decision is applied. Execute begins it anew.
 KeyRecord beginRequest(const std::optional<KeyRecord>&, const KeyedRequest&, const KeyDecision&, Time now,
                        Time keep, std::uint64_t epoch, std::int64_t wallMs);
 
--- a/src/durability/store_clock.hpp
+++ b/src/durability/store_clock.hpp
@@ -1,8 +1,8 @@
-// The ledger's clock: it never goes back, and no step of the wall clock moves it. Within one start of the
-// machine it counts the time since that start, suspension included, so it goes on through the proxy's own
-// restarts. How long a machine was off nobody can tell without trusting its wall clock: the clock then goes
-// on from where it stood, and what is older than that gap is taken for too old to be sent again, and too
-// young to be forgotten. Pure but for machineTime().
+// The store's clock: it never goes back, and no step of the wall clock moves it. Within one boot of the
+// machine it counts the time since the boot, suspension included, so it continues through restarts of the
+// proxy. How long the machine was off is not known without trusting its wall clock: the clock then continues
+// from its last value, and what is older than that gap counts as too old to be retried and too young to
+// expire. Pure but for machineTime().
 #pragma once
 
 #include <cstdint>
