--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -12,7 +12,7 @@
          a.group == b.group && a.state == b.state && a.weight == b.weight && a.startedMs == b.startedMs;
 }
 
-bool EndpointListStream::feed(std::string_view bytes, std::vector<std::string>& whole, bool& alive) {
+bool EndpointListStream::feed(std::string_view bytes, std::vector<std::string>& complete, bool& alive) {
   constexpr std::size_t kLongest = 4 << 20;
   std::size_t taken = 0;  // bytes up to here are in text_, or belong to no list
   const auto take = [&](std::size_t end) {
@@ -38,7 +38,7 @@
     if (depth_ > 0) continue;
     alive = true;
     take(k + 1);
-    whole.push_back(std::move(list_));
+    complete.push_back(std::move(list_));
     list_.clear();
   }
   if (depth_ > 0) take(bytes.size());
