--- /dev/null
+++ b/src/balancer/consistency.cpp
@@ -0,0 +1,99 @@
+#include "balancer/consistency.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace sablespur::balancer {
+namespace {
+
+constexpr double kUnknownFreshness = 0.5;  // with no recent sample
+constexpr double kMicrosecondsPerMillisecond = 1e3;
+constexpr Time kDefaultStalenessBound = std::chrono::seconds(1);
+
+// AttemptOutcome::replicationStatus: 4 x the position in milliseconds, plus the role.
+constexpr std::uint32_t kStatusRoleRange = 4;
+constexpr std::uint32_t kStatusPrimary = 1;
+constexpr std::uint32_t kStatusReplica = 2;
+
+// The age may have been rounded up: the next f32 below it is taken, so that the requirement is rounded up.
+Time tokenPosition(Time now, float ageMs) {
+  const double age = static_cast<double>(std::nextafterf(ageMs, 0.0F)) * kMicrosecondsPerMillisecond;
+  return now - Time(static_cast<std::int64_t>(std::min(age, static_cast<double>(now.count()))));
+}
+
+}  // namespace
+
+Time initialRequiredPosition(Context& context, const PendingRequest& pending) {
+  const Request& request = pending.request;
+  const Requirement requirement = context.classOf(pending).requirement;
+  if (requirement == Requirement::Strong) return context.now;
+  if (requirement != Requirement::Session) return kNever;
+  Time required = kNever;
+  if (!context.settings.sessionTokensCarried) {
+    const std::optional<Time> commit = context.sessionCommits.find(request.session);
+    required = commit ? *commit : context.groups[request.group].forgottenCommit;
+  }
+  if (!(request.sessionTokenAgeMs > 0)) return required;
+  return std::max(required, tokenPosition(context.now, request.sessionTokenAgeMs));
+}
+
+std::optional<double> freshProbability(const Context& context, const Endpoint& endpoint, const Group& group,
+                                       Time required) {
+  const ReplicationProgress& replication = endpoint.replication;
+  const bool isPrimary = endpoint.listed.id == group.primary;
+  if (required == kNever || isPrimary || replication.position >= required) return 1;
+  // It would answer from old data: only a proof will do.
+  if (context.settings.laggingReplicaPolicy == LaggingReplicaPolicy::Serve) return std::nullopt;
+  const Time allowedLag = context.now - required;
+  double fresh = 0;
+  double all = 0;
+  for (const LagSample& sample : replication.lags) {
+    if (sample.at + kRecentPeriod < context.now) continue;
+    all += 1;
+    if (sample.lag <= allowedLag) fresh += 1;
+  }
+  return all > 0 ? fresh / all : kUnknownFreshness;
+}
+
+void recordSessionCommit(Context& context, const PendingRequest& write, const AttemptOutcome& outcome) {
+  const std::uint64_t session = write.request.session;
+  if (context.classOf(write).requirement != Requirement::Write || session == 0) return;
+  const Time commit = positionOf(context.settings, outcome.replicationStatus).value_or(context.now);
+  const std::optional<Time> newestForgotten = context.sessionCommits.record(session, commit);
+  if (!newestForgotten) return;
+  // Forgetting must not make a read stale: one commit stands for all that were forgotten.
+  for (auto& entry : context.groups) {
+    Group& group = entry.second;
+    group.forgottenCommit = std::max(group.forgottenCommit, *newestForgotten);
+  }
+}
+
+Time tightestStalenessBound(const Settings& settings) {
+  std::optional<Time> tightest;
+  for (const ClassSettings& c : settings.classes) {
+    if (c.requirement != Requirement::BoundedStaleness) continue;
+    if (!tightest || c.maxStaleness < *tightest) tightest = c.maxStaleness;
+  }
+  return tightest.value_or(kDefaultStalenessBound);
+}
+
+std::optional<Time> positionOf(const Settings& settings, std::uint32_t replicationStatus) {
+  const std::uint32_t position = replicationStatus / kStatusRoleRange;
+  if (position == 0) return std::nullopt;
+  return settings.positionEpoch + std::chrono::milliseconds(position);
+}
+
+Role roleOf(std::uint32_t replicationStatus) {
+  switch (replicationStatus % kStatusRoleRange) {
+    case kStatusPrimary:
+      return Role::Primary;
+    case kStatusReplica:
+      return Role::Replica;
+    default:
+      return Role::Unknown;
+  }
+}
+
+bool carriesRole(std::uint32_t replicationStatus) { return replicationStatus % kStatusRoleRange != 0; }
+
+}  // namespace sablespur::balancer
--- /dev/null
+++ b/src/balancer/fleet_traffic.cpp
@@ -0,0 +1,70 @@
+#include "balancer/fleet_traffic.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "balancer/context.hpp"
+#include "balancer/endpoint_state.hpp"
+#include "balancer/housekeeping.hpp"
+#include "balancer/slow_start.hpp"
+
+namespace sablespur::balancer {
+namespace {
+
+constexpr double kGroupOverloadFactor = 1.5;  // times its capacity is the most that a group is asked for
+constexpr double kMinWeight = 1e-9;           // keeps a division finite
+
+}  // namespace
+
+void FleetTraffic::requestArrived(Time now, double work, bool isWrite) {
+  requested_.add(now, work);
+  ++requestsSeen_;
+  writeShare_ += ((isWrite ? 1.0 : 0.0) - writeShare_) / requestsSeen_;
+}
+
+// A group is seldom asked at one of many proxies: its part of all requests tells more than its own.
+FleetTraffic::Rates FleetTraffic::rates(const Context& context) {
+  updateWorkPerWeightUnit(context);
+  const double workPerGroup = workPerWindow(context, requested_, startedAt_) / totals_.groupsInUse;
+  return {workPerGroup, workPerGroup * writeShare_, workPerWeightUnit_};
+}
+
+void FleetTraffic::updateWorkPerWeightUnit(const Context& context) {
+  if (std::exchange(updatedAt_, context.now) == context.now) return;
+  const bool expired = totals_.validUntil != kNever && context.now >= totals_.validUntil;
+  if (totals_.stale || expired) recount(context);
+  // Where no endpoint is warm, what is asked for is taken for the most that the group can be asked for.
+  workPerWeightUnit_ = totals_.warmWeight > 0
+                           ? workPerWindow(context, totals_.warmServed, startedAt_) / totals_.warmWeight
+                           : workPerWindow(context, requested_, startedAt_) /
+                                 std::max(totals_.warmingWeight, kMinWeight) / kGroupOverloadFactor;
+}
+
+void FleetTraffic::recount(const Context& context) {
+  totals_ = Totals();
+  totals_.stale = false;
+  for (const auto& [id, endpoint] : context.endpoints) {
+    if (!isUsable(context.settings, endpoint)) continue;
+    if (isWarmingUp(context, endpoint)) {
+      const Time warmAt = endpoint.listed.started + context.settings.warmUpPeriod;
+      totals_.validUntil = totals_.validUntil == kNever ? warmAt : std::min(totals_.validUntil, warmAt);
+      totals_.warmingWeight += endpoint.listed.weight;
+    } else {
+      totals_.warmWeight += endpoint.listed.weight;
+      totals_.warmServed.add(context.now, endpoint.served.valueAt(context.now));
+    }
+  }
+  for (const auto& [id, group] : context.groups) {
+    if (!group.endpoints.empty()) ++totals_.groupsInUse;
+  }
+}
+
+double workPerWindow(const Context& context, const DecayingCounter& counter, Time since) {
+  const Time counted = std::max(context.now - since, kHousekeepingInterval);
+  const Time window = std::max(context.settings.overloadWindow, kHousekeepingInterval);
+  const double seenShare = 1 - std::exp(-ratio(counted, kRecentPeriod));
+  return counter.valueAt(context.now) * ratio(window, kRecentPeriod) / seenShare;
+}
+
+}  // namespace sablespur::balancer
--- /dev/null
+++ b/src/balancer/health_checks.hpp
@@ -0,0 +1,25 @@
+// Health checks: when endpoints are asked for a reply and a load report before a request is sent to one.
+#pragma once
+
+#include <vector>
+
+#include "balancer/context.hpp"
+
+namespace sablespur::balancer {
+
+void startHealthCheck(Context&, Endpoint&);
+
+// Starts a check unless one is in progress or began less than `interval` ago.
+void checkIfDue(Context&, Endpoint&, Time interval);
+
+// Before a choice among `candidates`, which are in the order of their turn: asks those of which too little is
+// known. Returns whether the request should wait for the replies; at most once for each attempt.
+bool checksNeededBeforeChoice(Context&, const PendingRequest&, const std::vector<Endpoint*>& candidates);
+
+// How long a request waits for the replies.
+Time healthCheckWait(const Context&, const PendingRequest&);
+
+// Whether some endpoint of the group owes the reply to a check that has not timed out.
+bool awaitsHealthChecks(const Context&, const Group&);
+
+}  // namespace sablespur::balancer
--- /dev/null
+++ b/src/balancer/request_dispatch.cpp
@@ -0,0 +1,181 @@
+#include "balancer/request_dispatch.hpp"
+
+#include <algorithm>
+#include <optional>
+#include <vector>
+
+#include "balancer/consistency.hpp"
+#include "balancer/endpoint_state.hpp"
+#include "balancer/health_checks.hpp"
+#include "balancer/housekeeping.hpp"
+#include "balancer/load_shedding.hpp"
+#include "balancer/outlier_detection.hpp"
+#include "balancer/primary_discovery.hpp"
+#include "balancer/replica_selection.hpp"
+#include "balancer/request_completion.hpp"
+#include "balancer/retry_policy.hpp"
+#include "balancer/slow_start.hpp"
+#include "balancer/timer_token.hpp"
+
+namespace sablespur::balancer {
+namespace {
+
+// Waits until something changes in the group, but for `limit` and for what the request is worth at most.
+void waitForEndpoint(Context& context, PendingRequest& pending, std::optional<Time> limit = std::nullopt) {
+  if (pending.waiting) return;
+  pending.waiting = true;
+  const Time end = std::min(giveUpAt(context, pending), pending.request.deadline);
+  Time in = std::max(end - context.now, Time(1));
+  if (limit) in = std::min(in, *limit);
+  context.sink.scheduleTimer(in, timerToken(TimerKind::RequestWait, pending.request.id));
+  scheduleHousekeeping(context);
+  context.groups[pending.request.group].waiting.push_back(pending.request.id);
+  context.work.waitingGroups.insert(pending.request.group);
+}
+
+// Returns whether the request waits for the health checks of its candidates now.
+bool waitedForHealthChecks(Context& context, PendingRequest& pending,
+                           const std::vector<Endpoint*>& candidates) {
+  if (!checksNeededBeforeChoice(context, pending, candidates)) return false;
+  pending.healthChecksAwaited = true;
+  waitForEndpoint(context, pending, healthCheckWait(context, pending));
+  return true;
+}
+
+void send(Context& context, PendingRequest& pending, Endpoint& endpoint) {
+  const Request& request = pending.request;
+  const Time now = context.now;
+  const Time required = requiredPosition(context, pending);
+  const bool isPrimary = endpoint.listed.id == context.groups[request.group].primary;
+  const bool mayLag = required != kNever && !isPrimary && endpoint.replication.position < required;
+  const auto attempt = static_cast<int>(pending.attempts.size());
+  pending.attempts.push_back({endpoint.listed.id, now});
+  pending.tried.push_back(endpoint.listed.id);
+  ++pending.outstanding;
+  pending.healthChecksAwaited = false;
+  chargeSlowStart(context, endpoint, pending);
+  endpoint.inFlight.push_back(
+      {request.id, attempt, request.classIndex, outstandingLoad(context, endpoint), now, mayLag});
+  endpoint.contact.lastUsed = now;
+  context.work.busyEndpoints.insert(endpoint.listed.id);
+  ++context.work.inFlight;
+  scheduleHousekeeping(context);
+  context.sink.send(request.id, endpoint.listed.id, std::max(usefulUntil(context, pending), now + Time(1)));
+}
+
+void removeNotWorthSending(const Context& context, const PendingRequest& pending,
+                           std::vector<ReplicaChoice>& set) {
+  const auto isNotWorthSending = [&](const ReplicaChoice& choice) {
+    return !isWorthSending(context, pending, *choice.endpoint);
+  };
+  set.erase(std::remove_if(set.begin(), set.end(), isNotWorthSending), set.end());
+}
+
+// Where no endpoint would take a read, one that fails some requests at once is tried, again if need be: that
+// costs less than the request.
+std::vector<ReplicaChoice> selectLastResort(Context& context, PendingRequest& pending) {
+  constexpr int kRounds = 2;
+  std::vector<ReplicaChoice> set;
+  for (int round = 0; set.empty() && round < kRounds; ++round) {
+    if (round > 0) pending.tried.clear();
+    set = selectReadSet(context, pending, EjectedEndpoints::IncludeAnswering);
+    const auto isSilent = [](const ReplicaChoice& choice) {
+      return !choice.endpoint->health.answersWithErrors;
+    };
+    set.erase(std::remove_if(set.begin(), set.end(), isSilent), set.end());
+    removeNotWorthSending(context, pending, set);
+  }
+  return set;
+}
+
+void advanceRead(Context& context, PendingRequest& pending) {
+  const std::vector<Endpoint*> candidates = readCandidates(context, pending);
+  if (waitedForHealthChecks(context, pending, candidates)) return;
+  std::vector<ReplicaChoice> set = selectReadSet(context, pending, candidates);
+  if (set.empty() && !pending.tried.empty()) {  // all were tried: another round
+    pending.tried.clear();
+    set = selectReadSet(context, pending);
+  }
+  const bool hadNoCandidate = set.empty();
+  removeNotWorthSending(context, pending, set);
+  if (set.empty()) set = selectLastResort(context, pending);
+  if (!set.empty()) return send(context, pending, *set.front().endpoint);
+  if (hadNoCandidate) return waitForEndpoint(context, pending);
+  finishUnserved(context, pending);
+}
+
+void advanceWriteAtPrimary(Context& context, PendingRequest& pending, Endpoint& primary) {
+  pending.tried.clear();
+  // A primary that fails some requests at once is the only way all the same; a silent one is none.
+  const bool answers = isHealthy(context, primary) || primary.health.answersWithErrors;
+  if (!answers || !mayTake(context, pending, primary) || !slowStartAdmits(context, primary, pending))
+    return waitForEndpoint(context, pending);
+  if (waitedForHealthChecks(context, pending, {&primary})) return;
+  if (isWorthSending(context, pending, primary)) return send(context, pending, primary);
+  finishUnserved(context, pending);
+}
+
+void advanceWrite(Context& context, PendingRequest& pending) {
+  Group& group = context.groups[pending.request.group];
+  group.discovery.wantedAt = context.now;
+  if (Endpoint* const primary = primaryOf(context, group)) {
+    advanceWriteAtPrimary(context, pending, *primary);
+    return;
+  }
+  if (Endpoint* const candidate = nextPrimaryCandidate(context, group, pending)) {
+    send(context, pending, *candidate);
+    return;
+  }
+  pending.tried.clear();
+  waitForEndpoint(context, pending);
+}
+
+}  // namespace
+
+void advance(Context& context, PendingRequest& pending) {
+  if (pending.outstanding > 0) return;
+  const ClassSettings& settings = context.classOf(pending);
+  const bool isSpent = static_cast<int>(pending.attempts.size()) >= context.settings.maxAttempts;
+  const bool mayNotRepeat = pending.possibleExecution && settings.idempotency == Idempotency::NonIdempotent;
+  if (isSpent || mayNotRepeat || context.now >= giveUpAt(context, pending))
+    return finishUnserved(context, pending);
+  if (settings.requirement == Requirement::Write)
+    advanceWrite(context, pending);
+  else
+    advanceRead(context, pending);
+}
+
+void resumeRequest(Context& context, RequestId id) {
+  const auto found = context.requests.find(id);
+  if (found == context.requests.end() || !found->second.waiting) return;
+  PendingRequest& pending = found->second;
+  pending.waiting = false;
+  std::vector<RequestId>& waiting = context.groups[pending.request.group].waiting;
+  waiting.erase(std::remove(waiting.begin(), waiting.end(), id), waiting.end());
+  advance(context, pending);
+}
+
+void resumeWaiting(Context& context, Group& group) {
+  std::vector<RequestId> ids;
+  ids.swap(group.waiting);
+  for (const RequestId id : ids) {
+    const auto found = context.requests.find(id);
+    if (found == context.requests.end() || !found->second.waiting) continue;
+    found->second.waiting = false;
+    advance(context, found->second);
+  }
+}
+
+void resumeAllWaiting(Context& context, PrimaryChecks primaryChecks) {
+  std::set<GroupId>& waitingGroups = context.work.waitingGroups;
+  for (const GroupId id : std::vector<GroupId>(waitingGroups.begin(), waitingGroups.end())) {
+    const auto found = context.groups.find(id);
+    if (found != context.groups.end() && !found->second.waiting.empty()) {
+      resumeWaiting(context, found->second);
+      if (primaryChecks == PrimaryChecks::Yes) checkForPrimary(context, found->second);
+    }
+    if (found == context.groups.end() || found->second.waiting.empty()) waitingGroups.erase(id);
+  }
+}
+
+}  // namespace sablespur::balancer
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -1,112 +1,151 @@
-// What a Balancer remembers: plain records, without any decision. The module that reads and writes them, and
-// gives the values their meaning, is balance.cpp.
+// The records that the decisions share: endpoints, replication groups and pending requests. Plain data.
 #pragma once
 
 #include <cstdint>
-#include <utility>
+#include <optional>
 #include <vector>
 
-#include "balancer/balancer.hpp"
+#include "balancer/decaying_counter.hpp"
+#include "balancer/events.hpp"
+#include "balancer/time_math.hpp"
 
 namespace sablespur::balancer {
 
-constexpr Time never{-1};
+// One observed latency of an endpoint, with what is needed to compare it with others.
+struct LatencySample {
+  double latency;  // microseconds; kUnansweredLatency: it never answered
+  int classIndex;
+  int load;  // requests outstanding at the endpoint when the attempt was sent
+  Time at;
+};
 
-// Events of some kind, each worth less as it ages (by e^-age/span): at a steady rate it holds rate x span.
-struct Decayed {
-  double n = 0;
-  Time at{};
+// An attempt whose outcome is still to come.
+struct InFlightAttempt {
+  RequestId request;
+  int attempt;  // index into PendingRequest::attempts
+  int classIndex;
+  int load;  // requests outstanding at the endpoint before this one
+  Time sentAt;
+  bool mayLag;  // the endpoint's known position fell short of what the read required
 };
 
-struct Sample {
-  double latency;  // microseconds; infinite: never answered
-  int cls;
-  int load;  // own requests outstanding there when it was sent
-  Time at;
+// Latencies of an endpoint by whether it could answer at once or may have had to wait for replication.
+struct LatencyWindows {
+  std::vector<LatencySample> immediate;
+  std::vector<LatencySample> delayed;
 };
-struct Sent {
-  RequestId request;
-  int attempt;
-  int cls;
-  int load;
+
+enum class Role { Unknown, Primary, Replica };
+
+struct RoleEvidence {
+  Role role = Role::Unknown;
+  Time at = kNever;  // when the newest evidence was true
+};
+
+struct LagSample {
   Time at;
-  bool held;  // the known position fell short of the need
+  Time lag;  // age of the known position at that instant
+};
+
+struct ReplicationProgress {
+  Time position = kNever;  // all commits up to here are applied; a lower bound that only grows
+  std::vector<LagSample> lags;
 };
-enum class Role { Unknown, Primary, Replica };
 
-// What this router may send a member that has just started, in requests of mean work, as of `at`; the last
-// draw for a part of a request: when, whose, won or not, and what it costs if it is sent.
-struct Allowance {
-  double saved = 0, price = 0;
-  Time at = never, drawnAt = never;
+// What is known of an endpoint's ability to answer (outlier_detection.hpp).
+struct Health {
+  int consecutiveFailures = 0;
+  Time ejectedUntil = kNever;  // then one trial at a time, until one succeeds
+  Time ejectionBackoff{};
+  bool answersWithErrors = false;  // ejected for errors alone: it does answer
+  bool checkInProgress = false;
+  Time checkedAt = kNever;  // when the latest health check began
+};
+
+// When an endpoint was last used and heard of.
+struct Contact {
+  Time lastAnswer = kNever;          // to an attempt
+  Time lastUsed = kNever;            // last send or answer; also a health check that showed stale data
+  Time newestAnsweredSend = kNever;  // when the youngest of the answered attempts was sent
+  Time lastReply = kNever;           // of any kind, health checks included
+  Time lastGossip = kNever;          // latest instant of which another proxy has passed on a reply
+};
+
+struct ReportedLoad {
+  int inFlight = 0;  // from all proxies
+  Time at = kNever;
+};
+
+// What this proxy may send an endpoint that is warming up, in requests of mean work (slow_start.hpp).
+struct SlowStartBudget {
+  double balance = 0;
+  Time updatedAt = kNever;
+  // The latest draw for a fraction of a request: when, for which request, what it costs if it is sent.
+  Time drawnAt = kNever;
   RequestId drawnFor = 0;
-  bool drawn = false;
+  double price = 0;
+  bool granted = false;
 };
 
-struct Member {
+struct Endpoint {
   ListedEndpoint listed;
   bool seenDraining = false;
-  bool suspended = false;  // by staff, whatever the list says
-  Time suspendedAt = never;
-  Time goneAt = never;  // when the list first lacked it
-  Role role = Role::Unknown;
-  Time roleAt = never;    // when the newest evidence of its role was true
-  Time position = never;  // it has applied all commits up to here; a lower bound that only grows
-  std::vector<std::pair<Time, Time>> lags;  // (seen at, age of the position then)
-  std::vector<Sample> immediate, held;
-  Time lastAnswer = never, lastUsed = never;
-  Time answeredSent = never;  // when the youngest of the answered attempts was sent
-  std::vector<Sent> out;
-  int failures = 0;
-  Time asideUntil = never;  // health: set aside until then, then one trial at a time
-  Time backoff{};
-  bool erring = false;  // set aside for errors alone: it answers
-  bool probing = false;
-  Time probedAt = never;
-  Time wordAt = never;   // last answer of any kind, probes included
-  Time heardAt = never;  // last word of it that another router passed on
-  int told = 0;          // requests held there, by the newest report
-  Time toldAt = never;
-  std::uint64_t salt = 0;  // this router's own order of members that are alike
-  Decayed served;          // its answers to this router
-  Allowance allowance[2];  // while it is cold: of reads, of writes
+  bool suspended = false;  // by an administrator, whatever the list says
+  Time suspendedAt = kNever;
+  Time goneAt = kNever;  // when the list first lacked it
+  RoleEvidence role;
+  ReplicationProgress replication;
+  LatencyWindows latencies;
+  Health health;
+  Contact contact;
+  ReportedLoad reportedLoad;
+  std::vector<InFlightAttempt> inFlight;
+  std::uint64_t tieBreaker = 0;  // this proxy's own order of endpoints that are alike
+  DecayingCounter served;        // its answers to this proxy, in requests of mean work
+  SlowStartBudget readBudget;
+  SlowStartBudget writeBudget;
+};
+
+// The search for a primary that neither the list nor an answer has named.
+struct PrimaryDiscovery {
+  Time wantedAt = kNever;               // when a write last needed the primary
+  RequestId write = 0;                  // the one write that tries the endpoints in turn; 0: none
+  std::uint64_t exhaustedInUpdate = 0;  // no endpoint was it, as of this list update; 0: not tried in vain
 };
 
 struct Group {
-  std::vector<EndpointId> members;  // ascending: the order in which writes look for a primary
-  EndpointId primary = 0;           // 0: none known
-  Time troubleAt = never;
-  Time primaryWanted = never;
-  RequestId scout = 0;          // the one write that looks for the primary
-  std::uint64_t scoutedIn = 0;  // a round over all members found none, since this list; 0: no round did
-  Time forgotten = never;       // sessions no longer remembered may have written until then
+  std::vector<EndpointId> endpoints;  // ascending: the order in which writes look for a primary
+  EndpointId primary = 0;             // 0: none known
+  Time troubleAt = kNever;            // latest time-out, ejection or refusal of a stale read
+  PrimaryDiscovery discovery;
+  Time forgottenCommit = kNever;  // sessions that are no longer remembered may have written until then
   std::vector<RequestId> waiting;
 };
 
 struct Attempt {
-  EndpointId member;
-  Time at;
-  bool open = true;
+  EndpointId endpoint;
+  Time sentAt;
+  bool inFlight = true;
   bool cancelled = false;
 };
-struct Open {
-  Request q;
-  Time arrived{};
-  Time commit = never;  // session and fresh reads: data must reach this
+
+// The earliest attempt that may have run: what bounds further ones of a request that is not idempotent.
+struct PossibleExecution {
+  Time sentAt{};
+  EndpointId endpoint = 0;  // 0: an earlier request of the same key, it is not known where
+};
+
+struct PendingRequest {
+  Request request;
+  Time arrivedAt{};
+  Time requiredPosition = kNever;  // session and strong reads: data must reach this; kNever: any data will do
   std::vector<Attempt> attempts;
-  std::vector<EndpointId> tried;
-  int outstanding = 0;
-  bool reached = false;  // some member has had it, whatever came of it
-  bool ran = false;      // some attempt may have run
-  Time ranAt{};          // when the earliest such was sent, and where
-  EndpointId ranWhere = 0;
+  std::vector<EndpointId> tried;  // in this round over the endpoints
+  int outstanding = 0;            // attempts in flight
+  bool reachedEndpoint = false;   // some endpoint has had it, whatever came of it
+  std::optional<PossibleExecution> possibleExecution;
   bool waiting = false;
-  bool asked = false;  // probes were sent for its next attempt
-};
-struct Choice {
-  Member* member;
-  double miss;
-  double expected;
+  bool healthChecksAwaited = false;  // its next attempt has already waited for health checks
 };
 
 }  // namespace sablespur::balancer
