--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -53,15 +53,11 @@
   if (mean > 0)
     typicalLatencyUs_ =
         typicalLatencyUs_ > 0 ? typicalLatencyUs_ + (mean - typicalLatencyUs_) * kWindowWeight : mean;
-  double next = limit_;
-  if (settings_.kind == LimitKind::Aimd) {
-    next = nextAimdLimit(window);
-  } else {
-    if (mean > 0) lowestUs_ = lowestUs_ > 0 ? std::min(lowestUs_, mean) : mean;
-    next = nextGradientLimit(window);
-    startNextEpochIfDue();
-  }
+  const bool gradient = settings_.kind == LimitKind::Gradient;
+  if (gradient && mean > 0) lowestUs_ = lowestUs_ > 0 ? std::min(lowestUs_, mean) : mean;
+  const double next = gradient ? nextGradientLimit(window) : nextAimdLimit(window);
   limit_ = std::clamp(next, settings_.min, settings_.max);
+  if (gradient) startNextEpochIfDue();
   window_ = Window{now};
 }
 
--- a/src/admission/connection_admission.cpp
+++ b/src/admission/connection_admission.cpp
@@ -191,7 +191,7 @@
 
 // Each rejected client gets a slot of its own: at the group's rate, or else so many per second as the group
 // may hold.
-ConnectionDecision ConnectionAdmission::reject(Group& group, Time now, RejectionReason reason) {
+ConnectionDecision ConnectionAdmission::reject(Group& group, Time now, RejectionReason reason) const {
   ++group.counters.rejected[reason];
   const GroupLimits& limits = group.limits;
   const std::size_t capacity = limits.maxConnections > 0 ? limits.maxConnections : settings_.maxConnections;
--- a/src/admission/connection_admission.hpp
+++ b/src/admission/connection_admission.hpp
@@ -141,7 +141,7 @@
   RejectionReason checkAddressLimits(const Group&, const IpAddress&) const;
   RejectionReason findRoom(Time now, std::size_t group, std::optional<ConnectionId>& evict) const;
   bool takeToken(Group&, Time now);
-  ConnectionDecision reject(Group&, Time now, RejectionReason);
+  ConnectionDecision reject(Group&, Time now, RejectionReason) const;
   std::size_t reservedForOthers(std::size_t group) const;
   bool hasEvictable(const Group&, Time now) const;
   std::optional<ConnectionId> evictionCandidate(Time now, std::size_t newcomerGroup) const;
