--- a/src/admin/command_parser.cpp
+++ b/src/admin/command_parser.cpp
@@ -9,7 +9,7 @@
 std::string answer(const char* word, std::string_view text) {
   std::string line = word;
   if (!text.empty()) line += ' ';
-  for (const char c : text.substr(0, kLongestLine))
+  for (const char c : text.substr(0, kMaxLineBytes))
     line += std::isprint(static_cast<unsigned char>(c)) ? c : '?';
   return line + "\n";
 }
@@ -28,19 +28,20 @@
   std::transform(verb.begin(), verb.end(), verb.begin(), [](unsigned char c) { return std::toupper(c); });
   Command call;
   if (verb == "SUSPEND")
-    call.verb = Verb::Suspend;
+    call.type = CommandType::Suspend;
   else if (verb == "RESTORE")
-    call.verb = Verb::Restore;
+    call.type = CommandType::Restore;
   else if (verb != "STATUS") {
     why = verb.empty() ? "an empty line is no call" : "STATUS, SUSPEND ID and RESTORE ID are known here";
     return std::nullopt;
   }
-  call.id = word(line);
-  const bool plain =
-      std::all_of(call.id.begin(), call.id.end(), [](unsigned char c) { return std::isgraph(c); });
-  if (call.id.empty() != (call.verb == Verb::Status) || !word(line).empty() || call.id.size() > kLongestId ||
-      !plain) {
-    why = call.verb == Verb::Status ? "STATUS stands alone" : verb + " takes the id of one data server";
+  call.endpoint = word(line);
+  const bool plain = std::all_of(call.endpoint.begin(), call.endpoint.end(),
+                                 [](unsigned char c) { return std::isgraph(c); });
+  if (call.endpoint.empty() != (call.type == CommandType::Status) || !word(line).empty() ||
+      call.endpoint.size() > kMaxEndpointIdBytes || !plain) {
+    why =
+        call.type == CommandType::Status ? "STATUS stands alone" : verb + " takes the id of one data server";
     return std::nullopt;
   }
   return call;
@@ -52,9 +53,9 @@
 CommandReader::State CommandReader::feed(std::string_view bytes) {
   if (state_ != State::More) return state_;
   const std::size_t end = bytes.find('\n');
-  line_.append(bytes.substr(0, std::min({end, bytes.size(), kLongestLine + 2})));
+  line_.append(bytes.substr(0, std::min({end, bytes.size(), kMaxLineBytes + 2})));
   if (end != std::string_view::npos && !line_.empty() && line_.back() == '\r') line_.pop_back();
-  if (line_.size() > kLongestLine)
+  if (line_.size() > kMaxLineBytes)
     state_ = State::TooLong;
   else if (end != std::string_view::npos)
     state_ = State::Line;
--- a/src/admin/command_parser.hpp
+++ b/src/admin/command_parser.hpp
@@ -7,13 +7,13 @@
 
 namespace sablespur::admin {
 
-constexpr std::size_t kLongestLine = 256;  // bytes, its end not counted
-constexpr std::size_t kLongestId = 128;
+constexpr std::size_t kMaxLineBytes = 256;  // bytes, its end not counted
+constexpr std::size_t kMaxEndpointIdBytes = 128;
 
-enum class Verb { Status, Suspend, Restore };
+enum class CommandType { Status, Suspend, Restore };
 struct Command {
-  Verb verb = Verb::Status;
-  std::string id;  // of a data server; empty with Status
+  CommandType type = CommandType::Status;
+  std::string endpoint;  // of a data server; empty with Status
 };
 // Words are separated by blanks; verbs are taken in any case. Nothing where the line is no call: `why` says
 // so.
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -31,8 +31,8 @@
   }
   readable_.reset(event_new(
       base, fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Listener*>(self)->ready(); }, this));
-  again_.reset(event_new(
+      [](evutil_socket_t, short, void* self) { static_cast<Listener*>(self)->acceptConnection(); }, this));
+  resumeTimer_.reset(event_new(
       base, -1, 0,
       [](evutil_socket_t, short, void* self) {
         event_add(static_cast<Listener*>(self)->readable_.get(), nullptr);
@@ -42,74 +42,74 @@
 }
 Listener::~Listener() {
   readable_.reset();
-  callers_.clear();
+  connections_.clear();
   close(fd_);
 }
 
-void Listener::ready() {
+void Listener::acceptConnection() {
   const int fd = systemCalls().accept(fd_, nullptr, nullptr);
   if (fd < 0) {
     if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
     event_del(readable_.get());  // guards against spinning: the socket may stay readable, whatever failed
-    return startTimer(again_.get(), kPause);
+    return startTimer(resumeTimer_.get(), kPause);
   }
-  if (callers_.size() >= kCallers) {
-    const auto oldest = std::min_element(callers_.begin(), callers_.end(), [](const auto& a, const auto& b) {
-      return a.second.turn < b.second.turn;
-    });
-    callers_.erase(oldest);
+  if (connections_.size() >= kCallers) {
+    const auto oldest =
+        std::min_element(connections_.begin(), connections_.end(),
+                         [](const auto& a, const auto& b) { return a.second.sequence < b.second.sequence; });
+    connections_.erase(oldest);
   }
   BufferEvent b(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
   bufferevent_setcb(
-      b.get(), [](bufferevent* of, void* self) { static_cast<Listener*>(self)->read(of); },
+      b.get(), [](bufferevent* of, void* self) { static_cast<Listener*>(self)->readCommand(of); },
       [](bufferevent* of, void* self) {
-        auto& callers = static_cast<Listener*>(self)->callers_;
+        auto& callers = static_cast<Listener*>(self)->connections_;
         const auto it = callers.find(of);
         // What was written has gone out: its end follows, and the caller closes.
         if (it != callers.end() && it->second.answered) shutdown(bufferevent_getfd(of), SHUT_WR);
       },
       [](bufferevent* of, short what, void* self) {
         auto& l = *static_cast<Listener*>(self);
-        const auto it = l.callers_.find(of);
-        if (it == l.callers_.end()) return;
+        const auto it = l.connections_.find(of);
+        if (it == l.connections_.end()) return;
         // A call that ended without its line's end was half sent: it is told so if it still listens.
         if ((what & BEV_EVENT_EOF) && !it->second.answered && !it->second.reader.line().empty())
           l.answer(it->second, failure("a call ends with the end of its line"));
         else
-          l.callers_.erase(it);
+          l.connections_.erase(it);
       },
       this);
   bufferevent_set_timeouts(b.get(), &kPatience, &kPatience);
   bufferevent_enable(b.get(), EV_READ | EV_WRITE);
   bufferevent* const key = b.get();
-  Caller& c = callers_[key];
+  Connection& c = connections_[key];
   c.connection = std::move(b);
-  c.turn = ++turns_;
+  c.sequence = ++lastSequence_;
 }
 
-void Listener::read(bufferevent* of) {
-  const auto it = callers_.find(of);
-  if (it == callers_.end()) return;
-  Caller& c = it->second;
+void Listener::readCommand(bufferevent* of) {
+  const auto it = connections_.find(of);
+  if (it == connections_.end()) return;
+  Connection& c = it->second;
   evbuffer* const in = bufferevent_get_input(of);
-  char bytes[kLongestLine];
+  char bytes[kMaxLineBytes];
   while (evbuffer_get_length(in) > 0) {
     const int n = evbuffer_remove(in, bytes, sizeof bytes);
     if (n <= 0 || c.answered) continue;  // one call a connection
     const auto state = c.reader.feed({bytes, static_cast<std::size_t>(n)});
     if (state == CommandReader::State::More) continue;
     if (state == CommandReader::State::TooLong) {
-      answer(c, failure("a line of more than " + std::to_string(kLongestLine) + " bytes"));
+      answer(c, failure("a line of more than " + std::to_string(kMaxLineBytes) + " bytes"));
       continue;
     }
     std::string text;
     const auto call = parse(c.reader.line(), text);
-    const bool good = call && commands_.carryOut(*call, text);
+    const bool good = call && commands_.execute(*call, text);
     answer(c, good ? success(text) : failure(text));
   }
 }
 
-void Listener::answer(Caller& c, const std::string& line) {
+void Listener::answer(Connection& c, const std::string& line) {
   c.answered = true;
   append(bufferevent_get_output(c.connection.get()), line);
 }
--- a/src/admin/listener.hpp
+++ b/src/admin/listener.hpp
@@ -16,7 +16,7 @@
 class CommandHandler {
  public:
   virtual ~CommandHandler() = default;
-  virtual bool carryOut(const Command&, std::string& text) = 0;
+  virtual bool execute(const Command&, std::string& text) = 0;
 };
 
 class Listener {
@@ -28,22 +28,22 @@
   Listener& operator=(const Listener&) = delete;
 
  private:
-  struct Caller {
+  struct Connection {
     BufferEvent connection;
     CommandReader reader;
-    std::uint64_t turn = 0;  // callers in the order of their coming
+    std::uint64_t sequence = 0;  // callers in the order of their coming
     bool answered = false;
   };
-  void ready();
-  void read(bufferevent*);
-  void answer(Caller&, const std::string& line);
+  void acceptConnection();
+  void readCommand(bufferevent*);
+  void answer(Connection&, const std::string& line);
 
   event_base* const base_;
   CommandHandler& commands_;
   int fd_ = -1;
-  std::uint64_t turns_ = 0;
-  Event readable_, again_;
-  std::unordered_map<bufferevent*, Caller> callers_;
+  std::uint64_t lastSequence_ = 0;
+  Event readable_, resumeTimer_;
+  std::unordered_map<bufferevent*, Connection> connections_;
 };
 
 }  // namespace sablespur::admin
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -72,7 +72,8 @@
   for (std::size_t end; (end = text.find('\n')) != std::string_view::npos; text.remove_prefix(end + 1)) {
     const std::string line(text.substr(0, end));
     if (line == "end " + std::to_string(all.size()) && end + 1 == text.size()) return all;
-    if (line.empty() || line.find(' ') != std::string::npos || all.size() >= kMostBans) return std::nullopt;
+    if (line.empty() || line.find(' ') != std::string::npos || all.size() >= kMaxSuspendedEndpoints)
+      return std::nullopt;
     all.insert(line);
   }
   return std::nullopt;  // it was cut
@@ -82,9 +83,9 @@
 
 bool SuspendedEndpoints::load() {
   const auto now = mark(path_);
-  if (path_.empty() || now == seen_) return false;
+  if (path_.empty() || now == lastSeen_) return false;
   if (!now) {
-    seen_ = now;
+    lastSeen_ = now;
     return false;  // gone: what is known stands
   }
   std::string text;
@@ -93,7 +94,7 @@
       logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}, {"why", std::strerror(errno)}});
     return false;
   }
-  seen_ = now;
+  lastSeen_ = now;
   unreadable_ = false;
   auto read = parseSuspendedEndpoints(text);
   if (!read) {
@@ -106,8 +107,8 @@
     else
       read->erase(id);
   }
-  const bool other = *read != all_;
-  all_ = std::move(*read);
+  const bool other = *read != endpoints_;
+  endpoints_ = std::move(*read);
   return other;
 }
 
@@ -122,9 +123,9 @@
 
 bool SuspendedEndpoints::set(const std::string& id, bool banned) {
   load();  // what another process has said in the meantime stands
-  const bool full = banned && all_.size() >= kMostBans && all_.count(id) == 0;
+  const bool full = banned && endpoints_.size() >= kMaxSuspendedEndpoints && endpoints_.count(id) == 0;
   if (full) return false;
-  const bool other = banned ? all_.insert(id).second : all_.erase(id) > 0;
+  const bool other = banned ? endpoints_.insert(id).second : endpoints_.erase(id) > 0;
   if (path_.empty() || (!other && unwritten_.empty())) return true;
   if (other) unwritten_[id] = banned;
   return save();
@@ -132,10 +133,10 @@
 
 // Writes all(), those included that could not be written before.
 bool SuspendedEndpoints::save() {
-  if (!replaceFile(formatSuspendedEndpoints(all_))) {
+  if (!replaceFile(formatSuspendedEndpoints(endpoints_))) {
     if (!std::exchange(failing_, true))
       logEvent(LogLevel::Error, "suspensions_write_failed", {{"file", path_}, {"why", std::strerror(errno)}});
-    seen_ = mark(path_);
+    lastSeen_ = mark(path_);
     return false;
   }
   if (std::exchange(failing_, false))
@@ -143,7 +144,7 @@
   unwritten_.clear();
   pollsToSkip_ = 0;
   skippedNext_ = 1;
-  seen_ = mark(path_);
+  lastSeen_ = mark(path_);
   return true;
 }
 
--- a/src/admin/suspended_endpoints.hpp
+++ b/src/admin/suspended_endpoints.hpp
@@ -12,7 +12,7 @@
 
 namespace sablespur::admin {
 
-constexpr std::size_t kMostBans = 10000;
+constexpr std::size_t kMaxSuspendedEndpoints = 10000;
 
 // Pure: the file's form, its end included; nothing where it is another or was cut.
 std::string formatSuspendedEndpoints(const std::set<std::string>&);
@@ -22,7 +22,7 @@
  public:
   // An empty path: nothing is kept. A file that cannot be used is logged and counts as none.
   explicit SuspendedEndpoints(std::string path);
-  const std::set<std::string>& all() const { return all_; }
+  const std::set<std::string>& endpoints() const { return endpoints_; }
   // True once the file and its name are durable. False: the file could not be written (logged); the ban holds
   // in this process all the same, and poll() goes on trying. Blocks for as long as the disk takes.
   bool set(const std::string& id, bool banned);
@@ -37,11 +37,11 @@
   bool replaceFile(const std::string& text) const;
 
   const std::string path_;
-  std::set<std::string> all_;
-  std::map<std::string, bool> unwritten_;               // by id: banned or not; stands whatever the file says
-  std::optional<std::pair<unsigned long, long>> seen_;  // inode and time of what was read or written last
-  bool failing_ = false, unreadable_ = false;           // logged already
-  int pollsToSkip_ = 0, skippedNext_ = 1;               // between tries to write
+  std::set<std::string> endpoints_;
+  std::map<std::string, bool> unwritten_;  // by id: banned or not; stands whatever the file says
+  std::optional<std::pair<unsigned long, long>> lastSeen_;  // inode and time of what was read or written last
+  bool failing_ = false, unreadable_ = false;               // logged already
+  int pollsToSkip_ = 0, skippedNext_ = 1;                   // between tries to write
 };
 
 }  // namespace sablespur::admin
--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -174,7 +174,7 @@
               {"servers", part(a.share(DescriptorHolder::Servers))},
               {"short_of_descriptors", a.exhaustionCount(ResourceExhaustion::Descriptors)},
               {"short_of_memory", a.exhaustionCount(ResourceExhaustion::Memory)}}},
-            {"statement_bytes", {{"held", a.bytes()}, {"most", a.bytesMost()}, {"peak", a.bytesPeak()}}}};
+            {"statement_bytes", {{"held", a.bytes()}, {"most", a.maxBytes()}, {"peak", a.peakBytes()}}}};
   page["store"] = nullptr;
   if (keeper) {
     const IdempotencyView k = keeper->view();
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -75,7 +75,7 @@
   int attempt = 0;
   EndpointId member = 0;
   Time until{};
-  std::shared_ptr<const Message> message;
+  std::shared_ptr<const RequestMessage> message;
   Connection* on = nullptr;              // null: it waits for a connection
   bool written = false;                  // a byte of it may have gone out
   std::optional<AttemptResult> givenUp;  // a CancelRequest is out for it; how it ends unless it is answered
@@ -622,7 +622,7 @@
 
 // ---- jobs ------------------------------------------------------------------------------------------------
 void BackendPool::send(RequestId id, int attempt, EndpointId member, Time until,
-                       std::shared_ptr<const Message> message) {
+                       std::shared_ptr<const RequestMessage> message) {
   auto j = std::make_unique<Job>();
   j->id = id;
   j->attempt = attempt;
--- a/src/backend/postgres/backend_pool.hpp
+++ b/src/backend/postgres/backend_pool.hpp
@@ -24,7 +24,7 @@
   ~BackendPool() override;
 
   void endpointListed(EndpointId, const Address&, bool ready, Time warmAt) override;
-  void send(RequestId, int attempt, EndpointId, Time until, std::shared_ptr<const Message>) override;
+  void send(RequestId, int attempt, EndpointId, Time until, std::shared_ptr<const RequestMessage>) override;
   void continueAttempt(RequestId, int attempt, bool fit) override;
   void cancel(RequestId, int attempt) override;
   void startHealthCheck(EndpointId) override;
--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -47,11 +47,11 @@
   std::string bytes(1, kVersion);
   const std::size_t end = std::min(hints.size(), from + kGossipUpdatesPerDatagram);
   for (std::size_t k = from; k < end; ++k) {
-    put(bytes, hints[k].tag, 5);
+    put(bytes, hints[k].endpointTag, 5);
     const auto position = static_cast<std::uint64_t>(hints[k].positionMs % kWrap);
     put(bytes, static_cast<std::uint64_t>(hints[k].role) << kPositionBits | position, 3);
-    const bool timed = hints[k].cls >= 0 && hints[k].cls < kNoClass;
-    put(bytes, static_cast<std::uint64_t>(timed ? hints[k].cls : kNoClass), 1);
+    const bool timed = hints[k].classIndex >= 0 && hints[k].classIndex < kNoClass;
+    put(bytes, static_cast<std::uint64_t>(timed ? hints[k].classIndex : kNoClass), 1);
     put(bytes, timed ? scaleOf(hints[k].latencyUs) : 0, 1);
   }
   return bytes;
@@ -59,7 +59,7 @@
 
 bool isGossip(std::string_view d) { return !d.empty() && d[0] == kVersion; }
 
-std::size_t hintsIn(std::string_view d) {
+std::size_t gossipUpdateCount(std::string_view d) {
   if (d.size() <= 1 || d.size() > kLongestDatagram || d[0] != kVersion ||
       (d.size() - 1) % kGossipUpdateBytes != 0)
     return 0;
@@ -69,7 +69,7 @@
   return count;
 }
 
-GossipUpdate hintAt(std::string_view d, std::size_t index, std::int64_t nowMs) {
+GossipUpdate gossipUpdateAt(std::string_view d, std::size_t index, std::int64_t nowMs) {
   const std::size_t at = 1 + index * kGossipUpdateBytes;
   const std::uint64_t word = positionWordOf(d, index);
   const auto low = static_cast<std::int64_t>(word) % kWrap;
@@ -78,7 +78,7 @@
   GossipUpdate h{get(d, at, 5), nowMs + kAhead - back, static_cast<GossipRole>(word >> kPositionBits)};
   const auto cls = static_cast<int>(get(d, at + 8, 1));
   if (cls != kNoClass) {
-    h.cls = cls;
+    h.classIndex = cls;
     h.latencyUs = latencyOf(get(d, at + 9, 1));
   }
   return h;
@@ -86,8 +86,8 @@
 
 std::vector<GossipUpdate> decode(std::string_view d, std::int64_t nowMs) {
   std::vector<GossipUpdate> hints;
-  const std::size_t count = hintsIn(d);
-  for (std::size_t k = 0; k < count; ++k) hints.push_back(hintAt(d, k, nowMs));
+  const std::size_t count = gossipUpdateCount(d);
+  for (std::size_t k = 0; k < count; ++k) hints.push_back(gossipUpdateAt(d, k, nowMs));
   return hints;
 }
 
--- a/src/cluster/gossip.hpp
+++ b/src/cluster/gossip.hpp
@@ -17,10 +17,10 @@
 
 enum class GossipRole : std::uint8_t { Unknown, Primary, Replica };
 struct GossipUpdate {
-  std::uint64_t tag = 0;        // of the member's name, see tagOf
-  std::int64_t positionMs = 0;  // Unix time
+  std::uint64_t endpointTag = 0;  // of the member's name, see tagOf
+  std::int64_t positionMs = 0;    // Unix time
   GossipRole role = GossipRole::Unknown;
-  int cls = -1;                // of the request that was answered; -1: not told
+  int classIndex = -1;         // of the request that was answered; -1: not told
   std::int64_t latencyUs = 0;  // until its answer; told to within 5%
 };
 
@@ -36,9 +36,10 @@
 std::string encode(const std::vector<GossipUpdate>&, std::size_t from = 0);
 bool isGossip(std::string_view datagram);  // by its version alone
 // How many hints the datagram holds; 0 where the bytes are no such datagram.
-std::size_t hintsIn(std::string_view datagram);
-// One of them, by its index below hintsIn. No position lies after nowMs + 1000: no member is there.
-GossipUpdate hintAt(std::string_view datagram, std::size_t index, std::int64_t nowMs);
+std::size_t gossipUpdateCount(std::string_view datagram);
+// One of them, by its index below gossipUpdateCount(). No position lies after nowMs + 1000: no member is
+// there.
+GossipUpdate gossipUpdateAt(std::string_view datagram, std::size_t index, std::int64_t nowMs);
 // All of them; empty where the bytes are no such datagram.
 std::vector<GossipUpdate> decode(std::string_view datagram, std::int64_t nowMs);
 
--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -50,40 +50,40 @@
       ordinary_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
       urgent_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
               kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
-      byteBudget_(std::max(kLeastByteBudget / 8, costOf(kGossipUpdatesPerDatagram))),
+      byteBudget_(std::max(kLeastByteBudget / 8, deliveredBytes(kGossipUpdatesPerDatagram))),
       order_(policy.peers) {
   std::iota(order_.begin(), order_.end(), std::size_t{0});
 }
 
-void GossipScheduler::learned(const GossipUpdate& hint, std::int64_t nowMs) {
+void GossipScheduler::observedLocally(const GossipUpdate& hint, std::int64_t nowMs) {
   if (policy_.peers == 0) return;
   if (!started_) {
     started_ = true;  // proxies that start together don't send together
     ordinary_.startAt(static_cast<double>(nowMs) + firstPhase() * ordinary_.intervalMs());
   }
-  byteBudget_ =
-      std::min(byteBudget_ + kBytesPerAnswer, std::max(kLeastByteBudget, costOf(kGossipUpdatesPerDatagram)));
+  byteBudget_ = std::min(byteBudget_ + kBytesPerAnswer,
+                         std::max(kLeastByteBudget, deliveredBytes(kGossipUpdatesPerDatagram)));
   if (const std::optional<News> news = newsIn(hint, nowMs)) enqueue(hint, *news, nowMs);
 }
 
-void GossipScheduler::received(const GossipUpdate& hint, std::int64_t nowMs) {
+void GossipScheduler::receivedFromPeer(const GossipUpdate& hint, std::int64_t nowMs) {
   if (!sampled()) {
-    const auto own = find(hint.tag);
-    if (own != pending_.end() && own->news == News::RoleChange && own->hint.role == hint.role)
+    const auto own = find(hint.endpointTag);
+    if (own != pending_.end() && own->news == News::RoleChange && own->update.role == hint.role)
       pending_.erase(own);  // all others have heard it too
-    note(hint, nowMs);
+    recordStatus(hint, nowMs);
     return;
   }
   // Others may not have got it: only a change of role is passed on, once.
   if (!changesRole(hint)) return;
-  note(hint, nowMs);
+  recordStatus(hint, nowMs);
   enqueue(hint, News::RoleChange, nowMs);
 }
 
 bool GossipScheduler::changesRole(const GossipUpdate& hint) const {
   if (hint.role == GossipRole::Unknown) return false;
-  const auto told = told_.find(hint.tag);
-  if (told == told_.end() || told->second.role == GossipRole::Unknown)
+  const auto told = endpointStatuses_.find(hint.endpointTag);
+  if (told == endpointStatuses_.end() || told->second.role == GossipRole::Unknown)
     return hint.role == GossipRole::Primary;
   return told->second.role != hint.role && hint.positionMs >= told->second.positionMs;
 }
@@ -91,8 +91,8 @@
 std::optional<GossipScheduler::News> GossipScheduler::newsIn(const GossipUpdate& hint,
                                                              std::int64_t nowMs) const {
   if (changesRole(hint)) return News::RoleChange;
-  const auto told = told_.find(hint.tag);
-  if (told == told_.end()) return News::Position;
+  const auto told = endpointStatuses_.find(hint.endpointTag);
+  if (told == endpointStatuses_.end()) return News::Position;
   const bool tooOld = nowMs - hint.positionMs >= policy_.boundMs;
   if (tooOld && hint.role == GossipRole::Replica && !told->second.lagging &&
       hint.positionMs >= told->second.positionMs)
@@ -103,16 +103,16 @@
 }
 
 void GossipScheduler::enqueue(const GossipUpdate& hint, News news, std::int64_t nowMs) {
-  auto entry = find(hint.tag);
+  auto entry = find(hint.endpointTag);
   if (entry == pending_.end()) {
-    makeRoom(nowMs);
-    entry = pending_.insert(pending_.end(), Pending{hint, news});
+    evictPending(nowMs);
+    entry = pending_.insert(pending_.end(), PendingUpdate{hint, news});
   } else {
-    if (hint.positionMs < entry->hint.positionMs) return;
-    const GossipRole role = hint.role != GossipRole::Unknown ? hint.role : entry->hint.role;
-    const bool sameChange = entry->news == News::RoleChange && entry->hint.role == role;
-    entry->hint = hint;
-    entry->hint.role = role;
+    if (hint.positionMs < entry->update.positionMs) return;
+    const GossipRole role = hint.role != GossipRole::Unknown ? hint.role : entry->update.role;
+    const bool sameChange = entry->news == News::RoleChange && entry->update.role == role;
+    entry->update = hint;
+    entry->update.role = role;
     if (sameChange) return;
     entry->news = news;
   }
@@ -121,13 +121,14 @@
   entry->sendsLeft = sampled() ? 1 : kUrgentSends;
 }
 
-std::vector<GossipScheduler::Pending>::iterator GossipScheduler::find(std::uint64_t tag) {
-  return std::find_if(pending_.begin(), pending_.end(), [&](const Pending& p) { return p.hint.tag == tag; });
+std::vector<GossipScheduler::PendingUpdate>::iterator GossipScheduler::find(std::uint64_t tag) {
+  return std::find_if(pending_.begin(), pending_.end(),
+                      [&](const PendingUpdate& p) { return p.update.endpointTag == tag; });
 }
 
-void GossipScheduler::makeRoom(std::int64_t nowMs) {
+void GossipScheduler::evictPending(std::int64_t nowMs) {
   if (pending_.size() < kMostPending) return;
-  dropUseless(nowMs);
+  dropOutdated(nowMs);
   if (pending_.size() >= kMostPending) pending_.erase(pending_.begin());  // the oldest
 }
 
@@ -147,71 +148,73 @@
   return static_cast<std::int64_t>(std::uniform_real_distribution<>(0, most)(random_));
 }
 
-bool GossipScheduler::worthSending(const Pending& p, std::int64_t nowMs) const {
-  const std::int64_t age = nowMs - p.hint.positionMs;
-  const auto told = told_.find(p.hint.tag);
+bool GossipScheduler::worthSending(const PendingUpdate& p, std::int64_t nowMs) const {
+  const std::int64_t age = nowMs - p.update.positionMs;
+  const auto told = endpointStatuses_.find(p.update.endpointTag);
   switch (p.news) {
     case News::RoleChange: {
-      const bool outdated = told != told_.end() && told->second.positionMs > p.hint.positionMs &&
-                            told->second.role != p.hint.role;
+      const bool outdated = told != endpointStatuses_.end() &&
+                            told->second.positionMs > p.update.positionMs &&
+                            told->second.role != p.update.role;
       return !outdated && age < std::max(kUrgentForMs, policy_.boundMs);
     }
     case News::Lag:
-      return told == told_.end() || !told->second.lagging;
+      return told == endpointStatuses_.end() || !told->second.lagging;
     case News::Position:
       break;
   }
-  if (told == told_.end()) return true;
+  if (told == endpointStatuses_.end()) return true;
   return age * kFreshDenominator < policy_.boundMs * kFreshNumerator &&
-         p.hint.positionMs - told->second.positionMs >= policy_.boundMs / kNewsShare;
+         p.update.positionMs - told->second.positionMs >= policy_.boundMs / kNewsShare;
 }
 
-void GossipScheduler::dropUseless(std::int64_t nowMs) {
+void GossipScheduler::dropOutdated(std::int64_t nowMs) {
   pending_.erase(std::remove_if(pending_.begin(), pending_.end(),
-                                [&](const Pending& p) { return !worthSending(p, nowMs); }),
+                                [&](const PendingUpdate& p) { return !worthSending(p, nowMs); }),
                  pending_.end());
 }
 
 bool GossipScheduler::urgentDue(std::int64_t nowMs) const {
-  return urgent_.allows(nowMs) && std::any_of(pending_.begin(), pending_.end(), [&](const Pending& p) {
+  return urgent_.allows(nowMs) && std::any_of(pending_.begin(), pending_.end(), [&](const PendingUpdate& p) {
            return p.news == News::RoleChange && p.dueMs <= nowMs;
          });
 }
 
-bool GossipScheduler::take(std::int64_t nowMs, std::vector<GossipUpdate>& datagram) {
+bool GossipScheduler::takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram) {
   datagram.clear();
   if (pending_.empty()) return false;
   const bool ordinary = ordinary_.allows(nowMs);
   if (!ordinary && !urgentDue(nowMs)) return false;
-  dropUseless(nowMs);
+  dropOutdated(nowMs);
   if (pending_.empty()) return false;
   const bool urgent = urgentDue(nowMs);
-  if (!urgent && (!ordinary || byteBudget_ < costOf(std::min(pending_.size(), kGossipUpdatesPerDatagram))))
+  if (!urgent &&
+      (!ordinary || byteBudget_ < deliveredBytes(std::min(pending_.size(), kGossipUpdatesPerDatagram))))
     return false;
-  fill(nowMs, urgent, datagram);
+  fillDatagram(nowMs, urgent, datagram);
   if (datagram.empty()) return false;
   const double jitter = std::uniform_real_distribution<>(kLeastJitter, kMostJitter)(random_);
   (urgent ? urgent_ : ordinary_).spend(nowMs, jitter);
-  if (!urgent) byteBudget_ -= costOf(datagram.size());
+  if (!urgent) byteBudget_ -= deliveredBytes(datagram.size());
   return true;
 }
 
 // First what nobody else may know, then the newest positions.
-void GossipScheduler::fill(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram) {
-  std::sort(pending_.begin(), pending_.end(), [](const Pending& a, const Pending& b) {
-    return a.news != b.news ? a.news > b.news : a.hint.positionMs > b.hint.positionMs;
+void GossipScheduler::fillDatagram(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram) {
+  std::sort(pending_.begin(), pending_.end(), [](const PendingUpdate& a, const PendingUpdate& b) {
+    return a.news != b.news ? a.news > b.news : a.update.positionMs > b.update.positionMs;
   });
   const std::size_t count = std::min(pending_.size(), kGossipUpdatesPerDatagram);
-  std::vector<Pending> kept;
+  std::vector<PendingUpdate> kept;
   for (std::size_t k = 0; k < count; ++k) {
-    Pending& p = pending_[k];
+    PendingUpdate& p = pending_[k];
     const bool change = p.news == News::RoleChange;
     if (change && !urgent && p.dueMs > nowMs) {
       kept.push_back(p);
       continue;
     }
-    datagram.push_back(p.hint);
-    note(p.hint, nowMs);
+    datagram.push_back(p.update);
+    recordStatus(p.update, nowMs);
     if (!change || --p.sendsLeft <= 0) continue;
     p.dueMs = nowMs + kRepeatAfterMs;
     kept.push_back(p);
@@ -222,7 +225,7 @@
 
 std::optional<std::int64_t> GossipScheduler::urgentAtMs() const {
   std::optional<std::int64_t> first;
-  for (const Pending& p : pending_)
+  for (const PendingUpdate& p : pending_)
     if (p.news == News::RoleChange) first = std::min(first.value_or(p.dueMs), p.dueMs);
   if (first) first = std::max(*first, urgent_.allowedFromMs());
   return first;
@@ -238,31 +241,31 @@
   return drawnPeers_;
 }
 
-double GossipScheduler::costOf(std::size_t hints) const {
+double GossipScheduler::deliveredBytes(std::size_t hints) const {
   return static_cast<double>(receivers_ * (1 + hints * kGossipUpdateBytes));
 }
 
-void GossipScheduler::note(const GossipUpdate& hint, std::int64_t nowMs) {
-  auto it = told_.find(hint.tag);
-  if (it == told_.end()) {
-    if (told_.size() >= kMostKnown) forgetOld(nowMs);
-    if (told_.size() >= kMostKnown) return;
-    it = told_.emplace(hint.tag, Told{}).first;
+void GossipScheduler::recordStatus(const GossipUpdate& hint, std::int64_t nowMs) {
+  auto it = endpointStatuses_.find(hint.endpointTag);
+  if (it == endpointStatuses_.end()) {
+    if (endpointStatuses_.size() >= kMostKnown) expireStatuses(nowMs);
+    if (endpointStatuses_.size() >= kMostKnown) return;
+    it = endpointStatuses_.emplace(hint.endpointTag, EndpointStatus{}).first;
   } else if (hint.positionMs < it->second.positionMs) {
     return;
   }
-  Told& told = it->second;
+  EndpointStatus& told = it->second;
   told.positionMs = hint.positionMs;
   told.atMs = nowMs;
   if (hint.role != GossipRole::Unknown) told.role = hint.role;
   told.lagging = nowMs - hint.positionMs >= policy_.boundMs;
 }
 
-void GossipScheduler::forgetOld(std::int64_t nowMs) {
-  if (nowMs - forgotMs_ < kForgetEveryMs) return;
-  forgotMs_ = nowMs;
-  for (auto it = told_.begin(); it != told_.end();)
-    it = nowMs - it->second.atMs > kForgetMs ? told_.erase(it) : std::next(it);
+void GossipScheduler::expireStatuses(std::int64_t nowMs) {
+  if (nowMs - lastExpiryMs_ < kForgetEveryMs) return;
+  lastExpiryMs_ = nowMs;
+  for (auto it = endpointStatuses_.begin(); it != endpointStatuses_.end();)
+    it = nowMs - it->second.atMs > kForgetMs ? endpointStatuses_.erase(it) : std::next(it);
 }
 
 }  // namespace sablespur::cluster
--- a/src/cluster/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -52,28 +52,28 @@
   explicit GossipScheduler(const Policy&);
 
   // What an answer or a probe has told this proxy. Each call earns its part of the budget of bytes.
-  void learned(const GossipUpdate&, std::int64_t nowMs);
+  void observedLocally(const GossipUpdate&, std::int64_t nowMs);
   // What a peer told.
-  void received(const GossipUpdate&, std::int64_t nowMs);
+  void receivedFromPeer(const GossipUpdate&, std::int64_t nowMs);
   // Fills `datagram` with the hints of one that is due now, at most kHintsPerDatagram. False: none is due.
-  bool take(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
+  bool takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
   // When a change of role is due next; other news waits for the next turn in which it may go.
   std::optional<std::int64_t> urgentAtMs() const;
   // Whom the next datagram goes to: all peers, or kFanout of them drawn at random. Valid until the next call.
   const std::vector<std::size_t>& drawReceivers();
 
-  std::size_t known() const { return told_.size(); }
+  std::size_t knownEndpoints() const { return endpointStatuses_.size(); }
 
  private:
   enum class News { Position, Lag, RoleChange };
-  struct Told {  // of a member, by whomever
+  struct EndpointStatus {  // of a member, by whomever
     std::int64_t positionMs = 0;
     std::int64_t atMs = 0;
     GossipRole role = GossipRole::Unknown;
     bool lagging = false;
   };
-  struct Pending {
-    GossipUpdate hint;
+  struct PendingUpdate {
+    GossipUpdate update;
     News news = News::Position;
     std::int64_t dueMs = 0;  // RoleChange
     int sendsLeft = 0;       // RoleChange: datagrams that are still to carry it
@@ -83,15 +83,15 @@
   bool changesRole(const GossipUpdate&) const;
   std::optional<News> newsIn(const GossipUpdate&, std::int64_t nowMs) const;
   void enqueue(const GossipUpdate&, News, std::int64_t nowMs);
-  std::vector<Pending>::iterator find(std::uint64_t tag);
-  void makeRoom(std::int64_t nowMs);
-  void dropUseless(std::int64_t nowMs);
-  bool worthSending(const Pending&, std::int64_t nowMs) const;
+  std::vector<PendingUpdate>::iterator find(std::uint64_t tag);
+  void evictPending(std::int64_t nowMs);
+  void dropOutdated(std::int64_t nowMs);
+  bool worthSending(const PendingUpdate&, std::int64_t nowMs) const;
   bool urgentDue(std::int64_t nowMs) const;
-  void fill(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram);
-  void note(const GossipUpdate&, std::int64_t nowMs);
-  void forgetOld(std::int64_t nowMs);
-  double costOf(std::size_t hints) const;
+  void fillDatagram(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram);
+  void recordStatus(const GossipUpdate&, std::int64_t nowMs);
+  void expireStatuses(std::int64_t nowMs);
+  double deliveredBytes(std::size_t hints) const;
   double firstPhase();
   std::int64_t urgentDelayMs();
 
@@ -100,10 +100,10 @@
   std::mt19937_64 random_;
   RateLimiter ordinary_, urgent_;
   bool started_ = false;
-  double byteBudget_;             // bytes that may still be delivered
-  std::vector<Pending> pending_;  // at most one a member
-  std::unordered_map<std::uint64_t, Told> told_;
-  std::int64_t forgotMs_ = 0;
+  double byteBudget_;                   // bytes that may still be delivered
+  std::vector<PendingUpdate> pending_;  // at most one a member
+  std::unordered_map<std::uint64_t, EndpointStatus> endpointStatuses_;
+  std::int64_t lastExpiryMs_ = 0;
   std::vector<std::size_t> order_;  // of the peers, shuffled as far as needed
   std::vector<std::size_t> drawnPeers_;
 };
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -60,12 +60,12 @@
 void PeerLink::statusObserved(const cluster::GossipUpdate& hint) {
   if (!config_.hints) return;
   followReference();
-  scheduler_->learned(moved(hint, -offsetMs_), nowMs());
+  scheduler_->observedLocally(moved(hint, -offsetMs_), nowMs());
 }
 
 void PeerLink::flush() {
   followReference();
-  while (scheduler_->take(nowMs(), due_)) transmit();
+  while (scheduler_->takeDatagram(nowMs(), due_)) transmit();
   armTimer();
 }
 
@@ -97,16 +97,16 @@
 
 void PeerLink::receive(std::size_t peer, std::string_view datagram) {
   if (!cluster::isGossip(datagram)) {
-    if (heads_) heads_(peer, datagram);
+    if (snapshotHeaderHandler_) snapshotHeaderHandler_(peer, datagram);
     return;
   }
   if (!config_.hints) return;
   followReference();
   const std::int64_t now = nowMs();
-  const std::size_t count = cluster::hintsIn(datagram);
+  const std::size_t count = cluster::gossipUpdateCount(datagram);
   for (std::size_t k = 0; k < count; ++k) {
-    const cluster::GossipUpdate hint = cluster::hintAt(datagram, k, now + offsetMs_);
-    scheduler_->received(moved(hint, -offsetMs_), now);
+    const cluster::GossipUpdate hint = cluster::gossipUpdateAt(datagram, k, now + offsetMs_);
+    scheduler_->receivedFromPeer(moved(hint, -offsetMs_), now);
     engine_.gossipReceived(hint);
   }
 }
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -31,7 +31,7 @@
 
   // Datagrams of another kind than hints, by whoever sent them: an index among the other proxies.
   using Heads = std::function<void(std::size_t peer, std::string_view datagram)>;
-  void onHead(Heads h) { heads_ = std::move(h); }
+  void onHead(Heads h) { snapshotHeaderHandler_ = std::move(h); }
   void send(std::size_t peer, const std::string& datagram);  // lost is lost
   std::size_t others() const { return others_.size(); }
 
@@ -51,7 +51,7 @@
   std::int64_t offsetMs_ = 0;               // the reference clock's, which scheduler_ counts without
   std::vector<cluster::GossipUpdate> due_;  // the datagram that is being sent
   Event urgent_;                            // a change of role does not wait for the next turn
-  Heads heads_;
+  Heads snapshotHeaderHandler_;
 };
 
 }  // namespace sablespur
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -84,7 +84,7 @@
   }
   ~StoreKeeper() override { engine_.setAttemptObserver(nullptr); }
 
-  RequestId request(ResponseHandler& asker, balancer::Request q, Message m) override {
+  RequestId request(ResponseHandler& asker, balancer::Request q, RequestMessage m) override {
     const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.classIndex)];
     const bool keyed =
         c.requirement == Requirement::Write && c.idempotency == Idempotency::WithKey && !m.key.empty();
@@ -149,7 +149,7 @@
   enum class Waits { Nothing, Turn, Intent, Session, Outcome };
   // A request between who asked and the engine.
   struct Entered final : ResponseHandler {
-    Entered(StoreKeeper& k, RequestId i, ResponseHandler& a, const balancer::Request& r, Message&& m)
+    Entered(StoreKeeper& k, RequestId i, ResponseHandler& a, const balancer::Request& r, RequestMessage&& m)
         : keeper(k), id(i), asker(a), q(r), message(std::move(m)) {}
     void served(Answer a) override { keeper.served(*this, std::move(a)); }
     void rejected(Time retryAfter) override { keeper.refused(*this, retryAfter); }
@@ -161,7 +161,7 @@
     const RequestId id;
     ResponseHandler& asker;
     balancer::Request q;
-    Message message;  // its id and key, once it has gone on
+    RequestMessage message;  // its id and key, once it has gone on
     RequestId inEngine = 0;
     bool keyed = false, session = false, write = false, intended = false;
     bool ran = false;  // an attempt that is over may have
@@ -296,8 +296,9 @@
   void unproved(Entered& e) { sawUpTo(e, engine_.unixNow()); }
 
   void go(Entered& e) {
-    Message m{std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {},
-              e.message.clockOffset};
+    RequestMessage m{
+        std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {},
+        e.message.clockOffset};
     e.inEngine = next_.request(e, e.q, std::move(m));
     byEngine_.emplace(e.inEngine, &e);
   }
--- a/src/engine/acceptor.cpp
+++ b/src/engine/acceptor.cpp
@@ -26,7 +26,7 @@
 
 Acceptor::Acceptor(event_base* base, const Clock& clock, const Address& at, ResourceBudget& account,
                    ReservedDescriptor& spare, ConnectionHandler taker, bool share)
-    : clock_(clock), account_(account), spare_(spare), taker_(std::move(taker)) {
+    : clock_(clock), budget_(account), reservedDescriptor_(spare), handler_(std::move(taker)) {
   const auto fail = [&] {
     const std::string why = std::strerror(errno);
     if (fd_ >= 0) close(fd_);
@@ -40,8 +40,8 @@
     fail();
   readable_.reset(event_new(
       base, fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Acceptor*>(self)->ready(); }, this));
-  again_.reset(event_new(
+      [](evutil_socket_t, short, void* self) { static_cast<Acceptor*>(self)->acceptBurst(); }, this));
+  resumeTimer_.reset(event_new(
       base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Acceptor*>(self)->resume(); }, this));
   event_add(readable_.get(), nullptr);
 }
@@ -67,7 +67,7 @@
 }
 
 void Acceptor::drainBacklog() {
-  for (int n = 0; n < kBacklog && taker_.hasRoom(); ++n) {
+  for (int n = 0; n < kBacklog && handler_.hasRoom(); ++n) {
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
@@ -77,62 +77,62 @@
       if (fault == SocketFault::OwnResource) rejectConnections();
       return;
     }
-    taker_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
+    handler_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
   }
 }
 
 void Acceptor::resume() {
-  event_del(again_.get());
+  event_del(resumeTimer_.get());
   event_add(readable_.get(), nullptr);
 }
 void Acceptor::pause(std::chrono::microseconds t) {
   event_del(readable_.get());
-  startTimer(again_.get(), t);
+  startTimer(resumeTimer_.get(), t);
 }
 
-void Acceptor::ready() {
+void Acceptor::acceptBurst() {
   bool accepted = false;
   for (int n = 0; n < kBurst; ++n) {
-    if (!taker_.hasRoom()) return pause(kPause);
+    if (!handler_.hasRoom()) return pause(kPause);
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
     if (fd < 0) {
-      if (!failed(errno)) return;
+      if (!handleAcceptError(errno)) return;
       continue;
     }
     accepted = true;
-    pause_ = {};
-    if (short_ && clock_.now() - failedAt_ >= kCalm) {
+    backoff_ = {};
+    if (exhausted_ && clock_.now() - lastFailureAt_ >= kCalm) {
       logEvent(LogLevel::Info, "accept_recovered");
-      short_ = false;
+      exhausted_ = false;
     }
-    taker_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
+    handler_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
   }
   // Guards against spinning: an error that stays takes no connection off the queue, and the listener stays
   // ready.
-  if (!accepted) pause(pause_ = kPause);
+  if (!accepted) pause(backoff_ = kPause);
 }
 
-bool Acceptor::failed(int error) {
+bool Acceptor::handleAcceptError(int error) {
   const SocketFault fault = classify(SocketCall::Accept, error);
   if (fault == SocketFault::BadDescriptor) pause(kLongestPause);
   if (fault != SocketFault::OwnResource) return fault == SocketFault::Transient;
   const ResourceExhaustion what = resourceExhaustionOf(error);
-  account_.recordExhaustion(what);
-  if (!short_)
+  budget_.recordExhaustion(what);
+  if (!exhausted_)
     logEvent(LogLevel::Warning, "accept_failed",
              {{"why", std::strerror(error)}, {"of", resourceExhaustionName(what)}});
-  short_ = true;
-  failedAt_ = clock_.now();
+  exhausted_ = true;
+  lastFailureAt_ = clock_.now();
   if (what == ResourceExhaustion::Memory) {
-    pause_ = std::clamp(pause_ * 2, kPause, kLongestPause);
-    pause(pause_);
+    backoff_ = std::clamp(backoff_ * 2, kPause, kLongestPause);
+    pause(backoff_);
     return false;
   }
-  taker_.onExhaustion();
+  handler_.onExhaustion();
   rejectConnections();
-  pause_ = kPause;
+  backoff_ = kPause;
   pause(kPause);
   return false;
 }
@@ -142,14 +142,14 @@
 void Acceptor::rejectConnections() {
   for (int n = 0; n < kTurnAways; ++n) {
     bool took = false;
-    spare_.lend([&] {
+    reservedDescriptor_.lend([&] {
       const int fd = systemCalls().accept(fd_, nullptr, nullptr);
       if (fd < 0) return;
       took = true;
-      taker_.reject(fd);
+      handler_.reject(fd);
       close(fd);
     });
-    spare_.reacquire();
+    reservedDescriptor_.reacquire();
     if (!took) return;
   }
 }
--- a/src/engine/acceptor.hpp
+++ b/src/engine/acceptor.hpp
@@ -40,23 +40,23 @@
   void handOverListener();
   void drainBacklog();
   int port() const;
-  std::chrono::microseconds pausing() const { return pause_; }  // of the last failure; 0: none since
+  std::chrono::microseconds backoff() const { return backoff_; }  // of the last failure; 0: none since
 
  private:
-  void ready();
-  bool failed(int error);  // true: the next one may be tried at once
+  void acceptBurst();
+  bool handleAcceptError(int error);  // true: the next one may be tried at once
   void pause(std::chrono::microseconds);
   void rejectConnections();
 
   const Clock& clock_;
-  ResourceBudget& account_;
-  ReservedDescriptor& spare_;
-  const ConnectionHandler taker_;
+  ResourceBudget& budget_;
+  ReservedDescriptor& reservedDescriptor_;
+  const ConnectionHandler handler_;
   int fd_ = -1;
-  bool short_ = false;
-  Clock::Time failedAt_{};
-  std::chrono::microseconds pause_{};
-  Event readable_, again_;
+  bool exhausted_ = false;
+  Clock::Time lastFailureAt_{};
+  std::chrono::microseconds backoff_{};
+  Event readable_, resumeTimer_;
 };
 
 }  // namespace sablespur
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -16,41 +16,42 @@
 EndpointUpdater::EndpointUpdater(event_base* base, const Clock& clock, EndpointListConsumer& to,
                                  const EndpointTablePolicy& policy)
     : clock_(clock),
-      to_(to),
-      members_(policy),
+      consumer_(to),
+      table_(policy),
       timer_(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->pass(); }, this)) {}
+          [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->deliverDueLists(); },
+          this)) {}
 
 void EndpointUpdater::found(std::vector<DiscoveredEndpoint> all, bool first) {
-  members_.found(clock_.now(), std::move(all), first);
-  pass();
+  table_.found(clock_.now(), std::move(all), first);
+  deliverDueLists();
 }
 
 void EndpointUpdater::endpointsListed(EndpointList list) {
-  members_.changed(clock_.now(), std::move(list));
-  pass();
+  table_.changed(clock_.now(), std::move(list));
+  deliverDueLists();
 }
 
 void EndpointUpdater::discoveryFailed(const std::string& why) {
   const auto now = clock_.now();
-  members_.failed(now, why);
-  const auto view = members_.view(now);
-  if (logged_ == std::chrono::microseconds(0) || now - logged_ >= kLogAgain) {
-    logged_ = now;
+  table_.failed(now, why);
+  const auto view = table_.view(now);
+  if (lastFailureLoggedAt_ == std::chrono::microseconds(0) || now - lastFailureLoggedAt_ >= kLogAgain) {
+    lastFailureLoggedAt_ = now;
     if (view.toldAt)
       logEvent(LogLevel::Warning, "discovery_failed",
                {{"why", why}, {"list_age_s", static_cast<double>((now - *view.toldAt).count()) / 1e6}});
     else
       logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
   }
-  to_.discoveryFailed(why);
-  pass();
+  consumer_.discoveryFailed(why);
+  deliverDueLists();
 }
 
-void EndpointUpdater::pass() {
+void EndpointUpdater::deliverDueLists() {
   const auto now = clock_.now();
-  while (auto list = members_.take(now)) {
+  while (auto list = table_.take(now)) {
     for (const DiscoveredEndpoint& i : list->instances)
       logEvent(LogLevel::Info, "endpoint_changed",
                {{"name", i.name},
@@ -59,9 +60,9 @@
                 {"group", i.group},
                 {"weight", i.weight},
                 {"started_ms", i.startedMs}});
-    to_.endpointsListed(std::move(*list));
+    consumer_.endpointsListed(std::move(*list));
   }
-  if (const auto at = members_.next())
+  if (const auto at = table_.next())
     startTimer(timer_.get(), *at - now);
   else
     event_del(timer_.get());
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -18,19 +18,19 @@
   // From a source with generations.
   void endpointsListed(EndpointList) override;
   void discoveryFailed(const std::string& why) override;
-  std::uint64_t generation() const override { return members_.generation(); }
+  std::uint64_t generation() const override { return table_.generation(); }
 
-  void policy(const EndpointTablePolicy& p) { members_.policy(p); }
-  EndpointTable::View view() const { return members_.view(clock_.now()); }
+  void policy(const EndpointTablePolicy& p) { table_.policy(p); }
+  EndpointTable::View view() const { return table_.view(clock_.now()); }
 
  private:
-  void pass();
+  void deliverDueLists();
 
   const Clock& clock_;
-  EndpointListConsumer& to_;
-  EndpointTable members_;
+  EndpointListConsumer& consumer_;
+  EndpointTable table_;
   Event timer_;
-  std::chrono::microseconds logged_{};  // when the age of the list was last logged
+  std::chrono::microseconds lastFailureLoggedAt_{};  // when the age of the list was last logged
 };
 
 }  // namespace sablespur
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -62,9 +62,9 @@
   events_.emplace_back(Listed{false, config_.known});
 }
 
-RequestId Engine::request(ResponseHandler& asker, balancer::Request q, Message message) {
+RequestId Engine::request(ResponseHandler& asker, balancer::Request q, RequestMessage message) {
   q.id = ++lastId_;
-  held_[q.id] = Held{&asker, std::make_shared<const Message>(std::move(message)), q.classIndex, {}};
+  held_[q.id] = Held{&asker, std::make_shared<const RequestMessage>(std::move(message)), q.classIndex, {}};
   events_.emplace_back(Arrived{q});
   return q.id;
 }
@@ -282,7 +282,7 @@
                                                            : cluster::GossipRole::Unknown};
   const auto it = held_.find(e.id);
   if (it != held_.end() && e.ending.result == AttemptResult::Ok) {
-    h.cls = it->second.cls;
+    h.classIndex = it->second.cls;
     h.latencyUs = (now_ - it->second.sent[static_cast<std::size_t>(e.attempt)].at).count();
   }
   confidant_->statusObserved(h);
@@ -291,11 +291,11 @@
 // What other proxies had from members. A member is believed in only when the list has named it here.
 void Engine::tell(Heard&) {
   for (const cluster::GossipUpdate& h : gossip_) {
-    const auto it = tagged_.find(h.tag);
+    const auto it = tagged_.find(h.endpointTag);
     if (it == tagged_.end() || it->second == 0) continue;
     const std::uint32_t position = millisecondsSince(zero_ + offset_, h.positionMs) << 2;
     if (position > 0)
-      balancer_->gossipReceived(now_, it->second, position | static_cast<std::uint32_t>(h.role), h.cls,
+      balancer_->gossipReceived(now_, it->second, position | static_cast<std::uint32_t>(h.role), h.classIndex,
                                 Time(h.latencyUs));
   }
   gossip_.clear();
@@ -359,7 +359,7 @@
   const auto tag = tags_.find(e.member);
   if (!confidant_ || !e.ok || tag == tags_.end()) return;
   cluster::GossipUpdate h = hintOf(e);
-  h.tag = tag->second;
+  h.endpointTag = tag->second;
   if (h.positionMs > 0) confidant_->statusObserved(h);
 }
 
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -30,7 +30,7 @@
 using balancer::RequestId;
 
 // A request as it goes on to a member; between the two parts stands what is left of its time, in ms.
-struct Message {
+struct RequestMessage {
   Buffer before, after;
   std::shared_ptr<const translation::Side>
       from;             // what its writer said of itself; null: what everyone takes for granted
@@ -60,7 +60,7 @@
   virtual ~RequestHandler() = default;
   // Answered by the Requester, after this call has returned.
   virtual RequestId request(ResponseHandler&, balancer::Request,
-                            Message) = 0;  // the request's id is given here
+                            RequestMessage) = 0;  // the request's id is given here
   virtual void clientDisconnected(RequestId) = 0;
 };
 
@@ -89,7 +89,8 @@
   virtual ~Backend() = default;
   // warmAt: until then it has just started, and what all proxies send it is bounded (the cold budget).
   virtual void endpointListed(EndpointId, const Address&, bool ready, Time warmAt) = 0;
-  virtual void send(RequestId, int attempt, EndpointId, Time until, std::shared_ptr<const Message>) = 0;
+  virtual void send(RequestId, int attempt, EndpointId, Time until,
+                    std::shared_ptr<const RequestMessage>) = 0;
   virtual void continueAttempt(RequestId, int attempt, bool fit) = 0;  // answers Engine::connected
   virtual void cancel(RequestId, int attempt) = 0;
   virtual void startHealthCheck(EndpointId) = 0;
@@ -127,7 +128,7 @@
   void start(Backend&, DiscoverySource&);  // tells the Balancer the list that the configuration holds
 
   // What has come in; it waits for the turn.
-  RequestId request(ResponseHandler&, balancer::Request, Message) override;
+  RequestId request(ResponseHandler&, balancer::Request, RequestMessage) override;
   void clientDisconnected(RequestId) override;
   void connectionReady(RequestId, int attempt);  // a new connection stands: may the attempt still go out?
   void attemptEnded(RequestId, int attempt, EndpointId, AttemptEnd);
@@ -189,7 +190,7 @@
   using Incoming = std::variant<Arrived, Left, Connected, Ended, Probed, Listed, Heard, Suspended, Settled>;
   struct Held {
     ResponseHandler* asker;
-    std::shared_ptr<const Message> message;
+    std::shared_ptr<const RequestMessage> message;
     int cls;
     struct Sent {
       EndpointId member;
--- a/src/engine/reference_clock.cpp
+++ b/src/engine/reference_clock.cpp
@@ -19,75 +19,75 @@
 }  // namespace
 
 void ReferenceClock::readWall(Time wallOffset) {
-  if (std::chrono::abs(wallOffset - wall_) < kJitter) return;
-  wall_ = wallOffset;
-  behind_ = ahead_ = vouching_ = 0;
+  if (std::chrono::abs(wallOffset - wallOffset_) < kJitter) return;
+  wallOffset_ = wallOffset;
+  behind_ = ahead_ = confirming_ = 0;
   for (auto& [server, sample] : samples_) {
-    judge(sample);
-    count(sample, 1);
+    judgeWallClock(sample);
+    countVotes(sample, 1);
   }
-  decide();
+  updateOffset();
 }
 
 void ReferenceClock::primaryAnswered(ServerId server, Time position, Time sent, Time received) {
   if (received - sent > kLongestRoundTrip) return;
   const auto [it, added] = samples_.try_emplace(server);
   Sample& sample = it->second;
-  if (!added) count(sample, -1);
-  sample.least = position - received;
-  sample.most = position - sent;
-  if (added || std::chrono::abs(sample.least - sample.steadyOffset) > kLongestRoundTrip) {
-    sample.steadyOffset = sample.least;
+  if (!added) countVotes(sample, -1);
+  sample.minOffset = position - received;
+  sample.maxOffset = position - sent;
+  if (added || std::chrono::abs(sample.minOffset - sample.steadyOffset) > kLongestRoundTrip) {
+    sample.steadyOffset = sample.minOffset;
     sample.steadySince = received;
   }
   sample.steady = received - sample.steadySince >= kSteadyFor;
-  judge(sample);
-  count(sample, 1);
-  decide();
+  judgeWallClock(sample);
+  countVotes(sample, 1);
+  updateOffset();
 }
 
 void ReferenceClock::forget(ServerId server) {
   const auto it = samples_.find(server);
   if (it == samples_.end()) return;
-  count(it->second, -1);
+  countVotes(it->second, -1);
   samples_.erase(it);
 }
 
-void ReferenceClock::judge(Sample& sample) {
-  sample.wallBehind = sample.least > wall_ + kSkew;
-  sample.wallAhead = sample.steady && sample.most < wall_ - kOldestPresent;
-  sample.vouches = !sample.wallBehind && sample.most >= wall_ - kOldestPresent;
+void ReferenceClock::judgeWallClock(Sample& sample) {
+  sample.wallBehind = sample.minOffset > wallOffset_ + kSkew;
+  sample.wallAhead = sample.steady && sample.maxOffset < wallOffset_ - kOldestPresent;
+  sample.confirmsWall = !sample.wallBehind && sample.maxOffset >= wallOffset_ - kOldestPresent;
 }
 
-void ReferenceClock::count(const Sample& sample, int by) {
+void ReferenceClock::countVotes(const Sample& sample, int by) {
   const auto add = [by](std::size_t& counter, bool says) {
     if (says) counter = by > 0 ? counter + 1 : counter - 1;
   };
   add(behind_, sample.wallBehind);
   add(ahead_, sample.wallAhead);
-  add(vouching_, sample.vouches);
+  add(confirming_, sample.confirmsWall);
 }
 
-void ReferenceClock::decide() {
+void ReferenceClock::updateOffset() {
   const auto most = [this](std::size_t votes) { return 2 * votes > samples_.size(); };
   const bool behind = most(behind_);
   if (behind || most(ahead_)) {
-    const Time told = contradicted(behind);
+    const Time told = medianOffset(behind);
     // Their answers differ by their round trips: no move for that, but forward, where data only look older.
     const bool same = byPrimaries_ && told <= offset_ + kJitter && told > offset_ - kLongestRoundTrip;
     if (!same) offset_ = told;
     byPrimaries_ = true;
     return;
   }
-  if (wall_ < offset_ && !most(vouching_)) return;
-  offset_ = wall_;
+  if (wallOffset_ < offset_ && !most(confirming_)) return;
+  offset_ = wallOffset_;
   byPrimaries_ = false;
 }
 
-Time ReferenceClock::contradicted(bool behind) const {
+Time ReferenceClock::medianOffset(bool behind) const {
   std::vector<Time> all;
   for (const auto& [server, sample] : samples_)
-    if (behind ? sample.wallBehind : sample.wallAhead) all.push_back(sample.most);
+    if (behind ? sample.wallBehind : sample.wallAhead) all.push_back(sample.maxOffset);
   const auto middle = all.begin() + static_cast<std::ptrdiff_t>(all.size() / 2);
   std::nth_element(all.begin(), middle, all.end());
   return *middle;
--- a/src/engine/reference_clock.hpp
+++ b/src/engine/reference_clock.hpp
@@ -33,21 +33,21 @@
 
  private:
   struct Sample {
-    Time least{}, most{};  // bounds of the true offset, by the newest answer
-    Time steadyOffset{};   // near which all answers since `steadySince` have been
+    Time minOffset{}, maxOffset{};  // bounds of the true offset, by the newest answer
+    Time steadyOffset{};            // near which all answers since `steadySince` have been
     Time steadySince{};
     bool steady = false;  // for so long that its position advances with time
-    bool wallBehind = false, wallAhead = false, vouches = false;  // what it says of wall_
+    bool wallBehind = false, wallAhead = false, confirmsWall = false;  // what it says of wall_
   };
-  void judge(Sample&);
-  void count(const Sample&, int by);
-  void decide();
-  Time contradicted(bool behind) const;  // what most of those that contradict the wall clock say
+  void judgeWallClock(Sample&);
+  void countVotes(const Sample&, int by);
+  void updateOffset();
+  Time medianOffset(bool behind) const;  // what most of those that contradict the wall clock say
 
-  Time wall_{}, offset_{};
+  Time wallOffset_{}, offset_{};
   std::unordered_map<ServerId, Sample> samples_;
-  std::size_t behind_ = 0, ahead_ = 0, vouching_ = 0;  // samples that say so
-  bool byPrimaries_ = false;                           // offset_ is theirs, not the wall clock's
+  std::size_t behind_ = 0, ahead_ = 0, confirming_ = 0;  // samples that say so
+  bool byPrimaries_ = false;                             // offset_ is theirs, not the wall clock's
 };
 
 }  // namespace sablespur
--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -15,20 +15,20 @@
 namespace sablespur {
 
 enum class DescriptorHolder { Clients, Servers };
-constexpr std::size_t kHolders = 2;
+constexpr std::size_t kDescriptorHolderCount = 2;
 
 class ResourceBudget {
  public:
-  explicit ResourceBudget(const Config& c) : bytesMost_(c.largeStatements) {
-    parts_[0].most = c.clientConnections;
-    parts_[1].most = c.serverConnections;
+  explicit ResourceBudget(const Config& c) : maxBytes_(c.largeStatements) {
+    shares_[0].most = c.clientConnections;
+    shares_[1].most = c.serverConnections;
   }
   ResourceBudget(const ResourceBudget&) = delete;
 
   struct DescriptorShare {
     std::size_t held = 0, most = 0, peak = 0;
   };
-  const DescriptorShare& share(DescriptorHolder h) const { return parts_[static_cast<std::size_t>(h)]; }
+  const DescriptorShare& share(DescriptorHolder h) const { return shares_[static_cast<std::size_t>(h)]; }
   bool hasRoom(DescriptorHolder h) const { return share(h).held < share(h).most; }
 
   // A descriptor of a part, for as long as it lives. It is given whether or not there is room: who asks has
@@ -36,47 +36,49 @@
   class DescriptorPermit {
    public:
     DescriptorPermit() = default;
-    DescriptorPermit(ResourceBudget& a, DescriptorHolder h) : account_(&a), holder_(h) {
-      DescriptorShare& p = a.parts_[static_cast<std::size_t>(h)];
+    DescriptorPermit(ResourceBudget& a, DescriptorHolder h) : budget_(&a), holder_(h) {
+      DescriptorShare& p = a.shares_[static_cast<std::size_t>(h)];
       p.peak = std::max(p.peak, ++p.held);
     }
     DescriptorPermit(DescriptorPermit&& o) noexcept
-        : account_(std::exchange(o.account_, nullptr)), holder_(o.holder_) {}
+        : budget_(std::exchange(o.budget_, nullptr)), holder_(o.holder_) {}
     DescriptorPermit& operator=(DescriptorPermit&& o) noexcept {
-      std::swap(account_, o.account_);
+      std::swap(budget_, o.budget_);
       std::swap(holder_, o.holder_);
       return *this;
     }
     ~DescriptorPermit() {
-      if (account_) --account_->parts_[static_cast<std::size_t>(holder_)].held;
+      if (budget_) --budget_->shares_[static_cast<std::size_t>(holder_)].held;
     }
 
    private:
-    ResourceBudget* account_ = nullptr;
+    ResourceBudget* budget_ = nullptr;
     DescriptorHolder holder_ = DescriptorHolder::Clients;
   };
 
   // Bytes of long statements and of what clients have prepared. False: there is no room, nothing is taken.
   bool reserveBytes(std::size_t n) {
-    if (n > bytesMost_ - bytes_) return false;
+    if (n > maxBytes_ - bytes_) return false;
     bytes_ += n;
-    bytesPeak_ = std::max(bytesPeak_, bytes_);
+    peakBytes_ = std::max(peakBytes_, bytes_);
     return true;
   }
   void releaseBytes(std::size_t n) { bytes_ -= n; }
   std::size_t bytes() const { return bytes_; }
-  std::size_t bytesMost() const { return bytesMost_; }
-  std::size_t bytesPeak() const { return bytesPeak_; }
+  std::size_t maxBytes() const { return maxBytes_; }
+  std::size_t peakBytes() const { return peakBytes_; }
 
   // What the system itself had none of, whatever this account says.
-  void recordExhaustion(ResourceExhaustion s) { ++short_[static_cast<std::size_t>(s)]; }
-  std::uint64_t exhaustionCount(ResourceExhaustion s) const { return short_[static_cast<std::size_t>(s)]; }
+  void recordExhaustion(ResourceExhaustion s) { ++exhaustionCounts_[static_cast<std::size_t>(s)]; }
+  std::uint64_t exhaustionCount(ResourceExhaustion s) const {
+    return exhaustionCounts_[static_cast<std::size_t>(s)];
+  }
 
  private:
-  std::array<DescriptorShare, kHolders> parts_{};
-  const std::size_t bytesMost_;
-  std::size_t bytes_ = 0, bytesPeak_ = 0;
-  std::array<std::uint64_t, kShortages> short_{};
+  std::array<DescriptorShare, kDescriptorHolderCount> shares_{};
+  const std::size_t maxBytes_;
+  std::size_t bytes_ = 0, peakBytes_ = 0;
+  std::array<std::uint64_t, kResourceExhaustionCount> exhaustionCounts_{};
 };
 
 }  // namespace sablespur
--- a/src/engine/system_calls.hpp
+++ b/src/engine/system_calls.hpp
@@ -18,7 +18,7 @@
   Ports,        // EADDRNOTAVAIL: no local port is left for this destination
   Route  // ENETUNREACH, ENETDOWN, EACCES, EPERM: the routing table or the firewall here lets nothing out
 };
-constexpr std::size_t kShortages = 5;
+constexpr std::size_t kResourceExhaustionCount = 5;
 ResourceExhaustion resourceExhaustionOf(int error);
 const char* resourceExhaustionName(ResourceExhaustion);
 
--- a/src/engine/workers.cpp
+++ b/src/engine/workers.cpp
@@ -17,64 +17,65 @@
 }  // namespace
 
 WorkerPool::WorkerPool(event_base* base, std::size_t threads)
-    : most_(threads), wake_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (wake_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
-  woken_.reset(event_new(
-      base, wake_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<WorkerPool*>(self)->finished(); }, this));
-  event_add(woken_.get(), nullptr);
+    : maxThreads_(threads), wakeupFd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  if (wakeupFd_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
+  wakeupEvent_.reset(event_new(
+      base, wakeupFd_, EV_READ | EV_PERSIST,
+      [](evutil_socket_t, short, void* self) { static_cast<WorkerPool*>(self)->deliverResults(); }, this));
+  event_add(wakeupEvent_.get(), nullptr);
 }
 WorkerPool::~WorkerPool() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    stop_ = true;
-    waiting_.clear();
+    stopping_ = true;
+    waitingJobs_.clear();
   }
-  more_.notify_all();
+  workAvailable_.notify_all();
   for (std::thread& t : threads_) t.join();
-  woken_.reset();
-  close(wake_);
+  wakeupEvent_.reset();
+  close(wakeupFd_);
 }
 
 WorkerPool::Ticket WorkerPool::run(std::function<std::string()> work, std::function<void(std::string)> done) {
-  auto ticket = std::make_shared<Wanted>();
+  auto ticket = std::make_shared<Interest>();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (waiting_.size() >= kMostWaiting) return nullptr;
-    waiting_.push_back({std::move(work), std::move(done), ticket, {}});
+    if (waitingJobs_.size() >= kMostWaiting) return nullptr;
+    waitingJobs_.push_back({std::move(work), std::move(done), ticket, {}});
   }
-  if (threads_.size() < most_) threads_.emplace_back([this] { serve(); });
-  more_.notify_one();
+  if (threads_.size() < maxThreads_) threads_.emplace_back([this] { runJobs(); });
+  workAvailable_.notify_one();
   return ticket;
 }
 
-void WorkerPool::serve() {
+void WorkerPool::runJobs() {
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
-    more_.wait(lock, [this] { return stop_ || !waiting_.empty(); });
-    if (stop_) return;
-    Piece piece = std::move(waiting_.front());
-    waiting_.pop_front();
+    workAvailable_.wait(lock, [this] { return stopping_ || !waitingJobs_.empty(); });
+    if (stopping_) return;
+    Job piece = std::move(waitingJobs_.front());
+    waitingJobs_.pop_front();
     lock.unlock();
-    if (!piece.wanted.expired()) piece.result = piece.work();
+    if (!piece.interest.expired()) piece.result = piece.work();
     lock.lock();
-    done_.push_back(std::move(piece));
+    finishedJobs_.push_back(std::move(piece));
     const std::uint64_t one = 1;
-    [[maybe_unused]] const ssize_t n = write(wake_, &one, sizeof one);  // full only when it is awake anyway
+    [[maybe_unused]] const ssize_t n =
+        write(wakeupFd_, &one, sizeof one);  // full only when it is awake anyway
   }
 }
 
-void WorkerPool::finished() {
+void WorkerPool::deliverResults() {
   std::uint64_t count = 0;
-  [[maybe_unused]] const ssize_t n = read(wake_, &count, sizeof count);
-  std::deque<Piece> done;
+  [[maybe_unused]] const ssize_t n = read(wakeupFd_, &count, sizeof count);
+  std::deque<Job> done;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    done.swap(done_);
+    done.swap(finishedJobs_);
   }
   // Each is looked at when its turn comes: one result may end what waits for the next.
-  for (Piece& p : done)
-    if (!p.wanted.expired()) p.done(std::move(p.result));
+  for (Job& p : done)
+    if (!p.interest.expired()) p.done(std::move(p.result));
 }
 
 }  // namespace sablespur
--- a/src/engine/workers.hpp
+++ b/src/engine/workers.hpp
@@ -23,29 +23,29 @@
   WorkerPool(const WorkerPool&) = delete;
 
   // Whoever holds this still wants the result; once it is gone `done` is not called.
-  struct Wanted {};
-  using Ticket = std::shared_ptr<Wanted>;
+  struct Interest {};
+  using Ticket = std::shared_ptr<Interest>;
   // `work` runs on a thread and touches nothing but what it was given; `done` gets its result in the loop.
   // Null: there is too much waiting already.
   [[nodiscard]] Ticket run(std::function<std::string()> work, std::function<void(std::string)> done);
 
  private:
-  struct Piece {
+  struct Job {
     std::function<std::string()> work;
     std::function<void(std::string)> done;
-    std::weak_ptr<Wanted> wanted;
+    std::weak_ptr<Interest> interest;
     std::string result;
   };
-  void serve();
-  void finished();
+  void runJobs();
+  void deliverResults();
 
-  const std::size_t most_;
+  const std::size_t maxThreads_;
   std::mutex mutex_;
-  std::condition_variable more_;
-  std::deque<Piece> waiting_, done_;
-  bool stop_ = false;
-  int wake_ = -1;  // eventfd
-  Event woken_;
+  std::condition_variable workAvailable_;
+  std::deque<Job> waitingJobs_, finishedJobs_;
+  bool stopping_ = false;
+  int wakeupFd_ = -1;  // eventfd
+  Event wakeupEvent_;
   std::vector<std::thread> threads_;
 };
 
--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -91,7 +91,7 @@
     for (const admission::ConnectionId id : door_.spare(engine_.now(), kShortage)) askBack(id);
   }
 
-  RequestId request(ResponseHandler& asker, balancer::Request q, Message m, PermitId place) override {
+  RequestId request(ResponseHandler& asker, balancer::Request q, RequestMessage m, PermitId place) override {
     if (!requests_) return next_.request(asker, q, std::move(m));
     const RequestId key = ++lastKey_;
     auto e = std::make_unique<Entered>(*this, key, asker, q, std::move(m));
@@ -178,7 +178,7 @@
   // A request between its front and the engine. The engine answers it, and it tells the decisions how that
   // ended before its front hears of it.
   struct Entered final : ResponseHandler {
-    Entered(AdmissionGate& g, RequestId k, ResponseHandler& a, const balancer::Request& r, Message&& m)
+    Entered(AdmissionGate& g, RequestId k, ResponseHandler& a, const balancer::Request& r, RequestMessage&& m)
         : gate(g), key(k), asker(a), q(r), message(std::move(m)) {}
     void served(Answer answer) override {
       ResponseHandler& to = asker;
@@ -199,7 +199,7 @@
     const RequestId key;
     ResponseHandler& asker;
     balancer::Request q;
-    Message message;
+    RequestMessage message;
     RequestId inEngine = 0;  // 0: it has not gone on
     Time arrived{}, went{};
   };
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -77,7 +77,7 @@
 
   // As Entrance::request and Entrance::left; ids are the Gate's own. What is not let on is told by
   // Requester::refused, after this call has returned.
-  virtual RequestId request(ResponseHandler&, balancer::Request, Message, PermitId) = 0;
+  virtual RequestId request(ResponseHandler&, balancer::Request, RequestMessage, PermitId) = 0;
   virtual void requestCancelled(RequestId) = 0;
 
   virtual void reload(const Config&) = 0;
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -70,7 +70,8 @@
 
 int Clients::port() const { return acceptor_->port(); }
 
-RequestId Clients::request(ResponseHandler& asker, const balancer::Request& q, Message m, PermitId place) {
+RequestId Clients::request(ResponseHandler& asker, const balancer::Request& q, RequestMessage m,
+                           PermitId place) {
   return gate_ ? gate_->request(asker, q, std::move(m), place) : entrance_.request(asker, q, std::move(m));
 }
 void Clients::left(RequestId id) { gate_ ? gate_->requestCancelled(id) : entrance_.clientDisconnected(id); }
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -59,7 +59,7 @@
   RequestHandler& entrance_;
   WorkerPool& workers_;
   // Requests go by the Gate where there is one, else straight to the Entrance.
-  RequestId request(ResponseHandler&, const balancer::Request&, Message, PermitId);
+  RequestId request(ResponseHandler&, const balancer::Request&, RequestMessage, PermitId);
   void left(RequestId);
 
   ResourceBudget& account_;
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -190,7 +190,7 @@
     return tell(problem("ERROR", "22P03", "the answer cannot be told: " + why));
   }
   std::string told = conversion.take();
-  told.size() > kReadAhead ? appendLong(output(), std::move(told)) : append(output(), told);
+  told.size() > kReadAhead ? appendByReference(output(), std::move(told)) : append(output(), told);
   if (!extended_) return;
   if (conversion.suspended()) append(output(), postgres::portalSuspended());
   prepared_->executed(columns, conversion.suspended());
@@ -794,7 +794,7 @@
         postgres::parseKey({start, static_cast<std::size_t>(std::max<ev_ssize_t>(got, 0))});
     if (!key.empty()) q.session = std::max<std::uint64_t>(fnv1a(key), 1);
   }
-  Message message{newBuffer(), std::move(statement), told_, {}, {}};
+  RequestMessage message{newBuffer(), std::move(statement), told_, {}, {}};
   message.clockOffset = owner_.engine_.clockOffset();
   if (owner_.config_.store) {
     message.id = id;
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -85,7 +85,7 @@
   }
 
   // ---- requests ------------------------------------------------------------------------------------------
-  RequestId request(ResponseHandler& asker, balancer::Request q, Message m) override {
+  RequestId request(ResponseHandler& asker, balancer::Request q, RequestMessage m) override {
     if (done_) return engine_.request(asker, std::move(q), std::move(m));
     const bool write =
         classes_[static_cast<std::size_t>(q.classIndex)].requirement == balancer::Requirement::Write;
@@ -135,7 +135,7 @@
   // ------------------------------------------------------------------------
   void statusObserved(const cluster::GossipUpdate& h) override {
     if (next_) next_->statusObserved(h);
-    const auto it = tags_.find(h.tag);
+    const auto it = tags_.find(h.endpointTag);
     if (it == tags_.end()) return;
     const auto m = members_.find(it->second);
     if (m == members_.end()) return;
@@ -155,7 +155,7 @@
     const bool other = p.member != it->second;
     p = {it->second, nowMs()};
     if (!other) return;
-    const std::optional<std::uint64_t> claim = inquiry_.confirmed(group, h.tag);
+    const std::optional<std::uint64_t> claim = inquiry_.confirmed(group, h.endpointTag);
     if (!done_) order_.primary(now, group);
     logEvent(LogLevel::Info, "primary_confirmed",
              {{"group", group},
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -151,7 +151,7 @@
     q.classIndex = cls;
     q.group = 3;
     q.deadline = engine_->now() + config_.settings.classes[static_cast<std::size_t>(cls)].deadline;
-    Message message{newBuffer(), newBuffer(), nullptr, {}, {}};
+    RequestMessage message{newBuffer(), newBuffer(), nullptr, {}, {}};
     message.clockOffset = engine_->clockOffset();
     const RequestId id = engine_->request(asker, q, std::move(message));
     if (cls == kRead) reads_.insert(id);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -21,18 +21,18 @@
 namespace {
 
 using admin::CommandReader;
+using admin::CommandType;
 using admin::SuspendedEndpoints;
-using admin::Verb;
 
 TEST(ControlLine, KnowsItsCallsAndNoOthers) {
   std::string why;
   const auto status = admin::parse("STATUS", why);
   ASSERT_TRUE(status);
-  EXPECT_EQ(status->verb, Verb::Status);
+  EXPECT_EQ(status->type, CommandType::Status);
   const auto suspend = admin::parse("  suspend \t s-5be2a07c ", why);
   ASSERT_TRUE(suspend);
-  EXPECT_EQ(suspend->verb, Verb::Suspend);
-  EXPECT_EQ(suspend->id, "s-5be2a07c");
+  EXPECT_EQ(suspend->type, CommandType::Suspend);
+  EXPECT_EQ(suspend->endpoint, "s-5be2a07c");
   ASSERT_TRUE(admin::parse("RESTORE s-1", why));
   for (const std::string bad :
        {"", " ", "STATUS now", "SUSPEND", "RESTORE", "SUSPEND a b", "REMOVE s-1", "SUSPEND \x01"}) {
@@ -40,7 +40,7 @@
     EXPECT_FALSE(admin::parse(bad, why)) << bad;
     EXPECT_FALSE(why.empty()) << bad;
   }
-  EXPECT_FALSE(admin::parse("SUSPEND " + std::string(admin::kLongestId + 1, 'x'), why));
+  EXPECT_FALSE(admin::parse("SUSPEND " + std::string(admin::kMaxEndpointIdBytes + 1, 'x'), why));
 }
 TEST(ControlLine, IsReadInPiecesOfAnySizeAndBounded) {
   const std::string call = "SUSPEND s-1\r\nSTATUS\n";
@@ -57,7 +57,7 @@
   CommandReader::State s = CommandReader::State::More;
   for (int k = 0; k < 1000 && s == CommandReader::State::More; ++k) s = endless.feed(std::string(10, 'x'));
   EXPECT_EQ(s, CommandReader::State::TooLong);
-  EXPECT_LE(endless.line().size(), 2 * admin::kLongestLine);
+  EXPECT_LE(endless.line().size(), 2 * admin::kMaxLineBytes);
 }
 TEST(ControlLine, AnAnswerIsOneLineWhateverItQuotes) {
   EXPECT_EQ(admin::success("s-1 suspended"), "SUCCESS s-1 suspended\n");
@@ -82,18 +82,18 @@
   EXPECT_FALSE(admin::parseSuspendedEndpoints(good + "more\n"));
   EXPECT_TRUE(admin::parseSuspendedEndpoints(admin::formatSuspendedEndpoints({})));
   std::ofstream(path) << good.substr(0, good.size() / 2);
-  EXPECT_TRUE(SuspendedEndpoints(path).all().empty());
+  EXPECT_TRUE(SuspendedEndpoints(path).endpoints().empty());
 }
 TEST_F(BansTest, OutliveTheProcessAndReachTheOneBeside) {
   SuspendedEndpoints first(path), second(path);
   EXPECT_TRUE(first.set("s-1", true));
   EXPECT_TRUE(first.set("s-1", true)) << "again is as once";
   EXPECT_TRUE(second.poll());
-  EXPECT_EQ(second.all().count("s-1"), 1u);
+  EXPECT_EQ(second.endpoints().count("s-1"), 1u);
   EXPECT_FALSE(second.poll()) << "nothing new";
   EXPECT_TRUE(second.set("s-2", true));
   EXPECT_TRUE(first.set("s-1", false));
-  EXPECT_EQ(SuspendedEndpoints(path).all(), std::set<std::string>{"s-2"})
+  EXPECT_EQ(SuspendedEndpoints(path).endpoints(), std::set<std::string>{"s-2"})
       << "each keeps what the other was told";
   EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
             1);
@@ -101,7 +101,7 @@
 TEST_F(BansTest, HoldInThisProcessWhereTheyCannotBeWritten) {
   SuspendedEndpoints b(folder + "/no/such/folder");
   EXPECT_FALSE(b.set("s-1", true));
-  EXPECT_EQ(b.all().count("s-1"), 1u);
+  EXPECT_EQ(b.endpoints().count("s-1"), 1u);
 }
 
 // A disk that fails by order, and what was synced.
@@ -138,7 +138,7 @@
   SuspendedEndpoints b(path);
   EXPECT_TRUE(b.set("s-1", true));
   EXPECT_EQ(BanDisk::syncs, 2) << "the file and its folder";
-  EXPECT_EQ(SuspendedEndpoints(path).all(), std::set<std::string>{"s-1"})
+  EXPECT_EQ(SuspendedEndpoints(path).endpoints(), std::set<std::string>{"s-1"})
       << "interrupted and short calls are no failure";
 }
 TEST_F(BansTest, ThatCouldNotBeWrittenLeaveTheEarlierFileAndAreWrittenOnceTheDiskIsBack) {
@@ -150,18 +150,18 @@
   EXPECT_FALSE(b.set("s-2", true)) << "again is not yet as once";
   EXPECT_FALSE(b.allWritten());
   for (int k = 0; k < 100; ++k) EXPECT_FALSE(b.poll());
-  EXPECT_EQ(SuspendedEndpoints(path).all(), std::set<std::string>{"s-1"});
+  EXPECT_EQ(SuspendedEndpoints(path).endpoints(), std::set<std::string>{"s-1"});
   EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
             1)
       << "nothing half written is left";
   // The process beside writes: what is owed here stands beside what it says.
   std::ofstream(path) << admin::formatSuspendedEndpoints({"s-1", "s-3"});
   EXPECT_TRUE(b.poll());
-  EXPECT_EQ(b.all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
+  EXPECT_EQ(b.endpoints(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
   BanDisk::failing = false;
   for (int k = 0; k < 30; ++k) b.poll();
   EXPECT_TRUE(b.allWritten());
-  EXPECT_EQ(SuspendedEndpoints(path).all(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
+  EXPECT_EQ(SuspendedEndpoints(path).endpoints(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
 }
 TEST_F(BansTest, AreTriedEverMoreRarelyWhileTheDiskFails) {
   const BanDisk disk;
@@ -300,7 +300,7 @@
   EXPECT_EQ(t.connectionsOf(2), connections) << "a connection is something new, too";
   EXPECT_EQ(say(t, "RESTORE s-2\n").substr(0, 7), "SUCCESS");
   t.run("s2 wait idle 2");
-  EXPECT_TRUE(SuspendedEndpoints(folder + "/sablespur-bans-n0").all().empty());
+  EXPECT_TRUE(SuspendedEndpoints(folder + "/sablespur-bans-n0").endpoints().empty());
 }
 TEST_F(ControlProgram, ABanThatIsNotOnDiskYetIsAnsweredAsSuchAndWrittenOnceItCanBe) {
   test::Scenario t(s);
@@ -313,7 +313,7 @@
   EXPECT_EQ(t.logged("event=suspensions_write_failed"), 1u);
   std::filesystem::remove(blocked);
   t.run("proxy expect log event=suspensions_write_recovered");
-  EXPECT_EQ(SuspendedEndpoints(folder + "/sablespur-bans-n0").all(), std::set<std::string>{"s-2"});
+  EXPECT_EQ(SuspendedEndpoints(folder + "/sablespur-bans-n0").endpoints(), std::set<std::string>{"s-2"});
 }
 TEST_F(ControlProgram, SilentCallersTakeNoOnesTurn) {
   test::Scenario t(s);
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -286,7 +286,7 @@
 struct NoMembers : Backend {
   int forgotten = 0;
   void endpointListed(EndpointId, const Address&, bool, Time) override {}
-  void send(RequestId, int, EndpointId, Time, std::shared_ptr<const Message>) override {}
+  void send(RequestId, int, EndpointId, Time, std::shared_ptr<const RequestMessage>) override {}
   void continueAttempt(RequestId, int, bool) override {}
   void cancel(RequestId, int) override {}
   void startHealthCheck(EndpointId) override {}
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -521,7 +521,7 @@
   for (const int error : {ECONNABORTED, EINTR, EPROTO, ENETDOWN}) {
     meet(error, 5);
     EXPECT_EQ(taken, 1) << error;
-    EXPECT_EQ(acceptor.pausing().count(), 0);
+    EXPECT_EQ(acceptor.backoff().count(), 0);
   }
   for (const int error : {EMFILE, ENFILE}) {
     meet(error, 1);  // the call on the spare descriptor goes well: it is told so and closed
--- a/tests/engine_fakes.hpp
+++ b/tests/engine_fakes.hpp
@@ -25,7 +25,7 @@
     ready[m] = isReady;
     warmAt[m] = until;
   }
-  void send(RequestId id, int attempt, EndpointId m, Time, std::shared_ptr<const Message>) override {
+  void send(RequestId id, int attempt, EndpointId m, Time, std::shared_ptr<const RequestMessage>) override {
     sent.push_back({id, attempt, m});
   }
   void continueAttempt(RequestId, int attempt, bool fit) override { started.emplace_back(attempt, fit); }
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -48,7 +48,7 @@
     q.classIndex = cls;
     q.group = 3;
     q.deadline = engine.now() + std::chrono::seconds(5);
-    const RequestId id = engine.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
+    const RequestId id = engine.request(asker, q, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
     engine.runTurn();
     return id;
   }
@@ -69,7 +69,7 @@
   balancer::Request q;
   q.group = 3;
   q.deadline = engine.now() + std::chrono::seconds(5);
-  engine.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
+  engine.request(asker, q, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
   EXPECT_TRUE(members.sent.empty());
   EXPECT_TRUE(engine.hasPendingEvents());
   engine.runTurn();
@@ -158,7 +158,7 @@
   balancer::Request q;
   q.group = 3;
   q.deadline = fresh.now() + std::chrono::seconds(5);
-  fresh.request(asker, q, Message{newBuffer(), newBuffer(), nullptr, {}, {}});
+  fresh.request(asker, q, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
   fresh.runTurn();
   EXPECT_TRUE(members.sent.empty());
   fresh.healthCheckEnded(1, false, {});
--- a/tests/gossip_fleet_test.cpp
+++ b/tests/gossip_fleet_test.cpp
@@ -59,7 +59,7 @@
     for (now_ = kStartMs; now_ < endMs; ++now_) {
       deliver();
       if (lonely_ && now_ == failOverMs_) {
-        schedulers_[0]->learned(answerOf(newPrimary_), now_);
+        schedulers_[0]->observedLocally(answerOf(newPrimary_), now_);
         know(0, answerOf(newPrimary_));
         turn_[0] = true;
       }
@@ -115,15 +115,16 @@
       const std::int64_t position = newest_[a.proxy * kMembers + member];
       if (now_ >= kStartMs + kWarmMs && position > 0) ages_.push_back(now_ - position);
       const GossipUpdate hint = answerOf(member);
-      schedulers_[a.proxy]->learned(hint, now_);
+      schedulers_[a.proxy]->observedLocally(hint, now_);
       know(a.proxy, hint);
       turn_[a.proxy] = true;
     }
   }
   void know(std::size_t proxy, const GossipUpdate& hint) {
-    std::int64_t& newest = newest_[proxy * kMembers + hint.tag];
+    std::int64_t& newest = newest_[proxy * kMembers + hint.endpointTag];
     newest = std::max(newest, hint.positionMs);
-    if (hint.role == GossipRole::Primary && hint.tag == primary()) knowsPrimary_[proxy] = hint.tag;
+    if (hint.role == GossipRole::Primary && hint.endpointTag == primary())
+      knowsPrimary_[proxy] = hint.endpointTag;
   }
 
   // As a proxy's loop: after an answer or a datagram, and by the timer of a change of role.
@@ -134,12 +135,12 @@
   }
   void send(std::size_t proxy) {
     std::vector<GossipUpdate> datagram;
-    while (schedulers_[proxy]->take(now_, datagram)) {
+    while (schedulers_[proxy]->takeDatagram(now_, datagram)) {
       EXPECT_LE(datagram.size(), kGossipUpdatesPerDatagram);
       const auto hints = std::make_shared<const std::vector<GossipUpdate>>(datagram);
       const bool tellsChange =
           failedOver() && std::any_of(datagram.begin(), datagram.end(), [&](const GossipUpdate& h) {
-            return h.tag == newPrimary_ && h.role == GossipRole::Primary;
+            return h.endpointTag == newPrimary_ && h.role == GossipRole::Primary;
           });
       sentAtFailOver_ += tellsChange && now_ < failOverMs_ + 250;
       for (const std::size_t peer : schedulers_[proxy]->drawReceivers())
@@ -157,7 +158,7 @@
       }
       turn_[d.proxy] = true;
       for (const GossipUpdate& hint : *d.hints) {
-        schedulers_[d.proxy]->received(hint, now_);
+        schedulers_[d.proxy]->receivedFromPeer(hint, now_);
         know(d.proxy, hint);
       }
     }
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -66,7 +66,7 @@
   };
   std::vector<Sent> sent;
   void endpointListed(EndpointId, const Address&, bool, Time) override {}
-  void send(RequestId id, int attempt, EndpointId m, Time, std::shared_ptr<const Message>) override {
+  void send(RequestId id, int attempt, EndpointId m, Time, std::shared_ptr<const RequestMessage>) override {
     sent.push_back({id, attempt, m});
   }
   void continueAttempt(RequestId, int, bool) override {}
@@ -159,8 +159,8 @@
     q.group = 3;
     q.session = session;
     q.deadline = engine->now() + std::chrono::seconds(8);
-    return keeper->request(a, q,
-                           Message{newBuffer(), newBuffer(), nullptr, "id" + std::to_string(++ids), key});
+    return keeper->request(
+        a, q, RequestMessage{newBuffer(), newBuffer(), nullptr, "id" + std::to_string(++ids), key});
   }
   void answer(const FakeMembers::Sent& s, const std::string& text, AttemptResult result = AttemptResult::Ok) {
     AttemptEnd e;
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -26,10 +26,10 @@
   const auto got = cluster::decode(cluster::encode(told), kNow + 25);
   ASSERT_EQ(got.size(), 2u);
   for (std::size_t k = 0; k < 2; ++k) {
-    EXPECT_EQ(got[k].tag, told[k].tag);
+    EXPECT_EQ(got[k].endpointTag, told[k].endpointTag);
     EXPECT_EQ(got[k].positionMs, told[k].positionMs);
     EXPECT_EQ(got[k].role, told[k].role);
-    EXPECT_EQ(got[k].cls, told[k].cls);
+    EXPECT_EQ(got[k].classIndex, told[k].classIndex);
   }
   EXPECT_NEAR(static_cast<double>(got[0].latencyUs), 36000, 36000 * 0.05);
 }
@@ -67,14 +67,14 @@
 // What the next datagram holds at `nowMs`; empty: none is due.
 std::vector<GossipUpdate> sentAt(GossipScheduler& scheduler, std::int64_t nowMs) {
   std::vector<GossipUpdate> datagram;
-  scheduler.take(nowMs, datagram);
+  scheduler.takeDatagram(nowMs, datagram);
   return datagram;
 }
 bool tells(GossipScheduler& scheduler, const GossipUpdate& hint, std::int64_t nowMs) {
-  scheduler.learned(hint, nowMs);
+  scheduler.observedLocally(hint, nowMs);
   const std::vector<GossipUpdate> datagram = sentAt(scheduler, nowMs);
   return std::any_of(datagram.begin(), datagram.end(), [&](const GossipUpdate& h) {
-    return h.tag == hint.tag && h.positionMs == hint.positionMs && h.role == hint.role;
+    return h.endpointTag == hint.endpointTag && h.positionMs == hint.positionMs && h.role == hint.role;
   });
 }
 
@@ -83,7 +83,7 @@
   EXPECT_TRUE(tells(g, {1, kNow, GossipRole::Replica, 0, 1}, kNow));
   EXPECT_FALSE(tells(g, {1, kNow + 10, GossipRole::Replica, 0, 1}, kNow + 10)) << "no progress to speak of";
   EXPECT_TRUE(tells(g, {1, kNow + 60, GossipRole::Replica, 0, 1}, kNow + 60));
-  g.learned({1, kNow + 61, GossipRole::Primary, 0, 1}, kNow + 61);
+  g.observedLocally({1, kNow + 61, GossipRole::Primary, 0, 1}, kNow + 61);
   const auto change = sentAt(g, kNow + 63);
   ASSERT_EQ(change.size(), 1u) << "another role is news";
   EXPECT_EQ(change[0].role, GossipRole::Primary);
@@ -94,53 +94,54 @@
 
 TEST(PeersGossip, WhatAPeerToldIsNotToldAgain) {
   GossipScheduler g({4, 200, true, 1});
-  g.received({1, kNow, GossipRole::Replica, -1, 0}, kNow);
+  g.receivedFromPeer({1, kNow, GossipRole::Replica, -1, 0}, kNow);
   EXPECT_FALSE(tells(g, {1, kNow + 20, GossipRole::Replica, 0, 1}, kNow + 20));
-  g.received({1, kNow - 5000, GossipRole::Replica, -1, 0}, kNow + 30);  // out of order
+  g.receivedFromPeer({1, kNow - 5000, GossipRole::Replica, -1, 0}, kNow + 30);  // out of order
   EXPECT_FALSE(tells(g, {1, kNow + 30, GossipRole::Replica, 0, 1}, kNow + 30));
 }
 
 TEST(PeersGossip, NewsThatAPeerTellsWhileItWaitsIsDropped) {
   GossipScheduler g({900, 200, true, 1});
-  g.received({1, kNow, GossipRole::Replica, -1, 0}, kNow);
-  g.received({2, kNow, GossipRole::Replica, -1, 0}, kNow);
-  g.learned({1, kNow, GossipRole::Replica, 0, 1}, kNow);  // from here on its intervals run
-  const std::int64_t then = kNow + 20000;                 // the interval of 900 proxies is over
-  g.learned({1, then, GossipRole::Replica, 0, 1}, then);
-  g.learned({2, then, GossipRole::Primary, 0, 1}, then);
-  g.received({1, then + 1, GossipRole::Replica, 0, 1}, then + 1);
-  g.received({2, then + 1, GossipRole::Primary, 0, 1}, then + 1);
+  g.receivedFromPeer({1, kNow, GossipRole::Replica, -1, 0}, kNow);
+  g.receivedFromPeer({2, kNow, GossipRole::Replica, -1, 0}, kNow);
+  g.observedLocally({1, kNow, GossipRole::Replica, 0, 1}, kNow);  // from here on its intervals run
+  const std::int64_t then = kNow + 20000;                         // the interval of 900 proxies is over
+  g.observedLocally({1, then, GossipRole::Replica, 0, 1}, then);
+  g.observedLocally({2, then, GossipRole::Primary, 0, 1}, then);
+  g.receivedFromPeer({1, then + 1, GossipRole::Replica, 0, 1}, then + 1);
+  g.receivedFromPeer({2, then + 1, GossipRole::Primary, 0, 1}, then + 1);
   for (std::int64_t ms = then + 1; ms < then + 1000; ++ms) EXPECT_TRUE(sentAt(g, ms).empty());
 }
 
 TEST(PeersGossip, AChangeOfRoleLeavesAheadOfTheIntervalAndFirst) {
   GossipScheduler g({900, 200, true, 1});
-  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.received({tag, kNow, GossipRole::Replica, -1, 0}, kNow);
-  g.learned({1, kNow, GossipRole::Replica, 0, 1}, kNow);  // from here on its intervals run
+  for (std::uint64_t tag = 1; tag <= 40; ++tag)
+    g.receivedFromPeer({tag, kNow, GossipRole::Replica, -1, 0}, kNow);
+  g.observedLocally({1, kNow, GossipRole::Replica, 0, 1}, kNow);  // from here on its intervals run
   std::int64_t now = kNow + 30000;
-  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.learned({tag, now, GossipRole::Replica, 0, 1}, now);
+  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.observedLocally({tag, now, GossipRole::Replica, 0, 1}, now);
   ASSERT_EQ(sentAt(g, now).size(), cluster::kGossipUpdatesPerDatagram);
   now += 100;
-  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.learned({tag, now, GossipRole::Replica, 0, 1}, now);
+  for (std::uint64_t tag = 1; tag <= 40; ++tag) g.observedLocally({tag, now, GossipRole::Replica, 0, 1}, now);
   EXPECT_TRUE(sentAt(g, now).empty()) << "the next datagram of ordinary news is seconds away";
-  g.learned({7, now - 50, GossipRole::Primary, 0, 1}, now);
+  g.observedLocally({7, now - 50, GossipRole::Primary, 0, 1}, now);
   EXPECT_TRUE(sentAt(g, now).empty()) << "older than what shows it as a replica";
-  g.learned({7, now + 1, GossipRole::Primary, 0, 1}, now + 1);
+  g.observedLocally({7, now + 1, GossipRole::Primary, 0, 1}, now + 1);
   ASSERT_TRUE(g.urgentAtMs());
   EXPECT_LE(*g.urgentAtMs(), now + 1 + 200);
   const auto datagram = sentAt(g, *g.urgentAtMs());
   ASSERT_FALSE(datagram.empty());
-  EXPECT_EQ(datagram[0].tag, 7u);
+  EXPECT_EQ(datagram[0].endpointTag, 7u);
   EXPECT_EQ(datagram[0].role, GossipRole::Primary);
 }
 
 TEST(PeersGossip, AFirstWordOfAReplicaIsNotUrgentAndOneOfAPrimaryIs) {
   GossipScheduler g({900, 200, true, 1});
-  g.received({1, kNow, GossipRole::Unknown, -1, 0}, kNow);
-  g.learned({1, kNow + 1, GossipRole::Replica, 0, 1}, kNow + 1);
-  g.learned({2, kNow + 1, GossipRole::Replica, 0, 1}, kNow + 1);
+  g.receivedFromPeer({1, kNow, GossipRole::Unknown, -1, 0}, kNow);
+  g.observedLocally({1, kNow + 1, GossipRole::Replica, 0, 1}, kNow + 1);
+  g.observedLocally({2, kNow + 1, GossipRole::Replica, 0, 1}, kNow + 1);
   EXPECT_FALSE(g.urgentAtMs());
-  g.learned({1, kNow + 2, GossipRole::Primary, 0, 1}, kNow + 2);
+  g.observedLocally({1, kNow + 2, GossipRole::Primary, 0, 1}, kNow + 2);
   EXPECT_TRUE(g.urgentAtMs());
 }
 
@@ -158,9 +159,9 @@
     double delivered = 0;
     std::vector<GossipUpdate> datagram;
     for (int k = 0; k < 20000; ++k) {
-      g.learned({static_cast<std::uint64_t>(k % 60), kNow + 100 * k, GossipRole::Replica, 0, 1},
-                kNow + 100 * k);
-      while (g.take(kNow + 100 * k, datagram))
+      g.observedLocally({static_cast<std::uint64_t>(k % 60), kNow + 100 * k, GossipRole::Replica, 0, 1},
+                        kNow + 100 * k);
+      while (g.takeDatagram(kNow + 100 * k, datagram))
         delivered += static_cast<double>(n * (1 + datagram.size() * cluster::kGossipUpdateBytes));
     }
     EXPECT_LE(delivered, 20000 * 512 + 64 * 1024 + static_cast<double>(n) * 256) << n;
@@ -178,8 +179,9 @@
       double sent = 0;
       std::vector<GossipUpdate> datagram;
       for (int ms = 0; ms < kSpanMs; ++ms) {
-        g.learned({static_cast<std::uint64_t>(ms % 60), kNow + ms, GossipRole::Replica, 0, 1}, kNow + ms);
-        while (g.take(kNow + ms, datagram)) ++sent;
+        g.observedLocally({static_cast<std::uint64_t>(ms % 60), kNow + ms, GossipRole::Replica, 0, 1},
+                          kNow + ms);
+        while (g.takeDatagram(kNow + ms, datagram)) ++sent;
       }
       // Each of n others sends so much, and receivers/n of it reach one proxy.
       const double received = sent * static_cast<double>(receivers) / (kSpanMs / 1000.0);
@@ -190,10 +192,10 @@
 
 TEST(PeersGossip, RemembersABoundedNumberOfMembers) {
   GossipScheduler g({1, 200, true, 1});
-  for (std::uint64_t k = 0; k < 20000; ++k) g.received({k, kNow, GossipRole::Replica, -1, 0}, kNow);
-  EXPECT_LE(g.known(), 4096u);
-  g.received({1u << 20, kNow, GossipRole::Replica, -1, 0}, kNow + 120000);
-  EXPECT_EQ(g.known(), 1u) << "what is old makes room";
+  for (std::uint64_t k = 0; k < 20000; ++k) g.receivedFromPeer({k, kNow, GossipRole::Replica, -1, 0}, kNow);
+  EXPECT_LE(g.knownEndpoints(), 4096u);
+  g.receivedFromPeer({1u << 20, kNow, GossipRole::Replica, -1, 0}, kNow + 120000);
+  EXPECT_EQ(g.knownEndpoints(), 1u) << "what is old makes room";
 }
 
 // Two proxies on loopback, and a stranger.
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -157,7 +157,7 @@
   const std::string bytes = readFile(kStored + "suspended-endpoints");
   EXPECT_EQ(admin::parseSuspendedEndpoints(bytes), expected);
   EXPECT_EQ(admin::formatSuspendedEndpoints(expected), bytes);
-  EXPECT_EQ(admin::SuspendedEndpoints(kStored + "suspended-endpoints").all(), expected);
+  EXPECT_EQ(admin::SuspendedEndpoints(kStored + "suspended-endpoints").endpoints(), expected);
 }
 
 }  // namespace
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -285,8 +285,8 @@
           m, true, {static_cast<double>(engine->now().count()) / 1e6, m == kFirst ? 1.0 : 0.0, 0.0});
     engine->runTurn();
   }
-  Message statement() const {
-    Message m{newBuffer(), newBuffer(), nullptr, {}, {}};
+  RequestMessage statement() const {
+    RequestMessage m{newBuffer(), newBuffer(), nullptr, {}, {}};
     append(m.before.get(), "SELECT 1 /* d=");
     append(m.after.get(), std::string_view(" */\0", 4));
     return m;
@@ -394,14 +394,14 @@
     event_base_loop(base.get(), EVLOOP_ONCE);
     const int burst = calls;
     EXPECT_GT(burst, 0);
-    EXPECT_GT(acceptor.pausing().count(), 0) << lasting;
+    EXPECT_GT(acceptor.backoff().count(), 0) << lasting;
     event_base_loop(base.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
     EXPECT_EQ(calls, burst) << lasting << ": not before the pause is over";
     failures = 0;
     taken = 0;
     event_base_loop(base.get(), EVLOOP_ONCE);
     while (taken == 0) ASSERT_EQ(event_base_loop(base.get(), EVLOOP_ONCE), 0);
-    EXPECT_EQ(acceptor.pausing().count(), 0);
+    EXPECT_EQ(acceptor.backoff().count(), 0);
     close(fd);
   }
 }
@@ -565,8 +565,8 @@
     ASSERT_TRUE(until([&] { return first.greeted() >= 2 && second.greeted() >= 2; }));
     for (int k = 0; k < 3; ++k) pass();  // the greetings are read
   }
-  void send(Time end, Message m) {
-    upstream->send(kRequest, 0, kFirst, end, std::make_shared<const Message>(std::move(m)));
+  void send(Time end, RequestMessage m) {
+    upstream->send(kRequest, 0, kFirst, end, std::make_shared<const RequestMessage>(std::move(m)));
   }
 };
 // Bytes that wait for the loop's next pass tell of time that has gone by since.
