--- a/src/admin/command_parser.hpp
+++ b/src/admin/command_parser.hpp
@@ -1,4 +1,4 @@
-// What operators' staff say to a running proxy: one line in, one line out. Pure: no sockets, no clock.
+// The admin protocol: parses a command line and formats the response line. Pure: no sockets, no clock.
 #pragma once
 
 #include <optional>
@@ -7,28 +7,29 @@
 
 namespace sablespur::admin {
 
-constexpr std::size_t kMaxLineBytes = 256;  // bytes, its end not counted
+constexpr std::size_t kMaxLineBytes = 256;  // line terminator not counted
 constexpr std::size_t kMaxEndpointIdBytes = 128;
 
 enum class CommandType { Status, Suspend, Restore };
 struct Command {
   CommandType type = CommandType::Status;
-  std::string endpoint;  // of a data server; empty with Status
+  std::string endpoint;  // its name; empty with Status
 };
-// Words are separated by blanks; verbs are taken in any case. Nothing where the line is no call: `why` says
-// so.
+// Words are separated by blanks or tabs; the command is case-insensitive. Nothing if the line is invalid;
+// `why` then receives the reason.
 std::optional<Command> parse(std::string_view line, std::string& why);
 
-// One line, with its end; what `text` holds cannot break it.
+// A response line with its terminator. Unprintable characters of `text` are replaced, and it is cut to the
+// longest line.
 std::string success(std::string_view text);
 std::string failure(std::string_view text);
 
-// Gathers what comes of a call, in pieces of any size. One line is taken, whatever stands behind it.
+// Assembles one command line from pieces of any size; what follows the line is ignored.
 class CommandReader {
  public:
   enum class State { More, Line, TooLong };
   State feed(std::string_view bytes);
-  const std::string& line() const { return line_; }  // without its end
+  const std::string& line() const { return line_; }  // without its terminator
 
  private:
   std::string line_;
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -13,9 +13,10 @@
 namespace sablespur::admin {
 namespace {
 
-constexpr std::size_t kCallers = 8;
-constexpr timeval kPatience{5, 0};  // for a whole call, and for its answer to be read
-constexpr std::chrono::microseconds kPause = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxConnections = 8;
+constexpr int kBacklog = 64;
+constexpr timeval kIdleTimeout{5, 0};  // for the whole command, and for its response to be read
+constexpr std::chrono::microseconds kAcceptPause = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -24,7 +25,7 @@
   const int on = 1;
   fd_ = systemCalls().socket(at.v6() ? AF_INET6 : AF_INET);
   if (fd_ < 0 || setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-      bind(fd_, at.data(), at.size()) != 0 || listen(fd_, 64) != 0) {
+      bind(fd_, at.data(), at.size()) != 0 || listen(fd_, kBacklog) != 0) {
     const std::string why = std::strerror(errno);
     if (fd_ >= 0) close(fd_);
     throw std::runtime_error("key control: " + why);
@@ -50,68 +51,83 @@
   const int fd = systemCalls().accept(fd_, nullptr, nullptr);
   if (fd < 0) {
     if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
-    event_del(readable_.get());  // guards against spinning: the socket may stay readable, whatever failed
-    return startTimer(resumeTimer_.get(), kPause);
+    // The socket may stay readable whatever failed: without a pause the loop would spin.
+    event_del(readable_.get());
+    startTimer(resumeTimer_.get(), kAcceptPause);
+    return;
   }
-  if (connections_.size() >= kCallers) {
-    const auto oldest =
-        std::min_element(connections_.begin(), connections_.end(),
-                         [](const auto& a, const auto& b) { return a.second.sequence < b.second.sequence; });
-    connections_.erase(oldest);
-  }
-  BufferEvent b(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
+  if (connections_.size() >= kMaxConnections) closeOldest();
+  addConnection(fd);
+}
+
+void Listener::closeOldest() {
+  const auto oldest =
+      std::min_element(connections_.begin(), connections_.end(),
+                       [](const auto& a, const auto& b) { return a.second.sequence < b.second.sequence; });
+  connections_.erase(oldest);
+}
+
+void Listener::addConnection(evutil_socket_t fd) {
+  BufferEvent stream(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
+  bufferevent* const key = stream.get();
   bufferevent_setcb(
-      b.get(), [](bufferevent* of, void* self) { static_cast<Listener*>(self)->readCommand(of); },
-      [](bufferevent* of, void* self) {
-        auto& callers = static_cast<Listener*>(self)->connections_;
-        const auto it = callers.find(of);
-        // What was written has gone out: its end follows, and the caller closes.
-        if (it != callers.end() && it->second.answered) shutdown(bufferevent_getfd(of), SHUT_WR);
-      },
-      [](bufferevent* of, short what, void* self) {
-        auto& l = *static_cast<Listener*>(self);
-        const auto it = l.connections_.find(of);
-        if (it == l.connections_.end()) return;
-        // A call that ended without its line's end was half sent: it is told so if it still listens.
-        if ((what & BEV_EVENT_EOF) && !it->second.answered && !it->second.reader.line().empty())
-          l.answer(it->second, failure("a call ends with the end of its line"));
-        else
-          l.connections_.erase(it);
+      key, [](bufferevent* from, void* self) { static_cast<Listener*>(self)->readCommand(from); },
+      [](bufferevent* from, void* self) { static_cast<Listener*>(self)->responseWritten(from); },
+      [](bufferevent* from, short what, void* self) {
+        static_cast<Listener*>(self)->connectionEnded(from, what);
       },
       this);
-  bufferevent_set_timeouts(b.get(), &kPatience, &kPatience);
-  bufferevent_enable(b.get(), EV_READ | EV_WRITE);
-  bufferevent* const key = b.get();
-  Connection& c = connections_[key];
-  c.connection = std::move(b);
-  c.sequence = ++lastSequence_;
+  bufferevent_set_timeouts(key, &kIdleTimeout, &kIdleTimeout);
+  bufferevent_enable(key, EV_READ | EV_WRITE);
+  Connection& connection = connections_[key];
+  connection.stream = std::move(stream);
+  connection.sequence = ++lastSequence_;
 }
 
-void Listener::readCommand(bufferevent* of) {
-  const auto it = connections_.find(of);
+void Listener::readCommand(bufferevent* from) {
+  const auto it = connections_.find(from);
   if (it == connections_.end()) return;
-  Connection& c = it->second;
-  evbuffer* const in = bufferevent_get_input(of);
+  Connection& connection = it->second;
+  evbuffer* const input = bufferevent_get_input(from);
   char bytes[kMaxLineBytes];
-  while (evbuffer_get_length(in) > 0) {
-    const int n = evbuffer_remove(in, bytes, sizeof bytes);
-    if (n <= 0 || c.answered) continue;  // one call a connection
-    const auto state = c.reader.feed({bytes, static_cast<std::size_t>(n)});
-    if (state == CommandReader::State::More) continue;
-    if (state == CommandReader::State::TooLong) {
-      answer(c, failure("a line of more than " + std::to_string(kMaxLineBytes) + " bytes"));
-      continue;
-    }
-    std::string text;
-    const auto call = parse(c.reader.line(), text);
-    const bool good = call && commands_.execute(*call, text);
-    answer(c, good ? success(text) : failure(text));
+  while (evbuffer_get_length(input) > 0) {
+    const int count = evbuffer_remove(input, bytes, sizeof bytes);
+    if (count <= 0 || connection.answered) continue;  // one command a connection
+    const auto state = connection.reader.feed({bytes, static_cast<std::size_t>(count)});
+    if (state == CommandReader::State::Line) executeCommand(connection);
+    if (state == CommandReader::State::TooLong)
+      respond(connection, failure("a line of more than " + std::to_string(kMaxLineBytes) + " bytes"));
   }
 }
 
-void Listener::answer(Connection& c, const std::string& line) {
-  c.answered = true;
-  append(bufferevent_get_output(c.connection.get()), line);
+void Listener::executeCommand(Connection& connection) {
+  std::string text;
+  const auto command = parse(connection.reader.line(), text);
+  const bool succeeded = command && commands_.execute(*command, text);
+  respond(connection, succeeded ? success(text) : failure(text));
+}
+
+// Half-closes once the response has gone out; the client closes.
+void Listener::responseWritten(bufferevent* from) {
+  const auto it = connections_.find(from);
+  if (it != connections_.end() && it->second.answered) shutdown(bufferevent_getfd(from), SHUT_WR);
+}
+
+void Listener::connectionEnded(bufferevent* from, short what) {
+  const auto it = connections_.find(from);
+  if (it == connections_.end()) return;
+  Connection& connection = it->second;
+  // A client that half-closed within the line may still read why its command failed.
+  const bool lineCut = (what & BEV_EVENT_EOF) && !connection.reader.line().empty();
+  if (lineCut && !connection.answered)
+    respond(connection, failure("a call ends with the end of its line"));
+  else
+    connections_.erase(it);
+}
+
+void Listener::respond(Connection& connection, const std::string& line) {
+  connection.answered = true;
+  append(bufferevent_get_output(connection.stream.get()), line);
 }
 
 }  // namespace sablespur::admin
--- a/src/admin/listener.hpp
+++ b/src/admin/listener.hpp
@@ -1,5 +1,7 @@
-// Where staff call a running proxy. Bounded: so many callers at once and no more, each for a moment; a
-// newcomer ends the one that has been silent for longest. No client's descriptor or turn is taken.
+// The TCP listener for admin commands: one command a connection, one line in and one line out.
+//
+// Bounded, and apart from the clients' limits: a new connection beyond the limit closes the oldest one, and
+// each is closed after a few seconds of silence.
 #pragma once
 
 #include <memory>
@@ -12,7 +14,7 @@
 
 namespace sablespur::admin {
 
-// Carries out a call; answers at once. `text` goes into the answer.
+// Executes a command at once. Returns whether it succeeded; `text` receives the message for the operator.
 class CommandHandler {
  public:
   virtual ~CommandHandler() = default;
@@ -21,7 +23,7 @@
 
 class Listener {
  public:
-  // Throws std::runtime_error, naming the key, where it cannot listen.
+  // Throws std::runtime_error, naming the settings key, if it cannot listen. The handler has to outlive it.
   Listener(event_base*, const Address&, CommandHandler&);
   ~Listener();
   Listener(const Listener&) = delete;
@@ -29,20 +31,26 @@
 
  private:
   struct Connection {
-    BufferEvent connection;
+    BufferEvent stream;
     CommandReader reader;
-    std::uint64_t sequence = 0;  // callers in the order of their coming
+    std::uint64_t sequence = 0;  // in the order of accept
     bool answered = false;
   };
   void acceptConnection();
+  void closeOldest();
+  void addConnection(evutil_socket_t);
   void readCommand(bufferevent*);
-  void answer(Connection&, const std::string& line);
+  void executeCommand(Connection&);
+  void responseWritten(bufferevent*);
+  void connectionEnded(bufferevent*, short what);
+  static void respond(Connection&, const std::string& line);
 
   event_base* const base_;
   CommandHandler& commands_;
   int fd_ = -1;
   std::uint64_t lastSequence_ = 0;
-  Event readable_, resumeTimer_;
+  Event readable_;
+  Event resumeTimer_;
   std::unordered_map<bufferevent*, Connection> connections_;
 };
 
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -16,24 +16,25 @@
 namespace sablespur::admin {
 namespace {
 
-constexpr std::string_view kHead = "sablespur bans 1\n";
-constexpr std::size_t kLongestFile = std::size_t{2} << 20;
-constexpr int kMostPollsSkipped = 25;  // 5 s where the file is looked at each 200 ms
+constexpr std::string_view kHeader = "sablespur bans 1\n";
+constexpr std::size_t kMaxFileBytes = std::size_t{2} << 20;
+constexpr int kMaxBackoffPolls = 25;  // 5 s at one poll each 200 ms
 
-std::optional<std::pair<unsigned long, long>> mark(const std::string& path) {
+// Inode and modification time in ns; nothing if there is no file.
+std::optional<std::pair<unsigned long, long>> fileVersion(const std::string& path) {
   struct stat s {};
   if (stat(path.c_str(), &s) != 0) return std::nullopt;
   return std::make_pair(static_cast<unsigned long>(s.st_ino),
                         s.st_mtim.tv_sec * 1000000000l + s.st_mtim.tv_nsec);
 }
 
-// False, with errno set: it could not be read.
+// False, with errno set, if it could not be read. Stops one piece beyond the longest valid file.
 bool readFile(const std::string& path, std::string& text) {
   const int file = open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (file < 0) return false;
   char bytes[4096];
   ssize_t got = 0;
-  while (text.size() <= kLongestFile) {
+  while (text.size() <= kMaxFileBytes) {
     got = fileCalls().read(file, bytes, sizeof bytes);
     if (got < 0 && errno == EINTR) continue;
     if (got <= 0) break;
@@ -60,14 +61,14 @@
 }  // namespace
 
 std::string formatSuspendedEndpoints(const std::set<std::string>& all) {
-  std::string text(kHead);
+  std::string text(kHeader);
   for (const std::string& id : all) text += id + "\n";
   return text + "end " + std::to_string(all.size()) + "\n";
 }
 
 std::optional<std::set<std::string>> parseSuspendedEndpoints(std::string_view text) {
-  if (text.substr(0, kHead.size()) != kHead) return std::nullopt;
-  text.remove_prefix(kHead.size());
+  if (text.substr(0, kHeader.size()) != kHeader) return std::nullopt;
+  text.remove_prefix(kHeader.size());
   std::set<std::string> all;
   for (std::size_t end; (end = text.find('\n')) != std::string_view::npos; text.remove_prefix(end + 1)) {
     const std::string line(text.substr(0, end));
@@ -76,20 +77,20 @@
       return std::nullopt;
     all.insert(line);
   }
-  return std::nullopt;  // it was cut
+  return std::nullopt;  // truncated
 }
 
 SuspendedEndpoints::SuspendedEndpoints(std::string path) : path_(std::move(path)) { load(); }
 
 bool SuspendedEndpoints::load() {
-  const auto now = mark(path_);
+  const auto now = fileVersion(path_);
   if (path_.empty() || now == lastSeen_) return false;
   if (!now) {
     lastSeen_ = now;
-    return false;  // gone: what is known stands
+    return false;  // deleted: the known set stays
   }
   std::string text;
-  if (!readFile(path_, text)) {  // looked at again: the file may be good
+  if (!readFile(path_, text)) {  // lastSeen_ stays, so that the next poll tries again
     if (!std::exchange(unreadable_, true))
       logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}, {"why", std::strerror(errno)}});
     return false;
@@ -101,55 +102,54 @@
     logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}});
     return false;
   }
-  for (const auto& [id, banned] : unwritten_) {
-    if (banned)
-      read->insert(id);
+  for (const auto& [name, suspended] : unwritten_) {
+    if (suspended)
+      read->insert(name);
     else
-      read->erase(id);
+      read->erase(name);
   }
-  const bool other = *read != endpoints_;
+  const bool changed = *read != endpoints_;
   endpoints_ = std::move(*read);
-  return other;
+  return changed;
 }
 
 bool SuspendedEndpoints::poll() {
-  const bool other = load();
+  const bool changed = load();
   if (!unwritten_.empty() && --pollsToSkip_ <= 0 && !save()) {
-    skippedNext_ = std::min(2 * skippedNext_, kMostPollsSkipped);
-    pollsToSkip_ = skippedNext_;
+    nextBackoff_ = std::min(2 * nextBackoff_, kMaxBackoffPolls);
+    pollsToSkip_ = nextBackoff_;
   }
-  return other;
+  return changed;
 }
 
-bool SuspendedEndpoints::set(const std::string& id, bool banned) {
-  load();  // what another process has said in the meantime stands
-  const bool full = banned && endpoints_.size() >= kMaxSuspendedEndpoints && endpoints_.count(id) == 0;
-  if (full) return false;
-  const bool other = banned ? endpoints_.insert(id).second : endpoints_.erase(id) > 0;
-  if (path_.empty() || (!other && unwritten_.empty())) return true;
-  if (other) unwritten_[id] = banned;
+bool SuspendedEndpoints::set(const std::string& name, bool suspended) {
+  load();  // changes that another process has written in the meantime stay
+  const bool full = endpoints_.size() >= kMaxSuspendedEndpoints && endpoints_.count(name) == 0;
+  if (suspended && full) return false;
+  const bool changed = suspended ? endpoints_.insert(name).second : endpoints_.erase(name) > 0;
+  if (path_.empty() || (!changed && unwritten_.empty())) return true;
+  if (changed) unwritten_[name] = suspended;
   return save();
 }
 
-// Writes all(), those included that could not be written before.
+// Writes the whole set, earlier changes that could not be written included.
 bool SuspendedEndpoints::save() {
   if (!replaceFile(formatSuspendedEndpoints(endpoints_))) {
-    if (!std::exchange(failing_, true))
+    if (!std::exchange(writeFailing_, true))
       logEvent(LogLevel::Error, "suspensions_write_failed", {{"file", path_}, {"why", std::strerror(errno)}});
-    lastSeen_ = mark(path_);
+    lastSeen_ = fileVersion(path_);
     return false;
   }
-  if (std::exchange(failing_, false))
+  if (std::exchange(writeFailing_, false))
     logEvent(LogLevel::Info, "suspensions_write_recovered", {{"file", path_}});
   unwritten_.clear();
   pollsToSkip_ = 0;
-  skippedNext_ = 1;
-  lastSeen_ = mark(path_);
+  nextBackoff_ = 1;
+  lastSeen_ = fileVersion(path_);
   return true;
 }
 
-// Durable under its name once this has returned true; else the earlier file stands whole, and errno tells
-// why.
+// Durable under its name when it returns true; else the earlier file is intact, and errno is set.
 bool SuspendedEndpoints::replaceFile(const std::string& text) const {
   const std::string fresh = path_ + "." + std::to_string(getpid());
   const int file = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
--- a/src/admin/suspended_endpoints.hpp
+++ b/src/admin/suspended_endpoints.hpp
@@ -1,6 +1,6 @@
-// Which data servers staff have taken out of use, kept in a file beside the process: a second process of the
-// same proxy, or the one after it, keeps to them. Written whole and renamed into place, checked when it is
-// read.
+// The set of endpoints that operators have suspended, shared through a file with other processes of the same
+// proxy: one that runs beside it during an upgrade, or its successor. The file is replaced atomically and
+// validated when it is read.
 #pragma once
 
 #include <map>
@@ -14,20 +14,20 @@
 
 constexpr std::size_t kMaxSuspendedEndpoints = 10000;
 
-// Pure: the file's form, its end included; nothing where it is another or was cut.
+// The file's text. Parsing gives nothing if the text has another format or is truncated.
 std::string formatSuspendedEndpoints(const std::set<std::string>&);
 std::optional<std::set<std::string>> parseSuspendedEndpoints(std::string_view);
 
 class SuspendedEndpoints {
  public:
-  // An empty path: nothing is kept. A file that cannot be used is logged and counts as none.
+  // An empty path: the set lives in memory only. A file that cannot be used is logged and counts as empty.
   explicit SuspendedEndpoints(std::string path);
   const std::set<std::string>& endpoints() const { return endpoints_; }
-  // True once the file and its name are durable. False: the file could not be written (logged); the ban holds
-  // in this process all the same, and poll() goes on trying. Blocks for as long as the disk takes.
-  bool set(const std::string& id, bool banned);
-  // What another process of the same proxy has written since; true: all() is another set now. Costs one stat,
-  // and where a change could not be written yet, now and then another try.
+  // True once the change is durable. False: the set is full, or the file could not be written (logged); in
+  // the second case the change holds in this process and poll() retries the write. Blocks on the disk.
+  bool set(const std::string& name, bool suspended);
+  // Takes over what another process has written since; true: endpoints() has changed. Costs one stat(2), and
+  // now and then another attempt to write a change that failed.
   bool poll();
   bool allWritten() const { return unwritten_.empty(); }
 
@@ -38,10 +38,13 @@
 
   const std::string path_;
   std::set<std::string> endpoints_;
-  std::map<std::string, bool> unwritten_;  // by id: banned or not; stands whatever the file says
-  std::optional<std::pair<unsigned long, long>> lastSeen_;  // inode and time of what was read or written last
-  bool failing_ = false, unreadable_ = false;               // logged already
-  int pollsToSkip_ = 0, skippedNext_ = 1;                   // between tries to write
+  std::map<std::string, bool> unwritten_;  // suspended or not, by name; overrides what the file says
+  std::optional<std::pair<unsigned long, long>>
+      lastSeen_;               // inode and mtime of the file last read or written
+  bool writeFailing_ = false;  // logged already
+  bool unreadable_ = false;    // logged already
+  int pollsToSkip_ = 0;        // before the next attempt to write
+  int nextBackoff_ = 1;        // in polls
 };
 
 }  // namespace sablespur::admin
--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -11,9 +11,9 @@
 namespace sablespur {
 namespace {
 
-// How often the file is looked at for what another process of this proxy was told: well within the second
-// after which a ban counts as known.
-constexpr Time kLook = std::chrono::milliseconds(200);
+// Between polls of the file for changes by another process of this proxy: well within the second after which
+// a suspension has to be in force.
+constexpr Time kPollInterval = std::chrono::milliseconds(200);
 
 class AdminCommands final : public AdminHandler, admin::CommandHandler {
  public:
@@ -28,33 +28,41 @@
     for (const std::string& id : suspended_.endpoints()) engine_.restoreSuspension(id);
     if (!suspended_.endpoints().empty())
       logEvent(LogLevel::Info, "suspensions_loaded", {{"count", suspended_.endpoints().size()}});
-    if (!c.bans.empty()) startTimer(pollTimer_.get(), kLook);
+    if (!c.bans.empty()) startTimer(pollTimer_.get(), kPollInterval);
   }
 
  private:
-  bool execute(const admin::Command& call, std::string& text) override {
-    switch (call.type) {
+  bool execute(const admin::Command& command, std::string& text) override {
+    switch (command.type) {
       case admin::CommandType::Status:
-        text = clients_.draining()
-                   ? "draining"
-                   : "serving, " + std::to_string(suspended_.endpoints().size()) + " suspended";
-        return !clients_.draining();
+        return describeState(text);
       case admin::CommandType::Suspend:
-      case admin::CommandType::Restore: {
-        const bool on = call.type == admin::CommandType::Suspend;
-        if (!engine_.suspend(call.endpoint, on)) {
-          text = call.endpoint + " was never on the list";
-          return false;
-        }
-        const bool kept = suspended_.set(call.endpoint, on);
-        logEvent(LogLevel::Info, on ? "member_suspended" : "member_restored", {{"name", call.endpoint}});
-        text = call.endpoint + (on ? " suspended" : " restored");
-        if (!kept) text += ", in this process alone: not kept on disk yet";
-        return true;
-      }
+        return changeSuspension(command.endpoint, true, text);
+      case admin::CommandType::Restore:
+        return changeSuspension(command.endpoint, false, text);
     }
     return false;
   }
+
+  bool describeState(std::string& text) const {
+    const bool draining = clients_.draining();
+    text = draining ? "draining" : "serving, " + std::to_string(suspended_.endpoints().size()) + " suspended";
+    return !draining;
+  }
+
+  bool changeSuspension(const std::string& name, bool suspend, std::string& text) {
+    if (!engine_.suspend(name, suspend)) {
+      text = name + " was never on the list";
+      return false;
+    }
+    const bool durable = suspended_.set(name, suspend);
+    logEvent(LogLevel::Info, suspend ? "member_suspended" : "member_restored", {{"name", name}});
+    text = name + (suspend ? " suspended" : " restored");
+    if (!durable) text += ", in this process alone: not kept on disk yet";
+    return true;
+  }
+
+  // Applies what another process of this proxy has changed.
   void pollFile() {
     const std::set<std::string> was = suspended_.endpoints();
     if (!suspended_.poll()) return;
--- a/src/app/admin_handler.hpp
+++ b/src/app/admin_handler.hpp
@@ -1,4 +1,4 @@
-// What staff may do to a running proxy: the calls of src/admin, carried out.
+// Executes the admin commands of src/admin on a running proxy.
 #pragma once
 
 #include <memory>
@@ -15,8 +15,8 @@
  public:
   virtual ~AdminHandler() = default;
 };
-// Null where the settings give no address for it. Bans of an earlier process are told to the engine before
-// this returns; so it is made before Engine::start. Throws std::runtime_error where it cannot listen.
+// Null if the settings give no admin address. Hands the suspensions of an earlier process to the engine, and
+// so has to be called before Engine::start. Throws std::runtime_error if it cannot listen.
 std::unique_ptr<AdminHandler> createAdminHandler(event_base*, const Config&, Engine&, const Clients&);
 
 }  // namespace sablespur
