--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -7,28 +7,33 @@
 namespace sablespur::cluster {
 namespace {
 
-// A position is told again once it has gone on by this share of the bound: with as much again for the way,
-// and the member's own lag, it still proves what a read needs.
-constexpr std::int64_t kNewsShare = 4;
+// A position is sent again once it has advanced by the staleness bound over this divisor: with as much again
+// for the transfer, and the endpoint's own lag, it still proves what a read needs.
+constexpr std::int64_t kPositionAdvanceDivisor = 4;
 // A position that has used up three quarters of the bound before it is sent proves too little on arrival.
-constexpr std::int64_t kFreshNumerator = 3, kFreshDenominator = 4;
-// Each answer earns so many bytes delivered at all peers together, so that the price of a request stays the
-// same however many proxies there are; what a full datagram to all costs can always be saved up.
-constexpr double kBytesPerAnswer = 512, kLeastByteBudget = 64 * 1024;
-constexpr std::size_t kMostKnown = 4096;       // members
-constexpr std::int64_t kForgetMs = 60 * 1000;  // after so long without a word
-constexpr std::int64_t kForgetEveryMs = 1000;  // a look at all members is not taken more often
-constexpr std::size_t kMostPending = 4 * kGossipUpdatesPerDatagram;
-// A small fleet answers faster than its interval now and then; what it left unused for so long it may use.
+constexpr std::int64_t kFreshNumerator = 3;
+constexpr std::int64_t kFreshDenominator = 4;
+// Each status adds so many bytes, delivered at all peers together, to the budget: the cost of a request stays
+// the same however many proxies there are. The cap always allows a full datagram to all.
+constexpr double kBytesPerStatus = 512;
+constexpr double kMinByteBudgetCap = 64 * 1024;
+constexpr std::size_t kMaxEndpoints = 4096;
+constexpr std::int64_t kStatusLifetimeMs = 60 * 1000;  // without an update
+constexpr std::int64_t kExpiryIntervalMs = 1000;       // between scans of all endpoints
+constexpr std::size_t kMaxPending = 4 * kGossipUpdatesPerDatagram;
+// A small fleet sometimes has updates faster than its interval; it may use what it left unused for so long.
 constexpr double kBurstMs = 250;
-constexpr double kUrgentBurst = 3;                       // datagrams beyond the first
-constexpr double kLeastJitter = 0.5, kMostJitter = 1.5;  // of an interval; 1 in the mean
+constexpr double kUrgentBurst = 3;  // datagrams beyond the first
+// Factors of an interval; 1 in the mean.
+constexpr double kMinJitter = 0.5;
+constexpr double kMaxJitter = 1.5;
 // The delay of a change of role: 900 proxies that see it at once spread over 200 ms, several times what a
 // datagram takes to arrive, and the first is out after a fraction of one.
-constexpr double kUrgentDelayMsPerPeer = 0.25, kMostUrgentDelayMs = 200;
+constexpr double kUrgentDelayMsPerPeer = 0.25;
+constexpr double kMaxUrgentDelayMs = 200;
 constexpr int kUrgentSends = 2;              // a datagram may be lost
 constexpr std::int64_t kRepeatAfterMs = 80;  // more than a datagram takes to arrive
-constexpr std::int64_t kUrgentForMs = 3000;  // by then ordinary news has told it
+constexpr std::int64_t kUrgentForMs = 3000;  // by then an ordinary datagram has carried it
 
 double budgetIntervalMs(std::size_t receivers, double perSecond) {
   return 1000.0 * static_cast<double>(receivers) / perSecond;
@@ -50,7 +55,7 @@
       ordinary_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
       urgent_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
               kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
-      byteBudget_(std::max(kLeastByteBudget / 8, deliveredBytes(kGossipUpdatesPerDatagram))),
+      byteBudget_(std::max(kMinByteBudgetCap / 8, deliveredBytes(kGossipUpdatesPerDatagram))),
       order_(policy.peers) {
   std::iota(order_.begin(), order_.end(), std::size_t{0});
 }
@@ -61,8 +66,8 @@
     started_ = true;  // proxies that start together don't send together
     ordinary_.startAt(static_cast<double>(nowMs) + firstPhase() * ordinary_.intervalMs());
   }
-  byteBudget_ = std::min(byteBudget_ + kBytesPerAnswer,
-                         std::max(kLeastByteBudget, deliveredBytes(kGossipUpdatesPerDatagram)));
+  byteBudget_ = std::min(byteBudget_ + kBytesPerStatus,
+                         std::max(kMinByteBudgetCap, deliveredBytes(kGossipUpdatesPerDatagram)));
   if (const std::optional<News> news = newsIn(hint, nowMs)) enqueue(hint, *news, nowMs);
 }
 
@@ -70,11 +75,11 @@
   if (!sampled()) {
     const auto own = find(hint.endpointTag);
     if (own != pending_.end() && own->news == News::RoleChange && own->update.role == hint.role)
-      pending_.erase(own);  // all others have heard it too
+      pending_.erase(own);  // the broadcast has reached all others too
     recordStatus(hint, nowMs);
     return;
   }
-  // Others may not have got it: only a change of role is passed on, once.
+  // Only kFanout peers have got it. A change of role is passed on, once; nothing else is.
   if (!changesRole(hint)) return;
   recordStatus(hint, nowMs);
   enqueue(hint, News::RoleChange, nowMs);
@@ -97,8 +102,9 @@
   if (tooOld && hint.role == GossipRole::Replica && !told->second.lagging &&
       hint.positionMs >= told->second.positionMs)
     return News::Lag;
-  // Data too old for any read prove nothing that is of use.
-  if (tooOld || hint.positionMs - told->second.positionMs < policy_.boundMs / kNewsShare) return std::nullopt;
+  // A position too old for any read proves nothing useful.
+  if (tooOld || hint.positionMs - told->second.positionMs < policy_.boundMs / kPositionAdvanceDivisor)
+    return std::nullopt;
   return News::Position;
 }
 
@@ -127,24 +133,23 @@
 }
 
 void GossipScheduler::evictPending(std::int64_t nowMs) {
-  if (pending_.size() < kMostPending) return;
+  if (pending_.size() < kMaxPending) return;
   dropOutdated(nowMs);
-  if (pending_.size() >= kMostPending) pending_.erase(pending_.begin());  // the oldest
+  if (pending_.size() >= kMaxPending) pending_.erase(pending_.begin());  // the oldest
 }
 
-// Where in its interval a proxy starts, as if it had been sending for ever: a long interval is met more often
-// than a short one. With a plain uniform draw a fleet that starts together would send too much later on.
+// Where in its interval a proxy starts, as if it had always been sending (the stationary distribution of a
+// renewal process): long intervals are met more often than short ones. With a plain uniform draw a fleet that
+// starts together would exceed the budget later on.
 double GossipScheduler::firstPhase() {
   std::uniform_real_distribution<> unit(0, 1);
-  const double interval =
-      std::sqrt(kLeastJitter * kLeastJitter +
-                unit(random_) * (kMostJitter * kMostJitter - kLeastJitter * kLeastJitter));
+  const double interval = std::sqrt(kMinJitter * kMinJitter +
+                                    unit(random_) * (kMaxJitter * kMaxJitter - kMinJitter * kMinJitter));
   return unit(random_) * interval;
 }
 
 std::int64_t GossipScheduler::urgentDelayMs() {
-  const double most =
-      std::min(kMostUrgentDelayMs, kUrgentDelayMsPerPeer * static_cast<double>(policy_.peers));
+  const double most = std::min(kMaxUrgentDelayMs, kUrgentDelayMsPerPeer * static_cast<double>(policy_.peers));
   return static_cast<std::int64_t>(std::uniform_real_distribution<>(0, most)(random_));
 }
 
@@ -165,7 +170,7 @@
   }
   if (told == endpointStatuses_.end()) return true;
   return age * kFreshDenominator < policy_.boundMs * kFreshNumerator &&
-         p.update.positionMs - told->second.positionMs >= policy_.boundMs / kNewsShare;
+         p.update.positionMs - told->second.positionMs >= policy_.boundMs / kPositionAdvanceDivisor;
 }
 
 void GossipScheduler::dropOutdated(std::int64_t nowMs) {
@@ -193,13 +198,13 @@
     return false;
   fillDatagram(nowMs, urgent, datagram);
   if (datagram.empty()) return false;
-  const double jitter = std::uniform_real_distribution<>(kLeastJitter, kMostJitter)(random_);
+  const double jitter = std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_);
   (urgent ? urgent_ : ordinary_).spend(nowMs, jitter);
   if (!urgent) byteBudget_ -= deliveredBytes(datagram.size());
   return true;
 }
 
-// First what nobody else may know, then the newest positions.
+// Changes of role first, then lag, then the newest positions.
 void GossipScheduler::fillDatagram(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram) {
   std::sort(pending_.begin(), pending_.end(), [](const PendingUpdate& a, const PendingUpdate& b) {
     return a.news != b.news ? a.news > b.news : a.update.positionMs > b.update.positionMs;
@@ -248,8 +253,8 @@
 void GossipScheduler::recordStatus(const GossipUpdate& hint, std::int64_t nowMs) {
   auto it = endpointStatuses_.find(hint.endpointTag);
   if (it == endpointStatuses_.end()) {
-    if (endpointStatuses_.size() >= kMostKnown) expireStatuses(nowMs);
-    if (endpointStatuses_.size() >= kMostKnown) return;
+    if (endpointStatuses_.size() >= kMaxEndpoints) expireStatuses(nowMs);
+    if (endpointStatuses_.size() >= kMaxEndpoints) return;
     it = endpointStatuses_.emplace(hint.endpointTag, EndpointStatus{}).first;
   } else if (hint.positionMs < it->second.positionMs) {
     return;
@@ -262,10 +267,10 @@
 }
 
 void GossipScheduler::expireStatuses(std::int64_t nowMs) {
-  if (nowMs - lastExpiryMs_ < kForgetEveryMs) return;
+  if (nowMs - lastExpiryMs_ < kExpiryIntervalMs) return;
   lastExpiryMs_ = nowMs;
   for (auto it = endpointStatuses_.begin(); it != endpointStatuses_.end();)
-    it = nowMs - it->second.atMs > kForgetMs ? endpointStatuses_.erase(it) : std::next(it);
+    it = nowMs - it->second.atMs > kStatusLifetimeMs ? endpointStatuses_.erase(it) : std::next(it);
 }
 
 }  // namespace sablespur::cluster
--- a/src/cluster/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -1,9 +1,9 @@
-// Decides what a proxy tells its peers and when: pure, no sockets, no clock.
+// Decides which gossip updates a proxy sends to its peers and when. Pure: no sockets, no clock.
 //
 // What one proxy receives stays within a budget however many proxies there are. Each proxy sends one
-// datagram in an interval that grows with the number that receive it, and that datagram carries all the news
-// gathered meanwhile. News that a peer has told is left out. A change of role may go out sooner, from a small
-// budget of its own, after a random delay in which another proxy may tell it first.
+// datagram in an interval that grows with the number of receivers, and that datagram carries all updates
+// gathered meanwhile. Updates that a peer has sent already are left out. A change of role may go out sooner,
+// from a small budget of its own, after a random delay in which another proxy may send it first.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,13 @@
 
 namespace sablespur::cluster {
 
-// Datagrams a second that a proxy receives from all its peers together, where each of them has news. One
+// Datagrams a second that a proxy receives from all its peers together if each of them has updates. One
 // costs about 10 us, so 80 take under a thousandth of a core; with a few positions in each, every member of a
-// group of twenty is heard of more than ten times a second.
+// group of twenty is reported more than ten times a second.
 constexpr double kReceivedPerSecond = 80;
-// The same for changes of role; rare, and most are held back since a peer told them first.
+// The same for changes of role; rare, and most are suppressed because a peer was first.
 constexpr double kUrgentReceivedPerSecond = 20;
-// Peers that one datagram goes to where no address reaches all of them: receivers are drawn anew each time.
+// Receivers of one datagram if no broadcast address reaches all peers; drawn anew each time.
 constexpr std::size_t kFanout = 16;
 
 // A sender's share of a budget: one datagram an interval on average, some in a row after a pause (the generic
@@ -46,27 +46,28 @@
   struct Policy {
     std::size_t peers = 0;       // the other proxies
     std::int64_t boundMs = 200;  // data older than this serve no read
-    bool broadcast = true;       // one address reaches all of them
-    std::uint64_t seed = 0;      // another one for each proxy
+    bool broadcast = true;       // one address reaches all peers
+    std::uint64_t seed = 0;      // has to differ between proxies
   };
   explicit GossipScheduler(const Policy&);
 
-  // What an answer or a probe has told this proxy. Each call earns its part of the budget of bytes.
+  // A status from a response or a health check. Each call adds to the byte budget.
   void observedLocally(const GossipUpdate&, std::int64_t nowMs);
-  // What a peer told.
+  // An update from a peer.
   void receivedFromPeer(const GossipUpdate&, std::int64_t nowMs);
-  // Fills `datagram` with the hints of one that is due now, at most kHintsPerDatagram. False: none is due.
+  // Fills `datagram` with the updates of one that is due now, at most kGossipUpdatesPerDatagram. False: none
+  // is due.
   bool takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
-  // When a change of role is due next; other news waits for the next turn in which it may go.
+  // When a change of role is due next; other updates wait for the first turn in which the budget allows them.
   std::optional<std::int64_t> urgentAtMs() const;
-  // Whom the next datagram goes to: all peers, or kFanout of them drawn at random. Valid until the next call.
+  // Receivers of the next datagram: all peers, or kFanout of them drawn at random. Valid until the next call.
   const std::vector<std::size_t>& drawReceivers();
 
   std::size_t knownEndpoints() const { return endpointStatuses_.size(); }
 
  private:
   enum class News { Position, Lag, RoleChange };
-  struct EndpointStatus {  // of a member, by whomever
+  struct EndpointStatus {  // last sent by this proxy or any peer
     std::int64_t positionMs = 0;
     std::int64_t atMs = 0;
     GossipRole role = GossipRole::Unknown;
@@ -76,7 +77,7 @@
     GossipUpdate update;
     News news = News::Position;
     std::int64_t dueMs = 0;  // RoleChange
-    int sendsLeft = 0;       // RoleChange: datagrams that are still to carry it
+    int sendsLeft = 0;       // RoleChange: datagrams that still have to carry it
   };
 
   bool sampled() const { return receivers_ < policy_.peers; }
@@ -91,20 +92,21 @@
   void fillDatagram(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram);
   void recordStatus(const GossipUpdate&, std::int64_t nowMs);
   void expireStatuses(std::int64_t nowMs);
-  double deliveredBytes(std::size_t hints) const;
+  double deliveredBytes(std::size_t updates) const;
   double firstPhase();
   std::int64_t urgentDelayMs();
 
   const Policy policy_;
   const std::size_t receivers_;  // of one datagram
   std::mt19937_64 random_;
-  RateLimiter ordinary_, urgent_;
+  RateLimiter ordinary_;
+  RateLimiter urgent_;
   bool started_ = false;
-  double byteBudget_;                   // bytes that may still be delivered
-  std::vector<PendingUpdate> pending_;  // at most one a member
+  double byteBudget_;                   // bytes that may still be delivered, counted at the receivers
+  std::vector<PendingUpdate> pending_;  // at most one an endpoint
   std::unordered_map<std::uint64_t, EndpointStatus> endpointStatuses_;
   std::int64_t lastExpiryMs_ = 0;
-  std::vector<std::size_t> order_;  // of the peers, shuffled as far as needed
+  std::vector<std::size_t> order_;  // of the peers; shuffled as far as needed
   std::vector<std::size_t> drawnPeers_;
 };
 
--- a/src/cluster/udp/datagrams.cpp
+++ b/src/cluster/udp/datagrams.cpp
@@ -8,12 +8,12 @@
 namespace sablespur {
 namespace {
 
-constexpr int kReceivesPerTurn = 64;  // calls in one pass of the loop: requests come between
-constexpr int kErrorsPerTurn = 16;    // that are passed over in it
-// After an error that is not of one datagram: without a pause a socket that stays readable would spin.
+constexpr int kReceivesPerTurn = 64;  // in one pass of the loop, so that requests are not held up
+constexpr int kErrorsPerTurn = 16;    // skipped in one pass
+// After an error of the socket itself: without a pause the loop would spin while it stays readable.
 constexpr std::chrono::milliseconds kErrorPause(100);
 
-// Errors that an earlier datagram or a signal left behind; the next call may well succeed.
+// Errors left by an earlier datagram or a signal; the next call may succeed.
 bool isTransient(int error) {
   return error == EINTR || error == ECONNREFUSED || error == EHOSTUNREACH || error == ENETUNREACH ||
          error == EHOSTDOWN || error == ENETDOWN || error == EMSGSIZE || error == EPERM;
@@ -21,11 +21,6 @@
 
 }  // namespace
 
-DatagramCalls& datagramCalls() {
-  static DatagramCalls calls{recvfrom, sendto};
-  return calls;
-}
-
 SenderTable::Key SenderTable::keyOf(const sockaddr* address) {
   Key key;
   if (address->sa_family == AF_INET) {
@@ -56,7 +51,7 @@
 
 DatagramSocket::DatagramSocket(event_base* base, const Address& listen, std::size_t longest,
                                Receiver receiver)
-    : receiver_(std::move(receiver)), buffer_(longest + 1) {  // one more: what is too long shows
+    : receiver_(std::move(receiver)), buffer_(longest + 1) {  // one more byte reveals an overlong datagram
   fd_ = socket(listen.v6() ? AF_INET6 : AF_INET, SOCK_DGRAM, 0);
   if (fd_ < 0 || evutil_make_socket_nonblocking(fd_) != 0 || evutil_make_socket_closeonexec(fd_) != 0 ||
       bind(fd_, listen.data(), listen.size()) != 0) {
--- a/src/cluster/udp/datagrams.hpp
+++ b/src/cluster/udp/datagrams.hpp
@@ -1,5 +1,4 @@
-// The UDP socket between proxies: sends and receives datagrams, none of whose errors ends it. Knows no form
-// of a datagram.
+// The UDP socket between proxies. No error of a datagram ends it; it does not interpret their contents.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,19 +15,24 @@
 
 namespace sablespur {
 
-// The system's calls; at one place so that tests can make them fail.
+// The system calls on datagram sockets, replaceable by tests (see also SystemCalls and FileCalls).
 struct DatagramCalls {
-  ssize_t (*receive)(int fd, void* bytes, std::size_t size, int flags, sockaddr* from, socklen_t* length);
+  ssize_t (*receive)(int fd, void* bytes, std::size_t size, int flags, sockaddr* from,
+                     socklen_t* length) = ::recvfrom;
   ssize_t (*send)(int fd, const void* bytes, std::size_t size, int flags, const sockaddr* to,
-                  socklen_t length);
+                  socklen_t length) = ::sendto;
 };
-DatagramCalls& datagramCalls();
+// Replaced by tests alone.
+inline DatagramCalls& datagramCalls() {
+  static DatagramCalls calls;
+  return calls;
+}
 
-// Which known sender an address is, found by its bytes.
+// Maps the socket addresses of known senders to their indices.
 class SenderTable {
  public:
   static constexpr std::size_t kUnknown = static_cast<std::size_t>(-1);
-  bool add(const Address&, std::size_t index);  // false: it is known already
+  bool add(const Address&, std::size_t index);  // false: it is there already
   std::size_t find(const sockaddr*) const;
 
  private:
@@ -50,7 +54,7 @@
  public:
   // Called for each datagram from a known sender; the bytes are valid during the call.
   using Receiver = std::function<void(std::size_t sender, std::string_view datagram)>;
-  // Binds; where that fails ready() is false and error() the errno.
+  // Binds to `listen`; on failure ready() is false and error() the errno. `longest` bytes a datagram at most.
   DatagramSocket(event_base*, const Address& listen, std::size_t longest, Receiver);
   ~DatagramSocket();
   DatagramSocket(const DatagramSocket&) = delete;
@@ -59,8 +63,7 @@
   bool ready() const { return readable_ != nullptr; }
   int error() const { return error_; }
   SenderTable& senders() { return senders_; }
-  // False: the machine takes none just now, and others need not be tried. Any other loss is of this one
-  // alone.
+  // Best effort. False: the machine sends nothing at the moment, so further datagrams need not be tried.
   bool send(const Address& to, std::string_view datagram);
 
  private:
@@ -71,7 +74,8 @@
   Receiver receiver_;
   SenderTable senders_;
   std::vector<char> buffer_;
-  Event readable_, resume_;
+  Event readable_;
+  Event resume_;
 };
 
 }  // namespace sablespur
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -24,10 +24,10 @@
   return others;
 }
 
-// The same hint with its position counted by a clock that is ahead by `byMs`.
-cluster::GossipUpdate moved(cluster::GossipUpdate hint, std::int64_t byMs) {
-  hint.positionMs += byMs;
-  return hint;
+// The same update with its position on a clock that is ahead by `byMs`.
+cluster::GossipUpdate moved(cluster::GossipUpdate update, std::int64_t byMs) {
+  update.positionMs += byMs;
+  return update;
 }
 
 cluster::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
@@ -41,7 +41,7 @@
 PeerLink::PeerLink(event_base* base, Engine& engine, const Config& config)
     : engine_(engine),
       config_(config),
-      socket_(base, config.peerListen, cluster::kLongestDatagram,
+      socket_(base, config.peerListen, cluster::kMaxDatagramBytes,
               [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
       others_(othersOf(config, socket_.senders())),
       scheduler_(std::in_place, policyOf(config, others_.size())),
@@ -53,7 +53,7 @@
 }
 
 void PeerLink::send(std::size_t peer, const std::string& datagram) {
-  if (peer >= others_.size() || datagram.size() > cluster::kLongestDatagram) return;
+  if (peer >= others_.size() || datagram.size() > cluster::kMaxDatagramBytes) return;
   socket_.send(others_[peer], datagram);
 }
 
@@ -69,7 +69,7 @@
   armTimer();
 }
 
-// What was told under another reference says nothing of what peers still need to hear.
+// Updates sent under another reference say nothing about what peers still need.
 void PeerLink::followReference() {
   const std::int64_t offsetMs = engine_.clockOffset().count() / 1000;
   if (offsetMs == offsetMs_) return;
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -1,4 +1,4 @@
-// The datagrams between proxies: one socket, nothing waited for. Lost, late or repeated ones harm nothing.
+// Gossip between proxies over UDP. Lost, late and repeated datagrams are harmless.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 
 namespace sablespur {
 
-// Carries out what the GossipScheduler decides on what the engine learns, and hands the engine what others
-// tell. Where its address cannot be had the log says so and the proxy does without: hints are never needed to
-// keep a rule.
+// Sends what the GossipScheduler decides, and passes the updates of known peers on to the engine. If its
+// address cannot be bound, that is logged and the proxy works without gossip, which is never needed for
+// correctness.
 class PeerLink final : public ReplicationObserver {
  public:
   PeerLink(event_base*, Engine&, const Config&);
@@ -29,10 +29,10 @@
   void statusObserved(const cluster::GossipUpdate&) override;
   void flush() override;
 
-  // Datagrams of another kind than hints, by whoever sent them: an index among the other proxies.
-  using Heads = std::function<void(std::size_t peer, std::string_view datagram)>;
-  void onHead(Heads h) { snapshotHeaderHandler_ = std::move(h); }
-  void send(std::size_t peer, const std::string& datagram);  // lost is lost
+  // Receives the datagrams that are not gossip; `peer` is the sender's index among the other proxies.
+  using SnapshotHeaderHandler = std::function<void(std::size_t peer, std::string_view datagram)>;
+  void onHead(SnapshotHeaderHandler handler) { snapshotHeaderHandler_ = std::move(handler); }
+  void send(std::size_t peer, const std::string& datagram);  // best effort
   std::size_t others() const { return others_.size(); }
 
  private:
@@ -46,12 +46,11 @@
   const Config& config_;
   DatagramSocket socket_;
   std::vector<Address> others_;
-  std::optional<cluster::GossipScheduler>
-      scheduler_;                           // never empty; made anew when the reference clock moves
-  std::int64_t offsetMs_ = 0;               // the reference clock's, which scheduler_ counts without
+  std::optional<cluster::GossipScheduler> scheduler_;  // never empty; replaced when the reference clock moves
+  std::int64_t offsetMs_ = 0;               // of the reference clock; scheduler_ counts positions without it
   std::vector<cluster::GossipUpdate> due_;  // the datagram that is being sent
   Event urgent_;                            // a change of role does not wait for the next turn
-  Heads snapshotHeaderHandler_;
+  SnapshotHeaderHandler snapshotHeaderHandler_;
 };
 
 }  // namespace sablespur
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -59,7 +59,7 @@
 
 TEST(PeersDatagram, HoldsAtMostWhatThePlatformTakes) {
   const std::vector<GossipUpdate> many(100, GossipUpdate{1, kNow, GossipRole::Replica, 0, 1});
-  EXPECT_LE(cluster::encode(many).size(), cluster::kLongestDatagram);
+  EXPECT_LE(cluster::encode(many).size(), cluster::kMaxDatagramBytes);
   EXPECT_EQ(cluster::decode(cluster::encode(many), kNow).size(), cluster::kGossipUpdatesPerDatagram);
   EXPECT_EQ(cluster::decode(cluster::encode(many, 90), kNow).size(), 10u);
 }
