--- a/src/engine/acceptor.cpp
+++ b/src/engine/acceptor.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr int kBurst = 32;      // in one pass of the loop: requests that are out come between
-constexpr int kTurnAways = 16;  // the same, on the spare descriptor
-constexpr Clock::Time kCalm = std::chrono::seconds(1);  // without a failure, until the log says so
-constexpr std::chrono::microseconds kPause = std::chrono::milliseconds(20),
-                                    kLongestPause = std::chrono::seconds(1);
+constexpr int kBurst = 32;        // in one pass of the loop, so that requests in flight are not held up
+constexpr int kRejectBurst = 16;  // the same, on the reserved descriptor
+constexpr Clock::Time kRecoveredAfter = std::chrono::seconds(1);  // without a failure
+constexpr std::chrono::microseconds kMinPause = std::chrono::milliseconds(20);
+constexpr std::chrono::microseconds kMaxPause = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -57,8 +57,8 @@
   return Address::fromSocket(reinterpret_cast<const sockaddr*>(&a)).port();
 }
 
-// A program of the reuseport group that names the second socket in it: the one of the process that came later
-// (bpf, "SO_ATTACH_REUSEPORT_CBPF", socket(7)). Where there is no second one the system goes on by its hash.
+// Attaches a filter that selects the second socket of the reuseport group, that of the process that started
+// later (SO_ATTACH_REUSEPORT_CBPF, socket(7)). Without a second one the system selects by its hash.
 void Acceptor::handOverListener() {
   sock_filter second{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog program{1, &second};
@@ -73,7 +73,7 @@
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
     if (fd < 0) {
       const SocketFault fault = classify(SocketCall::Accept, errno);
-      if (fault == SocketFault::Transient) continue;  // of one connection: others wait behind it
+      if (fault == SocketFault::Transient) continue;  // an error of one connection; others may wait behind it
       if (fault == SocketFault::OwnResource) rejectConnections();
       return;
     }
@@ -93,7 +93,7 @@
 void Acceptor::acceptBurst() {
   bool accepted = false;
   for (int n = 0; n < kBurst; ++n) {
-    if (!handler_.hasRoom()) return pause(kPause);
+    if (!handler_.hasRoom()) return pause(kMinPause);
     sockaddr_storage from{};
     socklen_t length = sizeof from;
     const int fd = systemCalls().accept(fd_, reinterpret_cast<sockaddr*>(&from), &length);
@@ -103,20 +103,22 @@
     }
     accepted = true;
     backoff_ = {};
-    if (exhausted_ && clock_.now() - lastFailureAt_ >= kCalm) {
+    if (exhausted_ && clock_.now() - lastFailureAt_ >= kRecoveredAfter) {
       logEvent(LogLevel::Info, "accept_recovered");
       exhausted_ = false;
     }
     handler_.accepted(fd, reinterpret_cast<const sockaddr*>(&from));
   }
-  // Guards against spinning: an error that stays takes no connection off the queue, and the listener stays
-  // ready.
-  if (!accepted) pause(backoff_ = kPause);
+  // An error that persists takes no connection off the queue, so the listener stays readable: without a pause
+  // the loop would spin.
+  if (accepted) return;
+  backoff_ = kMinPause;
+  pause(backoff_);
 }
 
 bool Acceptor::handleAcceptError(int error) {
   const SocketFault fault = classify(SocketCall::Accept, error);
-  if (fault == SocketFault::BadDescriptor) pause(kLongestPause);
+  if (fault == SocketFault::BadDescriptor) pause(kMaxPause);
   if (fault != SocketFault::OwnResource) return fault == SocketFault::Transient;
   const ResourceExhaustion what = resourceExhaustionOf(error);
   budget_.recordExhaustion(what);
@@ -126,21 +128,20 @@
   exhausted_ = true;
   lastFailureAt_ = clock_.now();
   if (what == ResourceExhaustion::Memory) {
-    backoff_ = std::clamp(backoff_ * 2, kPause, kLongestPause);
+    backoff_ = std::clamp(backoff_ * 2, kMinPause, kMaxPause);
     pause(backoff_);
     return false;
   }
   handler_.onExhaustion();
   rejectConnections();
-  backoff_ = kPause;
-  pause(kPause);
+  backoff_ = kMinPause;
+  pause(kMinPause);
   return false;
 }
 
-// Guards against clients that wait in the backlog until their time is up, with no word: the listener stays
-// ready while nothing can be accepted.
+// Without this, clients would wait in the backlog with no answer until their deadline.
 void Acceptor::rejectConnections() {
-  for (int n = 0; n < kTurnAways; ++n) {
+  for (int n = 0; n < kRejectBurst; ++n) {
     bool took = false;
     reservedDescriptor_.lend([&] {
       const int fd = systemCalls().accept(fd_, nullptr, nullptr);
--- a/src/engine/acceptor.hpp
+++ b/src/engine/acceptor.hpp
@@ -1,11 +1,10 @@
-// A listening socket that stays level: so many connections a pass of the loop and no more, whatever waits;
-// and an answer for each way in which accept(2) fails.
+// A listening socket that accepts a bounded number of connections in a pass of the loop and handles each
+// error of accept(2).
 //
-// A connection that is gone already (ECONNABORTED and the network's errors, accept(2)): the next one is
-// taken, and after a whole burst with nothing but such errors there is a pause. No descriptor (EMFILE,
-// ENFILE): somebody idle is asked to make room; until then each one that comes is taken on the spare
-// descriptor, told so and closed, rather than left waiting for nothing. No memory (ENOBUFS, ENOMEM): a pause
-// that doubles up to a second; the rest waits in the backlog.
+// A connection that is gone already (ECONNABORTED and the network errors of accept(2)): the next one is
+// accepted; after a whole burst of such errors there is a pause. No descriptor (EMFILE, ENFILE): the handler
+// is asked to close idle connections; meanwhile new ones are accepted on the reserved descriptor, rejected
+// and closed. No memory (ENOBUFS, ENOMEM): exponential backoff up to a second.
 #pragma once
 
 #include <chrono>
@@ -22,25 +21,26 @@
 class Acceptor {
  public:
   struct ConnectionHandler {
-    std::function<void(evutil_socket_t, const sockaddr*)> accepted;  // owns the descriptor from here on
-    std::function<bool()> hasRoom;       // asked before each; false: no more are taken until resume
-    std::function<void()> onExhaustion;  // there is no descriptor: what can be spared is to be closed
-    std::function<void(evutil_socket_t)> reject;  // writes a last word; the caller closes
+    std::function<void(evutil_socket_t, const sockaddr*)> accepted;  // takes over the descriptor
+    std::function<bool()> hasRoom;                // asked before each accept; false: a pause
+    std::function<void()> onExhaustion;           // out of descriptors: close what is idle
+    std::function<void(evutil_socket_t)> reject;  // writes an error; the caller closes
   };
   // `share`: another process of the same proxy may listen at the same address (SO_REUSEPORT). Throws
-  // std::runtime_error where it cannot listen.
+  // std::runtime_error if it cannot listen.
   Acceptor(event_base*, const Clock&, const Address&, ResourceBudget&, ReservedDescriptor&, ConnectionHandler,
            bool share = false);
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
 
-  void resume();  // there is room again
-  // Before the end. Guards against connections that the closing of a listener with others in its backlog
-  // would reset: the system gives new ones to the process that came later, and what has come here is taken.
+  void resume();  // ends a pause early
+  // Before shutdown: closing a listener resets the connections in its backlog. handOverListener() makes the
+  // system give new connections to the process that started later, if there is one; drainBacklog() accepts
+  // those that are here already.
   void handOverListener();
   void drainBacklog();
   int port() const;
-  std::chrono::microseconds backoff() const { return backoff_; }  // of the last failure; 0: none since
+  std::chrono::microseconds backoff() const { return backoff_; }  // after the last failure; 0: none since
 
  private:
   void acceptBurst();
@@ -56,7 +56,8 @@
   bool exhausted_ = false;
   Clock::Time lastFailureAt_{};
   std::chrono::microseconds backoff_{};
-  Event readable_, resumeTimer_;
+  Event readable_;
+  Event resumeTimer_;
 };
 
 }  // namespace sablespur
--- /dev/null
+++ b/src/engine/endpoint_start_times.cpp
@@ -0,0 +1,54 @@
+#include "engine/endpoint_start_times.hpp"
+
+#include <algorithm>
+#include <chrono>
+
+namespace sablespur {
+namespace {
+
+constexpr Time kMinCorrection = std::chrono::seconds(1);  // less is not worth another list event
+
+// Within (0, now]: 0 stands for an unknown start, and no endpoint starts in the future.
+Time fromStamp(std::int64_t stampMs, Time now, Time clockOffset) {
+  return std::clamp<Time>(std::chrono::milliseconds(stampMs) - clockOffset, Time(1), now);
+}
+
+}  // namespace
+
+Time EndpointStartTimes::startOf(EndpointId id, std::int64_t startedMs, bool inInitialLists, Time now,
+                                 Time clockOffset) {
+  if (startedMs == 0) {
+    starts_.erase(id);
+    return Time(0);
+  }
+  const auto known = starts_.find(id);
+  if (known != starts_.end() && known->second.stampMs == startedMs) return known->second.at;
+  Start start;
+  start.stampMs = startedMs;
+  start.fromStamp = inInitialLists;
+  start.at = inInitialLists ? fromStamp(startedMs, now, clockOffset) : now;
+  starts_[id] = start;
+  return start.at;
+}
+
+void EndpointStartTimes::recordListed(const balancer::ListedEndpoint& listed) {
+  if (const auto start = starts_.find(listed.id); start != starts_.end()) start->second.listed = listed;
+}
+
+std::vector<balancer::ListedEndpoint> EndpointStartTimes::reassess(Time now, Time clockOffset,
+                                                                   Time warmUpPeriod) {
+  std::vector<balancer::ListedEndpoint> corrected;
+  for (auto& [id, start] : starts_) {
+    if (!start.fromStamp) continue;
+    const Time at = fromStamp(start.stampMs, now, clockOffset);
+    const bool warming = now < at + warmUpPeriod;
+    const bool ready = start.listed.state == balancer::Lifecycle::Ready;
+    if (at < start.at + kMinCorrection || !warming || !ready) continue;
+    start.at = at;
+    start.listed.started = at;
+    corrected.push_back(start.listed);
+  }
+  return corrected;
+}
+
+}  // namespace sablespur
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -5,7 +5,7 @@
 namespace sablespur {
 namespace {
 
-constexpr std::chrono::microseconds kLogAgain = std::chrono::seconds(30);
+constexpr std::chrono::microseconds kFailureLogInterval = std::chrono::seconds(30);
 
 const char* stateName(balancer::Lifecycle s) {
   return s == balancer::Lifecycle::Ready ? "active" : s == balancer::Lifecycle::Draining ? "leaving" : "gone";
@@ -37,7 +37,8 @@
   const auto now = clock_.now();
   table_.failed(now, why);
   const auto view = table_.view(now);
-  if (lastFailureLoggedAt_ == std::chrono::microseconds(0) || now - lastFailureLoggedAt_ >= kLogAgain) {
+  if (lastFailureLoggedAt_ == std::chrono::microseconds(0) ||
+      now - lastFailureLoggedAt_ >= kFailureLogInterval) {
     lastFailureLoggedAt_ = now;
     if (view.toldAt)
       logEvent(LogLevel::Warning, "discovery_failed",
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -1,6 +1,7 @@
-// Between a source of the list and whoever takes it (the engine): what a member is since when is
-// Membership's; this gives it the time, wakes it when something changes by itself, and logs what the taker is
-// told.
+// Passes the endpoint list from a discovery source through the EndpointTable to its consumer, the engine.
+//
+// The table is pure; this class gives it the time, wakes it when a change falls due (flap damping), and logs
+// each change that the consumer receives.
 #pragma once
 
 #include "discovery/endpoint_table.hpp"
@@ -13,9 +14,9 @@
  public:
   EndpointUpdater(event_base*, const Clock&, EndpointListConsumer& to, const EndpointTablePolicy&);
 
-  // From a source that tells everything each time; see Membership::found.
+  // From a source that gives the whole list each time; see EndpointTable::found.
   void found(std::vector<DiscoveredEndpoint>, bool first);
-  // From a source with generations.
+  // From a source whose lists have generations.
   void endpointsListed(EndpointList) override;
   void discoveryFailed(const std::string& why) override;
   std::uint64_t generation() const override { return table_.generation(); }
@@ -30,7 +31,7 @@
   EndpointListConsumer& consumer_;
   EndpointTable table_;
   Event timer_;
-  std::chrono::microseconds lastFailureLoggedAt_{};  // when the age of the list was last logged
+  std::chrono::microseconds lastFailureLoggedAt_{};  // 0: never
 };
 
 }  // namespace sablespur
--- a/src/engine/file_calls.hpp
+++ b/src/engine/file_calls.hpp
@@ -1,5 +1,5 @@
-// The calls that files are written and read with, at one place so that tests can have them fail, be
-// interrupted or stop short; and what carries a whole piece through such calls.
+// System calls on files, replaceable by tests, and loops that complete a transfer over interrupted and short
+// calls. See also SystemCalls and DatagramCalls.
 #pragma once
 
 #include <sys/types.h>
@@ -25,8 +25,8 @@
   return calls;
 }
 
-// Each returns false, or -1, with errno set where the call itself fails; an interrupted call is made again,
-// one that stopped short goes on where it stopped.
+// Each returns false, or -1, with errno set if the call fails. An interrupted call is repeated, and a short
+// one continued.
 inline bool writeFully(int file, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t written = fileCalls().write(file, bytes.data(), bytes.size());
@@ -48,7 +48,7 @@
   }
   return true;
 }
-// As many bytes as there are, at most `size`; fewer only at the file's end.
+// Returns the number of bytes read, less than `size` only at the end of the file.
 inline ssize_t readFullyAt(int file, char* to, std::size_t size, off_t offset) {
   std::size_t have = 0;
   while (have < size) {
--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -1,6 +1,5 @@
-// One account of what the process may hold: descriptors by who needs them, and bytes of what clients may send
-// at length. Parts do not lend to each other: what clients leave free is head-room that attempts and
-// discovery count on, and the other way round. Free of I/O; the loop's thread only.
+// The process's budget of descriptors, divided between clients and servers, and of bytes for long statements.
+// The shares do not borrow from each other. Pure: no I/O; the loop's thread only.
 #pragma once
 
 #include <algorithm>
@@ -26,13 +25,15 @@
   ResourceBudget(const ResourceBudget&) = delete;
 
   struct DescriptorShare {
-    std::size_t held = 0, most = 0, peak = 0;
+    std::size_t held = 0;
+    std::size_t most = 0;  // limit
+    std::size_t peak = 0;
   };
   const DescriptorShare& share(DescriptorHolder h) const { return shares_[static_cast<std::size_t>(h)]; }
   bool hasRoom(DescriptorHolder h) const { return share(h).held < share(h).most; }
 
-  // A descriptor of a part, for as long as it lives. It is given whether or not there is room: who asks has
-  // looked, or takes one for a moment to say no.
+  // Counts one descriptor of a share while it lives. It is granted even if the share is full: the caller has
+  // checked hasRoom(), or needs a descriptor for a moment to reject a connection.
   class DescriptorPermit {
    public:
     DescriptorPermit() = default;
@@ -56,7 +57,7 @@
     DescriptorHolder holder_ = DescriptorHolder::Clients;
   };
 
-  // Bytes of long statements and of what clients have prepared. False: there is no room, nothing is taken.
+  // Bytes of long statements and of prepared statements. False: no room, and nothing is reserved.
   bool reserveBytes(std::size_t n) {
     if (n > maxBytes_ - bytes_) return false;
     bytes_ += n;
@@ -68,7 +69,7 @@
   std::size_t maxBytes() const { return maxBytes_; }
   std::size_t peakBytes() const { return peakBytes_; }
 
-  // What the system itself had none of, whatever this account says.
+  // Shortages that the system reported, whatever this budget says.
   void recordExhaustion(ResourceExhaustion s) { ++exhaustionCounts_[static_cast<std::size_t>(s)]; }
   std::uint64_t exhaustionCount(ResourceExhaustion s) const {
     return exhaustionCounts_[static_cast<std::size_t>(s)];
@@ -77,7 +78,8 @@
  private:
   std::array<DescriptorShare, kDescriptorHolderCount> shares_{};
   const std::size_t maxBytes_;
-  std::size_t bytes_ = 0, peakBytes_ = 0;
+  std::size_t bytes_ = 0;
+  std::size_t peakBytes_ = 0;
   std::array<std::uint64_t, kResourceExhaustionCount> exhaustionCounts_{};
 };
 
--- a/src/engine/system_calls.cpp
+++ b/src/engine/system_calls.cpp
@@ -92,14 +92,11 @@
   }
 }
 
-SystemCalls& systemCalls() {
-  static SystemCalls calls{
-      [](int listener, sockaddr* a, socklen_t* n) {
-        return accept4(listener, a, n, SOCK_NONBLOCK | SOCK_CLOEXEC);
-      },
-      [](int family) { return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); },
-      [](int fd, const sockaddr* to, socklen_t n) { return connect(fd, to, n); }};
-  return calls;
+int acceptNonBlocking(int listener, sockaddr* from, socklen_t* length) {
+  return accept4(listener, from, length, SOCK_NONBLOCK | SOCK_CLOEXEC);
+}
+int openNonBlockingTcpSocket(int family) {
+  return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
 StartedConnect startConnect(const Address& to) {
@@ -131,10 +128,10 @@
 bool ReservedDescriptor::lend(const std::function<void()>& use) {
   if (fd_ < 0) return false;
   release();
-  struct Hold {
-    ReservedDescriptor& spare;
-    ~Hold() { spare.reacquire(); }  // `use` may throw
-  } after{*this};
+  struct Reacquire {
+    ReservedDescriptor& descriptor;
+    ~Reacquire() { descriptor.reacquire(); }  // `use` may throw
+  } const guard{*this};
   use();
   return true;
 }
--- a/src/engine/system_calls.hpp
+++ b/src/engine/system_calls.hpp
@@ -1,5 +1,5 @@
-// How system calls on sockets fail, and the calls themselves. The calls stand at one place so that tests can
-// make them fail as Linux documents.
+// System calls on sockets, replaceable by tests, and the classification of their errors. See also FileCalls
+// and DatagramCalls.
 #pragma once
 
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 
 namespace sablespur {
 
-// What this machine lacked, where a failed call tells of it and not of the other side.
+// The local resource whose lack made a call fail.
 enum class ResourceExhaustion {
   None,
   Descriptors,  // EMFILE, ENFILE: of this process, of the machine
@@ -30,7 +30,7 @@
   Transfer     // read, write and their like on an open connection
 };
 
-// Whose fault a failed call is, and so what may follow from it.
+// Which side a failed call is attributed to.
 enum class SocketFault {
   None,          // no failure: there is nothing now, or the call goes on by itself (EAGAIN, EINPROGRESS)
   Transient,     // the call may be repeated at once (EINTR), or failed for one connection alone (accept(2))
@@ -40,7 +40,7 @@
   BadDescriptor  // a defect here: the descriptor is none, or not one for this call
 };
 
-// The one classification of errno, by accept(2), socket(2), connect(2), send(2), tcp(7) and ip(7).
+// Classifies errno by accept(2), socket(2), connect(2), send(2), tcp(7) and ip(7).
 //
 // ENETUNREACH as connect(2) returns it is our own routing table, which has no way to any network: all
 // endpoints would fail alike. The same error of a connect that was under way, or on an open connection, came
@@ -48,40 +48,49 @@
 // is ICMP's, or that of an ARP request that nobody answered.
 SocketFault classify(SocketCall, int error);
 
+// Both give a non-blocking descriptor that is closed on exec; -1 with errno set on failure.
+int acceptNonBlocking(int listener, sockaddr*, socklen_t*);
+int openNonBlockingTcpSocket(int family);
+
 struct SystemCalls {
-  int (*accept)(int listener, sockaddr*, socklen_t*);  // non-blocking, closed on exec; -1 and errno
-  int (*socket)(int family);                           // the same, for TCP
-  int (*connect)(int fd, const sockaddr*, socklen_t);
+  int (*accept)(int listener, sockaddr*, socklen_t*) = acceptNonBlocking;
+  int (*socket)(int family) = openNonBlockingTcpSocket;
+  int (*connect)(int fd, const sockaddr*, socklen_t) = ::connect;
 };
-SystemCalls& systemCalls();
+// Replaced by tests alone.
+inline SystemCalls& systemCalls() {
+  static SystemCalls calls;
+  return calls;
+}
 
-// A non-blocking TCP socket with a connect under way. Its end shows as writability, with SO_ERROR.
+// A non-blocking TCP socket that is connecting. It becomes writable when that has ended; SO_ERROR tells how.
 struct StartedConnect {
-  int fd = -1;  // the caller's; -1: it failed at once
+  int fd = -1;  // owned by the caller; -1: it failed at once
   int error = 0;
   SocketFault fault = SocketFault::None;
 };
 StartedConnect startConnect(const Address& to);
 
-// A descriptor kept for the moment in which there is none left: with it one more connection can be taken,
-// told so and closed, or a file be read. One thread only.
+// A descriptor held in reserve for when the process has run out: releasing it allows one more connection to
+// be accepted and rejected, or one file to be read. Not thread-safe.
 class ReservedDescriptor {
  public:
   ReservedDescriptor();
   ~ReservedDescriptor();
   ReservedDescriptor(const ReservedDescriptor&) = delete;
-  // Calls `use` while the descriptor is free for it; what `use` opened has to be closed when it returns.
-  // False: there was none to lend.
+  // Calls `use` while the descriptor is released; `use` has to close what it opens. False: it was not held,
+  // and `use` has not been called.
   bool lend(const std::function<void()>& use);
   bool held() const { return fd_ >= 0; }
-  void reacquire();  // once more, where others took its place
-  void release();    // for something that is to stay open; hold() once that is closed
+  void reacquire();  // no effect if it is held; may fail, see held()
+  void release();    // for a descriptor that stays open; reacquire() once that is closed
 
  private:
   int fd_ = -1;
 };
 
-// Raises the process's own bound on descriptors to `wanted` where the system allows it; what it is then.
+// Raises the soft limit of descriptors to `wanted` as far as the hard limit allows; returns the smaller of
+// the resulting limit and `wanted`.
 std::size_t descriptorsAllowed(std::size_t wanted);
 
 }  // namespace sablespur
--- a/src/engine/workers.cpp
+++ b/src/engine/workers.cpp
@@ -11,8 +11,8 @@
 namespace sablespur {
 namespace {
 
-// Guards the memory and the patience of those that wait: a burst longer than this is turned down at once.
-constexpr std::size_t kMostWaiting = 1024;
+// Bounds memory and waiting time: jobs beyond this are refused at once.
+constexpr std::size_t kMaxWaitingJobs = 1024;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
   auto ticket = std::make_shared<Interest>();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (waitingJobs_.size() >= kMostWaiting) return nullptr;
+    if (waitingJobs_.size() >= kMaxWaitingJobs) return nullptr;
     waitingJobs_.push_back({std::move(work), std::move(done), ticket, {}});
   }
   if (threads_.size() < maxThreads_) threads_.emplace_back([this] { runJobs(); });
@@ -61,7 +61,7 @@
     finishedJobs_.push_back(std::move(piece));
     const std::uint64_t one = 1;
     [[maybe_unused]] const ssize_t n =
-        write(wakeupFd_, &one, sizeof one);  // full only when it is awake anyway
+        write(wakeupFd_, &one, sizeof one);  // fails only if a wakeup is pending already
   }
 }
 
@@ -73,7 +73,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     done.swap(finishedJobs_);
   }
-  // Each is looked at when its turn comes: one result may end what waits for the next.
+  // Checked one by one: delivering a result may cancel the jobs after it.
   for (Job& p : done)
     if (!p.interest.expired()) p.done(std::move(p.result));
 }
--- a/src/engine/workers.hpp
+++ b/src/engine/workers.hpp
@@ -1,5 +1,5 @@
-// Work that would hold up the loop, such as salting passwords, on threads of its own. The threads start with
-// the first piece of work, so that who has none pays nothing.
+// A thread pool for work that would block the event loop, such as salting passwords. Threads are started on
+// demand.
 #pragma once
 
 #include <condition_variable>
@@ -19,14 +19,14 @@
 class WorkerPool {
  public:
   WorkerPool(event_base*, std::size_t threads);
-  ~WorkerPool();  // what has not begun is dropped, what runs is waited for
+  ~WorkerPool();  // drops jobs that have not begun and waits for those that run
   WorkerPool(const WorkerPool&) = delete;
 
-  // Whoever holds this still wants the result; once it is gone `done` is not called.
+  // Cancels a job when it is destroyed: `done` is not called then.
   struct Interest {};
   using Ticket = std::shared_ptr<Interest>;
-  // `work` runs on a thread and touches nothing but what it was given; `done` gets its result in the loop.
-  // Null: there is too much waiting already.
+  // `work` runs on a worker thread and may use only what it captures; `done` receives its result in the
+  // loop's thread. Null: the queue is full.
   [[nodiscard]] Ticket run(std::function<std::string()> work, std::function<void(std::string)> done);
 
  private:
@@ -42,9 +42,10 @@
   const std::size_t maxThreads_;
   std::mutex mutex_;
   std::condition_variable workAvailable_;
-  std::deque<Job> waitingJobs_, finishedJobs_;
-  bool stopping_ = false;
-  int wakeupFd_ = -1;  // eventfd
+  std::deque<Job> waitingJobs_;   // guarded by mutex_
+  std::deque<Job> finishedJobs_;  // guarded by mutex_
+  bool stopping_ = false;         // guarded by mutex_
+  int wakeupFd_ = -1;             // eventfd
   Event wakeupEvent_;
   std::vector<std::thread> threads_;
 };
--- /dev/null
+++ b/tests/endpoint_registry_test.cpp
@@ -0,0 +1,85 @@
+// The identity of endpoints: ids, names, gossip tags, start times. No loop, no clock.
+#include "engine/endpoint_registry.hpp"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+
+#include "cluster/gossip.hpp"
+#include "engine/endpoint_start_times.hpp"
+
+namespace sablespur {
+namespace {
+
+using std::chrono::seconds;
+
+constexpr Time kNow = seconds(1000);
+constexpr Time kWarmUp = seconds(30);
+
+std::int64_t unixMs(Time onOwnClock) { return onOwnClock.count() / 1000; }
+
+TEST(EndpointRegistry, RemovedEndpointGetsANewIdWhenItReturns) {
+  EndpointRegistry registry;
+  EXPECT_FALSE(registry.everHadEndpoints());
+  const auto first = registry.add("s-1");
+  EXPECT_EQ(registry.add("s-1"), first);
+  EXPECT_EQ(registry.name(first), "s-1");
+  registry.remove(first);
+  EXPECT_EQ(registry.find("s-1"), std::nullopt);
+  EXPECT_EQ(registry.name(first), "");
+  EXPECT_EQ(registry.tag(first), std::nullopt);
+  EXPECT_NE(registry.add("s-1"), first);
+  EXPECT_TRUE(registry.everHadEndpoints());
+}
+
+TEST(EndpointRegistry, TagIsFoundUnlessTwoEndpointsShareIt) {
+  EndpointRegistry registry;
+  const auto one = registry.add("s-1488d");
+  const std::uint64_t tag = cluster::endpointTag("s-1488d");
+  EXPECT_EQ(registry.findByTag(tag), one);
+  EXPECT_EQ(registry.tag(one), tag);
+  ASSERT_EQ(cluster::endpointTag("s-1488f"), tag);
+  registry.add("s-1488f");
+  EXPECT_EQ(registry.findByTag(tag), std::nullopt);
+}
+
+TEST(EndpointRegistry, ListedNameIsRememberedAfterItsRemoval) {
+  EndpointRegistry registry;
+  registry.recordListed("s-1");
+  registry.remove(registry.add("s-1"));
+  EXPECT_TRUE(registry.wasListed("s-1"));
+  EXPECT_FALSE(registry.wasListed("s-2"));
+}
+
+TEST(EndpointStartTimes, StampCountsOnlyInTheInitialLists) {
+  EndpointStartTimes starts;
+  const Time longAgo = kNow - seconds(500);
+  EXPECT_EQ(starts.startOf(1, unixMs(longAgo), true, kNow, Time(0)), longAgo);
+  EXPECT_EQ(starts.startOf(2, unixMs(longAgo), false, kNow, Time(0)), kNow) << "first seen now";
+  EXPECT_EQ(starts.startOf(2, unixMs(longAgo), false, kNow + seconds(9), Time(0)), kNow) << "the same start";
+  EXPECT_EQ(starts.startOf(3, unixMs(kNow + seconds(5)), true, kNow, Time(0)), kNow) << "not in the future";
+  EXPECT_EQ(starts.startOf(3, 0, true, kNow, Time(0)), Time(0)) << "no start is told";
+}
+
+TEST(EndpointStartTimes, ReassessGivesReadyEndpointsThatAreStillWarmingUp) {
+  EndpointStartTimes starts;
+  const auto list = [&](std::uint64_t id, Time started, balancer::Lifecycle state) {
+    balancer::ListedEndpoint listed;
+    listed.id = id;
+    listed.state = state;
+    listed.started = starts.startOf(id, unixMs(started), true, kNow, Time(0));
+    starts.recordListed(listed);
+  };
+  list(1, kNow - seconds(20), balancer::Lifecycle::Ready);
+  list(2, kNow - seconds(20), balancer::Lifecycle::Draining);
+  list(3, kNow - seconds(90), balancer::Lifecycle::Ready);
+  // The reference clock turns out to be 10 s behind: each start was 10 s later on this process's clock.
+  const auto corrected = starts.reassess(kNow, -seconds(10), kWarmUp);
+  ASSERT_EQ(corrected.size(), 1u);
+  EXPECT_EQ(corrected[0].id, 1u);
+  EXPECT_EQ(corrected[0].started, kNow - seconds(10));
+  EXPECT_TRUE(starts.reassess(kNow, -seconds(10), kWarmUp).empty()) << "known already";
+}
+
+}  // namespace
+}  // namespace sablespur
