--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -11,62 +11,72 @@
 namespace sablespur {
 namespace {
 
-// How often the file is looked at for what another process of this proxy was told: well within the second
-// after which a ban counts as known.
-constexpr Time kLook = std::chrono::milliseconds(200);
+// Between polls of the file for changes by another process of this proxy: well within the second after which
+// a suspension has to be in force.
+constexpr Time kPollInterval = std::chrono::milliseconds(200);
 
-class Desk final : public AdminHandler, admin::CommandHandler {
+class AdminCommands final : public AdminHandler, admin::CommandHandler {
  public:
-  Desk(event_base* base, const Config& c, Engine& engine, const Clients& clients)
+  AdminCommands(event_base* base, const Config& c, Engine& engine, const Clients& clients)
       : engine_(engine),
         clients_(clients),
-        bans_(c.bans),
-        look_(event_new(
+        suspended_(c.bans),
+        pollTimer_(event_new(
             base, -1, EV_PERSIST,
-            [](evutil_socket_t, short, void* self) { static_cast<Desk*>(self)->look(); }, this)),
+            [](evutil_socket_t, short, void* self) { static_cast<AdminCommands*>(self)->pollFile(); }, this)),
         listener_(base, c.control, *this) {
-    for (const std::string& id : bans_.all()) engine_.restoreSuspension(id);
-    if (!bans_.all().empty()) logEvent(LogLevel::Info, "suspensions_loaded", {{"count", bans_.all().size()}});
-    if (!c.bans.empty()) startTimer(look_.get(), kLook);
+    for (const std::string& id : suspended_.endpoints()) engine_.restoreSuspension(id);
+    if (!suspended_.endpoints().empty())
+      logEvent(LogLevel::Info, "suspensions_loaded", {{"count", suspended_.endpoints().size()}});
+    if (!c.bans.empty()) startTimer(pollTimer_.get(), kPollInterval);
   }
 
  private:
-  bool carryOut(const admin::Command& call, std::string& text) override {
-    switch (call.verb) {
-      case admin::Verb::Status:
-        text = clients_.draining() ? "draining"
-                                   : "serving, " + std::to_string(bans_.all().size()) + " suspended";
-        return !clients_.draining();
-      case admin::Verb::Suspend:
-      case admin::Verb::Restore: {
-        const bool on = call.verb == admin::Verb::Suspend;
-        if (!engine_.suspend(call.id, on)) {
-          text = call.id + " was never on the list";
-          return false;
-        }
-        const bool kept = bans_.set(call.id, on);
-        logEvent(LogLevel::Info, on ? "member_suspended" : "member_restored", {{"name", call.id}});
-        text = call.id + (on ? " suspended" : " restored");
-        if (!kept) text += ", in this process alone: not kept on disk yet";
-        return true;
-      }
+  bool execute(const admin::Command& command, std::string& text) override {
+    switch (command.type) {
+      case admin::CommandType::Status:
+        return describeState(text);
+      case admin::CommandType::Suspend:
+        return changeSuspension(command.endpoint, true, text);
+      case admin::CommandType::Restore:
+        return changeSuspension(command.endpoint, false, text);
     }
     return false;
   }
-  void look() {
-    const std::set<std::string> was = bans_.all();
-    if (!bans_.poll()) return;
+
+  bool describeState(std::string& text) const {
+    const bool draining = clients_.draining();
+    text = draining ? "draining" : "serving, " + std::to_string(suspended_.endpoints().size()) + " suspended";
+    return !draining;
+  }
+
+  bool changeSuspension(const std::string& name, bool suspend, std::string& text) {
+    if (!engine_.suspend(name, suspend)) {
+      text = name + " was never on the list";
+      return false;
+    }
+    const bool durable = suspended_.set(name, suspend);
+    logEvent(LogLevel::Info, suspend ? "member_suspended" : "member_restored", {{"name", name}});
+    text = name + (suspend ? " suspended" : " restored");
+    if (!durable) text += ", in this process alone: not kept on disk yet";
+    return true;
+  }
+
+  // Applies what another process of this proxy has changed.
+  void pollFile() {
+    const std::set<std::string> was = suspended_.endpoints();
+    if (!suspended_.poll()) return;
     for (const std::string& id : was)
-      if (bans_.all().count(id) == 0) engine_.suspend(id, false);
-    for (const std::string& id : bans_.all())
+      if (suspended_.endpoints().count(id) == 0) engine_.suspend(id, false);
+    for (const std::string& id : suspended_.endpoints())
       if (was.count(id) == 0 && !engine_.suspend(id, true)) engine_.restoreSuspension(id);
-    logEvent(LogLevel::Info, "suspensions_changed", {{"count", bans_.all().size()}});
+    logEvent(LogLevel::Info, "suspensions_changed", {{"count", suspended_.endpoints().size()}});
   }
 
   Engine& engine_;
   const Clients& clients_;
-  admin::SuspendedEndpoints bans_;
-  Event look_;
+  admin::SuspendedEndpoints suspended_;
+  Event pollTimer_;
   admin::Listener listener_;
 };
 
@@ -74,7 +84,7 @@
 
 std::unique_ptr<AdminHandler> createAdminHandler(event_base* base, const Config& c, Engine& engine,
                                                  const Clients& clients) {
-  return c.control.none() ? nullptr : std::make_unique<Desk>(base, c, engine, clients);
+  return c.control.none() ? nullptr : std::make_unique<AdminCommands>(base, c, engine, clients);
 }
 
 }  // namespace sablespur
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -5,7 +5,7 @@
 namespace sablespur {
 namespace {
 
-constexpr std::chrono::microseconds kLogAgain = std::chrono::seconds(30);
+constexpr std::chrono::microseconds kFailureLogInterval = std::chrono::seconds(30);
 
 const char* stateName(balancer::Lifecycle s) {
   return s == balancer::Lifecycle::Ready ? "active" : s == balancer::Lifecycle::Draining ? "leaving" : "gone";
@@ -16,41 +16,43 @@
 EndpointUpdater::EndpointUpdater(event_base* base, const Clock& clock, EndpointListConsumer& to,
                                  const EndpointTablePolicy& policy)
     : clock_(clock),
-      to_(to),
-      members_(policy),
+      consumer_(to),
+      table_(policy),
       timer_(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->pass(); }, this)) {}
+          [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->deliverDueLists(); },
+          this)) {}
 
 void EndpointUpdater::found(std::vector<DiscoveredEndpoint> all, bool first) {
-  members_.applySnapshot(clock_.now(), std::move(all), first);
-  pass();
+  table_.applySnapshot(clock_.now(), std::move(all), first);
+  deliverDueLists();
 }
 
 void EndpointUpdater::endpointsListed(EndpointList list) {
-  members_.applyUpdate(clock_.now(), std::move(list));
-  pass();
+  table_.applyUpdate(clock_.now(), std::move(list));
+  deliverDueLists();
 }
 
 void EndpointUpdater::discoveryFailed(const std::string& why) {
   const auto now = clock_.now();
-  members_.recordFailure(now, why);
-  const auto view = members_.view(now);
-  if (logged_ == std::chrono::microseconds(0) || now - logged_ >= kLogAgain) {
-    logged_ = now;
+  table_.recordFailure(now, why);
+  const auto view = table_.view(now);
+  if (lastFailureLoggedAt_ == std::chrono::microseconds(0) ||
+      now - lastFailureLoggedAt_ >= kFailureLogInterval) {
+    lastFailureLoggedAt_ = now;
     if (view.lastUpdate)
       logEvent(LogLevel::Warning, "discovery_failed",
                {{"why", why}, {"list_age_s", static_cast<double>((now - *view.lastUpdate).count()) / 1e6}});
     else
       logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
   }
-  to_.discoveryFailed(why);
-  pass();
+  consumer_.discoveryFailed(why);
+  deliverDueLists();
 }
 
-void EndpointUpdater::pass() {
+void EndpointUpdater::deliverDueLists() {
   const auto now = clock_.now();
-  while (auto list = members_.nextUpdate(now)) {
+  while (auto list = table_.nextUpdate(now)) {
     for (const DiscoveredEndpoint& i : list->instances)
       logEvent(LogLevel::Info, "endpoint_changed",
                {{"name", i.name},
@@ -59,9 +61,9 @@
                 {"group", i.group},
                 {"weight", i.weight},
                 {"started_ms", i.startedMs}});
-    to_.endpointsListed(std::move(*list));
+    consumer_.endpointsListed(std::move(*list));
   }
-  if (const auto at = members_.nextDeadline())
+  if (const auto at = table_.nextDeadline())
     startTimer(timer_.get(), *at - now);
   else
     event_del(timer_.get());
