--- a/src/backend/postgres/answer_parser.cpp
+++ b/src/backend/postgres/answer_parser.cpp
@@ -19,11 +19,11 @@
 
 // Whether the DataRow at the front of `input` has one column whose length fits.
 bool isSingleValue(evbuffer* input, std::size_t body) {
-  char start[postgres::kHead + postgres::kRowHead];
+  char start[postgres::kHeaderSize + postgres::kRowHeaderSize];
   if (evbuffer_copyout(input, start, sizeof start) != static_cast<ev_ssize_t>(sizeof start)) return false;
-  char rowHead[postgres::kRowHead];
-  std::copy(start + postgres::kHead, start + sizeof start, rowHead);
-  return postgres::isRowHead(rowHead, body);
+  char rowHead[postgres::kRowHeaderSize];
+  std::copy(start + postgres::kHeaderSize, start + sizeof start, rowHead);
+  return postgres::isRowHeader(rowHead, body);
 }
 
 // Copies `length` bytes at `at`; false where there are fewer.
@@ -71,8 +71,8 @@
 
 std::size_t AnswerParser::longestBody(char type) const {
   if (type == 'D')
-    return singleRow() ? postgres::kRowHead + postgres::kLongestValue : postgres::kLongestMessage;
-  return type == 'T' && !singleRow() ? postgres::kLongestMessage : postgres::kLongestNote;
+    return singleRow() ? postgres::kRowHeaderSize + postgres::kMaxValue : postgres::kMaxMessage;
+  return type == 'T' && !singleRow() ? postgres::kMaxMessage : postgres::kMaxOtherMessage;
 }
 
 bool AnswerParser::hasRoomFor(std::size_t messageLength) const {
@@ -82,7 +82,7 @@
 MessageFault AnswerParser::takeRow(evbuffer* input, std::size_t body) {
   if (!(singleRow() ? isSingleValue(input, body) : isRow(input, body))) return "a malformed row";
   stage_ = Stage::Row;
-  forward(input, postgres::kHead + body);
+  forward(input, postgres::kHeaderSize + body);
   return std::nullopt;
 }
 
@@ -90,7 +90,8 @@
 bool AnswerParser::isRow(evbuffer* input, std::size_t body) const {
   evbuffer_ptr at{};
   char bytes[kValueLengthLength];
-  if (body < kColumnCountLength || evbuffer_ptr_set(input, &at, postgres::kHead, EVBUFFER_PTR_SET) != 0 ||
+  if (body < kColumnCountLength ||
+      evbuffer_ptr_set(input, &at, postgres::kHeaderSize, EVBUFFER_PTR_SET) != 0 ||
       !peek(input, at, bytes, kColumnCountLength))
     return false;
   const std::size_t count = static_cast<std::size_t>(static_cast<unsigned char>(bytes[0])) << 8 |
@@ -125,7 +126,7 @@
 }
 
 MessageFault AnswerParser::takeCompletion(std::string_view body) {
-  if (!postgres::isTag(body, kind_ == AnswerKind::SingleValue)) return "a malformed completion";
+  if (!postgres::isCommandTag(body, kind_ == AnswerKind::SingleValue)) return "a malformed completion";
   stage_ = Stage::Complete;
   return std::nullopt;
 }
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -49,7 +49,7 @@
 }
 
 void BackendPool::send(RequestId id, int attempt, EndpointId endpoint, Time until,
-                       std::shared_ptr<const Message> message) {
+                       std::shared_ptr<const RequestMessage> message) {
   const AttemptKey key{id, attempt};
   auto operation = std::make_unique<Operation>();
   operation->endpoint = endpoint;
@@ -128,7 +128,7 @@
 // is right but for how long this process is held up in between.
 void BackendPool::writeAttempt(Operation& operation, const Attempt& attempt) {
   Connection& connection = *operation.connection;
-  const Message& message = *attempt.message;
+  const RequestMessage& message = *attempt.message;
   const bool clientBackslashes = message.from && message.from->backslashes;
   const Time now = engine_.now();
   // Rounded down, so that no data server is told of time that the client does not have.
--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -159,26 +159,26 @@
 Connection::ReadResult Connection::readMessage(evbuffer* input) {
   if (!dialing_ && !(operation_ && operation_->written && flushed()))
     return reportProtocolError("what nobody asked for");
-  char bytes[postgres::kHead];
+  char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(input, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes))
     return ReadResult::Incomplete;
-  const auto head = postgres::parseHead(bytes);
+  const auto head = postgres::parseHeader(bytes);
   // Judged by its head, before the rest is read: it may promise gigabytes.
-  if (!head || !expects(head->type) || head->body > longestBody(head->type))
+  if (!head || !expects(head->type) || head->bodySize > longestBody(head->type))
     return reportProtocolError("a message that is none");
-  const std::size_t length = sizeof bytes + head->body;
+  const std::size_t length = sizeof bytes + head->bodySize;
   if (!dialing_ && !answer_->hasRoomFor(length)) {
     listener_.answerTooLong(*this);
     return ReadResult::ConnectionEnded;
   }
   if (evbuffer_get_length(input) < length) return ReadResult::Incomplete;
   if (head->type == 'D' && answer_->forwardsRows()) {
-    const MessageFault fault = answer_->takeRow(input, head->body);
+    const MessageFault fault = answer_->takeRow(input, head->bodySize);
     return fault ? reportProtocolError(*fault) : ReadResult::Taken;
   }
   const auto* const message =
       reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(length)));
-  if (!handleMessage(head->type, std::string_view(message + sizeof bytes, head->body)))
+  if (!handleMessage(head->type, std::string_view(message + sizeof bytes, head->bodySize)))
     return ReadResult::ConnectionEnded;
   if (head->type == 'T' || head->type == 'C')
     answer_->forward(input, length);
@@ -208,7 +208,7 @@
 }
 
 std::size_t Connection::longestBody(char type) const {
-  return dialing_ ? postgres::kLongestNote : answer_->longestBody(type);
+  return dialing_ ? postgres::kMaxOtherMessage : answer_->longestBody(type);
 }
 
 bool Connection::handleMessage(char type, std::string_view body) {
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -36,27 +36,27 @@
       case postgres::kAuthSasl:
         if (!client_.allows(auth::Method::Scram) || !postgres::offersScram(data))
           return {Action::Fail, {}, "it offers no SASL mechanism that is allowed here"};
-        return {Action::Send, postgres::saslInitial(client_.scramFirst()), {}};
+        return {Action::Send, postgres::saslInitialResponse(client_.scramFirst()), {}};
       case postgres::kAuthSaslContinue:
-        challenge_ = client_.challenged(data, why);
+        challenge_ = client_.readChallenge(data, why);
         return challenge_ ? Step{Action::DeriveKey, {}, {}} : Step{Action::Fail, {}, why};
       case postgres::kAuthSaslFinal:
-        return client_.verified(data, why) ? Step{Action::Wait, {}, {}} : Step{Action::Fail, {}, why};
+        return client_.verifyServer(data, why) ? Step{Action::Wait, {}, {}} : Step{Action::Fail, {}, why};
       default:
         return {Action::Fail, {}, "it wants a login that is not spoken here: " + std::to_string(code)};
     }
   }
-  std::function<std::string()> keyDerivation() const override { return client_.slow(*challenge_); }
+  std::function<std::string()> keyDerivation() const override { return client_.saltingWork(*challenge_); }
   std::string challenge() const override {
     return challenge_ ? std::to_string(challenge_->iterations) + ":" + challenge_->salt : std::string();
   }
   Step keyDerived(const std::string& result) override {
     return {Action::Send, postgres::saslResponse(client_.scramFinal(result)), {}};
   }
-  bool acceptsAuthenticationOk() const override { return client_.mayEnter(); }
+  bool acceptsAuthenticationOk() const override { return client_.serverTrusted(); }
 
  private:
-  auth::Guest client_;
+  auth::ClientAuthenticator client_;
   std::optional<auth::ScramClient::Challenge> challenge_;
 };
 
--- a/src/backend/postgres/operation.hpp
+++ b/src/backend/postgres/operation.hpp
@@ -24,7 +24,7 @@
 
 struct Attempt {
   AttemptKey key;
-  std::shared_ptr<const Message> message;
+  std::shared_ptr<const RequestMessage> message;
   // A CancelRequest is out for it: how the attempt ends unless an answer crosses the cancellation.
   std::optional<AttemptResult> cancelledAs;
 };
--- a/src/backend/postgres/query.cpp
+++ b/src/backend/postgres/query.cpp
@@ -18,20 +18,20 @@
 
 }  // namespace
 
-Buffer composeQuery(const Message& message, std::chrono::milliseconds left) {
+Buffer composeQuery(const RequestMessage& message, std::chrono::milliseconds left) {
   // An empty first part: the statement does not say how long its client waits.
   const std::size_t before = evbuffer_get_length(message.before.get());
   const std::string digits = before > 0 ? std::to_string(left.count()) : std::string();
   const std::size_t length = before + digits.size() + evbuffer_get_length(message.after.get());
   Buffer query = newBuffer();
-  append(query.get(), postgres::queryHead(length));
+  append(query.get(), postgres::queryHeader(length));
   evbuffer_add_buffer_reference(query.get(), message.before.get());
   append(query.get(), digits);
   evbuffer_add_buffer_reference(query.get(), message.after.get());
   return query;
 }
 
-std::optional<Buffer> composeRewrittenQuery(const Message& message, std::chrono::milliseconds left,
+std::optional<Buffer> composeRewrittenQuery(const RequestMessage& message, std::chrono::milliseconds left,
                                             bool serverBackslashes) {
   std::string statement;
   appendCopy(statement, message.before.get());
@@ -40,7 +40,7 @@
   statement.pop_back();  // the terminating NUL
   const std::string rewritten =
       translation::rewriteLiterals(statement, !serverBackslashes, serverBackslashes);
-  if (rewritten.size() + 1 > postgres::kLongestMessage) return std::nullopt;
+  if (rewritten.size() + 1 > postgres::kMaxMessage) return std::nullopt;
   Buffer query = newBuffer();
   append(query.get(), postgres::query(rewritten));
   return query;
--- a/src/backend/postgres/query.hpp
+++ b/src/backend/postgres/query.hpp
@@ -10,11 +10,11 @@
 namespace sablespur {
 
 // The statement goes on unread and uncopied: the result shares the buffers of `message`.
-Buffer composeQuery(const Message& message, std::chrono::milliseconds left);
+Buffer composeQuery(const RequestMessage& message, std::chrono::milliseconds left);
 
 // The same for a data server that reads backslashes in string literals differently from the client: literals
 // are rewritten for one where they escape, or do not. Nothing: the result exceeds the longest message.
-std::optional<Buffer> composeRewrittenQuery(const Message& message, std::chrono::milliseconds left,
+std::optional<Buffer> composeRewrittenQuery(const RequestMessage& message, std::chrono::milliseconds left,
                                             bool serverBackslashes);
 
 }  // namespace sablespur
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -57,7 +57,7 @@
   }
 
  private:
-  void report(const std::string& title, const char* key, Wrong wrong) {
+  void report(const std::string& title, const char* key, ValueError wrong) {
     document_.report(document_.titleLine(title, key), title + (key ? std::string(" ") + key : ""),
                      std::move(wrong));
   }
--- a/src/config/discovery_checks.cpp
+++ b/src/config/discovery_checks.cpp
@@ -15,7 +15,7 @@
   const IniSection* section = nullptr;
   for (const IniSection& candidate : document.sections())
     if (candidate.type == "dnssd") section = &candidate;
-  const auto report = [&](const char* key, Wrong wrong) {
+  const auto report = [&](const char* key, ValueError wrong) {
     if (section)
       document.report(document.keyLine(*section, key), std::string("[dnssd] ") + key, std::move(wrong));
     else
--- a/src/config/key_values.cpp
+++ b/src/config/key_values.cpp
@@ -14,7 +14,7 @@
 
 template <typename T>
 Read<KeyValue> asKeyValue(const Read<T>& read) {
-  if (const Wrong* wrong = std::get_if<Wrong>(&read)) return *wrong;
+  if (const ValueError* error = std::get_if<ValueError>(&read)) return *error;
   return KeyValue(std::get<T>(read));
 }
 
@@ -32,15 +32,15 @@
 
 Read<KeyValue> readAddress(const std::string& text) {
   if (const auto address = Address::parse(text)) return KeyValue(*address);
-  return Wrong{"'" + text + "' is no address with a port",
-               "write it as 10.1.0.18:5432 or [fd00::18]:5432; names are not looked up here"};
+  return ValueError{"'" + text + "' is no address with a port",
+                    "write it as 10.1.0.18:5432 or [fd00::18]:5432; names are not looked up here"};
 }
 
 Read<KeyValue> readAddresses(const std::string& text) {
   std::vector<Address> addresses;
   for (const std::string& item : splitItems(text, ',')) {
     const auto address = readAddress(item);
-    if (const Wrong* wrong = std::get_if<Wrong>(&address)) return *wrong;
+    if (const ValueError* error = std::get_if<ValueError>(&address)) return *error;
     addresses.push_back(std::get<Address>(std::get<KeyValue>(address)));
   }
   return KeyValue(addresses);
@@ -53,7 +53,8 @@
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value, 16);
   if (error == std::errc() && stop == end) return KeyValue(value);
-  return Wrong{"'" + text + "' is no hexadecimal number", "write up to 16 of 0 to 9 and a to f, or random"};
+  return ValueError{"'" + text + "' is no hexadecimal number",
+                    "write up to 16 of 0 to 9 and a to f, or random"};
 }
 
 Read<KeyValue> readChoice(const std::string& text, const char* choices) {
@@ -62,8 +63,8 @@
   std::string list;
   for (const std::string& word : words) list += (list.empty() ? "" : ", ") + word;
   const std::string near = nearestWord(text, words.data(), words.data() + words.size());
-  return Wrong{"'" + text + "' is none of " + list,
-               near.empty() ? "write one of them" : "did you mean '" + near + "'?"};
+  return ValueError{"'" + text + "' is none of " + list,
+                    near.empty() ? "write one of them" : "did you mean '" + near + "'?"};
 }
 
 bool isLabelCharacter(char c) {
@@ -84,12 +85,12 @@
 
 Read<KeyValue> readDomain(const std::string& text) {
   if (isDomainName(text)) return KeyValue(text);
-  return Wrong{"'" + text + "' is no domain name",
-               "write labels of letters, digits, - and _ with dots between, such as ruwi.example.org"};
+  return ValueError{"'" + text + "' is no domain name",
+                    "write labels of letters, digits, - and _ with dots between, such as ruwi.example.org"};
 }
 
 Read<KeyValue> readText(const Key& key, const std::string& text) {
-  if (text.empty() && !key.defaultText) return Wrong{"it is empty", "give it a value"};
+  if (text.empty() && !key.defaultText) return ValueError{"it is empty", "give it a value"};
   return KeyValue(text);
 }
 
@@ -141,11 +142,11 @@
 
 Read<KeyValue> readValue(const Key& key, const std::string& text) {
   Read<KeyValue> value = readUnbounded(key, text);
-  if (std::holds_alternative<Wrong>(value) || key.min == key.max) return value;
+  if (std::holds_alternative<ValueError>(value) || key.min == key.max) return value;
   const double number = std::visit(BoundedNumber{}, std::get<KeyValue>(value));
   if (number >= key.min && number <= key.max) return value;
-  return Wrong{"'" + text + "' is out of range",
-               "write " + writeBound(key.kind, key.min) + " to " + writeBound(key.kind, key.max)};
+  return ValueError{"'" + text + "' is out of range",
+                    "write " + writeBound(key.kind, key.min) + " to " + writeBound(key.kind, key.max)};
 }
 
 std::string writeBound(KeyKind kind, double bound) {
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -61,7 +61,7 @@
     return;
   }
   auto value = readValue(key, entry ? entry->value : key.defaultText);
-  if (Wrong* wrong = std::get_if<Wrong>(&value))
+  if (ValueError* wrong = std::get_if<ValueError>(&value))
     document.report(entry ? entry->line : 0, where, std::move(*wrong));
   else
     key.set(draft, std::get<KeyValue>(value));
--- a/src/config/settings_document.cpp
+++ b/src/config/settings_document.cpp
@@ -23,15 +23,15 @@
   return nullptr;
 }
 
-void SettingsDocument::report(int line, std::string where, Wrong wrong) {
+void SettingsDocument::report(int line, std::string where, ValueError wrong) {
   faults_.push_back({path_, line, std::move(where), std::move(wrong.problem), std::move(wrong.fix)});
 }
 
-void SettingsDocument::reportKey(const IniSection& section, const char* key, Wrong wrong) {
+void SettingsDocument::reportKey(const IniSection& section, const char* key, ValueError wrong) {
   report(keyLine(section, key), section.title() + " " + key, std::move(wrong));
 }
 
-void SettingsDocument::reportKey(const std::string& sectionType, const char* key, Wrong wrong) {
+void SettingsDocument::reportKey(const std::string& sectionType, const char* key, ValueError wrong) {
   report(keyLine(sectionType, key), "[" + sectionType + "] " + key, std::move(wrong));
 }
 
--- a/src/config/settings_document.hpp
+++ b/src/config/settings_document.hpp
@@ -21,10 +21,10 @@
   const IniSection* unnamedSection(const std::string& type) const;
 
   // `where` is "[section] key"; line 0 is the file as a whole.
-  void report(int line, std::string where, Wrong);
+  void report(int line, std::string where, ValueError);
   // At the key's line, or its section's where the key is missing.
-  void reportKey(const IniSection&, const char* key, Wrong);
-  void reportKey(const std::string& sectionType, const char* key, Wrong);
+  void reportKey(const IniSection&, const char* key, ValueError);
+  void reportKey(const std::string& sectionType, const char* key, ValueError);
   // In a file that the settings name.
   void reportInFile(Fault);
   std::size_t faultCount() const { return faults_.size(); }
--- a/src/discovery/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -169,7 +169,7 @@
   for (const Record& r : records) {
     const Question q{r.name, r.type};
     if (q == ptr_ || r.type == Type::Soa || sets_.count(q) == 0) continue;
-    if (additional && !dns::within(r.name, domain_)) continue;
+    if (additional && !dns::isWithin(r.name, domain_)) continue;
     const auto [it, fresh] = found.try_emplace(q, std::vector<Data>(), r.ttl);
     it->second.first.push_back(r.data);
     it->second.second = std::min(it->second.second, r.ttl);
@@ -189,7 +189,7 @@
   const std::set<Question> known(stored.begin(), stored.end());
   std::map<Name, std::pair<std::vector<Data>, std::uint32_t>> ipv6Only;
   for (const Record& record : records) {
-    if (record.type != Type::Aaaa || !dns::within(record.name, domain_)) continue;
+    if (record.type != Type::Aaaa || !dns::isWithin(record.name, domain_)) continue;
     const Question ipv4{record.name, Type::A};
     if (sets_.count(ipv4) == 0 || known.count(ipv4) > 0) continue;
     auto& [data, ttl] = ipv6Only.try_emplace(record.name, std::vector<Data>(), record.ttl).first->second;
@@ -241,7 +241,7 @@
     const Name* const name = ofService ? std::get_if<Name>(&record.data) : nullptr;
     if (!name) continue;
     ttl = names.empty() ? record.ttl : std::min(ttl, record.ttl);
-    if (!dns::within(*name, ptr_.name) || *name == ptr_.name)
+    if (!dns::isWithin(*name, ptr_.name) || *name == ptr_.name)
       faults_[*name] = "named by PTR, and no instance of the service";
     else if (names.size() < kMaxInstances && seen.insert(*name).second)
       names.push_back(*name);
--- a/src/discovery/dnssd/directory_endpoints.cpp
+++ b/src/discovery/dnssd/directory_endpoints.cpp
@@ -49,7 +49,7 @@
 Address DnsSdDirectory::chooseAddress(const Name& instance, const std::vector<Data>& records,
                                       std::uint16_t port) {
   std::vector<std::string> listed;
-  for (const Data& data : records) listed.push_back(std::get<dns::Bytes>(data).bytes);
+  for (const Data& data : records) listed.push_back(std::get<dns::AddressBytes>(data).bytes);
   std::sort(listed.begin(), listed.end());
   Address& chosen = chosenAddresses_[instance];
   const bool stays = std::any_of(listed.begin(), listed.end(), [&](const std::string& bytes) {
@@ -80,7 +80,7 @@
   if (txt.state == State::Unknown) return {};
   std::vector<std::string> strings;
   for (const Data& data : txt.data)
-    for (const std::string& text : std::get<dns::Strings>(data)) strings.push_back(text);
+    for (const std::string& text : std::get<dns::TxtStrings>(data)) strings.push_back(text);
   if (const auto wrong = readTxt(strings, groups_, settings_.defaultGroup, endpoint))
     return {std::nullopt, "TXT: " + *wrong};
   return {std::move(endpoint), ""};
--- a/src/discovery/registry/watch.cpp
+++ b/src/discovery/registry/watch.cpp
@@ -44,7 +44,7 @@
   const int fd = systemCalls().socket(address_.v6() ? AF_INET6 : AF_INET);
   connection_.reset(bufferevent_socket_new(base_, fd, 0));
   const std::string target = "/registry/instances?watch=1&after=" + std::to_string(after);
-  append(bufferevent_get_output(connection_.get()), http::get(target, address_.text()));
+  append(bufferevent_get_output(connection_.get()), http::formatGet(target, address_.text()));
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
   startTimer(silenceTimer_.get(), kResponseTimeout);
   if (fd < 0 ||
@@ -90,7 +90,7 @@
   }
   if (!fine) return fail("something that is no list, or too long");
   if (alive) startTimer(silenceTimer_.get(), kSilenceTimeout);
-  if (response_.done()) fail("watch ended");
+  if (response_.complete()) fail("watch ended");
 }
 
 void RegistryWatch::fail(const char* why) {
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -88,7 +88,7 @@
   }
   ~DurableWriteHandler() override { engine_.setAttemptObserver(nullptr); }
 
-  RequestId request(ResponseHandler& asker, balancer::Request q, Message m) override {
+  RequestId request(ResponseHandler& asker, balancer::Request q, RequestMessage m) override {
     const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.classIndex)];
     const bool keyed =
         c.requirement == Requirement::Write && c.idempotency == Idempotency::WithKey && !m.key.empty();
@@ -157,7 +157,7 @@
   // A request between who asked and the engine.
   struct PendingRequest final : ResponseHandler {
     PendingRequest(DurableWriteHandler& k, RequestId i, ResponseHandler& a, const balancer::Request& r,
-                   Message&& m)
+                   RequestMessage&& m)
         : keeper(k), id(i), responseHandler(a), request(r), message(std::move(m)) {}
     void served(Answer a) override { keeper.requestServed(*this, std::move(a)); }
     void rejected(Time retryAfter) override { keeper.requestRejected(*this, retryAfter); }
@@ -169,7 +169,7 @@
     const RequestId id;
     ResponseHandler& responseHandler;
     balancer::Request request;
-    Message message;  // its id and key, once it has gone on
+    RequestMessage message;  // its id and key, once it has gone on
     RequestId forwardedId = 0;
     bool keyed = false, session = false, write = false, intentDurable = false;
     bool mayHaveExecuted = false;  // an attempt that is over may have
@@ -305,8 +305,9 @@
   void requireCurrentPosition(PendingRequest& e) { requirePosition(e, engine_.unixNow()); }
 
   void forward(PendingRequest& e) {
-    Message m{std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {},
-              e.message.clockOffset};
+    RequestMessage m{
+        std::move(e.message.before), std::move(e.message.after), std::move(e.message.from), {}, {},
+        e.message.clockOffset};
     e.forwardedId = next_.request(e, e.request, std::move(m));
     forwarded_.emplace(e.forwardedId, &e);
   }
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -15,7 +15,7 @@
 
 namespace sablespur::translation {
 class AnswerReader;
-struct Side;
+struct SessionSettings;
 }  // namespace sablespur::translation
 
 namespace sablespur {
@@ -28,9 +28,10 @@
 // between `before` and `after`.
 struct RequestMessage {
   Buffer before, after;
-  std::shared_ptr<const translation::Side> from;  // the client's session settings; null: the defaults
-  std::string id;                                 // the client's name for the request; may be empty
-  std::string key;                                // idempotency key; empty: none
+  std::shared_ptr<const translation::SessionSettings>
+      from;            // the client's session settings; null: the defaults
+  std::string id;      // the client's name for the request; may be empty
+  std::string key;     // idempotency key; empty: none
   Time clockOffset{};  // Engine::clockOffset() when the age of the session token was computed
 };
 
--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -97,7 +97,7 @@
   }
   void onExhaustion() override { clients_.onExhaustion(engine_.now()); }
 
-  RequestId request(ResponseHandler& client, balancer::Request request, Message message,
+  RequestId request(ResponseHandler& client, balancer::Request request, RequestMessage message,
                     std::optional<PermitId> permit) override {
     if (!requests_) return next_.request(client, request, std::move(message));
     const admission::ConnectionAdmission& connections = clients_.connections();
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -63,7 +63,7 @@
 
   // As RequestHandler::request and clientDisconnected, with ids of the controller's own. A rejection is
   // delivered through ResponseHandler::rejected after this call has returned.
-  virtual RequestId request(ResponseHandler&, balancer::Request, Message, std::optional<PermitId>) = 0;
+  virtual RequestId request(ResponseHandler&, balancer::Request, RequestMessage, std::optional<PermitId>) = 0;
   virtual void requestCancelled(RequestId) = 0;
 
   virtual void reload(const Config&) = 0;
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -72,7 +72,7 @@
 
 // ---- requests and cancel keys -------------------------------------------------------------------------
 
-RequestId Clients::request(ResponseHandler& client, const balancer::Request& request, Message message,
+RequestId Clients::request(ResponseHandler& client, const balancer::Request& request, RequestMessage message,
                            std::optional<PermitId> permit) {
   if (admission_) return admission_->request(client, request, std::move(message), permit);
   return requestHandler_.request(client, request, std::move(message));
@@ -117,9 +117,9 @@
 
 // In version 3, whatever the client speaks: there is no descriptor to hold the connection until it says so.
 void Clients::rejectConnection(evutil_socket_t fd, Time retryAfter) {
-  translation::Problem error = problem("FATAL", "53300", "too many connections");
-  error.comeBackMs = retryAfterMs(retryAfter);
-  const std::string message = kVersion30.problem(error);
+  translation::ErrorReport error = problem("FATAL", "53300", "too many connections");
+  error.retryAfterMs = retryAfterMs(retryAfter);
+  const std::string message = kVersion30.errorResponse(error);
   // The connection ends here whether or not the error can be sent.
   [[maybe_unused]] const ssize_t sent = send(fd, message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   shutdown(fd, SHUT_WR);
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -75,7 +75,7 @@
   bool pastAnswerDeadline() const { return pastAnswerDeadline_; }
 
   // By the AdmissionController where there is one, else directly to the RequestHandler.
-  RequestId request(ResponseHandler&, const balancer::Request&, Message, std::optional<PermitId>);
+  RequestId request(ResponseHandler&, const balancer::Request&, RequestMessage, std::optional<PermitId>);
   void cancelRequest(RequestId);
 
   event_base* const base_;
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -16,14 +16,14 @@
 
 class ByPassword final : public Login {
  public:
-  ByPassword(auth::Host host, bool version2) : host_(std::move(host)), version2_(version2) {}
+  ByPassword(auth::ServerAuthenticator host, bool version2) : host_(std::move(host)), version2_(version2) {}
 
   std::string initialRequest() override {
     switch (*host_.method()) {
       case auth::Method::Cleartext:
-        return version2_ ? pg2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
+        return version2_ ? postgres2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
       case auth::Method::Md5:
-        return version2_ ? pg2::askMd5(host_.salt())
+        return version2_ ? postgres2::askMd5(host_.salt())
                          : postgres::authentication(postgres::kAuthMd5, host_.salt());
       default:
         break;
@@ -39,21 +39,21 @@
     }
     if (!word) return {Step::Reject, {}};
     begun_ = true;
-    return said(host_.take(*word));
+    return said(host_.receive(*word));
   }
-  std::function<std::string()> keyDerivation() const override { return host_.slow(); }
-  StepResult onKeyDerived(const std::string& result) override { return said(host_.salted(result)); }
+  std::function<std::string()> keyDerivation() const override { return host_.saltingWork(); }
+  StepResult onKeyDerived(const std::string& result) override { return said(host_.passwordSalted(result)); }
 
  private:
-  StepResult said(auth::Next n) {
-    const std::string& word = host_.say();
-    if (n == auth::Next::Ask)
+  StepResult said(auth::AuthenticationStep n) {
+    const std::string& word = host_.response();
+    if (n == auth::AuthenticationStep::Continue)
       return {Step::Continue, postgres::authentication(postgres::kAuthSaslContinue, word)};
-    if (n == auth::Next::In)
+    if (n == auth::AuthenticationStep::Accepted)
       return {Step::Accept, word.empty() ? "" : postgres::authentication(postgres::kAuthSaslFinal, word)};
-    return {n == auth::Next::Salt ? Step::DeriveKey : Step::Reject, {}};
+    return {n == auth::AuthenticationStep::SaltPassword ? Step::DeriveKey : Step::Reject, {}};
   }
-  auth::Host host_;
+  auth::ServerAuthenticator host_;
   const bool version2_;
   bool begun_ = false;
 };
@@ -70,7 +70,7 @@
                                    std::string& why) {
 #ifdef SABLESPUR_AUTH
   static const std::string secret = randomBytes(32);  // of this process
-  auth::Host host(users, user, config.logins, !version2, secret, nonce(), randomBytes(4));
+  auth::ServerAuthenticator host(users, user, config.logins, !version2, secret, nonce(), randomBytes(4));
   if (host.method()) return std::make_unique<ByPassword>(std::move(host), version2);
 #endif
   why = "no way to log in that this client and this user have in common";
--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -23,7 +23,7 @@
   std::vector<translation::Column> columns;
   if (!postgres::readColumns(body, columns)) return postgres::noData();
   for (std::size_t k = 0; k < columns.size(); ++k) {
-    const auto& r = wanted.results;
+    const auto& r = wanted.columnFormats;
     columns[k].binary = r.size() == 1 ? r[0] == 1 : k < r.size() && r[k] == 1;
   }
   return postgres::Codec(0).columns(columns);
@@ -72,7 +72,7 @@
     return fault("08P01", "bind message supplies " + std::to_string(m->values.size()) +
                               " parameters, but prepared statement " + quoted(m->statement) + " requires " +
                               std::to_string(s.parameters));
-  for (const std::int16_t f : m->results)
+  for (const std::int16_t f : m->resultFormats)
     if (f != 0 && f != 1) return malformed("Bind");
   if (const auto old = portals_.find(m->portal); old != portals_.end()) {
     if (!m->portal.empty()) return fault("42P03", "portal " + quoted(m->portal) + " already exists");
@@ -89,14 +89,14 @@
   Portal p;
   p.statement = std::string(m->statement);
   p.text = std::move(*text);
-  p.resultFormat.results = std::move(m->results);
+  p.resultFormat.columnFormats = std::move(m->resultFormats);
   bytes_ += p.text.size();
   portals_.emplace(std::string(m->portal), std::move(p));
   return {postgres::bindComplete(), nullptr, {}};
 }
 
 PreparedStatements::Reply PreparedStatements::describe(std::string_view body) {
-  const auto m = postgres::parseTarget(body);
+  const auto m = postgres::parseDescribeTarget(body);
   if (!m) return malformed("Describe");
   if (m->portal) {
     const auto it = portals_.find(m->name);
@@ -135,7 +135,7 @@
 }
 
 PreparedStatements::Reply PreparedStatements::close(std::string_view body) {
-  const auto m = postgres::parseTarget(body);
+  const auto m = postgres::parseDescribeTarget(body);
   if (!m) return malformed("Close");
   if (m->portal) {
     if (const auto it = portals_.find(m->name); it != portals_.end()) drop(it);
@@ -158,7 +158,7 @@
   a.statement = blank(p.text) ? std::string() : p.text;
   a.resultFormat = p.resultFormat;
   a.sendRowDescription = p.describe;
-  a.maxRows = static_cast<std::size_t>(m->most);
+  a.maxRows = static_cast<std::size_t>(m->maxRows);
   p.describe = false;
   p.ran = true;
   lastPortal_ = std::string(m->portal);
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -169,11 +169,11 @@
   bool handleSet(std::string_view statement);  // a SET is answered here; false: it is none
   void submitRequest(const postgres::Comment&, std::size_t tailOffset, Buffer statement);
   balancer::Request makeRequest(const postgres::Comment&, std::size_t classIndex, evbuffer* statement) const;
-  Message makeMessage(const postgres::Comment&, std::size_t tailOffset, Buffer statement) const;
+  RequestMessage makeMessage(const postgres::Comment&, std::size_t tailOffset, Buffer statement) const;
   void writeAnswer(Answer);
   void translateAnswer(const Answer&, std::string_view messages, const std::string& columns);
   void finishRequest();  // its answer or error is written
-  void writeError(const translation::Problem&);
+  void writeError(const translation::ErrorReport&);
   void releaseRequestName();
 
   Clients& owner_;
@@ -192,9 +192,9 @@
   std::string user_;
   std::unique_ptr<Login> login_;  // until it has succeeded
   WorkerPool::Ticket passwordWork_;
-  translation::Side clientSettings_;
+  translation::SessionSettings clientSettings_;
   // clientSettings_, where they differ from what data servers assume.
-  std::shared_ptr<const translation::Side> sharedSettings_;
+  std::shared_ptr<const translation::SessionSettings> sharedSettings_;
 
   std::unique_ptr<PreparedStatements> prepared_;  // from the first message of the extended protocol on
   bool skippingUntilSync_ = false;                // after an error in the extended protocol
--- a/src/frontend/postgres/session_common.hpp
+++ b/src/frontend/postgres/session_common.hpp
@@ -16,13 +16,13 @@
 
 inline const postgres::Codec kVersion30(0);
 inline const postgres::Codec kVersion32(2);
-inline const pg2::Codec kVersion20;
+inline const postgres2::Codec kVersion20;
 
 // Bytes read of a client before it is known what is coming.
 constexpr std::size_t kReadAhead = 16 << 10;
 
-inline translation::Problem problem(const char* severity, const char* code, std::string_view text) {
-  translation::Problem p;
+inline translation::ErrorReport problem(const char* severity, const char* code, std::string_view text) {
+  translation::ErrorReport p;
   p.severity = severity;
   p.code = code;
   p.text = std::string(text);
--- a/src/frontend/postgres/session_handshake.cpp
+++ b/src/frontend/postgres/session_handshake.cpp
@@ -23,10 +23,10 @@
 }  // namespace
 
 bool Session::readProxyHeader() {
-  const std::size_t available = std::min(evbuffer_get_length(input()), proxy_protocol::kLongestV2);
+  const std::size_t available = std::min(evbuffer_get_length(input()), proxy_protocol::kMaxVersion2Size);
   if (available == 0) return false;
   const proxy_protocol::Header header = proxy_protocol::parse(pull(available));
-  if (header.bad) {
+  if (header.malformed) {
     reject("08P01", "expected a PROXY header", true);
     return false;
   }
@@ -55,7 +55,7 @@
   if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
   const std::uint32_t length = postgres::readInt32(head);
   const std::uint32_t code = postgres::readInt32(head + 4);
-  if (length < sizeof head || length > postgres::kLongestStartup) {
+  if (length < sizeof head || length > postgres::kMaxStartup) {
     reject("08P01", "malformed startup message", true);
     return false;
   }
@@ -123,7 +123,7 @@
 
 bool Session::startVersion2(std::string_view packet) {
   codec_ = &kVersion20;
-  const auto startup = pg2::parseStartup(packet);
+  const auto startup = postgres2::parseStartup(packet);
   // Servers of that time knew no standard_conforming_strings and no hexadecimal bytea.
   clientSettings_.backslashes = true;
   clientSettings_.bytea = translation::ByteaForm::Escape;
@@ -159,18 +159,18 @@
     setUnadmitted(!permit_);
   }
   if (permit_) return true;
-  translation::Problem error = problem("FATAL", "53300", "too many connections of this client's group");
-  error.comeBackMs = retryAfterMs(retryAfter_).value_or(1);
+  translation::ErrorReport error = problem("FATAL", "53300", "too many connections of this client's group");
+  error.retryAfterMs = retryAfterMs(retryAfter_).value_or(1);
   writeError(error);
   startLingeringClose();
   return false;
 }
 
 std::optional<std::string> Session::readPasswordV2() {
-  const std::size_t available = std::min(evbuffer_get_length(input()), pg2::kLongestPassword);
+  const std::size_t available = std::min(evbuffer_get_length(input()), postgres2::kMaxPassword);
   std::size_t length = 0;
   bool malformed = false;
-  const auto password = pg2::parsePassword(pull(available), length, malformed);
+  const auto password = postgres2::parsePassword(pull(available), length, malformed);
   if (malformed) {
     reject("08P01", "malformed password packet", true);
     return std::nullopt;
@@ -182,15 +182,15 @@
 }
 
 std::optional<std::string> Session::readPasswordV3() {
-  char bytes[postgres::kHead];
+  char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes))
     return std::nullopt;
-  const auto head = postgres::parseHead(bytes);
-  if (!head || head->type != 'p' || head->body > kMaxLoginMessage) {
+  const auto head = postgres::parseHeader(bytes);
+  if (!head || head->type != 'p' || head->bodySize > kMaxLoginMessage) {
     reject("08P01", "expected a password", true);
     return std::nullopt;
   }
-  const std::size_t length = sizeof bytes + head->body;
+  const std::size_t length = sizeof bytes + head->bodySize;
   if (evbuffer_get_length(input()) < length) return std::nullopt;
   std::string body(pull(length).substr(sizeof bytes));
   evbuffer_drain(input(), length);
@@ -234,11 +234,11 @@
 void Session::completeStartup() {
   key_ = owner_.newKey(*this, codec_ == &kVersion32 ? postgres::kLongKey : postgres::kShortKey);
   if (version_ == ProtocolVersion::Version3)
-    append(output(), postgres::welcome(key_, clientSettings_.backslashes));
+    append(output(), postgres::loginComplete(key_, clientSettings_.backslashes));
   else
-    append(output(), pg2::authenticationOk() +
-                         pg2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
-                         pg2::ready());
+    append(output(), postgres2::authenticationOk() +
+                         postgres2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
+                         postgres2::ready());
   lastActive_ = owner_.engine_.now();
   onSettingsChanged();
   if (owner_.admission_) owner_.admission_->connectionIdle(permit_);
@@ -246,8 +246,9 @@
 }
 
 void Session::onSettingsChanged() {
-  sharedSettings_ =
-      clientSettings_.backslashes ? std::make_shared<const translation::Side>(clientSettings_) : nullptr;
+  sharedSettings_ = clientSettings_.backslashes
+                        ? std::make_shared<const translation::SessionSettings>(clientSettings_)
+                        : nullptr;
   request_.format.bytea = clientSettings_.bytea;
 }
 
--- a/src/frontend/postgres/session_messages.cpp
+++ b/src/frontend/postgres/session_messages.cpp
@@ -10,7 +10,7 @@
 namespace sablespur {
 namespace {
 
-// Message types that are accepted: Query, Terminate, and those of the extended protocol.
+// RequestMessage types that are accepted: Query, Terminate, and those of the extended protocol.
 constexpr std::string_view kSimpleTypes = "QX";
 constexpr std::string_view kExtendedTypes = "QXPBDECSH";
 
@@ -33,9 +33,9 @@
 }
 
 bool Session::readMessageV3() {
-  char bytes[postgres::kHead];
+  char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return false;
-  const auto head = postgres::parseHead(bytes);
+  const auto head = postgres::parseHeader(bytes);
   if (!head) {
     reject("08P01", "a message's length is out of range", true);
     return false;
@@ -45,7 +45,7 @@
     rejectMessageType(head->type);
     return false;
   }
-  const std::size_t length = sizeof bytes + head->body;
+  const std::size_t length = sizeof bytes + head->bodySize;
   if (!reserveMessage(length)) {
     reject("53200", "too many long statements at once", true);
     return false;
@@ -63,7 +63,7 @@
     return !closing();
   }
   evbuffer_drain(input(), sizeof bytes);
-  readSimpleQuery(head->body);
+  readSimpleQuery(head->bodySize);
   return true;
 }
 
@@ -97,9 +97,9 @@
   }
   const auto end = evbuffer_search(input(), "", 1, nullptr);  // the first NUL
   if (end.pos < 0) {
-    if (available >= pg2::kLongestQuery)
+    if (available >= postgres2::kMaxQuery)
       reject("08P01", "a query that does not end", true);
-    else if (available >= kReadAhead && !reserveMessage(pg2::kLongestQuery))
+    else if (available >= kReadAhead && !reserveMessage(postgres2::kMaxQuery))
       reject("53200", "too many long statements at once", true);
     return false;
   }
@@ -123,7 +123,7 @@
 
 // Removes the message from the input.
 void Session::handleExtended(char type, std::string_view body) {
-  const std::size_t length = postgres::kHead + body.size();
+  const std::size_t length = postgres::kHeaderSize + body.size();
   if (!prepared_) prepared_ = std::make_unique<PreparedStatements>();
   awaitingSync_ = type != 'S';
   const auto execution = applyExtended(type, body);
@@ -155,7 +155,7 @@
       writeReply(prepared_->parse(body, backslashes));
       break;
     case 'B':
-      writeReply(prepared_->bind(body, backslashes, postgres::kLongestMessage));
+      writeReply(prepared_->bind(body, backslashes, postgres::kMaxMessage));
       break;
     case 'D':
       writeReply(prepared_->describe(body));
--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -35,15 +35,15 @@
 
 // The body of the RowDescription at an answer's front; empty if there is none. `drain` removes the message.
 std::string takeRowDescription(evbuffer* answer, bool drain) {
-  char bytes[postgres::kHead];
+  char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(answer, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return {};
   if (bytes[0] != 'T') return {};
-  const auto head = postgres::parseHead(bytes);
-  const std::size_t length = sizeof bytes + head->body;
+  const auto head = postgres::parseHeader(bytes);
+  const std::size_t length = sizeof bytes + head->bodySize;
   const auto* const message = evbuffer_pullup(answer, static_cast<ev_ssize_t>(length));
-  std::string body(reinterpret_cast<const char*>(message) + sizeof bytes, head->body);
+  std::string bodySize(reinterpret_cast<const char*>(message) + sizeof bytes, head->bodySize);
   if (drain) evbuffer_drain(answer, length);
-  return body;
+  return bodySize;
 }
 
 }  // namespace
@@ -73,7 +73,7 @@
 
 void Session::answerEmptyStatement() {
   if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
-  append(output(), codec_->emptyStatement());
+  append(output(), codec_->emptyQueryResponse());
   finishRequest();
 }
 
@@ -87,7 +87,7 @@
   }
   onSettingsChanged();
   if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
-  append(output(), codec_->completed("SET"));
+  append(output(), codec_->commandComplete("SET"));
   if (name == "standard_conforming_strings" && version_ == ProtocolVersion::Version3)
     append(output(), postgres::parameterStatus(name, clientSettings_.backslashes ? "off" : "on"));
   finishRequest();
@@ -103,13 +103,13 @@
   if (owner_.openRequestIds_.count(name) > 0)
     return reject("42710", "this id is that of an open request", false);
   const auto& classes = owner_.config_.classes;
-  const auto requestClass = std::find(classes.begin(), classes.end(), comment.cls);
+  const auto requestClass = std::find(classes.begin(), classes.end(), comment.className);
   if (requestClass == classes.end()) return reject("42704", "unknown class", false);
   const auto classIndex = static_cast<std::size_t>(requestClass - classes.begin());
 
   const Time now = owner_.engine_.now();
   const balancer::Request request = makeRequest(comment, classIndex, statement.get());
-  Message message = makeMessage(comment, tailOffset, std::move(statement));
+  RequestMessage message = makeMessage(comment, tailOffset, std::move(statement));
   owner_.openRequestIds_.insert(name);
   request_.name = std::move(name);
   if (owner_.admission_) owner_.admission_->connectionBusy(permit_);
@@ -127,8 +127,8 @@
   request.group = comment.cluster;
   // The client's time runs from its last byte, also while the request waits behind others here.
   Time allowed = owner_.config_.settings.classes[classIndex].deadline;
-  if (comment.waitLength > 0)
-    allowed = std::chrono::milliseconds(std::min(comment.waitMs, kMaxClientDeadlineMs));
+  if (comment.timeLeftLength > 0)
+    allowed = std::chrono::milliseconds(std::min(comment.timeLeftMs, kMaxClientDeadlineMs));
   request.deadline = std::min(messageReceivedAt_ + allowed, owner_.answerBy_);
   if (comment.after > 0) {
     const double nowMs = static_cast<double>(owner_.engine_.unixNow().count()) / 1e3;
@@ -145,17 +145,17 @@
 
 // The statement is cut in two where the digits of the client's deadline stand, so that each attempt tells the
 // time that is left.
-Message Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
-                             Buffer statement) const {
-  Message message{newBuffer(), std::move(statement), sharedSettings_, {}, {}};
+RequestMessage Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
+                                    Buffer statement) const {
+  RequestMessage message{newBuffer(), std::move(statement), sharedSettings_, {}, {}};
   message.clockOffset = owner_.engine_.clockOffset();
   if (owner_.config_.store) {
     message.id = std::string(comment.id);
     message.key = std::string(comment.key);
   }
-  if (comment.waitLength > 0) {
-    evbuffer_remove_buffer(message.after.get(), message.before.get(), tailOffset + comment.waitAt);
-    evbuffer_drain(message.after.get(), comment.waitLength);
+  if (comment.timeLeftLength > 0) {
+    evbuffer_remove_buffer(message.after.get(), message.before.get(), tailOffset + comment.timeLeftOffset);
+    evbuffer_drain(message.after.get(), comment.timeLeftLength);
   }
   return message;
 }
@@ -171,8 +171,8 @@
 
 void Session::rejected(Time retryAfter) {
   request_.id.reset();
-  translation::Problem error = problem("ERROR", "53300", "no data server can take this request now");
-  error.comeBackMs = retryAfterMs(retryAfter);
+  translation::ErrorReport error = problem("ERROR", "53300", "no data server can take this request now");
+  error.retryAfterMs = retryAfterMs(retryAfter);
   writeError(error);
   finishRequest();
 }
@@ -191,14 +191,14 @@
   finishRequest();
 }
 
-void Session::writeError(const translation::Problem& error) {
-  append(output(), codec_->problem(error));
+void Session::writeError(const translation::ErrorReport& error) {
+  append(output(), codec_->errorResponse(error));
   skippingUntilSync_ = request_.extended;
 }
 
 void Session::writeAnswer(Answer answer) {
   evbuffer* const messages = answer.messages.get();
-  if (answer.problem) return writeError(answer.reader->problem(contiguous(messages)));
+  if (answer.problem) return writeError(answer.reader->readError(contiguous(messages)));
   const bool fromVersion3 = answer.reader == &postgres::reader();
   const bool sameForm = version_ == ProtocolVersion::Version3 && fromVersion3 && request_.format.plain() &&
                         request_.maxRows == 0;
@@ -219,16 +219,16 @@
 
 void Session::translateAnswer(const Answer& answer, std::string_view messages, const std::string& columns) {
   const std::size_t maxLength = 2 * messages.size() + kTranslationAllowance;
-  translation::Conversion conversion(*codec_, request_.format, request_.sendRowDescription, maxLength,
-                                     request_.maxRows);
-  if (!answer.reader->answer(messages, conversion)) {
-    const std::string why = conversion.why().empty() ? "a malformed answer" : conversion.why();
-    logEvent(LogLevel::Warning, "answer_not_translated", {{"why", why}});
-    return writeError(problem("ERROR", "22P03", "the answer cannot be told: " + why));
+  translation::AnswerConverter conversion(*codec_, request_.format, request_.sendRowDescription, maxLength,
+                                          request_.maxRows);
+  if (!answer.reader->read(messages, conversion)) {
+    const std::string failure = conversion.failure().empty() ? "a malformed answer" : conversion.failure();
+    logEvent(LogLevel::Warning, "answer_not_translated", {{"failure", failure}});
+    return writeError(problem("ERROR", "22P03", "the answer cannot be told: " + failure));
   }
   std::string translated = conversion.take();
   if (translated.size() > kReadAhead)
-    appendLong(output(), std::move(translated));
+    appendByReference(output(), std::move(translated));
   else
     append(output(), translated);
   if (!request_.extended) return;
--- a/src/frontend/request_admission.cpp
+++ b/src/frontend/request_admission.cpp
@@ -18,7 +18,7 @@
 class RequestAdmission::PendingRequest final : public ResponseHandler {
  public:
   PendingRequest(RequestAdmission& owner, RequestId id, ResponseHandler& client,
-                 const balancer::Request& request, Message&& message)
+                 const balancer::Request& request, RequestMessage&& message)
       : owner_(owner),
         id_(id),
         client_(client),
@@ -63,7 +63,7 @@
   const RequestId id_;
   ResponseHandler& client_;
   balancer::Request request_;
-  Message message_;
+  RequestMessage message_;
   Time arrivedAt_;
   Time forwardedAt_{};
   std::optional<RequestId> engineId_;
@@ -84,7 +84,7 @@
           this)) {}
 RequestAdmission::~RequestAdmission() = default;
 
-RequestId RequestAdmission::submit(ResponseHandler& client, balancer::Request request, Message message,
+RequestId RequestAdmission::submit(ResponseHandler& client, balancer::Request request, RequestMessage message,
                                    std::size_t group) {
   const RequestId id = ++lastId_;
   auto owned = std::make_unique<PendingRequest>(*this, id, client, request, std::move(message));
--- a/src/frontend/request_admission.hpp
+++ b/src/frontend/request_admission.hpp
@@ -23,7 +23,7 @@
   ~RequestAdmission();
 
   // `group`: of the client. A rejection is delivered after this call has returned.
-  RequestId submit(ResponseHandler&, balancer::Request, Message, std::size_t group);
+  RequestId submit(ResponseHandler&, balancer::Request, RequestMessage, std::size_t group);
   void cancel(RequestId);  // its client has left
   // Rejects what has been queued for too long.
   void sweep();
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -104,7 +104,7 @@
     startTimer(snapshotTimer_.get(), settings_.every);
   }
 
-  RequestId request(ResponseHandler& handler, balancer::Request request, Message message) override {
+  RequestId request(ResponseHandler& handler, balancer::Request request, RequestMessage message) override {
     return requests_.request(handler, request, std::move(message));
   }
   void clientDisconnected(RequestId id) override { requests_.clientDisconnected(id); }
@@ -247,12 +247,12 @@
 
 void FleetRecoveryCoordinator::statusObserved(const cluster::GossipUpdate& update) {
   if (nextObserver_) nextObserver_->statusObserved(update);
-  const DiscoveredEndpoint* const endpoint = endpoints_.findByTag(update.tag);
+  const DiscoveredEndpoint* const endpoint = endpoints_.findByTag(update.endpointTag);
   if (endpoint == nullptr) return;
   const Time now = engine_.now();
   endpoints_.recordResponse(endpoint->name, update, now);
   if (!requests_.finished()) requests_.admission().endpointResponded(now, endpoint->group);
-  if (update.role == cluster::GossipRole::Primary) confirmPrimary(*endpoint, update.tag, now);
+  if (update.role == cluster::GossipRole::Primary) confirmPrimary(*endpoint, update.endpointTag, now);
 }
 
 void FleetRecoveryCoordinator::confirmPrimary(const DiscoveredEndpoint& endpoint, std::uint64_t tag,
--- a/src/recovery/recovery_request_handler.cpp
+++ b/src/recovery/recovery_request_handler.cpp
@@ -63,7 +63,7 @@
 RecoveryRequestHandler::~RecoveryRequestHandler() = default;
 
 RequestId RecoveryRequestHandler::request(ResponseHandler& handler, balancer::Request request,
-                                          Message message) {
+                                          RequestMessage message) {
   if (finished_) return engine_.request(handler, request, std::move(message));
   const balancer::ClassSettings& settings = classes_[static_cast<std::size_t>(request.classIndex)];
   const bool write = settings.requirement == balancer::Requirement::Write;
--- a/src/recovery/recovery_request_handler.hpp
+++ b/src/recovery/recovery_request_handler.hpp
@@ -19,7 +19,7 @@
   RecoveryRequestHandler(event_base*, Engine&, const Config&, Time now);
   ~RecoveryRequestHandler() override;
 
-  RequestId request(ResponseHandler&, balancer::Request, Message) override;
+  RequestId request(ResponseHandler&, balancer::Request, RequestMessage) override;
   void clientDisconnected(RequestId) override;
 
   // From now on every request is forwarded without a decision.
--- a/tests/answer_parser_test.cpp
+++ b/tests/answer_parser_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(expected(parser), "SNZ");
   const AttemptEnd end = parser.finish(std::nullopt);
   EXPECT_EQ(end.result, AttemptResult::Ok);
-  EXPECT_EQ(evbuffer_get_length(end.answer.messages.get()), postgres::kHead + kValueRow.size());
+  EXPECT_EQ(evbuffer_get_length(end.answer.messages.get()), postgres::kHeaderSize + kValueRow.size());
 }
 
 TEST_F(AnswerParserTest, AnyRowsMayBeManyOrNone) {
@@ -104,7 +104,7 @@
   const AttemptEnd forwarded = forwarding.finish(std::nullopt);
   EXPECT_TRUE(forwarded.invalidStatement);
   EXPECT_TRUE(forwarded.answer.problem);
-  EXPECT_EQ(evbuffer_get_length(forwarded.answer.messages.get()), postgres::kHead + 4);
+  EXPECT_EQ(evbuffer_get_length(forwarded.answer.messages.get()), postgres::kHeaderSize + 4);
   AnswerParser silent(AnswerKind::SingleValue);
   silent.takeError(errorOf("42601"), "body", false);
   EXPECT_EQ(silent.finish(std::nullopt).answer.messages, nullptr);
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -30,7 +30,7 @@
   int sent = 0;
   Time until{};  // of the last
   void endpointListed(EndpointId, const Address&, bool, Time) override {}
-  void send(RequestId id, int, EndpointId, Time end, std::shared_ptr<const Message>) override {
+  void send(RequestId id, int, EndpointId, Time end, std::shared_ptr<const RequestMessage>) override {
     out.insert(id), ++sent;
     until = end;
   }
@@ -724,7 +724,8 @@
   void connectionIdle(std::optional<PermitId>) override {}
   void connectionServed(std::optional<PermitId>) override {}
   void onExhaustion() override {}
-  RequestId request(ResponseHandler& r, balancer::Request q, Message m, std::optional<PermitId>) override {
+  RequestId request(ResponseHandler& r, balancer::Request q, RequestMessage m,
+                    std::optional<PermitId>) override {
     return next.request(r, q, std::move(m));
   }
   void requestCancelled(RequestId id) override { next.clientDisconnected(id); }
