--- a/src/cluster/udp/datagrams.cpp
+++ b/src/cluster/udp/datagrams.cpp
@@ -75,7 +75,7 @@
   if (fd_ >= 0) close(fd_);
 }
 
-bool DatagramSocket::send(const Address& to, std::string_view datagram) {
+bool DatagramSocket::send(const Address& to, std::string_view datagram) const {
   if (!ready()) return false;
   const auto attempt = [&] {
     return datagramCalls().send(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT, to.data(), to.size());
--- a/src/cluster/udp/datagrams.hpp
+++ b/src/cluster/udp/datagrams.hpp
@@ -64,7 +64,7 @@
   int error() const { return error_; }
   SenderTable& senders() { return senders_; }
   // Best effort. False: the machine sends nothing at the moment, so further datagrams need not be tried.
-  bool send(const Address& to, std::string_view datagram);
+  bool send(const Address& to, std::string_view datagram) const;
 
  private:
   void read();
