--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -738,6 +738,8 @@
     SessionTest::SetUp();
     clients = std::make_unique<Clients>(base.get(), engine, engine, workers, account, spare, &gate, config);
   }
+  // Sessions give their permits back at their end: the controller outlives them.
+  void TearDown() override { clients.reset(); }
 };
 TEST_F(GateTest, ARequestThatCrossesTheLossOfItsPlaceIsServedAndThenTheEndComes) {
   const auto c = welcomed();
