--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -55,9 +55,13 @@
       ordinary_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
       urgent_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
               kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
+      toRelay_(budgetIntervalMs(policy.peers, kRelayReceivedPerSecond), kBurstMs),
+      relayed_(budgetIntervalMs(1, kReceivedPerSecond), 0),
       byteBudget_(std::max(kMinByteBudgetCap / 8, deliveredBytes(kGossipUpdatesPerDatagram))),
       order_(policy.peers) {
   std::iota(order_.begin(), order_.end(), std::size_t{0});
+  if (policy.broadcast && policy.peers > kMaxDirectPeers && policy.rankedBefore)
+    relays_.emplace(*policy.rankedBefore, policy.peers);
 }
 
 void GossipScheduler::observedLocally(const GossipUpdate& hint, std::int64_t nowMs) {
@@ -68,7 +72,30 @@
   }
   byteBudget_ = std::min(byteBudget_ + kBytesPerStatus,
                          std::max(kMinByteBudgetCap, deliveredBytes(kGossipUpdatesPerDatagram)));
-  if (const std::optional<News> news = newsIn(hint, nowMs)) enqueue(hint, *news, nowMs);
+  const std::optional<News> news = newsIn(hint, nowMs);
+  if (!news) return;
+  if (relays_ && *news != News::RoleChange) {
+    // The relay only passes on: who observed an update pays for its delivery to all.
+    const auto cost = static_cast<double>(receivers_ * kGossipUpdateBytes);
+    if (byteBudget_ < cost) return;
+    byteBudget_ -= cost;
+  }
+  enqueue(hint, *news, nowMs);
+}
+
+void GossipScheduler::datagramReceived(std::size_t peer) {
+  if (relays_) relays_->receivedFrom(peer);
+}
+
+// Datagrams do not tell whether they were sent to all. A change of role always is. A position counts as sent
+// once this proxy has broadcast it, so none is passed on twice.
+void GossipScheduler::receivedByRelay(const GossipUpdate& hint, std::int64_t nowMs) {
+  const std::optional<News> news = newsIn(hint, nowMs);
+  if (!news) return;
+  if (*news == News::RoleChange)
+    recordStatus(hint, nowMs);
+  else
+    enqueue(hint, *news, nowMs);
 }
 
 void GossipScheduler::receivedFromPeer(const GossipUpdate& hint, std::int64_t nowMs) {
@@ -76,7 +103,10 @@
     const auto own = find(hint.endpointTag);
     if (own != pending_.end() && own->news == News::RoleChange && own->update.role == hint.role)
       pending_.erase(own);  // the broadcast has reached all others too
-    recordStatus(hint, nowMs);
+    if (isRelay(nowMs))
+      receivedByRelay(hint, nowMs);
+    else
+      recordStatus(hint, nowMs);
     return;
   }
   // Only kFanout peers have got it. A change of role is passed on, once; nothing else is.
@@ -185,22 +215,51 @@
          });
 }
 
+std::optional<std::size_t> GossipScheduler::takeForRelay(std::int64_t nowMs,
+                                                         std::vector<GossipUpdate>& datagram) {
+  datagram.clear();
+  if (!relays_ || pending_.empty() || !toRelay_.allows(nowMs)) return std::nullopt;
+  const std::optional<std::size_t> relay = relays_->relay(nowMs);
+  if (!relay) return std::nullopt;
+  dropOutdated(nowMs);
+  std::vector<PendingUpdate> kept;
+  for (const PendingUpdate& p : pending_) {
+    if (p.news == News::RoleChange || datagram.size() == kGossipUpdatesPerDatagram) {
+      kept.push_back(p);
+      continue;
+    }
+    datagram.push_back(p.update);
+    recordStatus(p.update, nowMs);
+  }
+  pending_.swap(kept);
+  if (datagram.empty()) return std::nullopt;
+  toRelay_.spend(nowMs, std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_));
+  relays_->sentTo(*relay, nowMs);
+  return relay;
+}
+
+bool GossipScheduler::broadcastAllowed(std::int64_t nowMs) {
+  if (!relays_) return ordinary_.allows(nowMs);
+  return isRelay(nowMs) && relayed_.allows(nowMs);
+}
+
 bool GossipScheduler::takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram) {
   datagram.clear();
   if (pending_.empty()) return false;
-  const bool ordinary = ordinary_.allows(nowMs);
+  const bool ordinary = broadcastAllowed(nowMs);
   if (!ordinary && !urgentDue(nowMs)) return false;
   dropOutdated(nowMs);
   if (pending_.empty()) return false;
   const bool urgent = urgentDue(nowMs);
-  if (!urgent &&
-      (!ordinary || byteBudget_ < deliveredBytes(std::min(pending_.size(), kGossipUpdatesPerDatagram))))
-    return false;
+  const bool paidFor =
+      relays_ || byteBudget_ >= deliveredBytes(std::min(pending_.size(), kGossipUpdatesPerDatagram));
+  if (!urgent && (!ordinary || !paidFor)) return false;
   fillDatagram(nowMs, urgent, datagram);
   if (datagram.empty()) return false;
   const double jitter = std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_);
-  (urgent ? urgent_ : ordinary_).spend(nowMs, jitter);
-  if (!urgent) byteBudget_ -= deliveredBytes(datagram.size());
+  RateLimiter& ordinaryLimiter = relays_ ? relayed_ : ordinary_;
+  (urgent ? urgent_ : ordinaryLimiter).spend(nowMs, jitter);
+  if (!urgent && !relays_) byteBudget_ -= deliveredBytes(datagram.size());
   return true;
 }
 
@@ -236,6 +295,11 @@
   return first;
 }
 
+std::optional<std::int64_t> GossipScheduler::relayAtMs(std::int64_t nowMs) {
+  if (pending_.empty() || !isRelay(nowMs)) return std::nullopt;
+  return relayed_.allowedFromMs();
+}
+
 const std::vector<std::size_t>& GossipScheduler::drawReceivers() {
   drawnPeers_.clear();
   for (std::size_t k = 0; k < receivers_; ++k) {
--- a/src/cluster/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -4,6 +4,10 @@
 // datagram in an interval that grows with the number of receivers, and that datagram carries all updates
 // gathered meanwhile. Updates that a peer has sent already are left out. A change of role may go out sooner,
 // from a small budget of its own, after a random delay in which another proxy may send it first.
+//
+// In a fleet of more than kMaxDirectPeers with a broadcast address, that interval would be longer than a
+// position is of use. There each proxy sends what it has at once to one of them, the relay (RelaySelection),
+// and the relay alone broadcasts, in datagrams that are nearly full.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +17,7 @@
 #include <vector>
 
 #include "cluster/gossip.hpp"
+#include "cluster/relay_selection.hpp"
 
 namespace sablespur::cluster {
 
@@ -24,6 +29,10 @@
 constexpr double kUrgentReceivedPerSecond = 20;
 // Receivers of one datagram if no broadcast address reaches all peers; drawn anew each time.
 constexpr std::size_t kFanout = 16;
+// Datagrams a second that a relay receives from all others together; about 2% of a core.
+constexpr double kRelayReceivedPerSecond = 2000;
+// Up to here each proxy broadcasts by itself: its interval is at most a quarter of a second.
+constexpr std::size_t kMaxDirectPeers = 20;
 
 // A sender's share of a budget: one datagram an interval on average, some in a row after a pause (the generic
 // cell rate algorithm, ITU-T I.371).
@@ -48,6 +57,8 @@
     std::int64_t boundMs = 200;  // data older than this serve no read
     bool broadcast = true;       // one address reaches all peers
     std::uint64_t seed = 0;      // has to differ between proxies
+    // The peers that rank before this proxy as relays; nothing: its place among them is not known.
+    std::optional<std::vector<std::size_t>> rankedBefore = std::nullopt;
   };
   explicit GossipScheduler(const Policy&);
 
@@ -55,11 +66,18 @@
   void observedLocally(const GossipUpdate&, std::int64_t nowMs);
   // An update from a peer.
   void receivedFromPeer(const GossipUpdate&, std::int64_t nowMs);
-  // Fills `datagram` with the updates of one that is due now, at most kGossipUpdatesPerDatagram. False: none
-  // is due.
+  // A datagram came from `peer`.
+  void datagramReceived(std::size_t peer);
+  // Fills `datagram` with updates for the relay, at most kGossipUpdatesPerDatagram, and returns its index
+  // among the peers. Nothing: there are none, or this proxy is the relay, or there is no relay.
+  std::optional<std::size_t> takeForRelay(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
+  // Fills `datagram` with the updates of one to all receivers that is due now, at most
+  // kGossipUpdatesPerDatagram. False: none is due.
   bool takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
   // When a change of role is due next; other updates wait for the first turn in which the budget allows them.
   std::optional<std::int64_t> urgentAtMs() const;
+  // When this proxy, as the relay, sends its next datagram.
+  std::optional<std::int64_t> relayAtMs(std::int64_t nowMs);
   // Receivers of the next datagram: all peers, or kFanout of them drawn at random. Valid until the next call.
   const std::vector<std::size_t>& drawReceivers();
 
@@ -81,6 +99,9 @@
   };
 
   bool sampled() const { return receivers_ < policy_.peers; }
+  bool isRelay(std::int64_t nowMs) { return relays_ && !relays_->relay(nowMs); }
+  bool broadcastAllowed(std::int64_t nowMs);
+  void receivedByRelay(const GossipUpdate&, std::int64_t nowMs);
   bool changesRole(const GossipUpdate&) const;
   std::optional<News> newsIn(const GossipUpdate&, std::int64_t nowMs) const;
   void enqueue(const GossipUpdate&, News, std::int64_t nowMs);
@@ -101,6 +122,9 @@
   std::mt19937_64 random_;
   RateLimiter ordinary_;
   RateLimiter urgent_;
+  RateLimiter toRelay_;
+  RateLimiter relayed_;                   // of the relay, which has the whole budget
+  std::optional<RelaySelection> relays_;  // nothing: each proxy broadcasts by itself
   bool started_ = false;
   double byteBudget_;                   // bytes that may still be delivered, counted at the receivers
   std::vector<PendingUpdate> pending_;  // at most one an endpoint
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -3,6 +3,10 @@
 #include <algorithm>
 #include <cstring>
 #include <functional>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "logging/log.hpp"
 
@@ -17,10 +21,14 @@
   return tightest;
 }
 
+bool isOwn(const Config& config, const Address& peer) {
+  return peer == config.peerListen || peer == config.peerOwn;
+}
+
 std::vector<Address> othersOf(const Config& config, SenderTable& senders) {
   std::vector<Address> others;
   for (const Address& peer : config.peers)
-    if (peer != config.peerListen && senders.add(peer, others.size())) others.push_back(peer);
+    if (!isOwn(config, peer) && senders.add(peer, others.size())) others.push_back(peer);
   return others;
 }
 
@@ -30,10 +38,34 @@
   return update;
 }
 
-cluster::GossipScheduler::Policy policyOf(const Config& config, std::size_t others) {
+// A place in the order of relays that all proxies compute alike.
+std::pair<std::uint64_t, std::string> rankOf(const Address& address) {
+  constexpr std::uint64_t kMultiplier = 0x9e3779b97f4a7c15ull;  // 2^64 over the golden ratio
+  const std::uint64_t hash = cluster::endpointTag(address.text()) * kMultiplier;
+  return {hash ^ hash >> 29, address.text()};
+}
+
+// The peers that rank before this proxy; nothing if its own address among them is not known.
+std::optional<std::vector<std::size_t>> peersRankedBefore(const Config& config,
+                                                          const std::vector<Address>& others) {
+  const auto own = std::find_if(config.peers.begin(), config.peers.end(),
+                                [&](const Address& peer) { return isOwn(config, peer); });
+  if (own == config.peers.end()) return std::nullopt;
+  std::vector<std::pair<std::pair<std::uint64_t, std::string>, std::size_t>> before;
+  const auto ownRank = rankOf(*own);
+  for (std::size_t peer = 0; peer < others.size(); ++peer)
+    if (auto rank = rankOf(others[peer]); rank < ownRank) before.emplace_back(std::move(rank), peer);
+  std::sort(before.begin(), before.end());
+  std::vector<std::size_t> peers;
+  for (const auto& [rank, peer] : before) peers.push_back(peer);
+  return peers;
+}
+
+cluster::GossipScheduler::Policy policyOf(const Config& config, const std::vector<Address>& others) {
   // The proxies of a fleet may be given one seed; their addresses differ.
   const std::uint64_t seed = config.seed ^ cluster::endpointTag(config.peerListen.text());
-  return {others, tightestBoundMs(config.settings), !config.peersAll.none(), seed};
+  return {others.size(), tightestBoundMs(config.settings), !config.peersAll.none(), seed,
+          peersRankedBefore(config, others)};
 }
 
 }  // namespace
@@ -44,8 +76,8 @@
       socket_(base, config.peerListen, cluster::kMaxDatagramBytes,
               [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
       others_(othersOf(config, socket_.senders())),
-      scheduler_(std::in_place, policyOf(config, others_.size())),
-      urgent_(event_new(
+      scheduler_(std::in_place, policyOf(config, others_)),
+      sendTimer_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->flush(); },
           this)) {
   if (!socket_.ready())
@@ -65,6 +97,8 @@
 
 void PeerLink::flush() {
   followReference();
+  while (const auto relay = scheduler_->takeForRelay(nowMs(), due_))
+    socket_.send(others_[*relay], encodeDue());
   while (scheduler_->takeDatagram(nowMs(), due_)) transmit();
   armTimer();
 }
@@ -74,13 +108,12 @@
   const std::int64_t offsetMs = engine_.clockOffset().count() / 1000;
   if (offsetMs == offsetMs_) return;
   offsetMs_ = offsetMs;
-  scheduler_.emplace(policyOf(config_, others_.size()));
+  scheduler_.emplace(policyOf(config_, others_));
 }
 
 void PeerLink::transmit() {
   if (tracing()) logEvent(LogLevel::Trace, "gossip_sent", {{"hints", due_.size()}});
-  for (cluster::GossipUpdate& hint : due_) hint = moved(hint, offsetMs_);
-  const std::string datagram = cluster::encode(due_);
+  const std::string datagram = encodeDue();
   if (!config_.peersAll.none()) {
     socket_.send(config_.peersAll, datagram);
     return;
@@ -89,10 +122,17 @@
     if (!socket_.send(others_[peer], datagram)) return;
 }
 
+std::string PeerLink::encodeDue() {
+  for (cluster::GossipUpdate& hint : due_) hint = moved(hint, offsetMs_);
+  return cluster::encode(due_);
+}
+
 void PeerLink::armTimer() {
-  const auto at = scheduler_->urgentAtMs();
+  const auto urgentAt = scheduler_->urgentAtMs();
+  const auto relayAt = scheduler_->relayAtMs(nowMs());
+  const auto at = urgentAt && relayAt ? std::min(urgentAt, relayAt) : std::max(urgentAt, relayAt);
   if (!at) return;
-  startTimer(urgent_.get(), std::chrono::milliseconds(std::max<std::int64_t>(*at - nowMs(), 0)));
+  startTimer(sendTimer_.get(), std::chrono::milliseconds(std::max<std::int64_t>(*at - nowMs(), 0)));
 }
 
 void PeerLink::receive(std::size_t peer, std::string_view datagram) {
@@ -102,6 +142,7 @@
   }
   if (!config_.hints) return;
   followReference();
+  scheduler_->datagramReceived(peer);
   const std::int64_t now = nowMs();
   const std::size_t count = cluster::gossipUpdateCount(datagram);
   for (std::size_t k = 0; k < count; ++k) {
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -38,6 +38,7 @@
  private:
   void receive(std::size_t peer, std::string_view datagram);
   void transmit();
+  std::string encodeDue();
   void armTimer();
   void followReference();
   std::int64_t nowMs() const { return engine_.now().count() / 1000; }
@@ -49,7 +50,7 @@
   std::optional<cluster::GossipScheduler> scheduler_;  // never empty; replaced when the reference clock moves
   std::int64_t offsetMs_ = 0;               // of the reference clock; scheduler_ counts positions without it
   std::vector<cluster::GossipUpdate> due_;  // the datagram that is being sent
-  Event urgent_;                            // a change of role does not wait for the next turn
+  Event sendTimer_;                         // neither a change of role nor the relay waits for the next turn
   SnapshotHeaderHandler snapshotHeaderHandler_;
 };
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -138,6 +138,7 @@
 
 // Gossip between proxies.
 struct GossipConfig {
+  Address peerOwn;             // this proxy among `peers`, if it is not peerListen
   Address peerListen;          // none: this proxy takes no part
   std::vector<Address> peers;  // every proxy of the tier, this one included
   Address peersAll;            // one address that reaches all of them; none: each is sent its own datagram
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -139,6 +139,10 @@
   config.peerListen = parseAddress(address, "peer_listen");
   for (const std::string& peer : strings(root, "", "peers"))
     config.peers.push_back(parseAddress(peer, "peers"));
+  std::int64_t own = 0;
+  if (root["settings"]["slotNo"].get(own) == simdjson::SUCCESS && own >= 0 &&
+      static_cast<std::size_t>(own) < config.peers.size())
+    config.peerOwn = config.peers[static_cast<std::size_t>(own)];
   if (root["peers_all"].get(address) == simdjson::SUCCESS)
     config.peersAll = parseAddress(address, "peers_all");
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 #include <cerrno>
 
+#include "cluster/relay_selection.hpp"
 #include "cluster/scheduler.hpp"
 #include "cluster/udp/link.hpp"
 #include "scenario.hpp"
@@ -198,6 +199,54 @@
   EXPECT_EQ(g.knownEndpoints(), 1u) << "what is old makes room";
 }
 
+TEST(RelaySelectionTest, APeerThatLeavesUpdatesUnansweredIsSuspectedForAWhile) {
+  cluster::RelaySelection relays({4, 2}, 6);
+  EXPECT_EQ(relays.relay(kNow), 4u);
+  EXPECT_EQ(relays.relay(kNow + 10000), 4u) << "nothing was sent to it";
+  relays.sentTo(4, kNow + 10000);
+  relays.sentTo(4, kNow + 10200);
+  EXPECT_EQ(relays.relay(kNow + 10300), 4u);
+  EXPECT_EQ(relays.relay(kNow + 10301), 2u);
+  relays.sentTo(2, kNow + 10301);
+  EXPECT_EQ(relays.relay(kNow + 10700), std::nullopt) << "both are: it is this proxy";
+  EXPECT_EQ(relays.relay(kNow + 13301), 4u) << "tried again";
+}
+
+TEST(RelaySelectionTest, AnyDatagramShowsThatAPeerIsAlive) {
+  cluster::RelaySelection relays({4, 2}, 6);
+  relays.sentTo(4, kNow);
+  relays.receivedFrom(4);
+  EXPECT_EQ(relays.relay(kNow + 1000), 4u);
+  relays.sentTo(4, kNow + 1000);
+  EXPECT_EQ(relays.relay(kNow + 1400), 2u);
+  relays.receivedFrom(3);  // ranked after this proxy
+  EXPECT_EQ(relays.relay(kNow + 1400), 2u);
+  relays.receivedFrom(4);
+  EXPECT_EQ(relays.relay(kNow + 1400), 4u);
+}
+
+TEST(PeersGossip, TheRelayGathersWhatOthersObserveAndPassesItOnOnce) {
+  std::vector<std::size_t> none;
+  GossipScheduler relay({299, 200, true, 1, none});
+  GossipScheduler other({299, 200, true, 2, std::vector<std::size_t>{7}});
+  other.receivedFromPeer({1, kNow - 100, GossipRole::Replica, -1, 0}, kNow - 100);
+  relay.receivedFromPeer({1, kNow - 100, GossipRole::Replica, -1, 0}, kNow - 100);
+  EXPECT_FALSE(sentAt(relay, kNow - 80).empty()) << "a first word is news to all";
+  std::vector<GossipUpdate> datagram;
+  other.observedLocally({1, kNow, GossipRole::Replica, 0, 1}, kNow);
+  EXPECT_TRUE(sentAt(other, kNow).empty()) << "it broadcasts nothing by itself";
+  EXPECT_EQ(other.takeForRelay(kNow, datagram), 7u);
+  ASSERT_EQ(datagram.size(), 1u);
+  EXPECT_EQ(other.takeForRelay(kNow + 1, datagram), std::nullopt) << "once";
+  for (int k = 0; k < 3; ++k) relay.receivedFromPeer({1, kNow, GossipRole::Replica, 0, 1}, kNow + 20);
+  relay.receivedFromPeer({2, kNow, GossipRole::Replica, 0, 1}, kNow + 20);
+  EXPECT_EQ(relay.takeForRelay(kNow + 20, datagram), std::nullopt);
+  EXPECT_EQ(sentAt(relay, kNow + 20).size(), 2u);
+  EXPECT_EQ(relay.relayAtMs(kNow + 20), std::nullopt) << "nothing is left to send";
+  relay.receivedFromPeer({1, kNow, GossipRole::Replica, 0, 1}, kNow + 60);
+  EXPECT_TRUE(sentAt(relay, kNow + 60).empty());
+}
+
 // Two proxies on loopback, and a stranger.
 struct PeerLinkTest : testing::Test {
   static Address own() {
@@ -367,6 +416,33 @@
   EXPECT_LE(loops, 40);
 }
 
+TEST_F(DatagramFaults, AllProxiesOfALargeFleetChooseTheSameRelayAndItAloneBroadcasts) {
+  static std::vector<std::string> receivers;
+  receivers.clear();
+  datagramCalls().send = [](int, const void*, std::size_t n, int, const sockaddr* to, socklen_t) -> ssize_t {
+    receivers.push_back(Address::fromSocket(to).text());
+    return static_cast<ssize_t>(n);
+  };
+  std::vector<Address> peers;
+  for (int k = 0; k < 30; ++k) peers.push_back(*Address::parse("127.0.1.1:" + std::to_string(2000 + k)));
+  std::map<std::string, int> sent;
+  for (const Address& peer : peers) {
+    Config many = config(own(), peers);
+    many.peerOwn = peer;  // as others see it
+    many.peersAll = a;
+    Engine engine(base.get(), many);
+    PeerLink link(base.get(), engine, many);
+    EXPECT_EQ(link.others(), peers.size() - 1) << "without itself";
+    link.statusObserved({1, engine.now().count() / 1000, GossipRole::Replica, 0, 1000});
+    link.flush();
+    ASSERT_EQ(receivers.size(), 1u);
+    ++sent[receivers.back()];
+    receivers.clear();
+  }
+  EXPECT_EQ(sent.size(), 2u);
+  EXPECT_EQ(sent[a.text()], 1) << "the relay's own, to all";
+}
+
 TEST_F(DatagramFaults, AMachineThatTakesNoDatagramIsNotAskedForEachPeer) {
   std::vector<Address> peers{a};
   for (int k = 0; k < 10; ++k) peers.push_back(*Address::parse("127.0.0.1:" + std::to_string(2000 + k)));
