--- a/src/config/key_values.cpp
+++ b/src/config/key_values.cpp
@@ -4,6 +4,7 @@
 #include <sstream>
 
 #include "config/keys.hpp"
+#include "support/nearest_word.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "config/keys.hpp"
+#include "support/nearest_word.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/support/ini.cpp
+++ b/src/support/ini.cpp
@@ -3,94 +3,138 @@
 #include <ini.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace sablespur {
 namespace {
 
 constexpr std::string_view kBlank = " \t\r";
 
-struct Reading {
-  std::string_view rest;
-  IniFile file;
-  std::string path;
-  std::set<std::string> raw;
-  int line = 0;
+std::string_view trimLeft(std::string_view text) {
+  text.remove_prefix(std::min(text.find_first_not_of(kBlank), text.size()));
+  return text;
+}
 
-  void fault(std::string problem, std::string fix) {
-    file.faults.push_back({path, line, "", std::move(problem), std::move(fix)});
-  }
+std::string_view trimRight(std::string_view text) {
+  while (!text.empty() && kBlank.find(text.back()) != std::string_view::npos) text.remove_suffix(1);
+  return text;
+}
 
-  // inih's source of lines, as fgets.
-  char* next(char* to, int room) {
-    if (rest.empty()) return nullptr;
-    ++line;
-    const std::size_t end = std::min(rest.find('\n'), rest.size());
-    std::string_view text = rest.substr(0, end);
-    rest.remove_prefix(std::min(end + 1, rest.size()));
-    // Guards against indented sections, whose lines inih would take for the continuation of a value.
-    text.remove_prefix(std::min(text.find_first_not_of(kBlank), text.size()));
-    if (text.find('\0') != std::string_view::npos) {
-      fault("a NUL byte", "this is no text file");
+// Gives inih one line after another, and collects what inih and the lines themselves tell.
+class LineReader {
+ public:
+  LineReader(std::string_view text, std::string path, const std::set<std::string>& rawTypes)
+      : rest_(text), path_(std::move(path)), rawTypes_(rawTypes) {}
+
+  // The reader that inih calls, with the contract of fgets.
+  char* readLine(char* buffer, int capacity) {
+    if (rest_.empty()) return nullptr;
+    ++line_;
+    std::string_view text = checkedLine(takeLine(), capacity);
+    if (!text.empty() && text[0] == '[') {
+      beginSection(text);
+    } else if (inRawSection()) {
+      addRawEntry(text);
       text = {};
     }
-    if (static_cast<int>(text.size()) > room - 2) {
-      fault("longer than " + std::to_string(room - 2) + " characters", "shorten the line");
-      text = {};
+    std::copy(text.begin(), text.end(), buffer);
+    buffer[text.size()] = '\n';
+    buffer[text.size() + 1] = '\0';
+    return buffer;
+  }
+
+  // The handler that inih calls for each "key = value".
+  void addEntry(const char* key, const char* value) {
+    if (file_.sections.empty())
+      addFault("a key before the first section", "begin with a section such as [proxy]");
+    else
+      file_.sections.back().entries.push_back({key, value, line_});
+  }
+
+  // `status` is what inih returned: 0, the first line that it could not parse, or a negative value for
+  // exhausted memory.
+  IniFile finish(int status) {
+    if (status > 0)
+      file_.faults.push_back({path_, status, "", "neither a [section] nor key = value",
+                              "mend this line, then check again for more like it"});
+    if (status < 0) file_.faults.push_back({path_, 0, "", "there is no memory to read it", ""});
+    return std::move(file_);
+  }
+
+ private:
+  void addFault(std::string problem, std::string fix) {
+    file_.faults.push_back({path_, line_, "", std::move(problem), std::move(fix)});
+  }
+
+  // The next line, without its newline and indentation: inih would take an indented line for the continuation
+  // of a value.
+  std::string_view takeLine() {
+    const std::size_t end = std::min(rest_.find('\n'), rest_.size());
+    const std::string_view text = rest_.substr(0, end);
+    rest_.remove_prefix(std::min(end + 1, rest_.size()));
+    return trimLeft(text);
+  }
+
+  // The line, or an empty one and a fault where inih can't take it. The newline and the NUL need room, too.
+  std::string_view checkedLine(std::string_view text, int capacity) {
+    const int maxLength = capacity - 2;
+    if (text.find('\0') != std::string_view::npos) {
+      addFault("a NUL byte", "this is no text file");
+      return {};
     }
-    if (!text.empty() && text[0] == '[') {
-      header(text);
-    } else if (!file.sections.empty() && raw.count(file.sections.back().type) > 0) {
-      const std::size_t comment = std::min(text.find(" ;"), text.size());
-      std::string_view entry = text.substr(0, comment);
-      while (!entry.empty() && kBlank.find(entry.back()) != std::string_view::npos) entry.remove_suffix(1);
-      if (!entry.empty() && entry[0] != ';' && entry[0] != '#')
-        file.sections.back().entries.push_back({"", std::string(entry), line});
-      text = {};
+    if (static_cast<int>(text.size()) > maxLength) {
+      addFault("longer than " + std::to_string(maxLength) + " characters", "shorten the line");
+      return {};
     }
-    std::copy(text.begin(), text.end(), to);
-    to[text.size()] = '\n';
-    to[text.size() + 1] = '\0';
-    return to;
+    return text;
+  }
+
+  bool inRawSection() const {
+    return !file_.sections.empty() && rawTypes_.count(file_.sections.back().type) > 0;
+  }
+
+  void addRawEntry(std::string_view text) {
+    const std::size_t comment = std::min(text.find(" ;"), text.size());
+    const std::string_view entry = trimRight(text.substr(0, comment));
+    if (entry.empty() || entry[0] == ';' || entry[0] == '#') return;
+    file_.sections.back().entries.push_back({"", std::string(entry), line_});
   }
-  // Sections are taken down here, since inih tells of them only by their keys.
-  void header(std::string_view text) {
+
+  // inih names a section only along with a key, so that an empty one would be missed.
+  void beginSection(std::string_view text) {
     const std::size_t end = text.find(']');
-    if (end == std::string_view::npos) return;  // inih finds fault with the line
-    IniSection s;
-    std::string_view title = text.substr(1, end - 1);
-    while (!title.empty() && kBlank.find(title.back()) != std::string_view::npos) title.remove_suffix(1);
+    if (end == std::string_view::npos) return;  // inih reports this line
+    const std::string_view title = trimRight(text.substr(1, end - 1));
     const std::size_t blank = std::min(title.find_first_of(kBlank), title.size());
-    s.type = std::string(title.substr(0, blank));
-    title.remove_prefix(blank);
-    title.remove_prefix(std::min(title.find_first_not_of(kBlank), title.size()));
-    s.name = std::string(title);
-    s.line = line;
-    file.sections.push_back(std::move(s));
+    IniSection section;
+    section.type = std::string(title.substr(0, blank));
+    section.name = std::string(trimLeft(title.substr(blank)));
+    section.line = line_;
+    file_.sections.push_back(std::move(section));
   }
+
+  std::string_view rest_;
+  const std::string path_;
+  const std::set<std::string>& rawTypes_;
+  IniFile file_;
+  int line_ = 0;
 };
 
+char* readLine(char* buffer, int capacity, void* reader) {
+  return static_cast<LineReader*>(reader)->readLine(buffer, capacity);
+}
+
+int addEntry(void* reader, const char* /*section*/, const char* key, const char* value) {
+  static_cast<LineReader*>(reader)->addEntry(key, value);
+  return 1;  // inih: go on
+}
+
 }  // namespace
 
-IniFile parseIni(std::string_view text, const std::string& path, const std::set<std::string>& raw) {
-  Reading r;
-  r.rest = text;
-  r.path = path;
-  r.raw = raw;
-  const auto reader = [](char* to, int room, void* of) { return static_cast<Reading*>(of)->next(to, room); };
-  const auto handler = [](void* of, const char*, const char* key, const char* value) {
-    Reading& reading = *static_cast<Reading*>(of);
-    if (reading.file.sections.empty())
-      reading.fault("a key before the first section", "begin with a section such as [proxy]");
-    else
-      reading.file.sections.back().entries.push_back({key, value, reading.line});
-    return 1;
-  };
-  const int bad = ini_parse_stream(reader, &r, handler, &r);
-  if (bad > 0)
-    r.file.faults.push_back({path, bad, "", "neither a [section] nor key = value",
-                             "mend this line, then check again for more like it"});
-  if (bad < 0) r.file.faults.push_back({path, 0, "", "there is no memory to read it", ""});
-  return std::move(r.file);
+IniFile parseIni(std::string_view text, const std::string& file, const std::set<std::string>& rawTypes) {
+  LineReader reader(text, file, rawTypes);
+  const int status = ini_parse_stream(readLine, &reader, addEntry, &reader);
+  return reader.finish(status);
 }
 
 }  // namespace sablespur
--- a/src/support/ini.hpp
+++ b/src/support/ini.hpp
@@ -1,8 +1,9 @@
-// An INI file as sections and entries with their lines, read by inih. What the values mean is settled
-// elsewhere.
+// Reads an INI file, with inih, into sections and entries that know their lines. It does not interpret
+// values.
 //
-// inih keeps neither line numbers nor repeated sections apart; the reader that it takes its lines from counts
-// both. Indentation means nothing; a comment begins with ; or # at a line's start, or with ; after a blank.
+// inih reports neither line numbers nor a section that is repeated; the reader that gives inih its lines
+// counts both. Indentation has no meaning. A comment begins with ; or # at the start of a line, or with ;
+// after a blank.
 #pragma once
 
 #include <set>
@@ -14,23 +15,31 @@
 
 namespace sablespur {
 
+// One "key = value".
 struct IniEntry {
-  std::string key, value;
+  std::string key;
+  std::string value;
   int line = 0;
 };
+
+// One section. "[class tour-read]" has the type "class" and the name "tour-read".
 struct IniSection {
-  std::string type, name;  // "[class tour-read]" is type "class", name "tour-read"
-  int line = 0;
+  std::string type;
+  std::string name;  // empty where the header has none
+  int line = 0;      // of the header
   std::vector<IniEntry> entries;
+
+  // The header as it is written in canonical form.
   std::string title() const { return "[" + type + (name.empty() ? "" : " " + name) + "]"; }
 };
+
 struct IniFile {
-  std::vector<IniSection> sections;  // as they stand; the same title may come again
-  std::vector<Fault> faults;         // lines that are no INI
+  std::vector<IniSection> sections;  // in the order of the file; a title may occur more than once
+  std::vector<Fault> faults;         // one for each line that is not INI
 };
 
-// In the sections of the types named raw every line that is no header is an entry by itself, with the key ""
-// and the line, without a comment behind it, as its value.
-IniFile parseIni(std::string_view text, const std::string& file, const std::set<std::string>& raw = {});
+// Parses `text`; faults name `file`. In sections whose type is in `rawTypes` each line that is not a header
+// becomes an entry with the key "" and, as its value, the line without its comment.
+IniFile parseIni(std::string_view text, const std::string& file, const std::set<std::string>& rawTypes = {});
 
 }  // namespace sablespur
--- a/src/support/secret.cpp
+++ b/src/support/secret.cpp
@@ -7,12 +7,13 @@
 
 namespace sablespur {
 
-std::string randomBytes(std::size_t n) {
-  std::string bytes(n, '\0');
-  for (std::size_t at = 0; at < n;) {
-    const ssize_t got = getrandom(bytes.data() + at, n - at, 0);
+std::string randomBytes(std::size_t count) {
+  std::string bytes(count, '\0');
+  std::size_t filled = 0;
+  while (filled < count) {
+    const ssize_t got = getrandom(bytes.data() + filled, count - filled, 0);
     if (got > 0)
-      at += static_cast<std::size_t>(got);
+      filled += static_cast<std::size_t>(got);
     else if (errno != EINTR)
       throw std::runtime_error("the system has no random numbers for keys");
   }
@@ -21,10 +22,11 @@
 
 bool sameSecret(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
-  volatile unsigned char differ =
-      0;  // volatile: guards against a compiler that leaves at the first difference
-  for (std::size_t k = 0; k < a.size(); ++k) differ = differ | static_cast<unsigned char>(a[k] ^ b[k]);
-  return differ == 0;
+  // volatile keeps the compiler from ending the loop at the first difference.
+  volatile unsigned char difference = 0;
+  for (std::size_t k = 0; k < a.size(); ++k)
+    difference = difference | static_cast<unsigned char>(a[k] ^ b[k]);
+  return difference == 0;
 }
 
 }  // namespace sablespur
--- a/src/support/secret.hpp
+++ b/src/support/secret.hpp
@@ -1,4 +1,4 @@
-// Secrets: unguessable bytes, and comparing without telling where two differ.
+// Random bytes for keys, and comparison of secrets in constant time.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,9 @@
 
 namespace sablespur {
 
-std::string randomBytes(
-    std::size_t n);  // of the system's generator for keys; throws std::runtime_error without it
-bool sameSecret(std::string_view a, std::string_view b);  // in a time that hangs on the lengths alone
+// `count` bytes of the system's cryptographic generator. Throws std::runtime_error where it is missing.
+std::string randomBytes(std::size_t count);
+// Whether both are equal, in a time that depends on the lengths alone.
+bool sameSecret(std::string_view a, std::string_view b);
 
 }  // namespace sablespur
--- a/src/support/units.cpp
+++ b/src/support/units.cpp
@@ -3,9 +3,8 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
-#include <limits>
 #include <optional>
-#include <vector>
+#include <utility>
 
 namespace sablespur {
 namespace {
@@ -20,21 +19,31 @@
 constexpr const char* kTimeFix = "write a number with us, ms, s, min, h or d, such as 250ms";
 constexpr const char* kSizeFix = "write a whole number with B, KB, MB or GB, such as 64MB";
 
-// The number at the beginning and what stands behind it.
-std::optional<std::pair<double, std::string_view>> split(std::string_view text) {
-  double v = 0;
+// Bounds that keep a value exact as a double.
+constexpr double kMaxMicroseconds = 9e15;
+constexpr double kMaxBytes = 1e15;
+
+struct Quantity {
+  double number = 0;
+  std::string_view unit;  // empty: none
+};
+
+// Splits a text into the number at its start and the unit after it.
+std::optional<Quantity> split(std::string_view text) {
+  Quantity quantity;
   const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, v, std::chars_format::fixed);
-  if (error != std::errc() || !std::isfinite(v)) return std::nullopt;
+  const auto [stop, error] = std::from_chars(text.data(), end, quantity.number, std::chars_format::fixed);
+  if (error != std::errc() || !std::isfinite(quantity.number)) return std::nullopt;
   std::string_view rest(stop, static_cast<std::size_t>(end - stop));
   rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
-  return std::make_pair(v, rest);
+  quantity.unit = rest;
+  return quantity;
 }
 
 template <std::size_t N>
 const Unit* find(const Unit (&units)[N], std::string_view name) {
-  for (const Unit& u : units)
-    if (u.name == name) return &u;
+  for (const Unit& unit : units)
+    if (unit.name == name) return &unit;
   return nullptr;
 }
 
@@ -46,53 +55,53 @@
 
 Read<std::chrono::microseconds> readTime(std::string_view text) {
   if (text == "0") return std::chrono::microseconds(0);
-  const auto parts = split(text);
-  if (!parts) return wrong(text, "is no time", kTimeFix);
-  const auto [v, unit] = *parts;
-  if (unit.empty()) return wrong(text, "has no unit", kTimeFix);
-  const Unit* const u = find(kTimes, unit);
-  if (!u && find(kSizes, unit)) return wrong(text, "is a size, and a time is wanted", kTimeFix);
-  if (!u) return wrong(text, "has the unknown unit '" + std::string(unit) + "'", kTimeFix);
-  const double us = v * u->factor;
-  if (us < 0) return wrong(text, "is negative", kTimeFix);
-  if (us > 9e15) return wrong(text, "is too long", kTimeFix);
-  return std::chrono::microseconds(static_cast<std::int64_t>(std::llround(us)));
+  const std::optional<Quantity> quantity = split(text);
+  if (!quantity) return wrong(text, "is no time", kTimeFix);
+  const std::string_view name = quantity->unit;
+  if (name.empty()) return wrong(text, "has no unit", kTimeFix);
+  const Unit* const unit = find(kTimes, name);
+  if (!unit && find(kSizes, name)) return wrong(text, "is a size, and a time is wanted", kTimeFix);
+  if (!unit) return wrong(text, "has the unknown unit '" + std::string(name) + "'", kTimeFix);
+  const double microseconds = quantity->number * unit->factor;
+  if (microseconds < 0) return wrong(text, "is negative", kTimeFix);
+  if (microseconds > kMaxMicroseconds) return wrong(text, "is too long", kTimeFix);
+  return std::chrono::microseconds(static_cast<std::int64_t>(std::llround(microseconds)));
 }
 
 Read<std::uint64_t> readSize(std::string_view text) {
-  const auto parts = split(text);
-  if (!parts) return wrong(text, "is no size", kSizeFix);
-  const auto [v, unit] = *parts;
-  if (unit.empty()) return wrong(text, "has no unit", kSizeFix);
-  const Unit* const u = find(kSizes, unit);
-  if (!u && find(kTimes, unit)) return wrong(text, "is a time, and a size is wanted", kSizeFix);
-  if (!u) return wrong(text, "has the unknown unit '" + std::string(unit) + "'", kSizeFix);
-  const double bytes = v * u->factor;
+  const std::optional<Quantity> quantity = split(text);
+  if (!quantity) return wrong(text, "is no size", kSizeFix);
+  const std::string_view name = quantity->unit;
+  if (name.empty()) return wrong(text, "has no unit", kSizeFix);
+  const Unit* const unit = find(kSizes, name);
+  if (!unit && find(kTimes, name)) return wrong(text, "is a time, and a size is wanted", kSizeFix);
+  if (!unit) return wrong(text, "has the unknown unit '" + std::string(name) + "'", kSizeFix);
+  const double bytes = quantity->number * unit->factor;
   if (bytes < 0) return wrong(text, "is negative", kSizeFix);
-  if (bytes > 1e15) return wrong(text, "is too large", kSizeFix);
+  if (bytes > kMaxBytes) return wrong(text, "is too large", kSizeFix);
   if (bytes != std::floor(bytes)) return wrong(text, "is no whole number of bytes", kSizeFix);
   return static_cast<std::uint64_t>(bytes);
 }
 
 Read<double> readShare(std::string_view text) {
-  constexpr const char* kFix = "write a share such as 21% or 0.21";
-  const auto parts = split(text);
-  if (!parts || (!parts->second.empty() && parts->second != "%")) return wrong(text, "is no share", kFix);
-  return parts->second == "%" ? parts->first / 100 : parts->first;
+  const std::optional<Quantity> quantity = split(text);
+  if (!quantity || (!quantity->unit.empty() && quantity->unit != "%"))
+    return wrong(text, "is no share", "write a share such as 21% or 0.21");
+  return quantity->unit == "%" ? quantity->number / 100 : quantity->number;
 }
 
 Read<std::int64_t> readCount(std::string_view text) {
-  std::int64_t v = 0;
+  std::int64_t count = 0;
   const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, v);
-  if (error == std::errc() && stop == end) return v;
+  const auto [stop, error] = std::from_chars(text.data(), end, count);
+  if (error == std::errc() && stop == end) return count;
   return wrong(text, "is no whole number", "write digits alone, such as 8");
 }
 
 Read<double> readNumber(std::string_view text) {
-  const auto parts = split(text);
-  if (!parts || !parts->second.empty()) return wrong(text, "is no number", "write a number such as 2.5");
-  return parts->first;
+  const std::optional<Quantity> quantity = split(text);
+  if (!quantity || !quantity->unit.empty()) return wrong(text, "is no number", "write a number such as 2.5");
+  return quantity->number;
 }
 
 Read<bool> readFlag(std::string_view text) {
@@ -103,46 +112,26 @@
   return wrong(text, "is neither yes nor no", "write yes or no");
 }
 
-std::string writeTime(std::chrono::microseconds t) {
-  const auto us = t.count();
-  if (us == 0) return "0";
-  if (us % 3600000000 == 0) return std::to_string(us / 3600000000) + "h";
-  if (us % 60000000 == 0) return std::to_string(us / 60000000) + "min";
-  if (us % 1000000 == 0) return std::to_string(us / 1000000) + "s";
-  if (us % 1000 == 0) return std::to_string(us / 1000) + "ms";
-  return std::to_string(us) + "us";
+std::string writeTime(std::chrono::microseconds time) {
+  constexpr std::int64_t kMillisecond = 1000;
+  constexpr std::int64_t kSecond = 1000 * kMillisecond;
+  constexpr std::int64_t kMinute = 60 * kSecond;
+  constexpr std::int64_t kHour = 60 * kMinute;
+  const std::int64_t count = time.count();
+  if (count == 0) return "0";
+  if (count % kHour == 0) return std::to_string(count / kHour) + "h";
+  if (count % kMinute == 0) return std::to_string(count / kMinute) + "min";
+  if (count % kSecond == 0) return std::to_string(count / kSecond) + "s";
+  if (count % kMillisecond == 0) return std::to_string(count / kMillisecond) + "ms";
+  return std::to_string(count) + "us";
 }
 
 std::string writeSize(std::uint64_t bytes) {
-  for (const Unit* u = std::end(kSizes) - 1; u != kSizes; --u) {
-    const auto factor = static_cast<std::uint64_t>(u->factor);
-    if (bytes > 0 && bytes % factor == 0) return std::to_string(bytes / factor) + std::string(u->name);
+  for (const Unit* unit = std::end(kSizes) - 1; unit != kSizes; --unit) {
+    const auto factor = static_cast<std::uint64_t>(unit->factor);
+    if (bytes > 0 && bytes % factor == 0) return std::to_string(bytes / factor) + std::string(unit->name);
   }
   return std::to_string(bytes) + "B";
 }
 
-std::string nearestWord(std::string_view word, const std::string* first, const std::string* last) {
-  std::size_t least = 3;
-  std::string found;
-  for (; first != last; ++first) {
-    // Levenshtein's distance, a row at a time.
-    std::vector<std::size_t> row(first->size() + 1);
-    for (std::size_t k = 0; k < row.size(); ++k) row[k] = k;
-    for (std::size_t i = 0; i < word.size(); ++i) {
-      std::size_t diagonal = row[0];
-      row[0] = i + 1;
-      for (std::size_t k = 1; k < row.size(); ++k) {
-        const std::size_t replaced = diagonal + (word[i] != (*first)[k - 1]);
-        diagonal = row[k];
-        row[k] = std::min({row[k] + 1, row[k - 1] + 1, replaced});
-      }
-    }
-    if (row.back() < least) {
-      least = row.back();
-      found = *first;
-    }
-  }
-  return found;
-}
-
 }  // namespace sablespur
--- a/src/support/units.hpp
+++ b/src/support/units.hpp
@@ -1,5 +1,6 @@
-// Values with units, as settings write them. Pure; each reader gives the value, or the sentence that says
-// what is wrong and how to write it.
+// Values with units, such as 250ms or 64MB: parsing and formatting. Pure.
+//
+// Each reader gives the value, or what is wrong with the text and how to write it.
 #pragma once
 
 #include <chrono>
@@ -11,22 +12,29 @@
 namespace sablespur {
 
 struct ValueError {
-  std::string problem, fix;
+  std::string problem;  // what is wrong, with the text quoted
+  std::string fix;      // how to write it
 };
+
 template <typename T>
 using Read = std::variant<T, ValueError>;
 
-Read<std::chrono::microseconds> readTime(std::string_view);  // 200us, 1.5s, 2min; "0" alone needs no unit
-Read<std::uint64_t> readSize(std::string_view);              // 512B, 64KB, 32MB, 1GB; powers of 1024
-Read<double> readShare(std::string_view);                    // 21% or 0.21
-Read<std::int64_t> readCount(std::string_view);              // whole numbers
-Read<double> readNumber(std::string_view);
-Read<bool> readFlag(std::string_view);  // yes, no, on, off, true, false
-
-std::string writeTime(std::chrono::microseconds);  // the shortest text that reads back as the same
-std::string writeSize(std::uint64_t);
+// 200us, 1.5s, 2min, 3h, 1d. "0" alone needs no unit. Never negative.
+Read<std::chrono::microseconds> readTime(std::string_view text);
+// 512B, 64KB, 32MB, 1GB, in powers of 1024; a whole number of bytes.
+Read<std::uint64_t> readSize(std::string_view text);
+// 21% or 0.21.
+Read<double> readShare(std::string_view text);
+// A whole number, which may be negative.
+Read<std::int64_t> readCount(std::string_view text);
+// A finite number without a unit.
+Read<double> readNumber(std::string_view text);
+// yes, no, on, off, true, false.
+Read<bool> readFlag(std::string_view text);
 
-// The word of the list that is at most two edits away, the nearest; empty where there is none.
-std::string nearestWord(std::string_view word, const std::string* first, const std::string* last);
+// The text with the largest unit, up to hours, that readTime reads as the same time.
+std::string writeTime(std::chrono::microseconds time);
+// The text with the largest unit that readSize reads as the same size.
+std::string writeSize(std::uint64_t bytes);
 
 }  // namespace sablespur
