--- a/src/auth/login.cpp
+++ b/src/auth/login.cpp
@@ -2,10 +2,12 @@
 
 #include <algorithm>
 
+#include "support/secret.hpp"
+
 namespace sablespur::auth {
 namespace {
 
-constexpr std::uint32_t kIterations = 4096;
+constexpr std::size_t kSaltSize = 16;  // of a SCRAM verifier, as PostgreSQL makes them
 
 }  // namespace
 
@@ -13,81 +15,100 @@
                                          const std::vector<Method>& methods, bool knowsScram,
                                          std::string_view secret, std::string nonce, std::string salt)
     : name_(std::move(user)), salt_(std::move(salt)) {
-  if (const User* u = users.find(name_)) {
-    user_ = *u;
+  if (const User* known = users.find(name_)) {
+    user_ = *known;
     userExists_ = true;
   } else {
-    // Guards against learning who exists: a secret nobody has, the same at each try.
-    const std::string made = makeVerifier(secret, "made up for " + name_, 1).storedKey;
-    user_.scram = Verifier{made.substr(0, 16), made, made, kIterations};
-    user_.md5 = md5Stored(name_, made);
-  }
-  for (const Method m : methods) {
-    const bool has = m == Method::Scram ? knowsScram && user_.scram.has_value()
-                     : m == Method::Md5 ? !user_.md5.empty()
-                                        : m == Method::Cleartext;
-    if (!has) continue;
-    method_ = m;
-    break;
+    setUnknownUser(secret);
   }
+  const auto usable = [&](Method method) { return isUsable(method, knowsScram); };
+  const auto best = std::find_if(methods.begin(), methods.end(), usable);
+  if (best != methods.end()) method_ = *best;
   if (method_ == Method::Scram) scram_.emplace(*user_.scram, std::move(nonce));
 }
 
-AuthenticationStep ServerAuthenticator::receive(std::string_view word) {
+// A client must not learn which users exist: an unknown one gets a secret that no password has and that is
+// the same at each attempt.
+void ServerAuthenticator::setUnknownUser(std::string_view secret) {
+  const std::string derived = makeVerifier(secret, "made up for " + name_, 1).storedKey;
+  user_.scram = Verifier{derived.substr(0, kSaltSize), derived, derived, kDefaultIterations};
+  user_.md5 = md5Stored(name_, derived);
+}
+
+bool ServerAuthenticator::isUsable(Method method, bool knowsScram) const {
+  if (method == Method::Scram) return knowsScram && user_.scram.has_value();
+  if (method == Method::Md5) return !user_.md5.empty();
+  return method == Method::Cleartext;
+}
+
+AuthenticationStep ServerAuthenticator::decide(bool passwordRight) const {
+  return passwordRight && userExists_ ? AuthenticationStep::Accepted : AuthenticationStep::Rejected;
+}
+
+AuthenticationStep ServerAuthenticator::receive(std::string_view message) {
   response_.clear();
-  if (method_ == Method::Md5)
-    return sameSecret(md5Answer(user_.md5, salt_), word) && userExists_ ? AuthenticationStep::Accepted
-                                                                        : AuthenticationStep::Rejected;
+  if (method_ == Method::Md5) return decide(sameSecret(md5Answer(user_.md5, salt_), message));
   if (method_ == Method::Cleartext) {
-    password_ = std::string(word);
+    password_ = std::string(message);
     return AuthenticationStep::SaltPassword;
   }
-  std::string why;
-  if (!scram_) return AuthenticationStep::Rejected;
-  const auto said = exchangeStarted_ ? scram_->final(word, why) : scram_->first(word, why);
-  if (!said) return AuthenticationStep::Rejected;
-  response_ = *said;
-  const bool last = exchangeStarted_;
+  return scram_ ? receiveScram(message) : AuthenticationStep::Rejected;
+}
+
+AuthenticationStep ServerAuthenticator::receiveScram(std::string_view message) {
+  std::string why;  // not told to the client
+  const bool isFinal = exchangeStarted_;
+  const auto reply = isFinal ? scram_->final(message, why) : scram_->first(message, why);
+  if (!reply) return AuthenticationStep::Rejected;
+  response_ = *reply;
   exchangeStarted_ = true;
-  return last ? (userExists_ ? AuthenticationStep::Accepted : AuthenticationStep::Rejected)
-              : AuthenticationStep::Continue;
+  return isFinal ? decide(true) : AuthenticationStep::Continue;
 }
 
-// A password that came as it is takes as long whoever it is for.
 std::function<std::string()> ServerAuthenticator::saltingWork() const {
-  const Verifier v = user_.scram ? *user_.scram : Verifier{std::string(16, 's'), {}, {}, kIterations};
-  return [v, password = password_] { return makeVerifier(password, v.salt, v.iterations).storedKey; };
+  const Verifier standIn{std::string(kSaltSize, 's'), {}, {}, kDefaultIterations};
+  const Verifier verifier = user_.scram.value_or(standIn);
+  return [salt = verifier.salt, iterations = verifier.iterations, password = password_] {
+    return makeVerifier(password, salt, iterations).storedKey;
+  };
 }
+
 AuthenticationStep ServerAuthenticator::passwordSalted(const std::string& result) {
-  const bool good = user_.scram ? sameSecret(result, user_.scram->storedKey)
-                                : sameSecret(md5Stored(name_, password_), user_.md5);
+  const bool right = user_.scram ? sameSecret(result, user_.scram->storedKey)
+                                 : sameSecret(md5Stored(name_, password_), user_.md5);
   password_.clear();
-  return good && userExists_ ? AuthenticationStep::Accepted : AuthenticationStep::Rejected;
+  return decide(right);
 }
 
-bool ClientAuthenticator::allows(Method m) const {
-  return std::find(methods_.begin(), methods_.end(), m) != methods_.end();
+bool ClientAuthenticator::allows(Method method) const {
+  return std::find(methods_.begin(), methods_.end(), method) != methods_.end();
 }
 
 std::string ClientAuthenticator::scramFirst() {
-  scram_.emplace("", nonce_);  // PostgreSQL takes the name from the startup
+  scram_.emplace("", nonce_);  // PostgreSQL takes the name from the startup message
   return scram_->first();
 }
-std::optional<ScramClient::Challenge> ClientAuthenticator::readChallenge(std::string_view word,
+
+std::optional<ScramClient::Challenge> ClientAuthenticator::readChallenge(std::string_view serverFirst,
                                                                          std::string& why) {
-  if (scram_) return scram_->readChallenge(word, why);
+  if (scram_) return scram_->readChallenge(serverFirst, why);
   why = "a challenge that nobody asked for";
   return std::nullopt;
 }
-bool ClientAuthenticator::verifyServer(std::string_view word, std::string& why) {
+
+bool ClientAuthenticator::verifyServer(std::string_view serverFinal, std::string& why) {
   if (!scram_) {
     why = "a last word of a login that has not begun";
     return false;
   }
-  return serverVerified_ = scram_->verify(word, why);
+  serverVerified_ = scram_->verify(serverFinal, why);
+  return serverVerified_;
 }
-std::function<std::string()> ClientAuthenticator::saltingWork(const ScramClient::Challenge& c) const {
-  return [password = password_, c] { return saltPassword(password, c.salt, c.iterations); };
+
+std::function<std::string()> ClientAuthenticator::saltingWork(const ScramClient::Challenge& challenge) const {
+  return [password = password_, challenge] {
+    return saltPassword(password, challenge.salt, challenge.iterations);
+  };
 }
 
 }  // namespace sablespur::auth
--- a/src/auth/method.hpp
+++ b/src/auth/method.hpp
@@ -1,4 +1,4 @@
-// Ways to log in, those without a password included.
+// The ways to log in, the one without a password included.
 #pragma once
 
 namespace sablespur::auth {
--- a/src/auth/users.hpp
+++ b/src/auth/users.hpp
@@ -1,8 +1,10 @@
-// Who may log in, from a file of lines "NAME:SECRET". A secret is what PostgreSQL keeps: "SCRAM-SHA-256$..."
-// or "md5..." with 32 hexadecimal digits; a name may have one of each. Blank lines and those that begin with
-// # are passed over. No password stands in the file. Pure.
+// The users that may log in, from a file with a line "NAME:SECRET" for each secret. Pure.
+//
+// A secret is what PostgreSQL stores: "SCRAM-SHA-256$..." or "md5..." with 32 hexadecimal digits. A name may
+// have one of each. Blank lines and lines that begin with # are skipped. The file holds no password.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <optional>
 #include <string>
@@ -20,17 +22,26 @@
 
 class Users {
  public:
+  // A line that is wrong. Secrets are never quoted.
   struct Fault {
     int line;
     std::string problem;
   };
-  // What is wrong goes to `faults`; secrets are never quoted in them.
+
+  // Reads the lines that are right; each other one adds to `faults`.
   static Users parse(std::string_view file, std::vector<Fault>& faults);
+
+  // nullptr: there is no such user. Valid while this object lives unchanged.
   const User* find(std::string_view name) const;
   std::size_t size() const { return users_.size(); }
+
+  // Whether both were read from the same text.
   friend bool operator==(const Users& a, const Users& b) { return a.text_ == b.text_; }
 
  private:
+  // Adds one line's secret; gives the problem where it can't.
+  std::optional<std::string> add(std::string_view name, std::string_view secret);
+
   std::map<std::string, User, std::less<>> users_;
   std::string text_;
 };
