--- a/src/protocol/postgres/codec.cpp
+++ b/src/protocol/postgres/codec.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "protocol/postgres/bytes.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur::postgres {
 namespace {
--- a/src/protocol/postgres/login.cpp
+++ b/src/protocol/postgres/login.cpp
@@ -1,7 +1,7 @@
 #include "protocol/postgres/login.hpp"
 
 #include "protocol/postgres/bytes.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur::postgres {
 namespace {
--- a/src/protocol/postgres/pg.cpp
+++ b/src/protocol/postgres/messages.cpp
@@ -1,4 +1,4 @@
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/protocol/postgres2/codec.cpp
+++ b/src/protocol/postgres2/codec.cpp
@@ -1,6 +1,6 @@
 #include "protocol/postgres2/codec.hpp"
 
-#include "protocol/postgres2/pg2.hpp"
+#include "protocol/postgres2/messages.hpp"
 
 namespace sablespur::postgres2 {
 
--- a/src/protocol/postgres2/pg2.cpp
+++ b/src/protocol/postgres2/messages.cpp
@@ -1,4 +1,4 @@
-#include "protocol/postgres2/pg2.hpp"
+#include "protocol/postgres2/messages.hpp"
 
 #include <algorithm>
 
