--- a/src/protocol/postgres/bytes.hpp
+++ b/src/protocol/postgres/bytes.hpp
@@ -1,4 +1,4 @@
-// Numbers and texts as version 3 writes them: big-endian, texts with a NUL behind.
+// Integers and texts as protocol 3 encodes them: big-endian integers, texts that end with a NUL. Pure.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,28 @@
 
 namespace sablespur::postgres {
 
-inline void put16(std::string& to, std::size_t v) {
-  to.push_back(static_cast<char>(v >> 8));
-  to.push_back(static_cast<char>(v));
+// A length of this value stands for NULL.
+constexpr std::uint32_t kNullLength = 0xffffffff;
+
+inline void put16(std::string& to, std::size_t value) {
+  to.push_back(static_cast<char>(value >> 8));
+  to.push_back(static_cast<char>(value));
 }
-inline void put32(std::string& to, std::uint32_t v) {
-  for (int shift = 24; shift >= 0; shift -= 8) to.push_back(static_cast<char>(v >> shift));
+
+inline void put32(std::string& to, std::uint32_t value) {
+  for (int shift = 24; shift >= 0; shift -= 8) to.push_back(static_cast<char>(value >> shift));
 }
+
 inline void putText(std::string& to, std::string_view text) { to.append(text).push_back('\0'); }
 
-// Takes the text up to the next NUL; nothing where there is none.
+// `from` holds two bytes at least from `at` on.
+inline std::uint16_t read16(std::string_view from, std::size_t at) {
+  return static_cast<std::uint16_t>(static_cast<unsigned char>(from[at]) << 8 |
+                                    static_cast<unsigned char>(from[at + 1]));
+}
+
+// Takes the text up to the next NUL, and the NUL, off the front of `from`; std::nullopt where there is no
+// NUL.
 inline std::optional<std::string_view> takeText(std::string_view& from) {
   const std::size_t end = from.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
--- a/src/protocol/postgres/codec.hpp
+++ b/src/protocol/postgres/codec.hpp
@@ -1,41 +1,30 @@
-// Version 3's form of what translate/terms.hpp names: answers and errors, read from data servers and written
-// for clients. Pure.
+// Writes the terms of translation/terms.hpp as messages of protocol 3, for clients. Pure.
 #pragma once
 
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "protocol/postgres/answer_reader.hpp"  // IWYU pragma: export
 #include "translation/terms.hpp"
 
 namespace sablespur::postgres {
 
 class Codec final : public translation::ClientCodec {
  public:
+  // `minor`: the minor version of the protocol. Clients of 3.0 get only the error fields of PostgreSQL 7.4.
   explicit Codec(int minor) : minor_(minor) {}
-  std::string columns(const std::vector<translation::Column>&) const override;
-  void appendRow(std::string& to, const std::vector<translation::Value>&, bool binary) const override;
+
+  std::string columns(const std::vector<translation::Column>& columns) const override;
+  // DataRow says nothing of the format of its values, so `binary` has no effect.
+  void appendRow(std::string& to, const std::vector<translation::Value>& values, bool binary) const override;
   std::string commandComplete(std::string_view tag) const override;
   std::string emptyQueryResponse() const override;
-  std::string errorResponse(const translation::ErrorReport&) const override;
+  std::string errorResponse(const translation::ErrorReport& report) const override;
   std::string ready() const override;
 
  private:
-  const int minor_;  // 3.0's clients get the fields of its time alone
+  const int minor_;
 };
 
-// Version 3's answers, whatever the minor version.
-const translation::AnswerReader& reader();
-
-// Messages of an answer, from RowDescription or CommandComplete on; false: they are malformed, or the taker
-// said so.
-bool readAnswer(std::string_view messages, translation::AnswerConsumer&);
-// The body of a RowDescription: names point into it. False: it is malformed.
-bool readColumns(std::string_view body, std::vector<translation::Column>&);
-// The form alone, for answers that are passed on as they are: a DataRow of so many columns.
-bool isRow(std::string_view body, std::size_t columns);
-// The body of an ErrorResponse; fields that are not known are passed over. Its code is empty where it is
-// malformed.
-translation::ErrorReport parseErrorReport(std::string_view body);
-
 }  // namespace sablespur::postgres
--- a/src/protocol/postgres/extended.cpp
+++ b/src/protocol/postgres/extended.cpp
@@ -1,40 +1,67 @@
 #include "protocol/postgres/extended.hpp"
 
+#include <utility>
+
 #include "protocol/postgres/bytes.hpp"
 #include "protocol/postgres/messages.hpp"
 
 namespace sablespur::postgres {
 namespace {
 
-// Reads a body from its start; after a fault everything it gives is empty, and done() is false.
-class Body {
+constexpr std::int16_t kBinaryFormat = 1;
+constexpr char kStatementTarget = 'S';
+constexpr char kPortalTarget = 'P';
+
+// Reads a body from its start. After the first malformed field all it gives is empty, and done() stays false.
+class BodyReader {
  public:
-  explicit Body(std::string_view text) : rest_(text) {}
+  explicit BodyReader(std::string_view body) : rest_(body) {}
+
   std::string_view text() {
-    const std::size_t end = rest_.find('\0');
-    if (end == std::string_view::npos) return fail();
-    const std::string_view t = rest_.substr(0, end);
-    rest_.remove_prefix(end + 1);
-    return t;
+    const std::optional<std::string_view> taken = takeText(rest_);
+    return taken ? *taken : fail();
   }
-  std::string_view bytes(std::size_t n) {
-    if (rest_.size() < n) return fail();
-    const std::string_view b = rest_.substr(0, n);
-    rest_.remove_prefix(n);
-    return b;
+
+  std::string_view bytes(std::size_t count) {
+    if (rest_.size() < count) return fail();
+    const std::string_view taken = rest_.substr(0, count);
+    rest_.remove_prefix(count);
+    return taken;
   }
+
   std::uint16_t number16() {
-    const std::string_view b = bytes(2);
-    return b.empty() ? std::uint16_t{0}
-                     : static_cast<std::uint16_t>(static_cast<unsigned char>(b[0]) << 8 |
-                                                  static_cast<unsigned char>(b[1]));
+    const std::string_view taken = bytes(2);
+    return taken.empty() ? std::uint16_t{0} : read16(taken, 0);
   }
+
   std::uint32_t number32() {
-    const std::string_view b = bytes(4);
-    return b.empty() ? 0 : readInt32(b.data());
+    const std::string_view taken = bytes(4);
+    return taken.empty() ? 0 : readInt32(taken.data());
+  }
+
+  // A count and as many numbers of two bytes.
+  std::vector<std::int16_t> numbers16() {
+    const std::size_t count = number16();
+    std::vector<std::int16_t> numbers;
+    if (left() < 2 * count) {
+      fail();
+      return numbers;
+    }
+    numbers.reserve(count);
+    for (std::size_t k = 0; k < count; ++k) numbers.push_back(static_cast<std::int16_t>(number16()));
+    return numbers;
   }
+
+  // A length and as many bytes; std::nullopt for NULL.
+  std::optional<std::string_view> value() {
+    const std::uint32_t length = number32();
+    if (length == kNullLength) return std::nullopt;
+    return bytes(length);
+  }
+
   std::size_t left() const { return rest_.size(); }
   bool good() const { return good_; }
+  // Whether all of the body has been read, and nothing was malformed.
   bool done() const { return good_ && rest_.empty(); }
 
  private:
@@ -43,77 +70,81 @@
     rest_ = {};
     return {};
   }
+
   std::string_view rest_;
   bool good_ = true;
 };
 
-// A count and so many numbers of two bytes.
-std::vector<std::int16_t> numbers(Body& b) {
-  const std::size_t n = b.number16();
-  std::vector<std::int16_t> all;
-  if (b.left() < 2 * n) {
-    b.bytes(b.left() + 1);  // a count that lies
-    return all;
-  }
-  for (std::size_t k = 0; k < n; ++k) all.push_back(static_cast<std::int16_t>(b.number16()));
-  return all;
+void putCount(std::string& to, std::size_t count) { put16(to, static_cast<std::uint16_t>(count)); }
+
+void putNumbers16(std::string& to, const std::vector<std::int16_t>& numbers) {
+  putCount(to, numbers.size());
+  for (const std::int16_t number : numbers) put16(to, static_cast<std::uint16_t>(number));
+}
+
+void putNumbers32(std::string& to, const std::vector<std::uint32_t>& numbers) {
+  putCount(to, numbers.size());
+  for (const std::uint32_t number : numbers) put32(to, number);
+}
+
+std::string targeted(char type, const DescribeTarget& target) {
+  std::string body(1, target.portal ? kPortalTarget : kStatementTarget);
+  putText(body, target.name);
+  return message(type, body);
 }
 
 }  // namespace
 
-bool Bind::binary(std::size_t k) const {
+bool Bind::binary(std::size_t parameter) const {
   if (formats.empty()) return false;
-  return formats.size() == 1 ? formats[0] == 1 : k < formats.size() && formats[k] == 1;
+  if (formats.size() == 1) return formats[0] == kBinaryFormat;
+  return parameter < formats.size() && formats[parameter] == kBinaryFormat;
 }
 
 std::optional<Parse> parseParse(std::string_view body) {
-  Body b(body);
-  Parse p;
-  p.name = b.text();
-  p.statement = b.text();
-  const std::size_t n = b.number16();
-  if (b.left() != 4 * n) return std::nullopt;
-  for (std::size_t k = 0; k < n; ++k) p.types.push_back(b.number32());
-  return b.done() ? std::make_optional(std::move(p)) : std::nullopt;
+  BodyReader reader(body);
+  Parse parse;
+  parse.name = reader.text();
+  parse.statement = reader.text();
+  const std::size_t types = reader.number16();
+  if (reader.left() != 4 * types) return std::nullopt;
+  for (std::size_t k = 0; k < types; ++k) parse.types.push_back(reader.number32());
+  if (!reader.done()) return std::nullopt;
+  return parse;
 }
 
 std::optional<Bind> parseBind(std::string_view body) {
-  Body b(body);
-  Bind m;
-  m.portal = b.text();
-  m.statement = b.text();
-  m.formats = numbers(b);
-  const std::size_t n = b.number16();
-  if (b.left() < 4 * n) return std::nullopt;
-  for (std::size_t k = 0; k < n && b.good(); ++k) {
-    const std::uint32_t length = b.number32();
-    if (length == 0xffffffff)
-      m.values.emplace_back(std::nullopt);
-    else
-      m.values.emplace_back(b.bytes(length));
-  }
-  m.resultFormats = numbers(b);
-  // A format code for each parameter, for all, or none.
-  const bool fits = m.formats.size() <= 1 || m.formats.size() == m.values.size();
-  return b.done() && fits ? std::make_optional(std::move(m)) : std::nullopt;
+  BodyReader reader(body);
+  Bind bind;
+  bind.portal = reader.text();
+  bind.statement = reader.text();
+  bind.formats = reader.numbers16();
+  const std::size_t values = reader.number16();
+  if (reader.left() < 4 * values) return std::nullopt;  // each has its length
+  for (std::size_t k = 0; k < values && reader.good(); ++k) bind.values.push_back(reader.value());
+  bind.resultFormats = reader.numbers16();
+  const bool formatsFit = bind.formats.size() <= 1 || bind.formats.size() == bind.values.size();
+  if (!reader.done() || !formatsFit) return std::nullopt;
+  return bind;
 }
 
 std::optional<DescribeTarget> parseDescribeTarget(std::string_view body) {
-  Body b(body);
-  const std::string_view kind = b.bytes(1);
-  DescribeTarget t;
-  t.name = b.text();
-  if (!b.done() || (kind[0] != 'S' && kind[0] != 'P')) return std::nullopt;
-  t.portal = kind[0] == 'P';
-  return t;
+  BodyReader reader(body);
+  const std::string_view kind = reader.bytes(1);
+  DescribeTarget target;
+  target.name = reader.text();
+  if (!reader.done() || (kind[0] != kStatementTarget && kind[0] != kPortalTarget)) return std::nullopt;
+  target.portal = kind[0] == kPortalTarget;
+  return target;
 }
 
 std::optional<Execute> parseExecute(std::string_view body) {
-  Body b(body);
-  Execute e;
-  e.portal = b.text();
-  e.maxRows = static_cast<std::int32_t>(b.number32());
-  return b.done() && e.maxRows >= 0 ? std::make_optional(e) : std::nullopt;
+  BodyReader reader(body);
+  Execute execute;
+  execute.portal = reader.text();
+  execute.maxRows = static_cast<std::int32_t>(reader.number32());
+  if (!reader.done() || execute.maxRows < 0) return std::nullopt;
+  return execute;
 }
 
 std::string parseComplete() { return message('1', {}); }
@@ -121,10 +152,10 @@
 std::string closeComplete() { return message('3', {}); }
 std::string noData() { return message('n', {}); }
 std::string portalSuspended() { return message('s', {}); }
+
 std::string parameterDescription(const std::vector<std::uint32_t>& types) {
   std::string body;
-  put16(body, static_cast<std::uint16_t>(types.size()));
-  for (const std::uint32_t t : types) put32(body, t);
+  putNumbers32(body, types);
   return message('t', body);
 }
 
@@ -133,40 +164,34 @@
   std::string body;
   putText(body, name);
   putText(body, statement);
-  put16(body, static_cast<std::uint16_t>(types.size()));
-  for (const std::uint32_t t : types) put32(body, t);
+  putNumbers32(body, types);
   return message('P', body);
 }
-std::string bindMessage(const Bind& m) {
+
+std::string bindMessage(const Bind& bind) {
   std::string body;
-  putText(body, m.portal);
-  putText(body, m.statement);
-  put16(body, static_cast<std::uint16_t>(m.formats.size()));
-  for (const std::int16_t f : m.formats) put16(body, static_cast<std::uint16_t>(f));
-  put16(body, static_cast<std::uint16_t>(m.values.size()));
-  for (const auto& v : m.values) {
-    put32(body, v ? static_cast<std::uint32_t>(v->size()) : 0xffffffff);
-    if (v) body.append(*v);
+  putText(body, bind.portal);
+  putText(body, bind.statement);
+  putNumbers16(body, bind.formats);
+  putCount(body, bind.values.size());
+  for (const auto& value : bind.values) {
+    put32(body, value ? static_cast<std::uint32_t>(value->size()) : kNullLength);
+    if (value) body.append(*value);
   }
-  put16(body, static_cast<std::uint16_t>(m.resultFormats.size()));
-  for (const std::int16_t f : m.resultFormats) put16(body, static_cast<std::uint16_t>(f));
+  putNumbers16(body, bind.resultFormats);
   return message('B', body);
 }
-namespace {
-std::string targeted(char type, const DescribeTarget& t) {
-  std::string body(1, t.portal ? 'P' : 'S');
-  putText(body, t.name);
-  return message(type, body);
-}
-}  // namespace
-std::string describeMessage(const DescribeTarget& t) { return targeted('D', t); }
-std::string closeMessage(const DescribeTarget& t) { return targeted('C', t); }
-std::string executeMessage(const Execute& e) {
+
+std::string describeMessage(const DescribeTarget& target) { return targeted('D', target); }
+std::string closeMessage(const DescribeTarget& target) { return targeted('C', target); }
+
+std::string executeMessage(const Execute& execute) {
   std::string body;
-  putText(body, e.portal);
-  put32(body, static_cast<std::uint32_t>(e.maxRows));
+  putText(body, execute.portal);
+  put32(body, static_cast<std::uint32_t>(execute.maxRows));
   return message('E', body);
 }
+
 std::string syncMessage() { return message('S', {}); }
 std::string flushMessage() { return message('H', {}); }
 
--- a/src/protocol/postgres/login.hpp
+++ b/src/protocol/postgres/login.hpp
@@ -1,5 +1,7 @@
-// Messages of logins in version 3: AuthenticationRequest and what clients answer. Pure. PostgreSQL's
-// documentation, "Message Formats" and "SASL Authentication".
+// Messages of logins in protocol 3: AuthenticationRequest and what clients answer. Pure; views point into the
+// message given.
+//
+// PostgreSQL's documentation, "Message Formats" and "SASL Authentication".
 #pragma once
 
 #include <cstdint>
@@ -9,24 +11,32 @@
 
 namespace sablespur::postgres {
 
-enum Authentication : std::uint32_t {
-  kAuthOk = 0,
-  kAuthCleartext = 3,
-  kAuthMd5 = 5,
-  kAuthSasl = 10,
-  kAuthSaslContinue = 11,
-  kAuthSaslFinal = 12
-};
+// Kinds of AuthenticationRequest.
+constexpr std::uint32_t kAuthOk = 0;
+constexpr std::uint32_t kAuthCleartext = 3;
+constexpr std::uint32_t kAuthMd5 = 5;
+constexpr std::uint32_t kAuthSasl = 10;
+constexpr std::uint32_t kAuthSaslContinue = 11;
+constexpr std::uint32_t kAuthSaslFinal = 12;
 
+// An AuthenticationRequest of this kind, with its data.
 std::string authentication(std::uint32_t request, std::string_view data = {});
-std::string saslMechanisms();                   // AuthenticationSASL: SCRAM-SHA-256 alone
-bool offersScram(std::string_view mechanisms);  // its data: names, each with its NUL, and a NUL behind
+// AuthenticationSASL that offers SCRAM-SHA-256 alone.
+std::string saslMechanisms();
+// Whether the data of an AuthenticationSASL (names, each with its NUL, and a NUL at the end) names
+// SCRAM-SHA-256.
+bool offersScram(std::string_view mechanisms);
 
-std::string passwordMessage(std::string_view text);  // of a text, with its NUL
+// PasswordMessage: a text with its NUL.
+std::string passwordMessage(std::string_view text);
+// SASLInitialResponse for SCRAM-SHA-256, with the client-first-message.
 std::string saslInitialResponse(std::string_view first);
-std::string saslResponse(std::string_view word);
-// The body of a 'p' message as a text; nothing: it does not end with its only NUL.
+std::string saslResponse(std::string_view data);
+
+// The body of a PasswordMessage; std::nullopt where its only NUL isn't its last byte.
 std::optional<std::string_view> parsePassword(std::string_view body);
-std::optional<std::string_view> parseSaslInitial(std::string_view body);  // of SCRAM-SHA-256
+// The client-first-message in the body of a SASLInitialResponse; std::nullopt where it is malformed or for
+// another mechanism than SCRAM-SHA-256.
+std::optional<std::string_view> parseSaslInitial(std::string_view body);
 
 }  // namespace sablespur::postgres
