--- a/src/protocol/postgres2/codec.hpp
+++ b/src/protocol/postgres2/codec.hpp
@@ -1,4 +1,4 @@
-// Version 2's form of what translate/terms.hpp names, for clients. Pure.
+// Writes the terms of translation/terms.hpp as messages of protocol 2.0, for clients. Pure.
 #pragma once
 
 #include <string>
@@ -11,13 +11,14 @@
 
 class Codec final : public translation::ClientCodec {
  public:
-  std::string columns(const std::vector<translation::Column>&) const override;
-  void appendRow(std::string& to, const std::vector<translation::Value>&, bool binary) const override;
+  // With the CursorResponse that goes before it.
+  std::string columns(const std::vector<translation::Column>& columns) const override;
+  void appendRow(std::string& to, const std::vector<translation::Value>& values, bool binary) const override;
   std::string commandComplete(std::string_view tag) const override;
   std::string emptyQueryResponse() const override;
-  // One string, without a code: what programs of that time look for stands at its beginning ("ERROR:  ..."),
-  // the rest follows in lines of their own. When to come back is the last line, "RETRY:  250 ms".
-  std::string errorResponse(const translation::ErrorReport&) const override;
+  // One text, without an SQLSTATE: it begins with what programs of that time look for ("ERROR:  ..."), and
+  // the rest follows on lines of its own. The last line, "RETRY:  250 ms", says when to retry.
+  std::string errorResponse(const translation::ErrorReport& report) const override;
   std::string ready() const override;
 };
 
