--- a/src/protocol/tds/packet.cpp
+++ b/src/protocol/tds/packet.cpp
@@ -2,21 +2,12 @@
 
 #include <algorithm>
 
+#include "protocol/tds/bytes.hpp"
+
 namespace sablespur::tds {
 namespace {
 
-enum Option : std::uint8_t { kVersion = 0, kEncryption = 1, kMars = 4, kTerminator = 0xff };
-constexpr std::size_t kOption = 5, kVersionBytes = 6;
-
-std::uint8_t byte(std::string_view s, std::size_t at) { return static_cast<std::uint8_t>(s[at]); }
-std::size_t big16(std::string_view s, std::size_t at) {
-  return static_cast<std::size_t>(byte(s, at)) << 8 | byte(s, at + 1);
-}
-void putBig16(std::string& to, std::size_t n) {
-  to.push_back(static_cast<char>(n >> 8));
-  to.push_back(static_cast<char>(n));
-}
-bool known(std::uint8_t type) {
+bool isKnown(std::uint8_t type) {
   switch (static_cast<Type>(type)) {
     case Type::SqlBatch:
     case Type::Rpc:
@@ -32,134 +23,99 @@
   return false;
 }
 
+// Takes at most `count` bytes off the front.
+std::string_view takeUpTo(std::string_view& in, std::size_t count) {
+  const std::string_view taken = in.substr(0, count);
+  in.remove_prefix(taken.size());
+  return taken;
+}
+
 }  // namespace
 
 std::optional<Header> parseHeader(const char (&bytes)[kHeaderSize]) {
-  const std::string_view s(bytes, kHeaderSize);
-  Header h;
-  h.length = big16(s, 2);
-  if (!known(byte(s, 0)) || h.length < kHeaderSize || h.length > kMaxPacketSize) return std::nullopt;
-  h.type = static_cast<Type>(byte(s, 0));
-  h.status = byte(s, 1);
-  h.session = static_cast<std::uint16_t>(big16(s, 4));
-  return h;
+  const std::string_view text(bytes, kHeaderSize);
+  const std::uint8_t type = read8(text, 0);
+  Header header;
+  header.length = read16(text, 2);
+  if (!isKnown(type) || header.length < kHeaderSize || header.length > kMaxPacketSize) return std::nullopt;
+  header.type = static_cast<Type>(type);
+  header.status = read8(text, 1);
+  header.session = static_cast<std::uint16_t>(read16(text, 4));
+  return header;
 }
 
 std::string formatPackets(Type type, std::string_view message, std::size_t packetSize,
                           std::uint16_t session) {
-  const std::size_t room = std::clamp(packetSize, kMinPacketSize, kMaxPacketSize) - kHeaderSize;
-  std::string out;
+  const std::size_t payloadSize = std::clamp(packetSize, kMinPacketSize, kMaxPacketSize) - kHeaderSize;
+  std::string packets;
   std::uint8_t number = 1;
   do {
-    const std::string_view part = message.substr(0, room);
-    message.remove_prefix(part.size());
-    out.push_back(static_cast<char>(type));
-    out.push_back(static_cast<char>(message.empty() ? kLast : 0));
-    putBig16(out, kHeaderSize + part.size());
-    putBig16(out, session);
-    out.push_back(static_cast<char>(number++));
-    out.push_back('\0');
-    out += part;
+    const std::string_view payload = takeUpTo(message, payloadSize);
+    put8(packets, static_cast<std::uint8_t>(type));
+    put8(packets, message.empty() ? kLast : 0);
+    put16(packets, kHeaderSize + payload.size());
+    put16(packets, session);
+    put8(packets, number);
+    put8(packets, 0);  // window, unused
+    packets += payload;
+    ++number;
   } while (!message.empty());
-  return out;
-}
-
-MessageAssembler::Result MessageAssembler::fail(const char* why) {
-  fault_ = why;
-  return Result::Fault;
+  return packets;
 }
 
 MessageAssembler::Result MessageAssembler::consume(std::string_view& in) {
   if (fault_) return Result::Fault;
-  if (done_) {
+  if (state_ == State::Complete) {
     message_.clear();
-    done_ = false;
+    state_ = State::Idle;
   }
-  while (true) {
-    if (bytesLeft_ == 0) {
-      const std::size_t n = std::min(kHeaderSize - head_.size(), in.size());
-      head_ += in.substr(0, n);
-      in.remove_prefix(n);
-      if (head_.size() < kHeaderSize) return Result::Incomplete;
-      char bytes[kHeaderSize];
-      std::copy(head_.begin(), head_.end(), bytes);
-      head_.clear();
-      const auto h = parseHeader(bytes);
-      if (!h) return fail("no packet of this protocol");
-      if (h->length > packetSize_) return fail("a packet longer than agreed on");
-      if (inMessage_ && h->type != type_) return fail("another message amid one");
-      if (message_.size() + h->length - kHeaderSize > maxMessage_) return fail("a message too long");
-      if (!inMessage_) {
-        type_ = h->type;
-        status_ = h->status;
-      }
-      inMessage_ = true;
-      packet_ = *h;
-      bytesLeft_ = h->length - kHeaderSize;
-    }
-    const std::size_t n = std::min(bytesLeft_, in.size());
-    message_ += in.substr(0, n);
-    in.remove_prefix(n);
-    bytesLeft_ -= n;
+  do {
+    if (bytesLeft_ == 0 && !takeHeader(in)) return fault_ ? Result::Fault : Result::Incomplete;
+    takePayload(in);
     if (bytesLeft_ > 0) return Result::Incomplete;
-    if ((packet_.status & kLast) == 0) {
-      if (in.empty()) return Result::Incomplete;
-      continue;
-    }
-    inMessage_ = false;
-    if ((packet_.status & kIgnore) != 0) {
-      message_.clear();
-      if (in.empty()) return Result::Incomplete;
-      continue;
-    }
-    done_ = true;
-    return Result::Message;
-  }
+    if (completeMessage()) return Result::Message;
+  } while (!in.empty());
+  return Result::Incomplete;
 }
 
-std::optional<PreLogin> parsePreLogin(std::string_view m) {
-  PreLogin p;
-  bool version = false;
-  for (std::size_t at = 0;; at += kOption) {
-    if (at >= m.size()) return std::nullopt;
-    const std::uint8_t option = byte(m, at);
-    if (option == kTerminator) break;
-    if (m.size() - at < kOption) return std::nullopt;
-    const std::size_t offset = big16(m, at + 1), length = big16(m, at + 3);
-    if (offset > m.size() || length > m.size() - offset) return std::nullopt;
-    const std::string_view value = m.substr(offset, length);
-    if (option == kVersion) {
-      if (at != 0 || value.size() != kVersionBytes) return std::nullopt;  // it comes first
-      p.version = static_cast<std::uint32_t>(big16(value, 0) << 16 | big16(value, 2));
-      version = true;
-    } else if (option == kEncryption) {
-      if (value.size() != 1 || byte(value, 0) > 3) return std::nullopt;
-      p.encryption = static_cast<Encryption>(byte(value, 0));
-    } else if (option == kMars) {
-      if (value.size() != 1) return std::nullopt;
-      p.mars = value[0] != 0;
-    }
+bool MessageAssembler::takeHeader(std::string_view& in) {
+  header_ += takeUpTo(in, kHeaderSize - header_.size());
+  if (header_.size() < kHeaderSize) return false;
+  char bytes[kHeaderSize];
+  std::copy(header_.begin(), header_.end(), bytes);
+  header_.clear();
+  const std::optional<Header> header = parseHeader(bytes);
+  fault_ = header ? faultOf(*header) : "no packet of this protocol";
+  if (fault_) return false;
+  if (state_ != State::InMessage) {
+    type_ = header->type;
+    status_ = header->status;
   }
-  if (!version) return std::nullopt;
-  return p;
+  state_ = State::InMessage;
+  packet_ = *header;
+  bytesLeft_ = header->length - kHeaderSize;
+  return true;
+}
+
+const char* MessageAssembler::faultOf(const Header& header) const {
+  if (header.length > packetSize_) return "a packet longer than agreed on";
+  if (state_ == State::InMessage && header.type != type_) return "another message amid one";
+  if (message_.size() + header.length - kHeaderSize > maxMessage_) return "a message too long";
+  return nullptr;
+}
+
+void MessageAssembler::takePayload(std::string_view& in) {
+  const std::string_view payload = takeUpTo(in, bytesLeft_);
+  message_ += payload;
+  bytesLeft_ -= payload.size();
 }
 
-std::string formatPreLogin(const PreLogin& p) {
-  std::string head, values;
-  constexpr std::size_t kOptions = 3;
-  const auto option = [&](std::uint8_t name, const std::string& value) {
-    head.push_back(static_cast<char>(name));
-    putBig16(head, kOptions * kOption + 1 + values.size());
-    putBig16(head, value.size());
-    values += value;
-  };
-  std::string version;
-  putBig16(version, p.version >> 16);
-  putBig16(version, p.version & 0xffff);
-  option(kVersion, version + std::string(2, '\0'));
-  option(kEncryption, std::string(1, static_cast<char>(p.encryption)));
-  option(kMars, std::string(1, p.mars ? '\1' : '\0'));
-  return head + static_cast<char>(kTerminator) + values;
+bool MessageAssembler::completeMessage() {
+  if ((packet_.status & kLast) == 0) return false;
+  const bool ignored = (packet_.status & kIgnore) != 0;
+  if (ignored) message_.clear();
+  state_ = ignored ? State::Idle : State::Complete;
+  return !ignored;
 }
 
 }  // namespace sablespur::tds
--- a/src/protocol/tds/packet.hpp
+++ b/src/protocol/tds/packet.hpp
@@ -1,5 +1,4 @@
-// TDS packets and PRELOGIN ([MS-TDS] 2.2.3.1, 2.2.6.5). Pure: no sockets, no clock; what is read stays where
-// it is but for a message in several packets, which is put together up to a bound.
+// TDS packets and the messages that they carry ([MS-TDS] 2.2.3.1). Pure.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +9,15 @@
 
 namespace sablespur::tds {
 
-constexpr std::size_t kHeaderSize = 8, kMinPacketSize = 512, kMaxPacketSize = 32767,
-                      kInitialPacketSize = 4096;
+constexpr std::size_t kHeaderSize = 8;
+constexpr std::size_t kMinPacketSize = 512;
+constexpr std::size_t kMaxPacketSize = 32767;
+constexpr std::size_t kInitialPacketSize = 4096;  // until the login has agreed on another
 
 enum class Type : std::uint8_t {
   SqlBatch = 1,
   Rpc = 3,
-  Tabular = 4,  // of a server
+  Tabular = 4,  // what a server answers
   Attention = 6,
   BulkLoad = 7,
   TransactionManager = 14,
@@ -24,60 +25,74 @@
   Sspi = 17,
   PreLogin = 18
 };
-enum Status : std::uint8_t { kLast = 0x01, kIgnore = 0x02, kReset = 0x08, kResetKeepingTransaction = 0x10 };
+
+// Bits of a packet's status.
+constexpr std::uint8_t kLast = 0x01;                     // the message ends with this packet
+constexpr std::uint8_t kIgnore = 0x02;                   // the sender takes the message back
+constexpr std::uint8_t kReset = 0x08;                    // reset the connection before this request
+constexpr std::uint8_t kResetKeepingTransaction = 0x10;  // the same, but for the transaction
 
 struct Header {
   Type type = Type::SqlBatch;
   std::uint8_t status = 0;
-  std::size_t length = 0;  // the header included
+  std::size_t length = 0;  // of the packet, header included
   std::uint16_t session = 0;
 };
-// Nothing: no packet of this protocol begins like this. Numbers of packets and windows are not looked at, as
-// the specification has it.
+// std::nullopt: the type is unknown or the length out of bounds. Packet numbers and windows are not checked,
+// as the specification asks.
 std::optional<Header> parseHeader(const char (&bytes)[kHeaderSize]);
 
-// A message in packets of that size at most; an empty one is one packet.
-std::string formatPackets(Type, std::string_view message, std::size_t packetSize, std::uint16_t session = 0);
+// A message in packets of at most this size; an empty message is one packet.
+std::string formatPackets(Type type, std::string_view message, std::size_t packetSize,
+                          std::uint16_t session = 0);
 
-// Puts messages together from bytes that come in pieces of any size.
+// Assembles messages from bytes that arrive in pieces of any size.
 class MessageAssembler {
  public:
-  // A packet longer than the one agreed on, or a message longer than `most`, is a fault.
-  MessageAssembler(std::size_t packetSize, std::size_t most) : packetSize_(packetSize), maxMessage_(most) {}
-  void packetSize(std::size_t n) { packetSize_ = n; }  // once the login has agreed on another
-
   enum class Result { Incomplete, Message, Fault };
-  // Takes what it can off the front of `in`. After Message: type(), message() until the next call. A message
-  // that its sender took back (the ignore bit on its last packet) is passed over.
+
+  // A packet longer than `packetSize` or a message longer than `maxMessage` is a fault.
+  MessageAssembler(std::size_t packetSize, std::size_t maxMessage)
+      : packetSize_(packetSize), maxMessage_(maxMessage) {}
+
+  // Changes the packet size, once the login has agreed on another.
+  void packetSize(std::size_t size) { packetSize_ = size; }
+
+  // Takes bytes off the front of `in`, up to the end of a message. After Message, type(), status() and
+  // message() are valid until the next call. A message that its sender takes back is skipped. A fault is
+  // final.
   Result consume(std::string_view& in);
+
   Type type() const { return type_; }
-  std::uint8_t status() const {
-    return status_;
-  }  // of the first packet: whether the connection is to be reset
+  // Of the first packet, which says whether to reset the connection.
+  std::uint8_t status() const { return status_; }
   const std::string& message() const { return message_; }
+  // Why consume() gave Fault; nullptr: it has not.
   const char* fault() const { return fault_; }
-  bool inMessage() const { return inMessage_ || !head_.empty(); }  // part of one has come
+  // Whether part of a message has arrived.
+  bool inMessage() const { return state_ == State::InMessage || !header_.empty(); }
 
  private:
-  Result fail(const char* why);
+  enum class State { Idle, InMessage, Complete };
+
+  // True once a header is whole and accepted; otherwise it is incomplete, or fault_ is set.
+  bool takeHeader(std::string_view& in);
+  // Why the packet can't follow what has arrived before; nullptr: it can.
+  const char* faultOf(const Header& header) const;
+  void takePayload(std::string_view& in);
+  // After a whole packet: whether a message is complete.
+  bool completeMessage();
+
   std::size_t packetSize_;
   const std::size_t maxMessage_;
-  std::string head_, message_;
-  std::size_t bytesLeft_ = 0;  // of the packet under way
-  Header packet_;
+  State state_ = State::Idle;
+  std::string header_;  // what has arrived of the next packet's
+  Header packet_;       // the packet being read
+  std::size_t bytesLeft_ = 0;
   Type type_ = Type::SqlBatch;
   std::uint8_t status_ = 0;
-  bool inMessage_ = false, done_ = false;
+  std::string message_;
   const char* fault_ = nullptr;
 };
 
-enum class Encryption : std::uint8_t { Off = 0, On = 1, NotSupported = 2, Required = 3 };
-struct PreLogin {
-  std::uint32_t version = 0;  // major, minor, build
-  Encryption encryption = Encryption::NotSupported;
-  bool mars = false;
-};
-std::optional<PreLogin> parsePreLogin(std::string_view message);  // nothing: its offsets or lengths lie
-std::string formatPreLogin(const PreLogin&);
-
 }  // namespace sablespur::tds
--- a/tests/tds_test.cpp
+++ b/tests/tds_test.cpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "protocol/tds/packet.hpp"
+#include "protocol/tds/prelogin.hpp"
 
 namespace sablespur::tds {
 namespace {
