--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -119,7 +119,7 @@
   auto session = std::make_unique<Session>(*this, fd, address, awaitProxyHeader);
   if (admission_ && !awaitProxyHeader) session->requestAdmission();
   // Only so many are held without a permit, to get their error in the version that they speak.
-  if (admission_ && unadmittedSessions_ > admission_->maxUnadmittedConnections())
+  if (admission_ && unadmitted_.size() > admission_->maxUnadmittedConnections() && !evictUnadmitted())
     return rejectConnection(fd, session->retryAfter());
   Session* const key = session.get();
   sessions_.emplace(key, std::move(session));
@@ -189,6 +189,21 @@
   return flood && bestPartial.outranks(best) ? bestPartial.session : best.session;
 }
 
+// Whoever has been told its error, or has been silent since it connected, makes way for one that may have
+// something to say: a CancelRequest, or a startup that shows its version.
+bool Clients::evictUnadmitted() {
+  const Time now = engine_.now();
+  Session* longest = nullptr;
+  for (Session* const session : unadmitted_) {
+    if (longest && session->lastActive() >= longest->lastActive()) continue;
+    if (session->mayLeaveUnadmitted(now)) longest = session;
+  }
+  if (!longest) return false;
+  if (!longest->closing()) rejectConnection(longest->socket(), longest->retryAfter());
+  sessions_.erase(longest);
+  return true;
+}
+
 // Clients that send one request and keep their connections would use up the descriptors on their side: beyond
 // the configured number the longest idle one is closed for each that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -54,6 +54,8 @@
 
   bool hasRoom();
   bool evictOne();
+  // Closes one of the sessions without a permit that needs its connection no longer.
+  bool evictUnadmitted();
   Session* findEvictable();                // null: none
   void onFirstRequest(const Session& by);  // may close another session
   void sweepIdle();
@@ -88,7 +90,6 @@
   std::shared_ptr<const auth::Users> users_;
 
   std::size_t activeSessions_ = 0;      // that have sent a request
-  std::size_t unadmittedSessions_ = 0;  // without a permit of the AdmissionController
   std::unique_ptr<Acceptor> acceptor_;  // null once it no longer listens
   Event stopListeningTimer_;
   Event answerDeadlineTimer_;
@@ -107,6 +108,7 @@
   std::unordered_set<std::string> openRequestIds_;    // the clients' names of the requests in flight
   std::unordered_map<std::uint32_t, Session*> keys_;  // by the process number of the cancel key
   std::unordered_set<Session*> pausedReads_;          // sessions that are not read for now
+  std::unordered_set<Session*> unadmitted_;           // without a permit of the AdmissionController
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
 };
 
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -66,12 +66,10 @@
 // ---- admission ----------------------------------------------------------------------------------------
 
 void Session::setUnadmitted(bool unadmitted) {
-  if (unadmitted == unadmitted_) return;
-  unadmitted_ = unadmitted;
   if (unadmitted)
-    ++owner_.unadmittedSessions_;
+    owner_.unadmitted_.insert(this);
   else
-    --owner_.unadmittedSessions_;
+    owner_.unadmitted_.erase(this);
 }
 
 void Session::requestAdmission() {
@@ -97,6 +95,12 @@
   return idle() && flushed ? EvictionPriority::Idle : EvictionPriority::Never;
 }
 
+bool Session::mayLeaveUnadmitted(Time now) {
+  if (now - lastActive_ < kNewClientGrace || hasUnreadInput()) return false;
+  if (closeState_ == CloseState::Lingering) return evbuffer_get_length(output()) == 0;
+  return !closing() && version_ == ProtocolVersion::Unknown;
+}
+
 bool Session::idle() {
   return !request_.id && !closing() && !awaitingSync_ && evbuffer_get_length(input()) == 0;
 }
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -66,6 +66,9 @@
   evutil_socket_t socket() const;
   EvictionPriority evictionPriority(Time now);
   Time lastActive() const { return lastActive_; }
+  bool closing() const { return closeState_ != CloseState::Open; }
+  // Without a permit: whether it has had its error for a while, or has said nothing for as long.
+  bool mayLeaveUnadmitted(Time now);
 
   // Closes gracefully: takes nothing more, shuts the connection down for sending once the output has been
   // sent, and discards input until the client closes too or a timeout passes.
@@ -112,7 +115,6 @@
   evbuffer* output() { return bufferevent_get_output(bev_.get()); }
   bool hasSocketInput() const;
   std::string_view pull(std::size_t length);  // the first bytes of the input, made contiguous
-  bool closing() const { return closeState_ != CloseState::Open; }
   bool idle();
   void setUnadmitted(bool);
 
@@ -187,7 +189,6 @@
   Address from_;  // of the client, which a PROXY header may tell
 
   std::optional<PermitId> permit_;
-  bool unadmitted_ = false;  // counted in Clients
   bool awaitingProxyHeader_;
   Time retryAfter_{};  // of the rejection
 
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -703,6 +703,7 @@
   RequestHandler& next;
   std::vector<AdmittedConnection*> guests;
   bool full = false;
+  std::size_t maxUnadmitted = 0;
   explicit OpenGate(RequestHandler& n) : next(n) {}
   bool expectsProxyHeader(const Address&) const override { return false; }
   AdmissionDecision connectionArrived(AdmittedConnection& g, const Address&) override {
@@ -719,7 +720,7 @@
     return a;
   }
   bool admitsByUser() const override { return false; }
-  std::size_t maxUnadmittedConnections() const override { return 0; }
+  std::size_t maxUnadmittedConnections() const override { return maxUnadmitted; }
   void connectionClosed(std::optional<PermitId>) override {}
   void connectionBusy(std::optional<PermitId>) override {}
   void connectionIdle(std::optional<PermitId>) override {}
@@ -754,24 +755,71 @@
   EXPECT_TRUE(until([&] { return (got += c->take()).find(kDone) != std::string::npos; }));
   EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
 }
-TEST_F(GateTest, ACancelThatIsTurnedAwayForWantOfRoomIsCarriedOut) {
-  const Peer c(clients->port());
-  c.put(postgres::startup("api", "ledger"));
-  std::string got;
-  ASSERT_TRUE(until([&] { return (got += c.take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
-  std::optional<postgres::Key> key;
-  for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
-    if (got[at] == 'K')
-      key = postgres::parseKeyData(got.substr(at + 5, postgres::readInt32(got.data() + at + 1) - 4));
-  ASSERT_TRUE(key);
-  c.put(query("1"));
-  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
-  gate.full = true;
+// A client whose request is out, and the key that cancels it.
+struct CancelGateTest : GateTest {
+  std::unique_ptr<Peer> client;
+  std::string got;  // by the client
+  postgres::Key key;
+
+  void SetUp() override {
+    GateTest::SetUp();
+    client = std::make_unique<Peer>(clients->port());
+    client->put(postgres::startup("api", "ledger"));
+    ASSERT_TRUE(until([&] { return (got += client->take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
+    std::optional<postgres::Key> told;
+    for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
+      if (got[at] == 'K')
+        told = postgres::parseKeyData(got.substr(at + 5, postgres::readInt32(got.data() + at + 1) - 4));
+    ASSERT_TRUE(told);
+    key = *told;
+    client->put(query("1"));
+    ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+    gate.full = true;
+  }
+  bool isCancelled() {
+    const bool told = until([&] { return (got += client->take()).find("57014") != std::string::npos; }, 2s);
+    pass();
+    return told && members.out.empty();
+  }
+};
+TEST_F(CancelGateTest, ACancelThatIsTurnedAwayForWantOfRoomIsCarriedOut) {
   const Peer caller(clients->port());
-  caller.put(postgres::cancel(*key));  // it has come before the connection is accepted
-  EXPECT_TRUE(until([&] { return (got += c.take()).find("57014") != std::string::npos; }, 2s));
+  caller.put(postgres::cancel(key));  // it has come before the connection is accepted
+  EXPECT_TRUE(isCancelled());
+}
+TEST_F(CancelGateTest, ACancelThatComesLateIsCarriedOutThoughSilentOnesFillTheAntechamber) {
+  gate.maxUnadmitted = 1;
+  const Peer silent(clients->port());
   pass();
-  EXPECT_TRUE(members.out.empty());
+  std::this_thread::sleep_for(40ms);  // longer than a new client may stay silent
+  const Peer caller(clients->port());
+  for (int k = 0; k < 5; ++k) pass();
+  caller.put(postgres::cancel(key));
+  EXPECT_TRUE(isCancelled());
+  EXPECT_NE(silent.take().find("53300"), std::string::npos) << "the silent one is told why it ends";
+  EXPECT_EQ(silent.state(), Peer::State::Finished);
+}
+TEST_F(CancelGateTest, ACancelThatComesLateIsCarriedOutThoughOnesThatWereToldFillTheAntechamber) {
+  gate.maxUnadmitted = 1;
+  const Peer told(clients->port());
+  told.put(postgres::startup("api", "ledger"));
+  std::string error;
+  ASSERT_TRUE(until([&] { return (error += told.take()).find("53300") != std::string::npos; }));
+  std::this_thread::sleep_for(40ms);
+  const Peer caller(clients->port());
+  for (int k = 0; k < 5; ++k) pass();
+  caller.put(postgres::cancel(key));
+  EXPECT_TRUE(isCancelled());
+}
+TEST_F(CancelGateTest, OneThatIsAboutToProveItsNameIsNotClosedForAnother) {
+  gate.maxUnadmitted = 1;
+  const Peer half(clients->port());
+  half.put(postgres::startup("api", "ledger").substr(0, 9));
+  for (int k = 0; k < 5; ++k) pass();
+  std::this_thread::sleep_for(40ms);
+  const Peer caller(clients->port());
+  EXPECT_TRUE(until([&] { return caller.state() != Peer::State::Open || !caller.take().empty(); }));
+  EXPECT_EQ(half.state(), Peer::State::Open);
 }
 TEST_F(GateTest, OneThatRestsIsEndedAtOnceWhenItsPlaceIsAskedBack) {
   const auto c = welcomed();
