--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -1,7 +1,9 @@
 #include "frontend/postgres/login.hpp"
 
 #ifdef SABLESPUR_AUTH
+#include <cstddef>
 #include <optional>
+#include <utility>
 
 #include "auth/login.hpp"
 #include "protocol/postgres/login.hpp"
@@ -14,52 +16,71 @@
 #ifdef SABLESPUR_AUTH
 namespace {
 
-class ByPassword final : public Login {
+constexpr std::size_t kNonceBytes = 18;  // of randomness, before Base64
+constexpr std::size_t kSecretBytes = 32;
+constexpr std::size_t kMd5SaltBytes = 4;
+
+// A login by any of the password methods, in protocol version 2 or 3.
+class PasswordLogin final : public Login {
  public:
-  ByPassword(auth::ServerAuthenticator host, bool version2) : host_(std::move(host)), version2_(version2) {}
+  PasswordLogin(auth::ServerAuthenticator authenticator, bool version2)
+      : authenticator_(std::move(authenticator)), version2_(version2) {}
 
   std::string initialRequest() override {
-    switch (*host_.method()) {
-      case auth::Method::Cleartext:
-        return version2_ ? postgres2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
-      case auth::Method::Md5:
-        return version2_ ? postgres2::askMd5(host_.salt())
-                         : postgres::authentication(postgres::kAuthMd5, host_.salt());
-      default:
-        break;
+    const auth::Method method = *authenticator_.method();
+    if (method == auth::Method::Cleartext)
+      return version2_ ? postgres2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
+    if (method == auth::Method::Md5) {
+      const std::string& salt = authenticator_.salt();
+      return version2_ ? postgres2::askMd5(salt) : postgres::authentication(postgres::kAuthMd5, salt);
     }
     return postgres::saslMechanisms();
   }
+
   StepResult onResponse(std::string_view message) override {
-    std::optional<std::string_view> word = message;
-    if (host_.method() == auth::Method::Scram) {
-      if (!begun_) word = postgres::parseSaslInitial(message);
-    } else if (!version2_) {
-      word = postgres::parsePassword(message);
-    }
-    if (!word) return {Step::Reject, {}};
-    begun_ = true;
-    return said(host_.receive(*word));
+    const std::optional<std::string_view> response = parseResponse(message);
+    if (!response) return {Step::Reject, {}};
+    exchangeStarted_ = true;
+    return toResult(authenticator_.receive(*response));
+  }
+
+  std::function<std::string()> keyDerivation() const override { return authenticator_.saltingWork(); }
+
+  StepResult onKeyDerived(const std::string& result) override {
+    return toResult(authenticator_.passwordSalted(result));
   }
-  std::function<std::string()> keyDerivation() const override { return host_.saltingWork(); }
-  StepResult onKeyDerived(const std::string& result) override { return said(host_.passwordSalted(result)); }
 
  private:
-  StepResult said(auth::AuthenticationStep n) {
-    const std::string& word = host_.response();
-    if (n == auth::AuthenticationStep::Continue)
-      return {Step::Continue, postgres::authentication(postgres::kAuthSaslContinue, word)};
-    if (n == auth::AuthenticationStep::Accepted)
-      return {Step::Accept, word.empty() ? "" : postgres::authentication(postgres::kAuthSaslFinal, word)};
-    return {n == auth::AuthenticationStep::SaltPassword ? Step::DeriveKey : Step::Reject, {}};
+  // What the authenticator is to be given of a message; none: the message is malformed.
+  std::optional<std::string_view> parseResponse(std::string_view message) const {
+    if (authenticator_.method() != auth::Method::Scram)
+      return version2_ ? std::optional(message) : postgres::parsePassword(message);
+    return exchangeStarted_ ? std::optional(message) : postgres::parseSaslInitial(message);
+  }
+
+  StepResult toResult(auth::AuthenticationStep step) const {
+    const std::string& response = authenticator_.response();
+    switch (step) {
+      case auth::AuthenticationStep::Continue:
+        return {Step::Continue, postgres::authentication(postgres::kAuthSaslContinue, response)};
+      case auth::AuthenticationStep::Accepted:
+        if (response.empty()) return {Step::Accept, {}};
+        return {Step::Accept, postgres::authentication(postgres::kAuthSaslFinal, response)};
+      case auth::AuthenticationStep::SaltPassword:
+        return {Step::DeriveKey, {}};
+      case auth::AuthenticationStep::Rejected:
+        break;
+    }
+    return {Step::Reject, {}};
   }
-  auth::ServerAuthenticator host_;
+
+  auth::ServerAuthenticator authenticator_;
   const bool version2_;
-  bool begun_ = false;
+  bool exchangeStarted_ = false;
 };
 
-// Printable, without a comma (RFC 5802 section 5.1).
-std::string nonce() { return auth::toBase64(randomBytes(18)); }
+// Printable, without a comma (RFC 5802, section 5.1).
+std::string newNonce() { return auth::toBase64(randomBytes(kNonceBytes)); }
 
 }  // namespace
 #endif
@@ -69,9 +90,10 @@
                                    [[maybe_unused]] const std::string& user, [[maybe_unused]] bool version2,
                                    std::string& why) {
 #ifdef SABLESPUR_AUTH
-  static const std::string secret = randomBytes(32);  // of this process
-  auth::ServerAuthenticator host(users, user, config.logins, !version2, secret, nonce(), randomBytes(4));
-  if (host.method()) return std::make_unique<ByPassword>(std::move(host), version2);
+  static const std::string processSecret = randomBytes(kSecretBytes);
+  auth::ServerAuthenticator authenticator(users, user, config.logins, !version2, processSecret, newNonce(),
+                                          randomBytes(kMd5SaltBytes));
+  if (authenticator.method()) return std::make_unique<PasswordLogin>(std::move(authenticator), version2);
 #endif
   why = "no way to log in that this client and this user have in common";
   return nullptr;
--- a/src/frontend/postgres/login.hpp
+++ b/src/frontend/postgres/login.hpp
@@ -12,6 +12,7 @@
 
 namespace sablespur {
 
+// One login attempt, as an exchange of messages. The caller sends and receives them.
 class Login {
  public:
   enum class Step {
