--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -1,5 +1,8 @@
 #include "frontend/postgres/prepared_statements.hpp"
 
+#include <algorithm>
+#include <utility>
+
 #include "protocol/postgres/codec.hpp"
 #include "protocol/postgres/pg.hpp"
 #include "translation/parameters.hpp"
@@ -7,186 +10,218 @@
 namespace sablespur {
 namespace {
 
-// Guards the memory: a client that never closes what it prepares.
-constexpr std::size_t kMostNames = 256, kLongestColumns = 8192;
+// Limits the memory of a client that never closes what it prepares.
+constexpr std::size_t kMaxNames = 256;  // of statements, and of portals
+constexpr std::size_t kMaxColumnsSize = 8192;
+
+constexpr std::int16_t kBinaryFormat = 1;
 
-PreparedStatements::Reply fault(const char* code, std::string text) { return {{}, code, std::move(text)}; }
-PreparedStatements::Reply malformed(const char* what) {
-  return fault("08P01", std::string("malformed ") + what + " message");
+using Reply = PreparedStatements::Reply;
+
+Reply success(std::string messages) { return {std::move(messages), nullptr, {}}; }
+Reply failure(const char* code, std::string text) { return {{}, code, std::move(text)}; }
+Reply malformed(const char* message) {
+  return failure("08P01", std::string("malformed ") + message + " message");
 }
+
 std::string quoted(std::string_view name) { return "\"" + std::string(name) + "\""; }
 
-bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n;") == std::string_view::npos; }
+Reply noSuchStatement(std::string_view name) {
+  return failure("26000", "prepared statement " + quoted(name) + " does not exist");
+}
+Reply noSuchPortal(std::string_view name) {
+  return failure("34000", "portal " + quoted(name) + " does not exist");
+}
+
+bool isBlank(std::string_view text) { return text.find_first_not_of(" \t\r\n;") == std::string_view::npos; }
+
+bool isResultFormat(std::int16_t format) { return format == 0 || format == kBinaryFormat; }
 
-// A RowDescription as the asker gets it, with its formats.
-std::string described(const std::string& body, const translation::ResultFormat& wanted) {
+// One format stands for all columns; a column without one is sent as text.
+bool isBinary(const std::vector<std::int16_t>& formats, std::size_t column) {
+  if (formats.size() == 1) return formats[0] == kBinaryFormat;
+  return column < formats.size() && formats[column] == kBinaryFormat;
+}
+
+// The RowDescription with this body, in the formats that the client wants.
+std::string rowDescription(const std::string& body, const translation::ResultFormat& wanted) {
   std::vector<translation::Column> columns;
   if (!postgres::readColumns(body, columns)) return postgres::noData();
-  for (std::size_t k = 0; k < columns.size(); ++k) {
-    const auto& r = wanted.columnFormats;
-    columns[k].binary = r.size() == 1 ? r[0] == 1 : k < r.size() && r[k] == 1;
-  }
+  for (std::size_t k = 0; k < columns.size(); ++k) columns[k].binary = isBinary(wanted.columnFormats, k);
   return postgres::Codec(0).columns(columns);
 }
 
+std::vector<translation::Parameter> parametersOf(const postgres::Bind& bind,
+                                                 const std::vector<std::uint32_t>& types) {
+  std::vector<translation::Parameter> parameters;
+  parameters.reserve(bind.values.size());
+  for (std::size_t k = 0; k < bind.values.size(); ++k)
+    parameters.push_back({bind.values[k], k < types.size() ? types[k] : 0, bind.binary(k)});
+  return parameters;
+}
+
 }  // namespace
 
-void PreparedStatements::drop(std::map<std::string, Statement, std::less<>>::iterator it) {
-  bytes_ -= it->second.text.size() + it->second.columns.size();
-  statements_.erase(it);
+void PreparedStatements::erase(Statements::iterator statement) {
+  bytes_ -= statement->second.text.size() + statement->second.columns.size();
+  statements_.erase(statement);
 }
-void PreparedStatements::drop(std::map<std::string, Portal, std::less<>>::iterator it) {
-  bytes_ -= it->second.text.size();
-  portals_.erase(it);
+
+void PreparedStatements::erase(Portals::iterator portal) {
+  bytes_ -= portal->second.text.size();
+  portals_.erase(portal);
 }
 
-PreparedStatements::Reply PreparedStatements::parse(std::string_view body, bool backslashes) {
-  auto m = postgres::parseParse(body);
-  if (!m) return malformed("Parse");
-  if (const auto old = statements_.find(m->name); old != statements_.end()) {
-    if (!m->name.empty()) return fault("42P05", "prepared statement " + quoted(m->name) + " already exists");
-    drop(old);
+Reply PreparedStatements::parse(std::string_view body, bool backslashes) {
+  auto message = postgres::parseParse(body);
+  if (!message) return malformed("Parse");
+  if (const auto existing = statements_.find(message->name); existing != statements_.end()) {
+    if (!message->name.empty())
+      return failure("42P05", "prepared statement " + quoted(message->name) + " already exists");
+    erase(existing);
   }
-  if (statements_.size() >= kMostNames)
-    return fault("53400", "too many prepared statements, " + std::to_string(kMostNames) + " at most");
-  const auto n = translation::countParameters(m->statement, backslashes);
-  if (!n) return fault("42P02", "a parameter's number is out of range");
-  Statement s;
-  s.text = std::string(m->statement);
-  s.types = std::move(m->types);
-  s.parameters = std::max(*n, s.types.size());
-  bytes_ += s.text.size();
-  statements_.emplace(std::string(m->name), std::move(s));
-  return {postgres::parseComplete(), nullptr, {}};
-}
-
-PreparedStatements::Reply PreparedStatements::bind(std::string_view body, bool backslashes,
-                                                   std::size_t longest) {
-  auto m = postgres::parseBind(body);
-  if (!m) return malformed("Bind");
-  const auto it = statements_.find(m->statement);
-  if (it == statements_.end())
-    return fault("26000", "prepared statement " + quoted(m->statement) + " does not exist");
-  const Statement& s = it->second;
-  if (m->values.size() != s.parameters)
-    return fault("08P01", "bind message supplies " + std::to_string(m->values.size()) +
-                              " parameters, but prepared statement " + quoted(m->statement) + " requires " +
-                              std::to_string(s.parameters));
-  for (const std::int16_t f : m->resultFormats)
-    if (f != 0 && f != 1) return malformed("Bind");
-  if (const auto old = portals_.find(m->portal); old != portals_.end()) {
-    if (!m->portal.empty()) return fault("42P03", "portal " + quoted(m->portal) + " already exists");
-    drop(old);
+  if (statements_.size() >= kMaxNames)
+    return failure("53400", "too many prepared statements, " + std::to_string(kMaxNames) + " at most");
+  const auto parameterCount = translation::countParameters(message->statement, backslashes);
+  if (!parameterCount) return failure("42P02", "a parameter's number is out of range");
+  Statement statement;
+  statement.text = std::string(message->statement);
+  statement.parameterTypes = std::move(message->types);
+  statement.parameterCount = std::max(*parameterCount, statement.parameterTypes.size());
+  bytes_ += statement.text.size();
+  statements_.emplace(std::string(message->name), std::move(statement));
+  return success(postgres::parseComplete());
+}
+
+Reply PreparedStatements::bind(std::string_view body, bool backslashes, std::size_t maxStatementSize) {
+  auto message = postgres::parseBind(body);
+  if (!message) return malformed("Bind");
+  const auto found = statements_.find(message->statement);
+  if (found == statements_.end()) return noSuchStatement(message->statement);
+  const Statement& statement = found->second;
+  if (message->values.size() != statement.parameterCount)
+    return failure("08P01", "bind message supplies " + std::to_string(message->values.size()) +
+                                " parameters, but prepared statement " + quoted(message->statement) +
+                                " requires " + std::to_string(statement.parameterCount));
+  const auto& formats = message->resultFormats;
+  if (!std::all_of(formats.begin(), formats.end(), isResultFormat)) return malformed("Bind");
+  if (const auto existing = portals_.find(message->portal); existing != portals_.end()) {
+    if (!message->portal.empty())
+      return failure("42P03", "portal " + quoted(message->portal) + " already exists");
+    erase(existing);
   }
-  if (portals_.size() >= kMostNames)
-    return fault("53400", "too many portals, " + std::to_string(kMostNames) + " at most");
-  std::vector<translation::Parameter> parameters;
-  for (std::size_t k = 0; k < m->values.size(); ++k)
-    parameters.push_back({m->values[k], k < s.types.size() ? s.types[k] : 0, m->binary(k)});
+  if (portals_.size() >= kMaxNames)
+    return failure("53400", "too many portals, " + std::to_string(kMaxNames) + " at most");
   std::string why;
-  auto text = translation::substitute(s.text, backslashes, parameters, longest, why);
-  if (!text) return fault("0A000", why);
-  Portal p;
-  p.statement = std::string(m->statement);
-  p.text = std::move(*text);
-  p.resultFormat.columnFormats = std::move(m->resultFormats);
-  bytes_ += p.text.size();
-  portals_.emplace(std::string(m->portal), std::move(p));
-  return {postgres::bindComplete(), nullptr, {}};
-}
-
-PreparedStatements::Reply PreparedStatements::describe(std::string_view body) {
-  const auto m = postgres::parseDescribeTarget(body);
-  if (!m) return malformed("Describe");
-  if (m->portal) {
-    const auto it = portals_.find(m->name);
-    if (it == portals_.end()) return fault("34000", "portal " + quoted(m->name) + " does not exist");
-    it->second.describe = true;  // told with the answer of its Execute
-    return {};
-  }
-  const auto it = statements_.find(m->name);
-  if (it == statements_.end())
-    return fault("26000", "prepared statement " + quoted(m->name) + " does not exist");
-  const Statement& s = it->second;
-  if (!s.ran && !blank(s.text))
-    return fault("0A000",
-                 "Describe of a statement that has not run here is not supported; describe its portal");
-  std::vector<std::uint32_t> types = s.types;
-  types.resize(s.parameters);
-  for (std::uint32_t& t : types)
-    if (t == 0) t = translation::kText;
-  return {postgres::parameterDescription(types) +
-              (s.columns.empty() ? postgres::noData() : described(s.columns, {})),
-          nullptr,
-          {}};
-}
-
-PreparedStatements::Reply PreparedStatements::flush() {
-  std::string answer;
-  for (auto& [name, p] : portals_) {
-    if (!p.describe) continue;
-    p.describe = false;
-    const auto s = statements_.find(p.statement);
-    if (s == statements_.end() || !s->second.ran)
-      return fault("0A000", "Describe of a portal without its Execute is not supported");
-    answer += s->second.columns.empty() ? postgres::noData() : described(s->second.columns, p.resultFormat);
+  auto text = translation::substitute(
+      statement.text, backslashes, parametersOf(*message, statement.parameterTypes), maxStatementSize, why);
+  if (!text) return failure("0A000", why);
+  Portal portal;
+  portal.statementName = std::string(message->statement);
+  portal.text = std::move(*text);
+  portal.resultFormat.columnFormats = std::move(message->resultFormats);
+  bytes_ += portal.text.size();
+  portals_.emplace(std::string(message->portal), std::move(portal));
+  return success(postgres::bindComplete());
+}
+
+Reply PreparedStatements::describe(std::string_view body) {
+  const auto target = postgres::parseDescribeTarget(body);
+  if (!target) return malformed("Describe");
+  return target->portal ? describePortal(target->name) : describeStatement(target->name);
+}
+
+// The columns are known once the portal has been executed, and are sent with that answer.
+Reply PreparedStatements::describePortal(std::string_view name) {
+  const auto portal = portals_.find(name);
+  if (portal == portals_.end()) return noSuchPortal(name);
+  portal->second.describePending = true;
+  return {};
+}
+
+Reply PreparedStatements::describeStatement(std::string_view name) const {
+  const auto found = statements_.find(name);
+  if (found == statements_.end()) return noSuchStatement(name);
+  const Statement& statement = found->second;
+  if (!statement.executed && !isBlank(statement.text))
+    return failure("0A000",
+                   "Describe of a statement that has not run here is not supported; describe its portal");
+  std::vector<std::uint32_t> types = statement.parameterTypes;
+  types.resize(statement.parameterCount);
+  std::replace(types.begin(), types.end(), std::uint32_t{0}, translation::kText);  // 0: not specified
+  const std::string columns =
+      statement.columns.empty() ? postgres::noData() : rowDescription(statement.columns, {});
+  return success(postgres::parameterDescription(types) + columns);
+}
+
+Reply PreparedStatements::flush() {
+  std::string messages;
+  for (auto& [name, portal] : portals_) {
+    if (!portal.describePending) continue;
+    portal.describePending = false;
+    const auto statement = statements_.find(portal.statementName);
+    if (statement == statements_.end() || !statement->second.executed)
+      return failure("0A000", "Describe of a portal without its Execute is not supported");
+    const std::string& columns = statement->second.columns;
+    messages += columns.empty() ? postgres::noData() : rowDescription(columns, portal.resultFormat);
   }
-  return {answer, nullptr, {}};
+  return success(std::move(messages));
 }
 
-PreparedStatements::Reply PreparedStatements::close(std::string_view body) {
-  const auto m = postgres::parseDescribeTarget(body);
-  if (!m) return malformed("Close");
-  if (m->portal) {
-    if (const auto it = portals_.find(m->name); it != portals_.end()) drop(it);
-  } else if (const auto it = statements_.find(m->name); it != statements_.end()) {
-    drop(it);
+Reply PreparedStatements::close(std::string_view body) {
+  const auto target = postgres::parseDescribeTarget(body);
+  if (!target) return malformed("Close");
+  if (target->portal) {
+    if (const auto portal = portals_.find(target->name); portal != portals_.end()) erase(portal);
+  } else if (const auto statement = statements_.find(target->name); statement != statements_.end()) {
+    erase(statement);
   }
-  return {postgres::closeComplete(), nullptr, {}};
-}
-
-PreparedStatements::Reply PreparedStatements::execute(std::string_view body,
-                                                      std::optional<Execution>& asked) {
-  const auto m = postgres::parseExecute(body);
-  if (!m) return malformed("Execute");
-  const auto it = portals_.find(m->portal);
-  if (it == portals_.end()) return fault("34000", "portal " + quoted(m->portal) + " does not exist");
-  Portal& p = it->second;
-  if (p.suspended) return fault("0A000", "Execute that goes on where a row limit stopped is not supported");
-  if (p.ran) return fault("55000", "portal " + quoted(m->portal) + " cannot be run anymore");
-  Execution a;
-  a.statement = blank(p.text) ? std::string() : p.text;
-  a.resultFormat = p.resultFormat;
-  a.sendRowDescription = p.describe;
-  a.maxRows = static_cast<std::size_t>(m->maxRows);
-  p.describe = false;
-  p.ran = true;
-  lastPortal_ = std::string(m->portal);
-  asked = std::move(a);
+  return success(postgres::closeComplete());
+}
+
+Reply PreparedStatements::execute(std::string_view body, std::optional<Execution>& execution) {
+  const auto message = postgres::parseExecute(body);
+  if (!message) return malformed("Execute");
+  const auto found = portals_.find(message->portal);
+  if (found == portals_.end()) return noSuchPortal(message->portal);
+  Portal& portal = found->second;
+  if (portal.suspended)
+    return failure("0A000", "Execute that goes on where a row limit stopped is not supported");
+  if (portal.executed)
+    return failure("55000", "portal " + quoted(message->portal) + " cannot be run anymore");
+  execution.emplace();
+  if (!isBlank(portal.text)) execution->statement = portal.text;
+  execution->resultFormat = portal.resultFormat;
+  execution->sendRowDescription = portal.describePending;
+  execution->maxRows = static_cast<std::size_t>(message->maxRows);
+  portal.describePending = false;
+  portal.executed = true;
+  lastPortal_ = std::string(message->portal);
   return {};
 }
 
 void PreparedStatements::onExecuted(std::string_view columns, bool suspended) {
-  const auto p = portals_.find(lastPortal_);
-  if (p == portals_.end()) return;
-  p->second.suspended = suspended;
-  const auto s = statements_.find(p->second.statement);
-  if (s == statements_.end() || columns.size() > kLongestColumns) return;
-  s->second.ran = true;
-  bytes_ -= s->second.columns.size();
-  s->second.columns = std::string(columns);
+  const auto portal = portals_.find(lastPortal_);
+  if (portal == portals_.end()) return;
+  portal->second.suspended = suspended;
+  const auto found = statements_.find(portal->second.statementName);
+  if (found == statements_.end() || columns.size() > kMaxColumnsSize) return;
+  Statement& statement = found->second;
+  statement.executed = true;
+  bytes_ -= statement.columns.size();
+  statement.columns = std::string(columns);
   bytes_ += columns.size();
 }
 
-PreparedStatements::Reply PreparedStatements::sync() {
-  Reply owed = flush();
-  while (!portals_.empty()) drop(portals_.begin());
-  return owed;
+Reply PreparedStatements::sync() {
+  Reply reply = flush();
+  while (!portals_.empty()) erase(portals_.begin());
+  return reply;
 }
 
 void PreparedStatements::onSimpleQuery() {
-  if (const auto p = portals_.find(""); p != portals_.end()) drop(p);
-  if (const auto s = statements_.find(""); s != statements_.end()) drop(s);
+  if (const auto portal = portals_.find(""); portal != portals_.end()) erase(portal);
+  if (const auto statement = statements_.find(""); statement != statements_.end()) erase(statement);
 }
 
 }  // namespace sablespur
--- a/src/frontend/postgres/prepared_statements.hpp
+++ b/src/frontend/postgres/prepared_statements.hpp
@@ -1,10 +1,12 @@
-// A client's prepared statements and portals, as the extended query sub-protocol names them. Pure: it is
-// given messages and says what is answered; what is to be asked of a data server it hands out. The statement
-// that a portal stands for has its parameters as literals.
+// The prepared statements and portals of one client (PostgreSQL's documentation, "Extended Query").
+//
+// Data servers are sent simple queries only, so a portal holds its statement with the parameters put in as
+// literals. Pure: no I/O; Session passes the messages in and sends the replies.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
+#include <functional>
 #include <map>
 #include <optional>
 #include <string>
@@ -18,54 +20,65 @@
 
 class PreparedStatements {
  public:
-  // What a message leads to: an answer, or an error after which everything is passed over until Sync.
+  // The reply to a message: messages for the client, or an error, after which all is skipped until Sync.
   struct Reply {
     std::string messages;
-    const char* errorCode = nullptr;  // of the error; null: there is none
+    const char* errorCode = nullptr;  // null: no error
     std::string errorText;
   };
-  // What an Execute asks.
+  // The request that an Execute makes.
   struct Execution {
-    std::string statement;  // empty: of nothing but blanks
+    std::string statement;  // empty: there is nothing to run
     translation::ResultFormat resultFormat;
-    bool sendRowDescription = false;  // its columns are still owed
-    std::size_t maxRows = 0;
+    bool sendRowDescription = false;  // a Describe of the portal is still to be answered
+    std::size_t maxRows = 0;          // 0: all
   };
 
+  // One function for each message; they take its body. `backslashes`: a backslash in a literal is an escape
+  // character (standard_conforming_strings is off).
   Reply parse(std::string_view body, bool backslashes);
-  Reply bind(std::string_view body, bool backslashes, std::size_t longest);
+  Reply bind(std::string_view body, bool backslashes, std::size_t maxStatementSize);
   Reply describe(std::string_view body);
   Reply close(std::string_view body);
-  Reply execute(std::string_view body, std::optional<Execution>&);
-  // The answer of the last Execute: the columns it had, as a RowDescription's body (empty: none), or that it
-  // stopped at its row limit.
+  // Sets `execution` unless the reply is an error.
+  Reply execute(std::string_view body, std::optional<Execution>& execution);
+  Reply sync();   // ends all portals
+  Reply flush();  // answers each Describe of a portal that no Execute has answered
+  // The last Execute has its answer. `columns`: the body of its RowDescription; empty: it had none.
+  // `suspended`: it stopped at its row limit.
   void onExecuted(std::string_view columns, bool suspended);
-  Reply sync();          // portals end here
-  Reply flush();         // what is owed of a Describe and cannot wait any longer: before a Flush and at Sync
-  void onSimpleQuery();  // it ends the unnamed statement and portal
+  // A simple query ends the unnamed statement and portal.
+  void onSimpleQuery();
 
-  std::size_t bytes() const { return bytes_; }  // that are held for this client
+  std::size_t bytes() const { return bytes_; }  // held for this client
 
  private:
   struct Statement {
     std::string text;
-    std::vector<std::uint32_t> types;
-    std::size_t parameters = 0;
-    std::string columns;  // a RowDescription's body of its last run
-    bool ran = false;
+    std::vector<std::uint32_t> parameterTypes;
+    std::size_t parameterCount = 0;
+    std::string columns;  // the body of its last RowDescription; empty: none
+    bool executed = false;
   };
   struct Portal {
-    std::string statement;  // by name
+    std::string statementName;
     std::string text;
     translation::ResultFormat resultFormat;
-    bool describe = false, suspended = false, ran = false;
+    bool describePending = false;
+    bool suspended = false;
+    bool executed = false;
   };
-  void drop(std::map<std::string, Statement, std::less<>>::iterator);
-  void drop(std::map<std::string, Portal, std::less<>>::iterator);
+  using Statements = std::map<std::string, Statement, std::less<>>;
+  using Portals = std::map<std::string, Portal, std::less<>>;
 
-  std::map<std::string, Statement, std::less<>> statements_;
-  std::map<std::string, Portal, std::less<>> portals_;
-  std::string lastPortal_;  // the portal executed last
+  Reply describePortal(std::string_view name);
+  Reply describeStatement(std::string_view name) const;
+  void erase(Statements::iterator);
+  void erase(Portals::iterator);
+
+  Statements statements_;
+  Portals portals_;
+  std::string lastPortal_;  // executed last
   std::size_t bytes_ = 0;
 };
 
