--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -41,9 +41,9 @@
   const auto head = postgres::parseHeader(bytes);
   const std::size_t length = sizeof bytes + head->bodySize;
   const auto* const message = evbuffer_pullup(answer, static_cast<ev_ssize_t>(length));
-  std::string bodySize(reinterpret_cast<const char*>(message) + sizeof bytes, head->bodySize);
+  std::string body(reinterpret_cast<const char*>(message) + sizeof bytes, head->bodySize);
   if (drain) evbuffer_drain(answer, length);
-  return bodySize;
+  return body;
 }
 
 }  // namespace
@@ -55,7 +55,7 @@
   char tail[kMaxTail];
   const std::size_t tailLength = std::min(length, kMaxTail);
   const std::size_t tailOffset = length - tailLength;
-  evbuffer_ptr from;
+  evbuffer_ptr from{};
   evbuffer_ptr_set(statement.get(), &from, tailOffset, EVBUFFER_PTR_SET);
   evbuffer_copyout_from(statement.get(), &from, tail, tailLength);
   // A data server closes the connection on what it cannot read: the only NUL has to be the last byte.
