--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -42,13 +42,8 @@
 Clients::Clients(event_base* base, Engine& engine, RequestHandler& requestHandler, WorkerPool& workers,
                  ResourceBudget& budget, ReservedDescriptor& reserved, AdmissionController* admission,
                  const Config& config)
-    : base_(base),
-      engine_(engine),
+    : services_{base, engine, workers, budget, admission, config},
       requestHandler_(requestHandler),
-      workers_(workers),
-      budget_(budget),
-      admission_(admission),
-      config_(config),
       users_(config.users) {
   Acceptor::ConnectionHandler handler;
   handler.accepted = [this](evutil_socket_t fd, const sockaddr* from) { onAccepted(fd, from); };
@@ -84,13 +79,13 @@
 
 RequestId Clients::request(ResponseHandler& client, const balancer::Request& request, RequestMessage message,
                            std::optional<PermitId> permit) {
-  if (admission_) return admission_->request(client, request, std::move(message), permit);
+  if (services_.admission) return services_.admission->request(client, request, std::move(message), permit);
   return requestHandler_.request(client, request, std::move(message));
 }
 
 void Clients::cancelRequest(RequestId id) {
-  if (admission_)
-    admission_->requestCancelled(id);
+  if (services_.admission)
+    services_.admission->requestCancelled(id);
   else
     requestHandler_.clientDisconnected(id);
 }
@@ -115,11 +110,13 @@
 
 void Clients::onAccepted(evutil_socket_t fd, const sockaddr* from) {
   const Address address = Address::fromSocket(from);
-  const bool awaitProxyHeader = admission_ && admission_->expectsProxyHeader(address);
-  auto session = std::make_unique<Session>(*this, fd, address, awaitProxyHeader);
-  if (admission_ && !awaitProxyHeader) session->requestAdmission();
+  const bool awaitProxyHeader = services_.admission && services_.admission->expectsProxyHeader(address);
+  SessionOwner& owner = *this;  // a private base, which make_unique() cannot convert to
+  auto session = std::make_unique<Session>(owner, fd, address, awaitProxyHeader);
+  if (services_.admission && !awaitProxyHeader) session->requestAdmission();
   // Only so many are held without a permit, to get their error in the version that they speak.
-  if (admission_ && unadmitted_.size() > admission_->maxUnadmittedConnections() && !evictUnadmitted())
+  if (services_.admission && unadmitted_.size() > services_.admission->maxUnadmittedConnections() &&
+      !evictUnadmitted())
     return rejectConnection(fd, session->retryAfter());
   Session* const key = session.get();
   sessions_.emplace(key, std::move(session));
@@ -151,11 +148,13 @@
 
 // Without room connections wait in the listener's backlog. An AdmissionController takes every connection, if
 // only to reject it: it keeps to limits of its own.
-bool Clients::hasRoom() { return admission_ || budget_.hasRoom(DescriptorHolder::Clients) || evictOne(); }
+bool Clients::hasRoom() {
+  return services_.admission || services_.budget.hasRoom(DescriptorHolder::Clients) || evictOne();
+}
 
 void Clients::onExhaustion() {
-  if (admission_)
-    admission_->onExhaustion();
+  if (services_.admission)
+    services_.admission->onExhaustion();
   else
     evictOne();
 }
@@ -172,7 +171,7 @@
 // hold a request is never chosen: the request would be lost. Half a message is no request, but its rest may
 // be on the way, so the first few clients with one are spared too.
 Session* Clients::findEvictable() {
-  const Time now = engine_.now();
+  const Time now = services_.engine.now();
   EvictionCandidate best;
   EvictionCandidate bestPartial;  // among those with half a message
   std::size_t partialMessages = 0;
@@ -192,7 +191,7 @@
 // Whoever has been told its error, or has been silent since it connected, makes way for one that may have
 // something to say: a CancelRequest, or a startup that shows its version.
 bool Clients::evictUnadmitted() {
-  const Time now = engine_.now();
+  const Time now = services_.engine.now();
   Session* longest = nullptr;
   for (Session* const session : unadmitted_) {
     if (longest && session->lastActive() >= longest->lastActive()) continue;
@@ -208,8 +207,8 @@
 // the configured number the longest idle one is closed for each that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
   ++activeSessions_;
-  if (activeSessions_ <= config_.askingClients || admission_) return;
-  const Time now = engine_.now();
+  if (activeSessions_ <= services_.config.askingClients || services_.admission) return;
+  const Time now = services_.engine.now();
   Session* longestIdle = nullptr;
   for (const auto& [session, owned] : sessions_) {
     if (session == &by || session->evictionPriority(now) != EvictionPriority::Idle) continue;
@@ -220,7 +219,7 @@
 }
 
 void Clients::sweepIdle() {
-  const Time now = engine_.now();
+  const Time now = services_.engine.now();
   std::vector<Session*> timedOut;
   for (const auto& [session, owned] : sessions_)
     if (!session->checkIdleTimeout(now)) timedOut.push_back(session);
@@ -229,7 +228,7 @@
 
 void Clients::logRejection(const char* code, std::string_view why, const Address& from) {
   ++rejectionsSinceLog_;
-  const Time now = engine_.now();
+  const Time now = services_.engine.now();
   if (rejectionLoggedAt_ && now - *rejectionLoggedAt_ < kRejectionLogInterval) return;
   logEvent(LogLevel::Warning, "client_rejected",
            {{"from", from.text()}, {"code", code}, {"why", why}, {"count", rejectionsSinceLog_}});
@@ -265,22 +264,36 @@
   sessions_.erase(&session);
   if (acceptor_)
     acceptor_->resume();
-  else if (draining_ && sessions_.empty())
+  else if (draining() && sessions_.empty())
     done_();
 }
 
+void Clients::onSessionDestroyed(Session& session) {
+  watchForDisconnect(session, false);
+  unadmitted_.erase(&session);
+  keys_.erase(session.key().process);
+  if (session.hasSentRequest()) --activeSessions_;
+}
+
+void Clients::setUnadmitted(Session& session, bool unadmitted) {
+  if (unadmitted)
+    unadmitted_.insert(&session);
+  else
+    unadmitted_.erase(&session);
+}
+
 // ---- shutdown -----------------------------------------------------------------------------------------
 
 void Clients::drain(std::function<void()> done) {
-  if (draining_) return;
-  draining_ = true;
+  if (draining()) return;
+  phase_ = ShutdownPhase::StillAccepting;
   done_ = std::move(done);
-  if (!config_.control.none()) acceptor_->handOverListener();
+  if (!services_.config.control.none()) acceptor_->handOverListener();
   Time longestDeadline{};
-  for (const auto& requestClass : config_.settings.classes)
+  for (const auto& requestClass : services_.config.settings.classes)
     longestDeadline = std::max(longestDeadline, requestClass.deadline);
   const ShutdownTimes times = shutdownTimes(longestDeadline);
-  answerBy_ = engine_.now() + times.answerBy;
+  answerBy_ = services_.engine.now() + times.answerBy;
   startTimer(stopListeningTimer_.get(), times.stopAccepting);
   startTimer(answerDeadlineTimer_.get(), times.answerBy);
   startTimer(exitTimer_.get(), times.exit);
@@ -297,12 +310,13 @@
 void Clients::stopListening() {
   acceptor_->drainBacklog();
   acceptor_.reset();
+  phase_ = std::max(phase_, ShutdownPhase::ClosingIdle);
   for (Session* session : allSessions()) session->beginDrain();
   if (sessions_.empty()) done_();
 }
 
 void Clients::failOutstanding() {
-  pastAnswerDeadline_ = true;
+  phase_ = ShutdownPhase::AnswerDeadlinePast;
   for (Session* session : allSessions()) session->failOutstanding();
 }
 
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -6,7 +6,6 @@
 
 #include <algorithm>
 
-#include "frontend/postgres/clients.hpp"
 #include "frontend/postgres/session_common.hpp"
 
 namespace sablespur {
@@ -27,10 +26,11 @@
 
 }  // namespace
 
-Session::Session(Clients& owner, evutil_socket_t fd, const Address& from, bool awaitProxyHeader)
+Session::Session(SessionOwner& owner, evutil_socket_t fd, const Address& from, bool awaitProxyHeader)
     : owner_(owner),
-      descriptor_(owner.budget_, DescriptorHolder::Clients),
-      bev_(bufferevent_socket_new(owner.base_, fd, BEV_OPT_CLOSE_ON_FREE)),
+      services_(owner.services()),
+      descriptor_(services_.budget, DescriptorHolder::Clients),
+      bev_(bufferevent_socket_new(services_.base, fd, BEV_OPT_CLOSE_ON_FREE)),
       from_(from),
       awaitingProxyHeader_(awaitProxyHeader),
       codec_(&kVersion30) {
@@ -42,46 +42,36 @@
       [](bufferevent*, short what, void* self) { static_cast<Session*>(self)->onEvent(what); }, this);
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
   evbuffer_add_cb(input(), onInputChanged, this);
-  const auto us = owner_.config_.unreadAnswer.count();
+  const auto us = services_.config.unreadAnswer.count();
   const timeval unread{static_cast<time_t>(us / 1000000), static_cast<suseconds_t>(us % 1000000)};
   bufferevent_set_timeouts(bev_.get(), nullptr, &unread);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-  lastActive_ = owner_.engine_.now();
-  if (awaitProxyHeader) setUnadmitted(true);
+  lastActive_ = services_.engine.now();
+  if (awaitProxyHeader) owner_.setUnadmitted(*this, true);
 }
 
 Session::~Session() {
   evbuffer_remove_cb(input(), onInputChanged, this);
-  owner_.watchForDisconnect(*this, false);
   if (request_.id) owner_.cancelRequest(*request_.id);
-  setUnadmitted(false);
-  if (owner_.admission_) owner_.admission_->connectionClosed(permit_);
-  if (firstRequestReceived_) --owner_.activeSessions_;
-  owner_.budget_.releaseBytes(preparedReservation_);
-  owner_.keys_.erase(key_.process);
+  if (services_.admission) services_.admission->connectionClosed(permit_);
+  services_.budget.releaseBytes(preparedReservation_);
+  owner_.onSessionDestroyed(*this);
   releaseRequestName();
   releaseMessage();
 }
 
 // ---- admission ----------------------------------------------------------------------------------------
 
-void Session::setUnadmitted(bool unadmitted) {
-  if (unadmitted)
-    owner_.unadmitted_.insert(this);
-  else
-    owner_.unadmitted_.erase(this);
-}
-
 void Session::requestAdmission() {
-  const AdmissionDecision decision = owner_.admission_->connectionArrived(*this, from_);
+  const AdmissionDecision decision = services_.admission->connectionArrived(*this, from_);
   permit_ = decision.permit;
   retryAfter_ = decision.retryAfter;
-  setUnadmitted(!permit_);
+  owner_.setUnadmitted(*this, !permit_);
 }
 
 void Session::evict() {
   permit_.reset();
-  setUnadmitted(true);
+  owner_.setUnadmitted(*this, true);
   beginDrain();  // a request may have just arrived
 }
 
@@ -118,9 +108,9 @@
   draining_ = true;
   if (request_.id || awaitingSync_ || closing() || evbuffer_get_length(output()) > 0) return;
   // One that has only just connected has had no time to send anything; checkIdleTimeout() closes it later.
-  if (!firstRequestReceived_ && owner_.engine_.now() - lastActive_ < kNewClientGraceInDrain) return;
+  if (!firstRequestReceived_ && services_.engine.now() - lastActive_ < kNewClientGraceInDrain) return;
   // A request that crosses the close and is not read is repeated by its client; one that has arrived is not.
-  const bool hasInput = owner_.pastAnswerDeadline() ? evbuffer_get_length(input()) > 0 : hasUnreadInput();
+  const bool hasInput = pastAnswerDeadline() ? evbuffer_get_length(input()) > 0 : hasUnreadInput();
   if (hasInput)
     scheduleRead();
   else
@@ -139,7 +129,7 @@
 // A close on unread bytes would reset the connection, and output on its way would be lost.
 void Session::shutdownSending() {
   closeState_ = CloseState::Lingering;
-  lastActive_ = owner_.engine_.now();
+  lastActive_ = services_.engine.now();
   shutdown(socket(), SHUT_WR);
 }
 
@@ -147,7 +137,7 @@
   releaseMessage();
   login_.reset();
   closeState_ = CloseState::Lingering;
-  lastActive_ = owner_.engine_.now();
+  lastActive_ = services_.engine.now();
   setReading(true);
   discardInput();
 }
@@ -205,8 +195,8 @@
   if (request_.id || closing() || !flushed) return true;
   if (draining_ && !awaitingSync_ && now - lastActive_ >= kNewClientGraceInDrain && !hasUnreadInput())
     return false;
-  if (!firstRequestReceived_ && now - lastActive_ >= owner_.config_.firstQuery) return false;
-  return !partialMessageSince_ || now - *partialMessageSince_ < owner_.config_.halfMessage;
+  if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQuery) return false;
+  return !partialMessageSince_ || now - *partialMessageSince_ < services_.config.halfMessage;
 }
 
 void Session::onIdleTimeout() {
@@ -240,7 +230,8 @@
   self.inputTimestamps_.onConsumed(change->n_deleted);
   const std::size_t limit = std::max(kReadAhead, self.messageReservation_);
   const bool full = change->orig_size + change->n_added >= limit;
-  if (change->n_added > 0) self.inputTimestamps_.onReceived(change->n_added, self.owner_.engine_.now(), full);
+  if (change->n_added > 0)
+    self.inputTimestamps_.onReceived(change->n_added, self.services_.engine.now(), full);
 }
 
 void Session::scheduleRead() {
@@ -249,9 +240,9 @@
 
 // After an answer. What is pipelined behind it comes next, but not within this call: the turn is not over.
 void Session::resumeOrDrain() {
-  if (evbuffer_get_length(input()) > 0 || owner_.pastAnswerDeadline())
+  if (evbuffer_get_length(input()) > 0 || pastAnswerDeadline())
     scheduleRead();
-  else if (draining_ || (owner_.draining_ && !owner_.acceptor_))
+  else if (draining_ || owner_.shutdownPhase() >= ShutdownPhase::ClosingIdle)
     beginDrain();
 }
 
@@ -271,12 +262,12 @@
   }
   if (closing()) return;
   const std::size_t left = evbuffer_get_length(input());
-  if (owner_.pastAnswerDeadline()) return rejectRemainder(left);
+  if (pastAnswerDeadline()) return rejectRemainder(left);
   // libevent calls back again and again while the input stands at its high watermark, so reading is off
   // there.
   const bool belowWatermark = left < std::max(kReadAhead, messageReservation_);
   if (!partialMessageSince_ && left > 0)
-    partialMessageSince_ = belowWatermark ? partialMessageStart() : owner_.engine_.now();
+    partialMessageSince_ = belowWatermark ? partialMessageStart() : services_.engine.now();
   setReading(belowWatermark);
 }
 
@@ -294,8 +285,8 @@
 // When the message at the input's front was begun, possibly behind a request that was being processed; what
 // of it is still in the system has kRestOfMessageTime to be read.
 Time Session::partialMessageStart() const {
-  const Time allowed = std::max(owner_.config_.halfMessage - kRestOfMessageTime, Time(0));
-  return std::max(inputTimestamps_.receivedAt(1), owner_.engine_.now() - allowed);
+  const Time allowed = std::max(services_.config.halfMessage - kRestOfMessageTime, Time(0));
+  return std::max(inputTimestamps_.receivedAt(1), services_.engine.now() - allowed);
 }
 
 std::string_view Session::pull(std::size_t length) {
@@ -308,7 +299,7 @@
 // Held from the head of a long message to its answer.
 bool Session::reserveMessage(std::size_t length) {
   if (length <= kReadAhead || messageReservation_ > 0) return true;
-  if (!owner_.budget_.reserveBytes(length)) return false;
+  if (!services_.budget.reserveBytes(length)) return false;
   messageReservation_ = length;
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, length);
   return true;
@@ -316,15 +307,15 @@
 
 void Session::releaseMessage() {
   if (messageReservation_ == 0) return;
-  owner_.budget_.releaseBytes(messageReservation_);
+  services_.budget.releaseBytes(messageReservation_);
   messageReservation_ = 0;
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
 }
 
 bool Session::reservePrepared(std::size_t bytes) {
   const std::size_t held = preparedReservation_;
-  if (bytes > held && !owner_.budget_.reserveBytes(bytes - held)) return false;
-  if (bytes < held) owner_.budget_.releaseBytes(held - bytes);
+  if (bytes > held && !services_.budget.reserveBytes(bytes - held)) return false;
+  if (bytes < held) services_.budget.releaseBytes(held - bytes);
   preparedReservation_ = bytes;
   return true;
 }
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -1,5 +1,5 @@
 // One client connection: its startup in the protocol version it speaks, its requests one at a time, and their
-// answers in order. Owned by Clients.
+// answers in order.
 //
 // session.cpp has the connection: reading, draining, closing, idle timeouts. The rest is in
 // session_handshake.cpp (from the PROXY header to the end of the login), session_messages.cpp (framing) and
@@ -21,6 +21,7 @@
 #include "frontend/postgres/input_timestamps.hpp"
 #include "frontend/postgres/login.hpp"
 #include "frontend/postgres/prepared_statements.hpp"
+#include "frontend/postgres/session_owner.hpp"
 #include "protocol/postgres/startup.hpp"
 #include "translation/settings.hpp"
 #include "translation/terms.hpp"
@@ -31,8 +32,6 @@
 
 namespace sablespur {
 
-class Clients;
-
 // How readily a client is disconnected to make room for a new one; higher goes first.
 enum class EvictionPriority {
   Never,      // it has a request, or output to read
@@ -46,7 +45,7 @@
  public:
   // Takes over the descriptor. `awaitProxyHeader`: the connection comes from a trusted proxy, whose PROXY
   // header names the client.
-  Session(Clients& owner, evutil_socket_t fd, const Address& from, bool awaitProxyHeader);
+  Session(SessionOwner& owner, evutil_socket_t fd, const Address& from, bool awaitProxyHeader);
   ~Session() override;
 
   // Asks the AdmissionController for a permit. A rejected client gets an error once its startup shows which
@@ -63,6 +62,7 @@
   void onCancelRequest();
 
   const postgres::Key& key() const { return key_; }
+  bool hasSentRequest() const { return firstRequestReceived_; }
   evutil_socket_t socket() const;
   EvictionPriority evictionPriority(Time now);
   Time lastActive() const { return lastActive_; }
@@ -103,7 +103,7 @@
   // The request that the client waits for, and how its answer has to look.
   struct CurrentRequest {
     std::optional<RequestId> id;  // of the engine or the AdmissionController
-    std::string name;             // the client's own id of it, reserved in Clients
+    std::string name;             // the client's own id of it, reserved with the owner
     bool extended = false;        // it comes from an Execute
     bool sendRowDescription = true;
     std::size_t maxRows = 0;  // 0: all
@@ -116,7 +116,7 @@
   bool hasSocketInput() const;
   std::string_view pull(std::size_t length);  // the first bytes of the input, made contiguous
   bool idle();
-  void setUnadmitted(bool);
+  bool pastAnswerDeadline() const { return owner_.shutdownPhase() == ShutdownPhase::AnswerDeadlinePast; }
 
   static void onInputChanged(evbuffer*, const evbuffer_cb_info*, void* session);
   void onEvent(short what);
@@ -183,7 +183,8 @@
   void writeError(const translation::ErrorReport&);
   void releaseRequestName();
 
-  Clients& owner_;
+  SessionOwner& owner_;
+  const SessionServices& services_;
   ResourceBudget::DescriptorPermit descriptor_;
   BufferEvent bev_;
   Address from_;  // of the client, which a PROXY header may tell
@@ -211,7 +212,7 @@
   CloseState closeState_ = CloseState::Open;
   bool draining_ = false;
   bool readingPaused_ = false;  // until the next idle sweep, after an error of the client
-  bool reading_ = true;         // EV_READ is enabled; else Clients polls for the client's end
+  bool reading_ = true;         // EV_READ is enabled; else the owner polls for the client's end
 
   std::size_t messageReservation_ = 0;   // bytes, for the message at the input's front
   std::size_t preparedReservation_ = 0;  // bytes, for prepared statements
--- a/src/frontend/postgres/session_handshake.cpp
+++ b/src/frontend/postgres/session_handshake.cpp
@@ -2,7 +2,6 @@
 #include <algorithm>
 #include <cstring>
 
-#include "frontend/postgres/clients.hpp"
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
 #include "logging/log.hpp"
@@ -34,7 +33,7 @@
   evbuffer_drain(input(), header.length);
   awaitingProxyHeader_ = false;
   if (header.client) from_ = *header.client;
-  setUnadmitted(false);
+  owner_.setUnadmitted(*this, false);
   requestAdmission();
   return true;
 }
@@ -78,7 +77,7 @@
     return false;
   }
   const std::uint32_t major = code >> 16;
-  const bool version2 = owner_.config_.version2;
+  const bool version2 = services_.config.version2;
   if (major == 3) return startVersion3(packet);
   if (major == 2 && version2) return startVersion2(packet);
   reject("0A000",
@@ -138,25 +137,25 @@
 }
 
 void Session::authenticate(const std::string& user) {
-  const bool password = wantsPassword(owner_.config_);
+  const bool password = wantsPassword(services_.config);
   // A client that was rejected by its address may still be admitted by its name, once that is proved.
-  const bool mayBeAdmittedLater = password && owner_.admission_ && owner_.admission_->admitsByUser();
-  if (owner_.admission_ && !permit_ && !mayBeAdmittedLater && !ensureAdmitted()) return;
+  const bool mayBeAdmittedLater = password && services_.admission && services_.admission->admitsByUser();
+  if (services_.admission && !permit_ && !mayBeAdmittedLater && !ensureAdmitted()) return;
   if (!password) return completeStartup();
   user_ = user;
   std::string why;
-  login_ = createLogin(owner_.config_, *owner_.users_, user, version_ == ProtocolVersion::Version2, why);
+  login_ = createLogin(services_.config, *owner_.users(), user, version_ == ProtocolVersion::Version2, why);
   if (!login_) return reject("28000", why, true);
   append(output(), login_->initialRequest());
 }
 
 bool Session::ensureAdmitted() {
-  if (!owner_.admission_) return true;
+  if (!services_.admission) return true;
   if (!user_.empty() || permit_) {
-    const AdmissionDecision decision = owner_.admission_->userAuthenticated(*this, permit_, from_, user_);
+    const AdmissionDecision decision = services_.admission->userAuthenticated(*this, permit_, from_, user_);
     permit_ = decision.permit;
     if (decision.retryAfter > Time(0)) retryAfter_ = decision.retryAfter;
-    setUnadmitted(!permit_);
+    owner_.setUnadmitted(*this, !permit_);
   }
   if (permit_) return true;
   translation::ErrorReport error = problem("FATAL", "53300", "too many connections of this client's group");
@@ -217,7 +216,7 @@
       return;
     case Login::Step::DeriveKey:
       // Costs milliseconds, so it runs on a worker thread; the ticket cancels the callback.
-      passwordWork_ = owner_.workers_.run(login_->keyDerivation(), [this](const std::string& derived) {
+      passwordWork_ = services_.workers.run(login_->keyDerivation(), [this](const std::string& derived) {
         passwordWork_.reset();
         partialMessageSince_.reset();  // what waits behind is looked at next
         applyLoginStep(login_->onKeyDerived(derived));
@@ -240,9 +239,9 @@
     append(output(), postgres2::authenticationOk() +
                          postgres2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
                          postgres2::ready());
-  lastActive_ = owner_.engine_.now();
+  lastActive_ = services_.engine.now();
   onSettingsChanged();
-  if (owner_.admission_) owner_.admission_->connectionIdle(permit_);
+  if (services_.admission) services_.admission->connectionIdle(permit_);
   resumeOrDrain();
 }
 
--- a/src/frontend/postgres/session_messages.cpp
+++ b/src/frontend/postgres/session_messages.cpp
@@ -1,7 +1,6 @@
 // The messages of a session after its startup: framing in version 3 and 2, the extended protocol.
 #include <algorithm>
 
-#include "frontend/postgres/clients.hpp"
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
 #include "protocol/postgres/pg.hpp"
@@ -23,7 +22,7 @@
 
 void Session::rejectMessageType(char type) {
   const char* text = "a message that is not supported here";
-  if (!owner_.config_.extended)
+  if (!services_.config.extended)
     text = "only simple queries are spoken here";
   else if (type == 'F')
     text = "function calls are not supported here";
@@ -40,7 +39,7 @@
     reject("08P01", "a message's length is out of range", true);
     return false;
   }
-  const std::string_view accepted = owner_.config_.extended ? kExtendedTypes : kSimpleTypes;
+  const std::string_view accepted = services_.config.extended ? kExtendedTypes : kSimpleTypes;
   if (accepted.find(head->type) == std::string_view::npos) {
     rejectMessageType(head->type);
     return false;
@@ -133,8 +132,8 @@
     return reject("53200", "too many prepared statements at once", true);
   if (execution) return execute(*execution);
   releaseMessage();
-  if (owner_.admission_ && awaitingSync_) owner_.admission_->connectionBusy(permit_);
-  if (owner_.admission_ && !awaitingSync_) owner_.admission_->connectionIdle(permit_);
+  if (services_.admission && awaitingSync_) services_.admission->connectionBusy(permit_);
+  if (services_.admission && !awaitingSync_) services_.admission->connectionIdle(permit_);
   if (type == 'S') resumeOrDrain();
 }
 
--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -1,7 +1,6 @@
 // The requests of a session: from a statement to the engine, and from the answer to the client.
 #include <algorithm>
 
-#include "frontend/postgres/clients.hpp"
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
 #include "logging/log.hpp"
@@ -98,21 +97,18 @@
   // The client may have sent its request and left before it was accepted or read; libevent reports the end
   // only after the bytes before it.
   if (clientDisconnected()) return startLingeringClose();
-  // Data servers tell requests apart by this id, so only one at a time may bear it.
   std::string name(comment.id);
-  if (owner_.openRequestIds_.count(name) > 0)
-    return reject("42710", "this id is that of an open request", false);
-  const auto& classes = owner_.config_.classes;
+  if (!owner_.reserveRequestName(name)) return reject("42710", "this id is that of an open request", false);
+  request_.name = std::move(name);
+  const auto& classes = services_.config.classes;
   const auto requestClass = std::find(classes.begin(), classes.end(), comment.className);
   if (requestClass == classes.end()) return reject("42704", "unknown class", false);
   const auto classIndex = static_cast<std::size_t>(requestClass - classes.begin());
 
-  const Time now = owner_.engine_.now();
+  const Time now = services_.engine.now();
   const balancer::Request request = makeRequest(comment, classIndex, statement.get());
   RequestMessage message = makeMessage(comment, tailOffset, std::move(statement));
-  owner_.openRequestIds_.insert(name);
-  request_.name = std::move(name);
-  if (owner_.admission_) owner_.admission_->connectionBusy(permit_);
+  if (services_.admission) services_.admission->connectionBusy(permit_);
   request_.id = owner_.request(*this, request, std::move(message), permit_);
   if (tracing())
     logEvent(
@@ -126,16 +122,16 @@
   request.classIndex = static_cast<int>(classIndex);
   request.group = comment.cluster;
   // The client's time runs from its last byte, also while the request waits behind others here.
-  Time allowed = owner_.config_.settings.classes[classIndex].deadline;
+  Time allowed = services_.config.settings.classes[classIndex].deadline;
   if (comment.timeLeftLength > 0)
     allowed = std::chrono::milliseconds(std::min(comment.timeLeftMs, kMaxClientDeadlineMs));
-  request.deadline = std::min(messageReceivedAt_ + allowed, owner_.answerBy_);
+  request.deadline = std::min(messageReceivedAt_ + allowed, owner_.latestDeadline());
   if (comment.after > 0) {
-    const double nowMs = static_cast<double>(owner_.engine_.unixNow().count()) / 1e3;
+    const double nowMs = static_cast<double>(services_.engine.unixNow().count()) / 1e3;
     const auto ageMs = static_cast<float>(nowMs - static_cast<double>(comment.after));
     request.sessionTokenAgeMs = std::max(kMinSessionTokenAgeMs, ageMs);
   }
-  if (!owner_.config_.sessions) return request;
+  if (!services_.config.sessions) return request;
   char start[kMaxStart];
   const auto length = std::max<ev_ssize_t>(evbuffer_copyout(statement, start, sizeof start), 0);
   const std::string_view key = postgres::parseKey({start, static_cast<std::size_t>(length)});
@@ -148,8 +144,8 @@
 RequestMessage Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
                                     Buffer statement) const {
   RequestMessage message{newBuffer(), std::move(statement), sharedSettings_, {}, {}};
-  message.clockOffset = owner_.engine_.clockOffset();
-  if (owner_.config_.store) {
+  message.clockOffset = services_.engine.clockOffset();
+  if (services_.config.store) {
     message.id = std::string(comment.id);
     message.key = std::string(comment.key);
   }
@@ -164,7 +160,7 @@
 
 void Session::served(Answer answer) {
   request_.id.reset();
-  if (owner_.admission_) owner_.admission_->connectionServed(permit_);
+  if (services_.admission) services_.admission->connectionServed(permit_);
   writeAnswer(std::move(answer));
   finishRequest();
 }
@@ -239,18 +235,18 @@
 void Session::finishRequest() {
   releaseRequestName();
   releaseMessage();
-  lastActive_ = owner_.engine_.now();
+  lastActive_ = services_.engine.now();
   partialMessageSince_.reset();  // what waits behind is looked at next
   if (!request_.extended) append(output(), codec_->ready());
   request_ = {};
   if (clientSettings_.bytea) request_.format.bytea = clientSettings_.bytea;
   // Within a batch it is not idle yet: Sync and ReadyForQuery are still to come.
-  if (owner_.admission_ && !awaitingSync_) owner_.admission_->connectionIdle(permit_);
+  if (services_.admission && !awaitingSync_) services_.admission->connectionIdle(permit_);
   resumeOrDrain();
 }
 
 void Session::releaseRequestName() {
-  if (!request_.name.empty()) owner_.openRequestIds_.erase(request_.name);
+  if (!request_.name.empty()) owner_.releaseRequestName(request_.name);
   request_.name.clear();
 }
 
