--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -31,9 +31,9 @@
       services_(owner.services()),
       descriptor_(services_.budget, DescriptorHolder::Clients),
       bev_(bufferevent_socket_new(services_.base, fd, BEV_OPT_CLOSE_ON_FREE)),
-      from_(from),
-      awaitingProxyHeader_(awaitProxyHeader),
-      codec_(&kVersion30) {
+      client_{from, {}, {}} {
+  startup_.awaitingProxyHeader = awaitProxyHeader;
+  protocol_.codec = &kVersion30;
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   bufferevent_setcb(
@@ -53,8 +53,8 @@
 Session::~Session() {
   evbuffer_remove_cb(input(), onInputChanged, this);
   if (request_.id) owner_.cancelRequest(*request_.id);
-  if (services_.admission) services_.admission->connectionClosed(permit_);
-  services_.budget.releaseBytes(preparedReservation_);
+  if (services_.admission) services_.admission->connectionClosed(client_.permit);
+  services_.budget.releaseBytes(extended_.reservation);
   owner_.onSessionDestroyed(*this);
   releaseRequestName();
   releaseMessage();
@@ -63,14 +63,14 @@
 // ---- admission ----------------------------------------------------------------------------------------
 
 void Session::requestAdmission() {
-  const AdmissionDecision decision = services_.admission->connectionArrived(*this, from_);
-  permit_ = decision.permit;
-  retryAfter_ = decision.retryAfter;
-  owner_.setUnadmitted(*this, !permit_);
+  const AdmissionDecision decision = services_.admission->connectionArrived(*this, client_.address);
+  client_.permit = decision.permit;
+  client_.retryAfter = decision.retryAfter;
+  owner_.setUnadmitted(*this, !client_.permit);
 }
 
 void Session::evict() {
-  permit_.reset();
+  client_.permit.reset();
   owner_.setUnadmitted(*this, true);
   beginDrain();  // a request may have just arrived
 }
@@ -88,11 +88,11 @@
 bool Session::mayLeaveUnadmitted(Time now) {
   if (now - lastActive_ < kNewClientGrace || hasUnreadInput()) return false;
   if (closeState_ == CloseState::Lingering) return evbuffer_get_length(output()) == 0;
-  return !closing() && version_ == ProtocolVersion::Unknown;
+  return !closing() && protocol_.version == ProtocolVersion::Unknown;
 }
 
 bool Session::idle() {
-  return !request_.id && !closing() && !awaitingSync_ && evbuffer_get_length(input()) == 0;
+  return !request_.id && !closing() && !extended_.awaitingSync && evbuffer_get_length(input()) == 0;
 }
 
 // ---- closing ------------------------------------------------------------------------------------------
@@ -104,9 +104,13 @@
   if (evbuffer_get_length(output()) == 0) shutdownSending();  // else onFlushed() does
 }
 
+void Session::startDraining() {
+  if (closeState_ == CloseState::Open) closeState_ = CloseState::Draining;
+}
+
 void Session::beginDrain() {
-  draining_ = true;
-  if (request_.id || awaitingSync_ || closing() || evbuffer_get_length(output()) > 0) return;
+  startDraining();
+  if (request_.id || extended_.awaitingSync || closing() || evbuffer_get_length(output()) > 0) return;
   // One that has only just connected has had no time to send anything; checkIdleTimeout() closes it later.
   if (!firstRequestReceived_ && services_.engine.now() - lastActive_ < kNewClientGraceInDrain) return;
   // A request that crosses the close and is not read is repeated by its client; one that has arrived is not.
@@ -119,7 +123,7 @@
 
 void Session::failOutstanding() {
   if (closing()) return;
-  draining_ = true;
+  startDraining();
   setReading(false);
   if (!request_.id) return scheduleRead();
   owner_.cancelRequest(*request_.id);
@@ -135,7 +139,7 @@
 
 void Session::startLingeringClose() {
   releaseMessage();
-  login_.reset();
+  startup_.login.reset();
   closeState_ = CloseState::Lingering;
   lastActive_ = services_.engine.now();
   setReading(true);
@@ -145,8 +149,8 @@
 void Session::discardInput() {
   const std::size_t length = evbuffer_get_length(input());
   evbuffer_drain(input(), length);
-  discardedBytes_ += length;
-  if (discardedBytes_ > kMaxLingerBytes) owner_.onSessionClosed(*this);
+  inputState_.discarded += length;
+  if (inputState_.discarded > kMaxLingerBytes) owner_.onSessionClosed(*this);
 }
 
 // A fatal error closes the connection: the rest of its input cannot be interpreted. Otherwise nothing more is
@@ -155,8 +159,8 @@
 void Session::reject(const char* code, std::string_view text, bool fatal) {
   writeError(problem(fatal ? "FATAL" : "ERROR", code, text));
   // A failed login is logged by itself.
-  if (std::string_view(code) != kInvalidPassword) owner_.logRejection(code, text, from_);
-  readingPaused_ = true;
+  if (std::string_view(code) != kInvalidPassword) owner_.logRejection(code, text, client_.address);
+  inputState_.paused = true;
   if (!fatal) return finishRequest();
   startLingeringClose();
 }
@@ -174,7 +178,7 @@
 
 // While a key is derived the input waits, whatever it holds.
 bool Session::hasPartialMessage() {
-  return partialMessageSince_ && !passwordWork_ && evbuffer_get_length(input()) > 0;
+  return inputState_.partialMessageSince && !startup_.passwordWork && evbuffer_get_length(input()) > 0;
 }
 
 bool Session::mayHoldRequest() {
@@ -187,28 +191,30 @@
 }
 
 bool Session::checkIdleTimeout(Time now) {
-  if (readingPaused_ && !closing() && evbuffer_get_length(input()) > 0) scheduleRead();
-  readingPaused_ = false;
+  if (inputState_.paused && !closing() && evbuffer_get_length(input()) > 0) scheduleRead();
+  inputState_.paused = false;
   const bool flushed = evbuffer_get_length(output()) == 0;
   // A client that does not read its last output is closed by the write timeout.
   if (closeState_ == CloseState::Lingering && flushed) return now - lastActive_ < kLingerTime;
   if (request_.id || closing() || !flushed) return true;
-  if (draining_ && !awaitingSync_ && now - lastActive_ >= kNewClientGraceInDrain && !hasUnreadInput())
+  if (draining() && !extended_.awaitingSync && now - lastActive_ >= kNewClientGraceInDrain &&
+      !hasUnreadInput())
     return false;
   if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQuery) return false;
-  return !partialMessageSince_ || now - *partialMessageSince_ < services_.config.halfMessage;
+  return !inputState_.partialMessageSince ||
+         now - *inputState_.partialMessageSince < services_.config.halfMessage;
 }
 
 void Session::onIdleTimeout() {
   if (closeState_ == CloseState::Lingering) return owner_.onSessionClosed(*this);
-  if (!partialMessageSince_ || evbuffer_get_length(input()) == 0) return beginClose();
+  if (!inputState_.partialMessageSince || evbuffer_get_length(input()) == 0) return beginClose();
   reject("08P01", "a message that was begun and not finished in time", true);
 }
 
 // While reading is off libevent does not report the client's end; Clients polls for it then.
 void Session::setReading(bool on) {
-  if (on == reading_) return;
-  reading_ = on;
+  if (on == inputState_.reading) return;
+  inputState_.reading = on;
   (on ? bufferevent_enable : bufferevent_disable)(bev_.get(), EV_READ);
   owner_.watchForDisconnect(*this, !on);
 }
@@ -220,18 +226,18 @@
 void Session::onFlushed() {
   if (closing()) return shutdownSending();
   onReadable();  // what was left while the client did not read its answers
-  if (draining_) beginDrain();
+  if (draining()) beginDrain();
 }
 
 // ---- reading ------------------------------------------------------------------------------------------
 
 void Session::onInputChanged(evbuffer*, const evbuffer_cb_info* change, void* session) {
   auto& self = *static_cast<Session*>(session);
-  self.inputTimestamps_.onConsumed(change->n_deleted);
-  const std::size_t limit = std::max(kReadAhead, self.messageReservation_);
+  self.inputState_.timestamps.onConsumed(change->n_deleted);
+  const std::size_t limit = std::max(kReadAhead, self.inputState_.messageReservation);
   const bool full = change->orig_size + change->n_added >= limit;
   if (change->n_added > 0)
-    self.inputTimestamps_.onReceived(change->n_added, self.services_.engine.now(), full);
+    self.inputState_.timestamps.onReceived(change->n_added, self.services_.engine.now(), full);
 }
 
 void Session::scheduleRead() {
@@ -242,32 +248,33 @@
 void Session::resumeOrDrain() {
   if (evbuffer_get_length(input()) > 0 || pastAnswerDeadline())
     scheduleRead();
-  else if (draining_ || owner_.shutdownPhase() >= ShutdownPhase::ClosingIdle)
+  else if (draining() || owner_.shutdownPhase() >= ShutdownPhase::ClosingIdle)
     beginDrain();
 }
 
 // Processes one message; false if it is not complete, or no further one may be taken.
 bool Session::readMessage() {
-  if (awaitingProxyHeader_) return readProxyHeader();
-  if (version_ == ProtocolVersion::Unknown) return readStartup();
-  if (login_) return readLogin();
-  return version_ == ProtocolVersion::Version3 ? readMessageV3() : readMessageV2();
+  if (startup_.awaitingProxyHeader) return readProxyHeader();
+  if (protocol_.version == ProtocolVersion::Unknown) return readStartup();
+  if (startup_.login) return readLogin();
+  return protocol_.version == ProtocolVersion::Version3 ? readMessageV3() : readMessageV2();
 }
 
 void Session::onReadable() {
   if (closing()) return discardInput();
-  while (!request_.id && !closing() && !readingPaused_ && evbuffer_get_length(output()) < kMaxUnsentOutput) {
+  while (!request_.id && !closing() && !inputState_.paused &&
+         evbuffer_get_length(output()) < kMaxUnsentOutput) {
     if (!readMessage()) break;
-    partialMessageSince_.reset();
+    inputState_.partialMessageSince.reset();
   }
   if (closing()) return;
   const std::size_t left = evbuffer_get_length(input());
   if (pastAnswerDeadline()) return rejectRemainder(left);
   // libevent calls back again and again while the input stands at its high watermark, so reading is off
   // there.
-  const bool belowWatermark = left < std::max(kReadAhead, messageReservation_);
-  if (!partialMessageSince_ && left > 0)
-    partialMessageSince_ = belowWatermark ? partialMessageStart() : services_.engine.now();
+  const bool belowWatermark = left < std::max(kReadAhead, inputState_.messageReservation);
+  if (!inputState_.partialMessageSince && left > 0)
+    inputState_.partialMessageSince = belowWatermark ? partialMessageStart() : services_.engine.now();
   setReading(belowWatermark);
 }
 
@@ -275,7 +282,7 @@
 // else.
 void Session::rejectRemainder(std::size_t length) {
   setReading(false);
-  if (request_.id || readingPaused_ || evbuffer_get_length(output()) >= kMaxUnsentOutput) return;
+  if (request_.id || inputState_.paused || evbuffer_get_length(output()) >= kMaxUnsentOutput) return;
   if (length > 0)
     reject("57P01", "the proxy is shutting down", true);
   else
@@ -286,7 +293,7 @@
 // of it is still in the system has kRestOfMessageTime to be read.
 Time Session::partialMessageStart() const {
   const Time allowed = std::max(services_.config.halfMessage - kRestOfMessageTime, Time(0));
-  return std::max(inputTimestamps_.receivedAt(1), services_.engine.now() - allowed);
+  return std::max(inputState_.timestamps.receivedAt(1), services_.engine.now() - allowed);
 }
 
 std::string_view Session::pull(std::size_t length) {
@@ -298,25 +305,25 @@
 
 // Held from the head of a long message to its answer.
 bool Session::reserveMessage(std::size_t length) {
-  if (length <= kReadAhead || messageReservation_ > 0) return true;
+  if (length <= kReadAhead || inputState_.messageReservation > 0) return true;
   if (!services_.budget.reserveBytes(length)) return false;
-  messageReservation_ = length;
+  inputState_.messageReservation = length;
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, length);
   return true;
 }
 
 void Session::releaseMessage() {
-  if (messageReservation_ == 0) return;
-  services_.budget.releaseBytes(messageReservation_);
-  messageReservation_ = 0;
+  if (inputState_.messageReservation == 0) return;
+  services_.budget.releaseBytes(inputState_.messageReservation);
+  inputState_.messageReservation = 0;
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
 }
 
 bool Session::reservePrepared(std::size_t bytes) {
-  const std::size_t held = preparedReservation_;
+  const std::size_t held = extended_.reservation;
   if (bytes > held && !services_.budget.reserveBytes(bytes - held)) return false;
   if (bytes < held) services_.budget.releaseBytes(held - bytes);
-  preparedReservation_ = bytes;
+  extended_.reservation = bytes;
   return true;
 }
 
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -52,7 +52,7 @@
   // version it speaks.
   void requestAdmission();
   // Told to a rejected client.
-  Time retryAfter() const { return retryAfter_; }
+  Time retryAfter() const { return client_.retryAfter; }
   void evict() override;
 
   void served(Answer) override;
@@ -61,12 +61,12 @@
   // A CancelRequest bore this session's key: the current request is cancelled, with an error as its answer.
   void onCancelRequest();
 
-  const postgres::Key& key() const { return key_; }
+  const postgres::Key& key() const { return protocol_.cancelKey; }
   bool hasSentRequest() const { return firstRequestReceived_; }
   evutil_socket_t socket() const;
   EvictionPriority evictionPriority(Time now);
   Time lastActive() const { return lastActive_; }
-  bool closing() const { return closeState_ != CloseState::Open; }
+  bool closing() const { return closeState_ >= CloseState::Closing; }
   // Without a permit: whether it has had its error for a while, or has said nothing for as long.
   bool mayLeaveUnadmitted(Time now);
 
@@ -97,9 +97,47 @@
   enum class ProtocolVersion { Unknown, Version2, Version3 };  // Unknown: before the startup message
   enum class CloseState {
     Open,
+    Draining,  // closes once it has answered what has been received
     Closing,   // the output is still to be sent
     Lingering  // input is discarded until the client closes
   };
+  // Who the client is, and whether it is admitted.
+  struct Client {
+    Address address;  // as the connection or a PROXY header tells it
+    std::optional<PermitId> permit;
+    Time retryAfter{};  // of a rejection
+  };
+  // Until the login has succeeded.
+  struct Startup {
+    bool awaitingProxyHeader = false;
+    std::string user;
+    std::unique_ptr<Login> login;  // null: none is going on
+    WorkerPool::Ticket passwordWork;
+  };
+  // What the startup has settled.
+  struct Protocol {
+    ProtocolVersion version = ProtocolVersion::Unknown;
+    const translation::ClientCodec* codec = nullptr;
+    postgres::Key cancelKey;
+    translation::SessionSettings settings;
+    // `settings`, where they differ from what data servers assume; else null.
+    std::shared_ptr<const translation::SessionSettings> sharedSettings;
+  };
+  struct ExtendedProtocol {
+    std::unique_ptr<PreparedStatements> prepared;  // from the first message of the extended protocol on
+    std::size_t reservation = 0;                   // bytes in the budget, for `prepared`
+    bool skippingUntilSync = false;                // after an error
+    bool awaitingSync = false;
+  };
+  struct InputState {
+    bool reading = true;                 // EV_READ is enabled; else the owner polls for the client's end
+    bool paused = false;                 // until the next idle sweep, after an error of the client
+    std::size_t messageReservation = 0;  // bytes in the budget, for the message at the input's front
+    std::size_t discarded = 0;           // bytes, while lingering
+    InputTimestamps timestamps;
+    Time messageReceivedAt{};  // the last byte of the message that is processed
+    std::optional<Time> partialMessageSince;
+  };
   // The request that the client waits for, and how its answer has to look.
   struct CurrentRequest {
     std::optional<RequestId> id;  // of the engine or the AdmissionController
@@ -116,6 +154,8 @@
   bool hasSocketInput() const;
   std::string_view pull(std::size_t length);  // the first bytes of the input, made contiguous
   bool idle();
+  bool draining() const { return closeState_ == CloseState::Draining; }
+  void startDraining();
   bool pastAnswerDeadline() const { return owner_.shutdownPhase() == ShutdownPhase::AnswerDeadlinePast; }
 
   static void onInputChanged(evbuffer*, const evbuffer_cb_info*, void* session);
@@ -187,40 +227,15 @@
   const SessionServices& services_;
   ResourceBudget::DescriptorPermit descriptor_;
   BufferEvent bev_;
-  Address from_;  // of the client, which a PROXY header may tell
-
-  std::optional<PermitId> permit_;
-  bool awaitingProxyHeader_;
-  Time retryAfter_{};  // of the rejection
-
-  ProtocolVersion version_ = ProtocolVersion::Unknown;
-  const translation::ClientCodec* codec_;
-  postgres::Key key_;
-  std::string user_;
-  std::unique_ptr<Login> login_;  // until it has succeeded
-  WorkerPool::Ticket passwordWork_;
-  translation::SessionSettings clientSettings_;
-  // clientSettings_, where they differ from what data servers assume.
-  std::shared_ptr<const translation::SessionSettings> sharedSettings_;
-
-  std::unique_ptr<PreparedStatements> prepared_;  // from the first message of the extended protocol on
-  bool skippingUntilSync_ = false;                // after an error in the extended protocol
-  bool awaitingSync_ = false;
+  Client client_;
+  Startup startup_;
+  Protocol protocol_;
+  ExtendedProtocol extended_;
   CurrentRequest request_;
+  InputState inputState_;
   bool firstRequestReceived_ = false;
-
   CloseState closeState_ = CloseState::Open;
-  bool draining_ = false;
-  bool readingPaused_ = false;  // until the next idle sweep, after an error of the client
-  bool reading_ = true;         // EV_READ is enabled; else the owner polls for the client's end
-
-  std::size_t messageReservation_ = 0;   // bytes, for the message at the input's front
-  std::size_t preparedReservation_ = 0;  // bytes, for prepared statements
-  std::size_t discardedBytes_ = 0;
-  InputTimestamps inputTimestamps_;
-  Time messageReceivedAt_{};  // the last byte of the message that is processed
-  Time lastActive_{};         // connected, greeted, or given its last answer
-  std::optional<Time> partialMessageSince_;
+  Time lastActive_{};  // connected, greeted, or given its last answer
 };
 
 }  // namespace sablespur
--- a/src/frontend/postgres/session_handshake.cpp
+++ b/src/frontend/postgres/session_handshake.cpp
@@ -31,8 +31,8 @@
   }
   if (header.length == 0) return false;
   evbuffer_drain(input(), header.length);
-  awaitingProxyHeader_ = false;
-  if (header.client) from_ = *header.client;
+  startup_.awaitingProxyHeader = false;
+  if (header.client) client_.address = *header.client;
   owner_.setUnadmitted(*this, false);
   requestAdmission();
   return true;
@@ -94,9 +94,9 @@
         name == "standard_conforming_strings" || name == "bytea_output" || name == "client_encoding";
     std::optional<std::string> error;
     if (name == "options")
-      error = translation::applyOptions(clientSettings_, value);
+      error = translation::applyOptions(protocol_.settings, value);
     else if (known)
-      error = translation::apply(clientSettings_, name, value);
+      error = translation::apply(protocol_.settings, name, value);
     if (!error) continue;
     reject("22023", *error, true);
     return false;
@@ -114,24 +114,24 @@
   const int minor = postgres::agreedMinor(startup->minor);
   if (minor != startup->minor || !startup->extensions.empty())
     append(output(), postgres::negotiate(minor, startup->extensions));
-  version_ = ProtocolVersion::Version3;
-  if (minor > 0) codec_ = &kVersion32;
+  protocol_.version = ProtocolVersion::Version3;
+  if (minor > 0) protocol_.codec = &kVersion32;
   authenticate(startup->user);
   return !closing();
 }
 
 bool Session::startVersion2(std::string_view packet) {
-  codec_ = &kVersion20;
+  protocol_.codec = &kVersion20;
   const auto startup = postgres2::parseStartup(packet);
   // Servers of that time knew no standard_conforming_strings and no hexadecimal bytea.
-  clientSettings_.backslashes = true;
-  clientSettings_.bytea = translation::ByteaForm::Escape;
-  const auto error = startup ? translation::applyOptions(clientSettings_, startup->options) : std::nullopt;
+  protocol_.settings.backslashes = true;
+  protocol_.settings.bytea = translation::ByteaForm::Escape;
+  const auto error = startup ? translation::applyOptions(protocol_.settings, startup->options) : std::nullopt;
   if (!startup || error) {
     reject("08P01", error ? *error : "malformed startup packet", true);
     return false;
   }
-  version_ = ProtocolVersion::Version2;
+  protocol_.version = ProtocolVersion::Version2;
   authenticate(startup->user);
   return !closing();
 }
@@ -140,26 +140,28 @@
   const bool password = wantsPassword(services_.config);
   // A client that was rejected by its address may still be admitted by its name, once that is proved.
   const bool mayBeAdmittedLater = password && services_.admission && services_.admission->admitsByUser();
-  if (services_.admission && !permit_ && !mayBeAdmittedLater && !ensureAdmitted()) return;
+  if (services_.admission && !client_.permit && !mayBeAdmittedLater && !ensureAdmitted()) return;
   if (!password) return completeStartup();
-  user_ = user;
+  startup_.user = user;
   std::string why;
-  login_ = createLogin(services_.config, *owner_.users(), user, version_ == ProtocolVersion::Version2, why);
-  if (!login_) return reject("28000", why, true);
-  append(output(), login_->initialRequest());
+  startup_.login = createLogin(services_.config, *owner_.users(), user,
+                               protocol_.version == ProtocolVersion::Version2, why);
+  if (!startup_.login) return reject("28000", why, true);
+  append(output(), startup_.login->initialRequest());
 }
 
 bool Session::ensureAdmitted() {
   if (!services_.admission) return true;
-  if (!user_.empty() || permit_) {
-    const AdmissionDecision decision = services_.admission->userAuthenticated(*this, permit_, from_, user_);
-    permit_ = decision.permit;
-    if (decision.retryAfter > Time(0)) retryAfter_ = decision.retryAfter;
-    owner_.setUnadmitted(*this, !permit_);
+  if (!startup_.user.empty() || client_.permit) {
+    const AdmissionDecision decision =
+        services_.admission->userAuthenticated(*this, client_.permit, client_.address, startup_.user);
+    client_.permit = decision.permit;
+    if (decision.retryAfter > Time(0)) client_.retryAfter = decision.retryAfter;
+    owner_.setUnadmitted(*this, !client_.permit);
   }
-  if (permit_) return true;
+  if (client_.permit) return true;
   translation::ErrorReport error = problem("FATAL", "53300", "too many connections of this client's group");
-  error.retryAfterMs = retryAfterMs(retryAfter_).value_or(1);
+  error.retryAfterMs = retryAfterMs(client_.retryAfter).value_or(1);
   writeError(error);
   startLingeringClose();
   return false;
@@ -198,10 +200,10 @@
 
 // A password, or a SCRAM message.
 bool Session::readLogin() {
-  if (passwordWork_) return false;
-  const auto response = version_ == ProtocolVersion::Version2 ? readPasswordV2() : readPasswordV3();
+  if (startup_.passwordWork) return false;
+  const auto response = protocol_.version == ProtocolVersion::Version2 ? readPasswordV2() : readPasswordV3();
   if (!response) return false;
-  applyLoginStep(login_->onResponse(*response));
+  applyLoginStep(startup_.login->onResponse(*response));
   return !closing();
 }
 
@@ -211,45 +213,48 @@
     case Login::Step::Continue:
       return;
     case Login::Step::Accept:
-      login_.reset();
+      startup_.login.reset();
       if (ensureAdmitted()) completeStartup();
       return;
     case Login::Step::DeriveKey:
       // Costs milliseconds, so it runs on a worker thread; the ticket cancels the callback.
-      passwordWork_ = services_.workers.run(login_->keyDerivation(), [this](const std::string& derived) {
-        passwordWork_.reset();
-        partialMessageSince_.reset();  // what waits behind is looked at next
-        applyLoginStep(login_->onKeyDerived(derived));
-        if (!closing()) scheduleRead();
-      });
-      if (!passwordWork_) reject("53300", "too many logins at once", true);
+      startup_.passwordWork =
+          services_.workers.run(startup_.login->keyDerivation(), [this](const std::string& derived) {
+            startup_.passwordWork.reset();
+            inputState_.partialMessageSince.reset();  // what waits behind is looked at next
+            applyLoginStep(startup_.login->onKeyDerived(derived));
+            if (!closing()) scheduleRead();
+          });
+      if (!startup_.passwordWork) reject("53300", "too many logins at once", true);
       return;
     case Login::Step::Reject:
-      const std::string user = user_.substr(0, kMaxLoggedUserName);
+      const std::string user = startup_.user.substr(0, kMaxLoggedUserName);
       logEvent(LogLevel::Warning, "login_failed", {{"user", user}});
       return reject("28P01", "password authentication failed for user \"" + user + "\"", true);
   }
 }
 
 void Session::completeStartup() {
-  key_ = owner_.newKey(*this, codec_ == &kVersion32 ? postgres::kLongKey : postgres::kShortKey);
-  if (version_ == ProtocolVersion::Version3)
-    append(output(), postgres::loginComplete(key_, clientSettings_.backslashes));
+  protocol_.cancelKey =
+      owner_.newKey(*this, protocol_.codec == &kVersion32 ? postgres::kLongKey : postgres::kShortKey);
+  if (protocol_.version == ProtocolVersion::Version3)
+    append(output(), postgres::loginComplete(protocol_.cancelKey, protocol_.settings.backslashes));
   else
     append(output(), postgres2::authenticationOk() +
-                         postgres2::keyData({key_.process, postgres::readInt32(key_.secret.data())}) +
+                         postgres2::keyData({protocol_.cancelKey.process,
+                                             postgres::readInt32(protocol_.cancelKey.secret.data())}) +
                          postgres2::ready());
   lastActive_ = services_.engine.now();
   onSettingsChanged();
-  if (services_.admission) services_.admission->connectionIdle(permit_);
+  if (services_.admission) services_.admission->connectionIdle(client_.permit);
   resumeOrDrain();
 }
 
 void Session::onSettingsChanged() {
-  sharedSettings_ = clientSettings_.backslashes
-                        ? std::make_shared<const translation::SessionSettings>(clientSettings_)
-                        : nullptr;
-  request_.format.bytea = clientSettings_.bytea;
+  protocol_.sharedSettings = protocol_.settings.backslashes
+                                 ? std::make_shared<const translation::SessionSettings>(protocol_.settings)
+                                 : nullptr;
+  request_.format.bytea = protocol_.settings.bytea;
 }
 
 }  // namespace sablespur
--- a/src/frontend/postgres/session_messages.cpp
+++ b/src/frontend/postgres/session_messages.cpp
@@ -51,7 +51,7 @@
   }
   if (evbuffer_get_length(input()) < length) return false;
   markFirstRequest();
-  messageReceivedAt_ = inputTimestamps_.receivedAt(length);
+  inputState_.messageReceivedAt = inputState_.timestamps.receivedAt(length);
   if (head->type == 'X') {
     evbuffer_drain(input(), length);
     beginClose();
@@ -67,13 +67,13 @@
 }
 
 void Session::readSimpleQuery(std::size_t length) {
-  if (skippingUntilSync_) {
+  if (extended_.skippingUntilSync) {
     evbuffer_drain(input(), length);
     return releaseMessage();
   }
   Buffer statement = newBuffer();
   evbuffer_remove_buffer(input(), statement.get(), length);
-  if (prepared_) prepared_->onSimpleQuery();
+  if (extended_.prepared) extended_.prepared->onSimpleQuery();
   submitStatement(std::move(statement));
 }
 
@@ -104,7 +104,7 @@
   }
   markFirstRequest();
   const auto length = static_cast<std::size_t>(end.pos);  // of the text and its NUL, without the type
-  messageReceivedAt_ = inputTimestamps_.receivedAt(length + 1);
+  inputState_.messageReceivedAt = inputState_.timestamps.receivedAt(length + 1);
   evbuffer_drain(input(), 1);
   Buffer statement = newBuffer();
   evbuffer_remove_buffer(input(), statement.get(), length);
@@ -123,50 +123,50 @@
 // Removes the message from the input.
 void Session::handleExtended(char type, std::string_view body) {
   const std::size_t length = postgres::kHeaderSize + body.size();
-  if (!prepared_) prepared_ = std::make_unique<PreparedStatements>();
-  awaitingSync_ = type != 'S';
+  if (!extended_.prepared) extended_.prepared = std::make_unique<PreparedStatements>();
+  extended_.awaitingSync = type != 'S';
   const auto execution = applyExtended(type, body);
   evbuffer_drain(input(), length);
   // Prepared statements count against the same budget as long messages.
-  if (!reservePrepared(prepared_->bytes()))
+  if (!reservePrepared(extended_.prepared->bytes()))
     return reject("53200", "too many prepared statements at once", true);
   if (execution) return execute(*execution);
   releaseMessage();
-  if (services_.admission && awaitingSync_) services_.admission->connectionBusy(permit_);
-  if (services_.admission && !awaitingSync_) services_.admission->connectionIdle(permit_);
+  if (services_.admission && extended_.awaitingSync) services_.admission->connectionBusy(client_.permit);
+  if (services_.admission && !extended_.awaitingSync) services_.admission->connectionIdle(client_.permit);
   if (type == 'S') resumeOrDrain();
 }
 
 // Set: an Execute whose statement is to be run.
 std::optional<PreparedStatements::Execution> Session::applyExtended(char type, std::string_view body) {
-  const bool backslashes = clientSettings_.backslashes;
+  const bool backslashes = protocol_.settings.backslashes;
   std::optional<PreparedStatements::Execution> execution;
   if (type == 'S') {
-    const PreparedStatements::Reply reply = prepared_->sync();
-    if (!skippingUntilSync_) writeReply(reply);
-    skippingUntilSync_ = false;
-    append(output(), codec_->ready());
+    const PreparedStatements::Reply reply = extended_.prepared->sync();
+    if (!extended_.skippingUntilSync) writeReply(reply);
+    extended_.skippingUntilSync = false;
+    append(output(), protocol_.codec->ready());
     return execution;
   }
-  if (skippingUntilSync_) return execution;
+  if (extended_.skippingUntilSync) return execution;
   switch (type) {
     case 'P':
-      writeReply(prepared_->parse(body, backslashes));
+      writeReply(extended_.prepared->parse(body, backslashes));
       break;
     case 'B':
-      writeReply(prepared_->bind(body, backslashes, postgres::kMaxMessage));
+      writeReply(extended_.prepared->bind(body, backslashes, postgres::kMaxMessage));
       break;
     case 'D':
-      writeReply(prepared_->describe(body));
+      writeReply(extended_.prepared->describe(body));
       break;
     case 'C':
-      writeReply(prepared_->close(body));
+      writeReply(extended_.prepared->close(body));
       break;
     case 'E':
-      writeReply(prepared_->execute(body, execution));
+      writeReply(extended_.prepared->execute(body, execution));
       break;
     default:
-      writeReply(prepared_->flush());
+      writeReply(extended_.prepared->flush());
   }
   return execution;
 }
@@ -176,7 +176,7 @@
   request_.sendRowDescription = execution.sendRowDescription;
   request_.maxRows = execution.maxRows;
   request_.format = execution.resultFormat;
-  request_.format.bytea = clientSettings_.bytea;
+  request_.format.bytea = protocol_.settings.bytea;
   Buffer statement = newBuffer();
   append(statement.get(), execution.statement);
   evbuffer_add(statement.get(), "", 1);
--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -72,7 +72,7 @@
 
 void Session::answerEmptyStatement() {
   if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
-  append(output(), codec_->emptyQueryResponse());
+  append(output(), protocol_.codec->emptyQueryResponse());
   finishRequest();
 }
 
@@ -80,15 +80,15 @@
   const auto setting = translation::parseSet(statement);
   if (!setting) return false;
   const auto& [name, value] = *setting;
-  if (const auto error = translation::apply(clientSettings_, name, value)) {
+  if (const auto error = translation::apply(protocol_.settings, name, value)) {
     reject("22023", *error, false);
     return true;
   }
   onSettingsChanged();
   if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
-  append(output(), codec_->commandComplete("SET"));
-  if (name == "standard_conforming_strings" && version_ == ProtocolVersion::Version3)
-    append(output(), postgres::parameterStatus(name, clientSettings_.backslashes ? "off" : "on"));
+  append(output(), protocol_.codec->commandComplete("SET"));
+  if (name == "standard_conforming_strings" && protocol_.version == ProtocolVersion::Version3)
+    append(output(), postgres::parameterStatus(name, protocol_.settings.backslashes ? "off" : "on"));
   finishRequest();
   return true;
 }
@@ -108,8 +108,8 @@
   const Time now = services_.engine.now();
   const balancer::Request request = makeRequest(comment, classIndex, statement.get());
   RequestMessage message = makeMessage(comment, tailOffset, std::move(statement));
-  if (services_.admission) services_.admission->connectionBusy(permit_);
-  request_.id = owner_.request(*this, request, std::move(message), permit_);
+  if (services_.admission) services_.admission->connectionBusy(client_.permit);
+  request_.id = owner_.request(*this, request, std::move(message), client_.permit);
   if (tracing())
     logEvent(
         LogLevel::Trace, "request_accepted",
@@ -125,7 +125,7 @@
   Time allowed = services_.config.settings.classes[classIndex].deadline;
   if (comment.timeLeftLength > 0)
     allowed = std::chrono::milliseconds(std::min(comment.timeLeftMs, kMaxClientDeadlineMs));
-  request.deadline = std::min(messageReceivedAt_ + allowed, owner_.latestDeadline());
+  request.deadline = std::min(inputState_.messageReceivedAt + allowed, owner_.latestDeadline());
   if (comment.after > 0) {
     const double nowMs = static_cast<double>(services_.engine.unixNow().count()) / 1e3;
     const auto ageMs = static_cast<float>(nowMs - static_cast<double>(comment.after));
@@ -143,7 +143,7 @@
 // time that is left.
 RequestMessage Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
                                     Buffer statement) const {
-  RequestMessage message{newBuffer(), std::move(statement), sharedSettings_, {}, {}};
+  RequestMessage message{newBuffer(), std::move(statement), protocol_.sharedSettings, {}, {}};
   message.clockOffset = services_.engine.clockOffset();
   if (services_.config.store) {
     message.id = std::string(comment.id);
@@ -160,7 +160,7 @@
 
 void Session::served(Answer answer) {
   request_.id.reset();
-  if (services_.admission) services_.admission->connectionServed(permit_);
+  if (services_.admission) services_.admission->connectionServed(client_.permit);
   writeAnswer(std::move(answer));
   finishRequest();
 }
@@ -188,16 +188,16 @@
 }
 
 void Session::writeError(const translation::ErrorReport& error) {
-  append(output(), codec_->errorResponse(error));
-  skippingUntilSync_ = request_.extended;
+  append(output(), protocol_.codec->errorResponse(error));
+  extended_.skippingUntilSync = request_.extended;
 }
 
 void Session::writeAnswer(Answer answer) {
   evbuffer* const messages = answer.messages.get();
   if (answer.problem) return writeError(answer.reader->readError(contiguous(messages)));
   const bool fromVersion3 = answer.reader == &postgres::reader();
-  const bool sameForm = version_ == ProtocolVersion::Version3 && fromVersion3 && request_.format.plain() &&
-                        request_.maxRows == 0;
+  const bool sameForm = protocol_.version == ProtocolVersion::Version3 && fromVersion3 &&
+                        request_.format.plain() && request_.maxRows == 0;
   // Where client and data server speak the same form the buffers are moved without being read.
   if (!request_.extended && sameForm) {
     evbuffer_add_buffer(output(), messages);
@@ -210,13 +210,13 @@
     append(output(), postgres::noData());
   if (!sameForm) return translateAnswer(answer, contiguous(messages), columns);
   evbuffer_add_buffer(output(), messages);
-  prepared_->onExecuted(columns, false);
+  extended_.prepared->onExecuted(columns, false);
 }
 
 void Session::translateAnswer(const Answer& answer, std::string_view messages, const std::string& columns) {
   const std::size_t maxLength = 2 * messages.size() + kTranslationAllowance;
-  translation::AnswerConverter conversion(*codec_, request_.format, request_.sendRowDescription, maxLength,
-                                          request_.maxRows);
+  translation::AnswerConverter conversion(*protocol_.codec, request_.format, request_.sendRowDescription,
+                                          maxLength, request_.maxRows);
   if (!answer.reader->read(messages, conversion)) {
     const std::string failure = conversion.failure().empty() ? "a malformed answer" : conversion.failure();
     logEvent(LogLevel::Warning, "answer_not_translated", {{"failure", failure}});
@@ -229,19 +229,19 @@
     append(output(), translated);
   if (!request_.extended) return;
   if (conversion.suspended()) append(output(), postgres::portalSuspended());
-  prepared_->onExecuted(columns, conversion.suspended());
+  extended_.prepared->onExecuted(columns, conversion.suspended());
 }
 
 void Session::finishRequest() {
   releaseRequestName();
   releaseMessage();
   lastActive_ = services_.engine.now();
-  partialMessageSince_.reset();  // what waits behind is looked at next
-  if (!request_.extended) append(output(), codec_->ready());
+  inputState_.partialMessageSince.reset();  // what waits behind is looked at next
+  if (!request_.extended) append(output(), protocol_.codec->ready());
   request_ = {};
-  if (clientSettings_.bytea) request_.format.bytea = clientSettings_.bytea;
+  if (protocol_.settings.bytea) request_.format.bytea = protocol_.settings.bytea;
   // Within a batch it is not idle yet: Sync and ReadyForQuery are still to come.
-  if (services_.admission && !awaitingSync_) services_.admission->connectionIdle(permit_);
+  if (services_.admission && !extended_.awaitingSync) services_.admission->connectionIdle(client_.permit);
   resumeOrDrain();
 }
 
