--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -22,23 +22,28 @@
 // A fifth of the 0.1 s after a client's end from which on nothing may begin for it.
 constexpr Time kDisconnectPollInterval = std::chrono::milliseconds(20);
 constexpr Time kRejectionLogInterval = std::chrono::seconds(1);
-// Idle clients that are asked for unread input before one is evicted all the same.
-constexpr std::size_t kMaxEvictionChecks = 8;
+// So many clients that have sent half a message are spared by eviction; more than that is a flood.
+constexpr std::size_t kMaxSparedPartialMessages = 8;
 constexpr std::size_t kProcessNumberLength = 4;
 constexpr std::uint32_t kProcessNumberMask = 0x7fffffff;  // process numbers are positive
 
+struct EvictionCandidate {
+  Session* session = nullptr;
+  EvictionPriority priority = EvictionPriority::Never;
+  Time lastActive{};
+
+  bool outranks(const EvictionCandidate& other) const {
+    return priority != other.priority ? priority > other.priority : lastActive < other.lastActive;
+  }
+};
+
 }  // namespace
 
 Clients::Clients(event_base* base, Engine& engine, RequestHandler& requestHandler, WorkerPool& workers,
                  ResourceBudget& budget, ReservedDescriptor& reserved, AdmissionController* admission,
                  const Config& config)
-    : base_(base),
-      engine_(engine),
+    : services_{base, engine, workers, budget, admission, config},
       requestHandler_(requestHandler),
-      workers_(workers),
-      budget_(budget),
-      admission_(admission),
-      config_(config),
       users_(config.users) {
   Acceptor::ConnectionHandler handler;
   handler.accepted = [this](evutil_socket_t fd, const sockaddr* from) { onAccepted(fd, from); };
@@ -74,13 +79,13 @@
 
 RequestId Clients::request(ResponseHandler& client, const balancer::Request& request, RequestMessage message,
                            std::optional<PermitId> permit) {
-  if (admission_) return admission_->request(client, request, std::move(message), permit);
+  if (services_.admission) return services_.admission->request(client, request, std::move(message), permit);
   return requestHandler_.request(client, request, std::move(message));
 }
 
 void Clients::cancelRequest(RequestId id) {
-  if (admission_)
-    admission_->requestCancelled(id);
+  if (services_.admission)
+    services_.admission->requestCancelled(id);
   else
     requestHandler_.clientDisconnected(id);
 }
@@ -105,11 +110,13 @@
 
 void Clients::onAccepted(evutil_socket_t fd, const sockaddr* from) {
   const Address address = Address::fromSocket(from);
-  const bool awaitProxyHeader = admission_ && admission_->expectsProxyHeader(address);
-  auto session = std::make_unique<Session>(*this, fd, address, awaitProxyHeader);
-  if (admission_ && !awaitProxyHeader) session->requestAdmission();
+  const bool awaitProxyHeader = services_.admission && services_.admission->expectsProxyHeader(address);
+  SessionOwner& owner = *this;  // a private base, which make_unique() cannot convert to
+  auto session = std::make_unique<Session>(owner, fd, address, awaitProxyHeader);
+  if (services_.admission && !awaitProxyHeader) session->requestAdmission();
   // Only so many are held without a permit, to get their error in the version that they speak.
-  if (admission_ && unadmittedSessions_ > admission_->maxUnadmittedConnections())
+  if (services_.admission && unadmitted_.size() > services_.admission->maxUnadmittedConnections() &&
+      !evictUnadmitted())
     return rejectConnection(fd, session->retryAfter());
   Session* const key = session.get();
   sessions_.emplace(key, std::move(session));
@@ -141,11 +148,13 @@
 
 // Without room connections wait in the listener's backlog. An AdmissionController takes every connection, if
 // only to reject it: it keeps to limits of its own.
-bool Clients::hasRoom() { return admission_ || budget_.hasRoom(DescriptorHolder::Clients) || evictOne(); }
+bool Clients::hasRoom() {
+  return services_.admission || services_.budget.hasRoom(DescriptorHolder::Clients) || evictOne();
+}
 
 void Clients::onExhaustion() {
-  if (admission_)
-    admission_->onExhaustion();
+  if (services_.admission)
+    services_.admission->onExhaustion();
   else
     evictOne();
 }
@@ -158,34 +167,48 @@
   return session != nullptr;
 }
 
-// The session of the highest priority, among these the one that was active longest ago. A request may just
-// have arrived, so one with unread input is passed over, a few times at most.
+// The session of the highest priority, among these the one that was active longest ago. One whose input may
+// hold a request is never chosen: the request would be lost. Half a message is no request, but its rest may
+// be on the way, so the first few clients with one are spared too.
 Session* Clients::findEvictable() {
-  const Time now = engine_.now();
-  std::vector<const Session*> withInput;
-  for (;;) {
-    Session* best = nullptr;
-    EvictionPriority highest = EvictionPriority::Idle;
-    for (const auto& [session, owned] : sessions_) {
-      const EvictionPriority priority = session->evictionPriority(now);
-      if (priority < highest) continue;
-      if (std::find(withInput.begin(), withInput.end(), session) != withInput.end()) continue;
-      if (best && priority == highest && session->lastActive() >= best->lastActive()) continue;
-      best = session;
-      highest = priority;
-    }
-    if (!best || highest == EvictionPriority::Closing) return best;
-    if (withInput.size() >= kMaxEvictionChecks || !best->hasUnreadInput()) return best;
-    withInput.push_back(best);
+  const Time now = services_.engine.now();
+  EvictionCandidate best;
+  EvictionCandidate bestPartial;  // among those with half a message
+  std::size_t partialMessages = 0;
+  for (const auto& [session, owned] : sessions_) {
+    const EvictionCandidate candidate{session, session->evictionPriority(now), session->lastActive()};
+    if (candidate.priority == EvictionPriority::Never) continue;
+    const bool closing = candidate.priority == EvictionPriority::Closing;
+    const bool partial = !closing && session->hasPartialMessage();
+    if (partial) ++partialMessages;
+    EvictionCandidate& chosen = partial ? bestPartial : best;
+    if (candidate.outranks(chosen) && (closing || !session->mayHoldRequest())) chosen = candidate;
+  }
+  const bool flood = partialMessages > kMaxSparedPartialMessages;
+  return flood && bestPartial.outranks(best) ? bestPartial.session : best.session;
+}
+
+// Whoever has been told its error, or has been silent since it connected, makes way for one that may have
+// something to say: a CancelRequest, or a startup that shows its version.
+bool Clients::evictUnadmitted() {
+  const Time now = services_.engine.now();
+  Session* longest = nullptr;
+  for (Session* const session : unadmitted_) {
+    if (longest && session->lastActive() >= longest->lastActive()) continue;
+    if (session->mayLeaveUnadmitted(now)) longest = session;
   }
+  if (!longest) return false;
+  if (!longest->closing()) rejectConnection(longest->socket(), longest->retryAfter());
+  sessions_.erase(longest);
+  return true;
 }
 
 // Clients that send one request and keep their connections would use up the descriptors on their side: beyond
 // the configured number the longest idle one is closed for each that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
   ++activeSessions_;
-  if (activeSessions_ <= config_.askingClients || admission_) return;
-  const Time now = engine_.now();
+  if (activeSessions_ <= services_.config.askingClients || services_.admission) return;
+  const Time now = services_.engine.now();
   Session* longestIdle = nullptr;
   for (const auto& [session, owned] : sessions_) {
     if (session == &by || session->evictionPriority(now) != EvictionPriority::Idle) continue;
@@ -196,7 +219,7 @@
 }
 
 void Clients::sweepIdle() {
-  const Time now = engine_.now();
+  const Time now = services_.engine.now();
   std::vector<Session*> timedOut;
   for (const auto& [session, owned] : sessions_)
     if (!session->checkIdleTimeout(now)) timedOut.push_back(session);
@@ -205,7 +228,7 @@
 
 void Clients::logRejection(const char* code, std::string_view why, const Address& from) {
   ++rejectionsSinceLog_;
-  const Time now = engine_.now();
+  const Time now = services_.engine.now();
   if (rejectionLoggedAt_ && now - *rejectionLoggedAt_ < kRejectionLogInterval) return;
   logEvent(LogLevel::Warning, "client_rejected",
            {{"from", from.text()}, {"code", code}, {"why", why}, {"count", rejectionsSinceLog_}});
@@ -241,22 +264,36 @@
   sessions_.erase(&session);
   if (acceptor_)
     acceptor_->resume();
-  else if (draining_ && sessions_.empty())
+  else if (draining() && sessions_.empty())
     done_();
 }
 
+void Clients::onSessionDestroyed(Session& session) {
+  watchForDisconnect(session, false);
+  unadmitted_.erase(&session);
+  keys_.erase(session.key().process);
+  if (session.hasSentRequest()) --activeSessions_;
+}
+
+void Clients::setUnadmitted(Session& session, bool unadmitted) {
+  if (unadmitted)
+    unadmitted_.insert(&session);
+  else
+    unadmitted_.erase(&session);
+}
+
 // ---- shutdown -----------------------------------------------------------------------------------------
 
 void Clients::drain(std::function<void()> done) {
-  if (draining_) return;
-  draining_ = true;
+  if (draining()) return;
+  phase_ = ShutdownPhase::StillAccepting;
   done_ = std::move(done);
-  if (!config_.control.none()) acceptor_->handOverListener();
+  if (!services_.config.control.none()) acceptor_->handOverListener();
   Time longestDeadline{};
-  for (const auto& requestClass : config_.settings.classes)
+  for (const auto& requestClass : services_.config.settings.classes)
     longestDeadline = std::max(longestDeadline, requestClass.deadline);
   const ShutdownTimes times = shutdownTimes(longestDeadline);
-  answerBy_ = engine_.now() + times.answerBy;
+  answerBy_ = services_.engine.now() + times.answerBy;
   startTimer(stopListeningTimer_.get(), times.stopAccepting);
   startTimer(answerDeadlineTimer_.get(), times.answerBy);
   startTimer(exitTimer_.get(), times.exit);
@@ -273,12 +310,13 @@
 void Clients::stopListening() {
   acceptor_->drainBacklog();
   acceptor_.reset();
+  phase_ = std::max(phase_, ShutdownPhase::ClosingIdle);
   for (Session* session : allSessions()) session->beginDrain();
   if (sessions_.empty()) done_();
 }
 
 void Clients::failOutstanding() {
-  pastAnswerDeadline_ = true;
+  phase_ = ShutdownPhase::AnswerDeadlinePast;
   for (Session* session : allSessions()) session->failOutstanding();
 }
 
--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -1,7 +1,6 @@
 // The requests of a session: from a statement to the engine, and from the answer to the client.
 #include <algorithm>
 
-#include "frontend/postgres/clients.hpp"
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
 #include "logging/log.hpp"
@@ -41,9 +40,9 @@
   const auto head = postgres::parseHeader(bytes);
   const std::size_t length = sizeof bytes + head->bodySize;
   const auto* const message = evbuffer_pullup(answer, static_cast<ev_ssize_t>(length));
-  std::string bodySize(reinterpret_cast<const char*>(message) + sizeof bytes, head->bodySize);
+  std::string body(reinterpret_cast<const char*>(message) + sizeof bytes, head->bodySize);
   if (drain) evbuffer_drain(answer, length);
-  return bodySize;
+  return body;
 }
 
 }  // namespace
@@ -55,7 +54,7 @@
   char tail[kMaxTail];
   const std::size_t tailLength = std::min(length, kMaxTail);
   const std::size_t tailOffset = length - tailLength;
-  evbuffer_ptr from;
+  evbuffer_ptr from{};
   evbuffer_ptr_set(statement.get(), &from, tailOffset, EVBUFFER_PTR_SET);
   evbuffer_copyout_from(statement.get(), &from, tail, tailLength);
   // A data server closes the connection on what it cannot read: the only NUL has to be the last byte.
@@ -73,7 +72,7 @@
 
 void Session::answerEmptyStatement() {
   if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
-  append(output(), codec_->emptyQueryResponse());
+  append(output(), protocol_.codec->emptyQueryResponse());
   finishRequest();
 }
 
@@ -81,15 +80,15 @@
   const auto setting = translation::parseSet(statement);
   if (!setting) return false;
   const auto& [name, value] = *setting;
-  if (const auto error = translation::apply(clientSettings_, name, value)) {
+  if (const auto error = translation::apply(protocol_.settings, name, value)) {
     reject("22023", *error, false);
     return true;
   }
   onSettingsChanged();
   if (request_.extended && request_.sendRowDescription) append(output(), postgres::noData());
-  append(output(), codec_->commandComplete("SET"));
-  if (name == "standard_conforming_strings" && version_ == ProtocolVersion::Version3)
-    append(output(), postgres::parameterStatus(name, clientSettings_.backslashes ? "off" : "on"));
+  append(output(), protocol_.codec->commandComplete("SET"));
+  if (name == "standard_conforming_strings" && protocol_.version == ProtocolVersion::Version3)
+    append(output(), postgres::parameterStatus(name, protocol_.settings.backslashes ? "off" : "on"));
   finishRequest();
   return true;
 }
@@ -98,22 +97,19 @@
   // The client may have sent its request and left before it was accepted or read; libevent reports the end
   // only after the bytes before it.
   if (clientDisconnected()) return startLingeringClose();
-  // Data servers tell requests apart by this id, so only one at a time may bear it.
   std::string name(comment.id);
-  if (owner_.openRequestIds_.count(name) > 0)
-    return reject("42710", "this id is that of an open request", false);
-  const auto& classes = owner_.config_.classes;
+  if (!owner_.reserveRequestName(name)) return reject("42710", "this id is that of an open request", false);
+  request_.name = std::move(name);
+  const auto& classes = services_.config.classes;
   const auto requestClass = std::find(classes.begin(), classes.end(), comment.className);
   if (requestClass == classes.end()) return reject("42704", "unknown class", false);
   const auto classIndex = static_cast<std::size_t>(requestClass - classes.begin());
 
-  const Time now = owner_.engine_.now();
+  const Time now = services_.engine.now();
   const balancer::Request request = makeRequest(comment, classIndex, statement.get());
   RequestMessage message = makeMessage(comment, tailOffset, std::move(statement));
-  owner_.openRequestIds_.insert(name);
-  request_.name = std::move(name);
-  if (owner_.admission_) owner_.admission_->connectionBusy(permit_);
-  request_.id = owner_.request(*this, request, std::move(message), permit_);
+  if (services_.admission) services_.admission->connectionBusy(client_.permit);
+  request_.id = owner_.request(*this, request, std::move(message), client_.permit);
   if (tracing())
     logEvent(
         LogLevel::Trace, "request_accepted",
@@ -126,16 +122,16 @@
   request.classIndex = static_cast<int>(classIndex);
   request.group = comment.cluster;
   // The client's time runs from its last byte, also while the request waits behind others here.
-  Time allowed = owner_.config_.settings.classes[classIndex].deadline;
+  Time allowed = services_.config.settings.classes[classIndex].deadline;
   if (comment.timeLeftLength > 0)
     allowed = std::chrono::milliseconds(std::min(comment.timeLeftMs, kMaxClientDeadlineMs));
-  request.deadline = std::min(messageReceivedAt_ + allowed, owner_.answerBy_);
+  request.deadline = std::min(inputState_.messageReceivedAt + allowed, owner_.latestDeadline());
   if (comment.after > 0) {
-    const double nowMs = static_cast<double>(owner_.engine_.unixNow().count()) / 1e3;
+    const double nowMs = static_cast<double>(services_.engine.unixNow().count()) / 1e3;
     const auto ageMs = static_cast<float>(nowMs - static_cast<double>(comment.after));
     request.sessionTokenAgeMs = std::max(kMinSessionTokenAgeMs, ageMs);
   }
-  if (!owner_.config_.sessions) return request;
+  if (!services_.config.sessions) return request;
   char start[kMaxStart];
   const auto length = std::max<ev_ssize_t>(evbuffer_copyout(statement, start, sizeof start), 0);
   const std::string_view key = postgres::parseKey({start, static_cast<std::size_t>(length)});
@@ -147,9 +143,9 @@
 // time that is left.
 RequestMessage Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
                                     Buffer statement) const {
-  RequestMessage message{newBuffer(), std::move(statement), sharedSettings_, {}, {}};
-  message.clockOffset = owner_.engine_.clockOffset();
-  if (owner_.config_.store) {
+  RequestMessage message{newBuffer(), std::move(statement), protocol_.sharedSettings, {}, {}};
+  message.clockOffset = services_.engine.clockOffset();
+  if (services_.config.store) {
     message.id = std::string(comment.id);
     message.key = std::string(comment.key);
   }
@@ -164,7 +160,7 @@
 
 void Session::served(Answer answer) {
   request_.id.reset();
-  if (owner_.admission_) owner_.admission_->connectionServed(permit_);
+  if (services_.admission) services_.admission->connectionServed(client_.permit);
   writeAnswer(std::move(answer));
   finishRequest();
 }
@@ -192,16 +188,16 @@
 }
 
 void Session::writeError(const translation::ErrorReport& error) {
-  append(output(), codec_->errorResponse(error));
-  skippingUntilSync_ = request_.extended;
+  append(output(), protocol_.codec->errorResponse(error));
+  extended_.skippingUntilSync = request_.extended;
 }
 
 void Session::writeAnswer(Answer answer) {
   evbuffer* const messages = answer.messages.get();
   if (answer.problem) return writeError(answer.reader->readError(contiguous(messages)));
   const bool fromVersion3 = answer.reader == &postgres::reader();
-  const bool sameForm = version_ == ProtocolVersion::Version3 && fromVersion3 && request_.format.plain() &&
-                        request_.maxRows == 0;
+  const bool sameForm = protocol_.version == ProtocolVersion::Version3 && fromVersion3 &&
+                        request_.format.plain() && request_.maxRows == 0;
   // Where client and data server speak the same form the buffers are moved without being read.
   if (!request_.extended && sameForm) {
     evbuffer_add_buffer(output(), messages);
@@ -214,13 +210,13 @@
     append(output(), postgres::noData());
   if (!sameForm) return translateAnswer(answer, contiguous(messages), columns);
   evbuffer_add_buffer(output(), messages);
-  prepared_->onExecuted(columns, false);
+  extended_.prepared->onExecuted(columns, false);
 }
 
 void Session::translateAnswer(const Answer& answer, std::string_view messages, const std::string& columns) {
   const std::size_t maxLength = 2 * messages.size() + kTranslationAllowance;
-  translation::AnswerConverter conversion(*codec_, request_.format, request_.sendRowDescription, maxLength,
-                                          request_.maxRows);
+  translation::AnswerConverter conversion(*protocol_.codec, request_.format, request_.sendRowDescription,
+                                          maxLength, request_.maxRows);
   if (!answer.reader->read(messages, conversion)) {
     const std::string failure = conversion.failure().empty() ? "a malformed answer" : conversion.failure();
     logEvent(LogLevel::Warning, "answer_not_translated", {{"failure", failure}});
@@ -233,24 +229,24 @@
     append(output(), translated);
   if (!request_.extended) return;
   if (conversion.suspended()) append(output(), postgres::portalSuspended());
-  prepared_->onExecuted(columns, conversion.suspended());
+  extended_.prepared->onExecuted(columns, conversion.suspended());
 }
 
 void Session::finishRequest() {
   releaseRequestName();
   releaseMessage();
-  lastActive_ = owner_.engine_.now();
-  partialMessageSince_.reset();  // what waits behind is looked at next
-  if (!request_.extended) append(output(), codec_->ready());
+  lastActive_ = services_.engine.now();
+  inputState_.partialMessageSince.reset();  // what waits behind is looked at next
+  if (!request_.extended) append(output(), protocol_.codec->ready());
   request_ = {};
-  if (clientSettings_.bytea) request_.format.bytea = clientSettings_.bytea;
+  if (protocol_.settings.bytea) request_.format.bytea = protocol_.settings.bytea;
   // Within a batch it is not idle yet: Sync and ReadyForQuery are still to come.
-  if (owner_.admission_ && !awaitingSync_) owner_.admission_->connectionIdle(permit_);
+  if (services_.admission && !extended_.awaitingSync) services_.admission->connectionIdle(client_.permit);
   resumeOrDrain();
 }
 
 void Session::releaseRequestName() {
-  if (!request_.name.empty()) owner_.openRequestIds_.erase(request_.name);
+  if (!request_.name.empty()) owner_.releaseRequestName(request_.name);
   request_.name.clear();
 }
 
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -6,6 +6,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <set>
 #include <thread>
@@ -702,6 +703,7 @@
   RequestHandler& next;
   std::vector<AdmittedConnection*> guests;
   bool full = false;
+  std::size_t maxUnadmitted = 0;
   explicit OpenGate(RequestHandler& n) : next(n) {}
   bool expectsProxyHeader(const Address&) const override { return false; }
   AdmissionDecision connectionArrived(AdmittedConnection& g, const Address&) override {
@@ -718,7 +720,7 @@
     return a;
   }
   bool admitsByUser() const override { return false; }
-  std::size_t maxUnadmittedConnections() const override { return 0; }
+  std::size_t maxUnadmittedConnections() const override { return maxUnadmitted; }
   void connectionClosed(std::optional<PermitId>) override {}
   void connectionBusy(std::optional<PermitId>) override {}
   void connectionIdle(std::optional<PermitId>) override {}
@@ -753,24 +755,71 @@
   EXPECT_TRUE(until([&] { return (got += c->take()).find(kDone) != std::string::npos; }));
   EXPECT_TRUE(until([&] { return c->state() == Peer::State::Finished; }));
 }
-TEST_F(GateTest, ACancelThatIsTurnedAwayForWantOfRoomIsCarriedOut) {
-  const Peer c(clients->port());
-  c.put(postgres::startup("api", "ledger"));
-  std::string got;
-  ASSERT_TRUE(until([&] { return (got += c.take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
-  std::optional<postgres::Key> key;
-  for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
-    if (got[at] == 'K')
-      key = postgres::parseKeyData(got.substr(at + 5, postgres::readInt32(got.data() + at + 1) - 4));
-  ASSERT_TRUE(key);
-  c.put(query("1"));
-  ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
-  gate.full = true;
+// A client whose request is out, and the key that cancels it.
+struct CancelGateTest : GateTest {
+  std::unique_ptr<Peer> client;
+  std::string got;  // by the client
+  postgres::Key key;
+
+  void SetUp() override {
+    GateTest::SetUp();
+    client = std::make_unique<Peer>(clients->port());
+    client->put(postgres::startup("api", "ledger"));
+    ASSERT_TRUE(until([&] { return (got += client->take()).size() > 6 && got[got.size() - 6] == 'Z'; }));
+    std::optional<postgres::Key> told;
+    for (std::size_t at = 0; at + 5 <= got.size(); at += 1 + postgres::readInt32(got.data() + at + 1))
+      if (got[at] == 'K')
+        told = postgres::parseKeyData(got.substr(at + 5, postgres::readInt32(got.data() + at + 1) - 4));
+    ASSERT_TRUE(told);
+    key = *told;
+    client->put(query("1"));
+    ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
+    gate.full = true;
+  }
+  bool isCancelled() {
+    const bool told = until([&] { return (got += client->take()).find("57014") != std::string::npos; }, 2s);
+    pass();
+    return told && members.out.empty();
+  }
+};
+TEST_F(CancelGateTest, ACancelThatIsTurnedAwayForWantOfRoomIsCarriedOut) {
   const Peer caller(clients->port());
-  caller.put(postgres::cancel(*key));  // it has come before the connection is accepted
-  EXPECT_TRUE(until([&] { return (got += c.take()).find("57014") != std::string::npos; }, 2s));
+  caller.put(postgres::cancel(key));  // it has come before the connection is accepted
+  EXPECT_TRUE(isCancelled());
+}
+TEST_F(CancelGateTest, ACancelThatComesLateIsCarriedOutThoughSilentOnesFillTheAntechamber) {
+  gate.maxUnadmitted = 1;
+  const Peer silent(clients->port());
   pass();
-  EXPECT_TRUE(members.out.empty());
+  std::this_thread::sleep_for(40ms);  // longer than a new client may stay silent
+  const Peer caller(clients->port());
+  for (int k = 0; k < 5; ++k) pass();
+  caller.put(postgres::cancel(key));
+  EXPECT_TRUE(isCancelled());
+  EXPECT_NE(silent.take().find("53300"), std::string::npos) << "the silent one is told why it ends";
+  EXPECT_EQ(silent.state(), Peer::State::Finished);
+}
+TEST_F(CancelGateTest, ACancelThatComesLateIsCarriedOutThoughOnesThatWereToldFillTheAntechamber) {
+  gate.maxUnadmitted = 1;
+  const Peer told(clients->port());
+  told.put(postgres::startup("api", "ledger"));
+  std::string error;
+  ASSERT_TRUE(until([&] { return (error += told.take()).find("53300") != std::string::npos; }));
+  std::this_thread::sleep_for(40ms);
+  const Peer caller(clients->port());
+  for (int k = 0; k < 5; ++k) pass();
+  caller.put(postgres::cancel(key));
+  EXPECT_TRUE(isCancelled());
+}
+TEST_F(CancelGateTest, OneThatIsAboutToProveItsNameIsNotClosedForAnother) {
+  gate.maxUnadmitted = 1;
+  const Peer half(clients->port());
+  half.put(postgres::startup("api", "ledger").substr(0, 9));
+  for (int k = 0; k < 5; ++k) pass();
+  std::this_thread::sleep_for(40ms);
+  const Peer caller(clients->port());
+  EXPECT_TRUE(until([&] { return caller.state() != Peer::State::Open || !caller.take().empty(); }));
+  EXPECT_EQ(half.state(), Peer::State::Open);
 }
 TEST_F(GateTest, OneThatRestsIsEndedAtOnceWhenItsPlaceIsAskedBack) {
   const auto c = welcomed();
@@ -795,6 +844,69 @@
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
   EXPECT_EQ(all[0]->state(), Peer::State::Open);
 }
+// As many clients as the settings allow, and more that ask to get in.
+struct FullHouse : SessionTest {
+  static constexpr std::size_t kClients = 12;
+  static constexpr auto kPastGrace = 40ms;  // longer than a new client may stay silent
+  Config small = config;
+  std::unique_ptr<ResourceBudget> smallBudget;
+
+  void SetUp() override {
+    SessionTest::SetUp();
+    small.clientConnections = kClients;
+    smallBudget = std::make_unique<ResourceBudget>(small);
+    clients =
+        std::make_unique<Clients>(base.get(), engine, engine, workers, *smallBudget, spare, nullptr, small);
+  }
+  void TearDown() override { clients.reset(); }
+  // Connects one more client, whose connection the loop meets before anything that is sent after this.
+  std::unique_ptr<Peer> newcomer() const { return std::make_unique<Peer>(clients->port()); }
+};
+TEST_F(FullHouse, ClientsWhoseRequestsHaveAllJustComeAreNotClosedForANewcomer) {
+  std::vector<std::unique_ptr<Peer>> all;
+  for (std::size_t k = 0; k < kClients; ++k) all.push_back(welcomed());
+  // With the last of them one may be closed, for room ahead of the next.
+  const auto closed = [](const std::unique_ptr<Peer>& p) { return p->state() != Peer::State::Open; };
+  all.erase(std::remove_if(all.begin(), all.end(), closed), all.end());
+  ASSERT_GE(all.size(), kClients - 1);
+  std::this_thread::sleep_for(kPastGrace);
+  const auto late = newcomer();
+  for (std::size_t k = 0; k < all.size(); ++k) all[k]->put(query(std::to_string(k)));
+  EXPECT_TRUE(until([&] { return members.sent == static_cast<int>(all.size()); }, 2s)) << members.sent;
+  for (const auto& client : all) EXPECT_EQ(client->state(), Peer::State::Open);
+}
+TEST_F(FullHouse, AFloodOfHalfMessagesKeepsNobodyOut) {
+  std::vector<std::unique_ptr<Peer>> all;
+  for (std::size_t k = 0; k < kClients; ++k) {
+    all.push_back(newcomer());
+    all.back()->put(postgres::startup("api", "ledger").substr(0, 9));
+  }
+  ASSERT_TRUE(until([&] { return smallBudget->share(DescriptorHolder::Clients).held == kClients; }));
+  for (int k = 0; k < 5; ++k) pass();
+  std::this_thread::sleep_for(kPastGrace);
+  const auto late = welcomed();
+  EXPECT_EQ(late->state(), Peer::State::Open);
+}
+TEST_F(FullHouse, AFewHalfMessagesAreSparedForAnIdleClient) {
+  std::vector<std::unique_ptr<Peer>> half;
+  for (std::size_t k = 0; k < 8; ++k) {
+    half.push_back(newcomer());
+    half.back()->put(postgres::startup("api", "ledger").substr(0, 9));
+  }
+  std::vector<std::unique_ptr<Peer>> idle;
+  for (std::size_t k = half.size(); k < kClients; ++k) {
+    idle.push_back(welcomed());
+    idle.back()->put(postgres::query(""));
+    ASSERT_TRUE(until([&] { return !idle.back()->take().empty(); }));
+  }
+  std::this_thread::sleep_for(kPastGrace);
+  const auto late = welcomed();
+  for (const auto& client : half) EXPECT_EQ(client->state(), Peer::State::Open);
+  std::size_t closed = 0;
+  for (const auto& client : idle) closed += client->state() != Peer::State::Open ? 1 : 0;
+  EXPECT_GE(closed, 1u);
+  EXPECT_LE(closed, 2u) << "one for the newcomer, one for room ahead of the next";
+}
 
 }  // namespace
 }  // namespace sablespur
