--- a/src/balancer/balancer.hpp
+++ b/src/balancer/balancer.hpp
@@ -8,7 +8,6 @@
 
 #include <cstdint>
 #include <memory>
-#include <string>
 #include <vector>
 
 #include "balancer/events.hpp"
@@ -41,9 +40,6 @@
 
   // Asks discovery for the endpoint list; to be answered by Balancer::endpointsListed.
   virtual void subscribe() = 0;
-
-  // A line for the administrators.
-  virtual void log(const std::string& line) = 0;
 };
 
 struct Context;
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -161,7 +161,6 @@
   void scheduleTimer(Time in, std::uint64_t token) override;
   void startHealthCheck(EndpointId) override;
   void subscribe() override;
-  void log(const std::string& line) override;
 
   const Config& config_;
 
--- a/src/engine/engine_actions.cpp
+++ b/src/engine/engine_actions.cpp
@@ -2,7 +2,6 @@
 // turn.
 #include "engine/engine.hpp"
 #include "engine/engine_trace.hpp"
-#include "logging/log.hpp"
 
 namespace sablespur {
 
@@ -54,6 +53,4 @@
   actions_.emplace_back([this] { discovery_->watch(generation_); });
 }
 
-void Engine::log(const std::string& line) { logEvent(LogLevel::Info, "decision", {{"text", line}}); }
-
 }  // namespace sablespur
--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint8_t kReportBack = 1, kEstablished = 2, kProvision = 3, kDefineList = 5, kHealth = 6,
                        kOrder = 7, kGone = 8, kBell = 9, kFleet = 10, kStop = 11;
 constexpr std::uint8_t kDispatch = 65, kRefuse = 66, kError = 67, kRecall = 68, kSleep = 69, kAskLoad = 70,
-                       kLine = 73, kDie = 74, kKeepInformed = 75;
+                       kDie = 74, kKeepInformed = 75;
 constexpr std::size_t kEntryBytes = 29, kLongestText = 60000;
 constexpr std::uint32_t kLongestFrame = 1u << 30;
 
@@ -315,10 +315,6 @@
     out->record(kKeepInformed, number);
     out->put(std::uint8_t{1});
   }
-  void log(const std::string& line) override {
-    out->record(kLine, number);
-    out->text(line);
-  }
   void die(const std::string& why) {
     dead = true;
     balancer.reset();
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -161,7 +161,6 @@
       });
     }
     void subscribe() override {}
-    void log(const std::string&) override {}
     Fleet& fleet;
     Balancer b;
     std::map<RequestId, int> attempts;
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -161,7 +161,6 @@
     });
   }
   void subscribe() override {}
-  void log(const std::string&) override {}
 
   const int endpoints_;
   Settings settings_;
--- a/tests/decision_log.cpp
+++ b/tests/decision_log.cpp
@@ -140,10 +140,6 @@
     record("subscribe", {});
     to_.subscribe();
   }
-  void log(const std::string& line) override {
-    record("log", {});
-    to_.log(line);
-  }
 
  private:
   static std::int64_t as(std::uint64_t id) { return static_cast<std::int64_t>(id); }
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -22,7 +22,6 @@
   void scheduleTimer(Time, std::uint64_t) override {}  // a real program calls Balancer::timer when it is due
   void startHealthCheck(EndpointId) override {}        // a real program asks the member for a report
   void subscribe() override {}
-  void log(const std::string& line) override { std::printf("  log: %s\n", line.c_str()); }
 };
 }  // namespace
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -153,7 +153,6 @@
       });
     }
     void subscribe() override { fleet.calls.push_back(fleet.now); }
-    void log(const std::string&) override {}
     Fleet& fleet;
     Balancer b;
     std::map<RequestId, int> attempts;
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -39,7 +39,6 @@
   }
   void startHealthCheck(EndpointId m) override { all.push_back({"probe", 0, m, Time(0), 0, 0}); }
   void subscribe() override { all.push_back({"subscribe", 0, 0, Time(0), 0, 0}); }
-  void log(const std::string&) override { all.push_back({"log", 0, 0, Time(0), 0, 0}); }
 
   std::vector<Action> of(const std::string& what, RequestId id = 0) const {
     std::vector<Action> some;
