--- a/src/app/list_source.cpp
+++ b/src/app/list_source.cpp
@@ -43,7 +43,7 @@
   void watch(std::uint64_t) override {}  // it tells by itself
   void move(const Config& c) override {
     if (!sameSource(c, Source::DnsSd)) return;
-    feed_.policy(sourcePolicy(c));
+    feed_.setPolicy(sourcePolicy(c));
     dnssd_.updateSettings(c);
   }
   std::map<std::string, std::string> faults() const override { return dnssd_.faults(); }
--- a/src/engine/acceptor.hpp
+++ b/src/engine/acceptor.hpp
@@ -7,11 +7,15 @@
 // and closed. No memory (ENOBUFS, ENOMEM): exponential backoff up to a second.
 #pragma once
 
+#include <sys/socket.h>
+
 #include <chrono>
 #include <functional>
+#include <optional>
 
 #include "engine/clock.hpp"
 #include "engine/event.hpp"
+#include "engine/file_descriptor.hpp"
 #include "engine/resource_budget.hpp"
 #include "engine/system_calls.hpp"
 #include "support/address.hpp"
@@ -27,24 +31,39 @@
     std::function<void(evutil_socket_t)> reject;  // writes an error; the caller closes
   };
   // `share`: another process of the same proxy may listen at the same address (SO_REUSEPORT). Throws
-  // std::runtime_error if it cannot listen.
+  // std::runtime_error if it cannot listen. What is passed by reference has to outlive the Acceptor.
   Acceptor(event_base*, const Clock&, const Address&, ResourceBudget&, ReservedDescriptor&, ConnectionHandler,
            bool share = false);
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
+  Acceptor& operator=(const Acceptor&) = delete;
 
-  void resume();  // ends a pause early
+  // Ends a pause early.
+  void resume();
   // Before shutdown: closing a listener resets the connections in its backlog. handOverListener() makes the
   // system give new connections to the process that started later, if there is one; drainBacklog() accepts
   // those that are here already.
-  void handOverListener();
+  void handOverListener() const;
   void drainBacklog();
+  // The port that it listens at, also where the address left the choice to the system.
   int port() const;
-  std::chrono::microseconds backoff() const { return backoff_; }  // after the last failure; 0: none since
+  // The length of the pause after the last failure; 0: none since.
+  std::chrono::microseconds backoff() const { return backoff_; }
 
  private:
+  struct AcceptedConnection {
+    evutil_socket_t fd = -1;
+    sockaddr_storage peer{};
+    const sockaddr* peerAddress() const { return reinterpret_cast<const sockaddr*>(&peer); }
+  };
+
   void acceptBurst();
-  bool handleAcceptError(int error);  // true: the next one may be tried at once
+  // Nothing, with errno set, if accept(2) failed.
+  std::optional<AcceptedConnection> acceptOne();
+  void recordSuccess();
+  // True: the next connection may be tried at once.
+  bool handleAcceptError(int error);
+  void recordExhaustion(ResourceExhaustion, int error);
   void pause(std::chrono::microseconds);
   void rejectConnections();
 
@@ -52,8 +71,8 @@
   ResourceBudget& budget_;
   ReservedDescriptor& reservedDescriptor_;
   const ConnectionHandler handler_;
-  int fd_ = -1;
-  bool exhausted_ = false;
+  FileDescriptor socket_;
+  bool exhausted_ = false;  // the last failure was for want of descriptors or memory
   Clock::Time lastFailureAt_{};
   std::chrono::microseconds backoff_{};
   Event readable_;
--- a/src/engine/clock.hpp
+++ b/src/engine/clock.hpp
@@ -8,8 +8,8 @@
 
 namespace sablespur {
 
-// Where time comes from. `wall` is the system's idea of Unix time and may be stepped; `steady` never goes
-// back.
+// Where time comes from; tests put their own in. `wall` is the system's idea of Unix time and may be stepped;
+// `steady` never goes back.
 struct ClockSource {
   using Time = std::chrono::microseconds;
   std::function<Time()> wall = [] {
@@ -30,7 +30,7 @@
       : source_(std::move(source)), wall_(source_.wall()), start_(source_.steady()) {}
   Time now() const { return wall_ + (source_.steady() - start_); }
 
-  // How far the wall clock is ahead of now(). Nothing: the process was held up between reading the two.
+  // How far the wall clock is ahead of now(). Nothing if the process was held up between reading the two.
   std::optional<Time> wallOffset() const {
     constexpr Time kHeldUp = std::chrono::milliseconds(1);
     const Time before = now();
@@ -41,7 +41,8 @@
 
  private:
   ClockSource source_;
-  Time wall_, start_;
+  Time wall_;   // at the start
+  Time start_;  // on the monotonic clock
 };
 
 }  // namespace sablespur
--- a/src/engine/endpoint_registry.cpp
+++ b/src/engine/endpoint_registry.cpp
@@ -1,5 +1,7 @@
 #include "engine/endpoint_registry.hpp"
 
+#include <utility>
+
 #include "cluster/gossip.hpp"
 
 namespace sablespur {
@@ -10,48 +12,50 @@
 }  // namespace
 
 EndpointRegistry::EndpointId EndpointRegistry::add(const std::string& name) {
-  const auto [it, added] = ids_.emplace(name, lastId_ + 1);
-  const EndpointId id = it->second;
+  const auto [known, added] = idsByName_.emplace(name, lastId_ + 1);
+  const EndpointId id = known->second;
   if (!added) return id;
   lastId_ = id;
-  names_[id] = name;
-  const std::uint64_t tag = cluster::endpointTag(name);
-  tags_[id] = tag;
-  const auto [sameTag, unique] = idsByTag_.emplace(tag, id);
-  if (!unique) sameTag->second = kAmbiguous;
+  Endpoint endpoint;
+  endpoint.name = name;
+  endpoint.gossipTag = cluster::endpointTag(name);
+  const auto [sameTag, unique] = idsByTag_.emplace(endpoint.gossipTag, id);
+  if (!unique) sameTag->second = std::nullopt;
+  endpoints_.emplace(id, std::move(endpoint));
   return id;
 }
 
 void EndpointRegistry::remove(EndpointId id) {
-  if (const auto name = names_.find(id); name != names_.end()) {
-    ids_.erase(name->second);
-    names_.erase(name);
-  }
-  if (const auto tag = tags_.find(id); tag != tags_.end()) {
-    idsByTag_.erase(tag->second);
-    tags_.erase(tag);
-  }
+  const auto it = endpoints_.find(id);
+  if (it == endpoints_.end()) return;
+  idsByName_.erase(it->second.name);
+  idsByTag_.erase(it->second.gossipTag);
+  endpoints_.erase(it);
+}
+
+EndpointRegistry::Endpoint* EndpointRegistry::find(EndpointId id) {
+  const auto it = endpoints_.find(id);
+  return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-std::optional<EndpointRegistry::EndpointId> EndpointRegistry::find(const std::string& name) const {
-  const auto it = ids_.find(name);
-  return it == ids_.end() ? std::nullopt : std::make_optional(it->second);
+const EndpointRegistry::Endpoint* EndpointRegistry::find(EndpointId id) const {
+  const auto it = endpoints_.find(id);
+  return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+std::optional<EndpointRegistry::EndpointId> EndpointRegistry::findByName(const std::string& name) const {
+  const auto it = idsByName_.find(name);
+  return it == idsByName_.end() ? std::nullopt : std::make_optional(it->second);
 }
 
 std::optional<EndpointRegistry::EndpointId> EndpointRegistry::findByTag(std::uint64_t tag) const {
   const auto it = idsByTag_.find(tag);
-  if (it == idsByTag_.end() || it->second == kAmbiguous) return std::nullopt;
-  return it->second;
+  return it == idsByTag_.end() ? std::nullopt : it->second;
 }
 
 std::string EndpointRegistry::name(EndpointId id) const {
-  const auto it = names_.find(id);
-  return it == names_.end() ? std::string() : it->second;
-}
-
-std::optional<std::uint64_t> EndpointRegistry::tag(EndpointId id) const {
-  const auto it = tags_.find(id);
-  return it == tags_.end() ? std::nullopt : std::make_optional(it->second);
+  const Endpoint* const endpoint = find(id);
+  return endpoint ? endpoint->name : std::string();
 }
 
 void EndpointRegistry::recordListed(const std::string& name) {
--- a/src/engine/endpoint_registry.hpp
+++ b/src/engine/endpoint_registry.hpp
@@ -1,4 +1,4 @@
-// The identity of endpoints: name, id and gossip tag. Pure: no I/O, no clock.
+// The identity of endpoints, and what the engine keeps for each. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,18 +16,27 @@
  public:
   using EndpointId = balancer::EndpointId;
 
+  struct Endpoint {
+    std::string name;
+    std::uint64_t gossipTag = 0;
+    bool ready = false;  // by the endpoint list
+    std::optional<balancer::Time> healthCheckSentAt;
+  };
+
   // The endpoint's id; assigns one if the name is new.
   EndpointId add(const std::string& name);
-  // Forgets the name, the id and the tag. The name still counts as listed before.
+  // Forgets the endpoint. Its name still counts as listed before.
   void remove(EndpointId);
 
-  std::optional<EndpointId> find(const std::string& name) const;
+  // Null where the id is not registered. Valid until the next add() or remove().
+  Endpoint* find(EndpointId);
+  const Endpoint* find(EndpointId) const;
+  std::optional<EndpointId> findByName(const std::string& name) const;
   // Nothing also where two endpoints share the tag.
   std::optional<EndpointId> findByTag(std::uint64_t tag) const;
   // Empty where the id is not registered.
   std::string name(EndpointId) const;
-  std::optional<std::uint64_t> tag(EndpointId) const;
-  const std::unordered_map<std::string, EndpointId>& idsByName() const { return ids_; }
+  const std::unordered_map<std::string, EndpointId>& idsByName() const { return idsByName_; }
   bool everHadEndpoints() const { return lastId_ != 0; }
 
   // Names that the endpoint list has ever had, up to a bound: only these may be suspended.
@@ -35,12 +44,9 @@
   bool wasListed(const std::string& name) const { return listedNames_.count(name) > 0; }
 
  private:
-  static constexpr EndpointId kAmbiguous = 0;  // the tag of two endpoints
-
-  std::unordered_map<std::string, EndpointId> ids_;
-  std::unordered_map<EndpointId, std::string> names_;
-  std::unordered_map<std::uint64_t, EndpointId> idsByTag_;
-  std::unordered_map<EndpointId, std::uint64_t> tags_;
+  std::unordered_map<EndpointId, Endpoint> endpoints_;
+  std::unordered_map<std::string, EndpointId> idsByName_;
+  std::unordered_map<std::uint64_t, std::optional<EndpointId>> idsByTag_;  // nothing: two endpoints share it
   std::unordered_set<std::string> listedNames_;
   EndpointId lastId_ = 0;
 };
--- a/src/engine/endpoint_start_times.cpp
+++ b/src/engine/endpoint_start_times.cpp
@@ -8,25 +8,25 @@
 
 constexpr Time kMinCorrection = std::chrono::seconds(1);  // less is not worth another list event
 
-// Within (0, now]: 0 stands for an unknown start, and no endpoint starts in the future.
-Time fromStamp(std::int64_t stampMs, Time now, Time clockOffset) {
-  return std::clamp<Time>(std::chrono::milliseconds(stampMs) - clockOffset, Time(1), now);
+// Within (0, now]: 0 means an unknown start to the balancer, and no endpoint starts in the future.
+Time fromStamp(std::chrono::milliseconds stamp, Time now, Time clockOffset) {
+  return std::clamp<Time>(stamp - clockOffset, Time(1), now);
 }
 
 }  // namespace
 
-Time EndpointStartTimes::startOf(EndpointId id, std::int64_t startedMs, bool inInitialLists, Time now,
-                                 Time clockOffset) {
-  if (startedMs == 0) {
+std::optional<Time> EndpointStartTimes::startOf(EndpointId id, std::optional<std::chrono::milliseconds> stamp,
+                                                bool inInitialLists, Time now, Time clockOffset) {
+  if (!stamp) {
     starts_.erase(id);
-    return Time(0);
+    return std::nullopt;
   }
   const auto known = starts_.find(id);
-  if (known != starts_.end() && known->second.stampMs == startedMs) return known->second.at;
+  if (known != starts_.end() && known->second.stamp == *stamp) return known->second.at;
   Start start;
-  start.stampMs = startedMs;
+  start.stamp = *stamp;
   start.fromStamp = inInitialLists;
-  start.at = inInitialLists ? fromStamp(startedMs, now, clockOffset) : now;
+  start.at = inInitialLists ? fromStamp(*stamp, now, clockOffset) : now;
   starts_[id] = start;
   return start.at;
 }
@@ -40,7 +40,7 @@
   std::vector<balancer::ListedEndpoint> corrected;
   for (auto& [id, start] : starts_) {
     if (!start.fromStamp) continue;
-    const Time at = fromStamp(start.stampMs, now, clockOffset);
+    const Time at = fromStamp(start.stamp, now, clockOffset);
     const bool warming = now < at + warmUpPeriod;
     const bool ready = start.listed.state == balancer::Lifecycle::Ready;
     if (at < start.at + kMinCorrection || !warming || !ready) continue;
--- a/src/engine/endpoint_start_times.hpp
+++ b/src/engine/endpoint_start_times.hpp
@@ -2,7 +2,8 @@
 // clock.
 #pragma once
 
-#include <cstdint>
+#include <chrono>
+#include <optional>
 #include <unordered_map>
 #include <vector>
 
@@ -15,10 +16,11 @@
  public:
   using EndpointId = balancer::EndpointId;
 
-  // The start of an endpoint that the list names with `startedMs` (Unix time; 0: not told). A start first
-  // seen now counts as recent whatever its time stamp says; in the initial lists it may be long ago, which
-  // only the stamp can tell. `clockOffset` is that of the reference clock. 0: no start is known.
-  Time startOf(EndpointId, std::int64_t startedMs, bool inInitialLists, Time now, Time clockOffset);
+  // The start of an endpoint that the list names with the time stamp `stamp` (Unix time). A start first seen
+  // now counts as recent whatever its stamp says; in the initial lists it may be long ago, which only the
+  // stamp can tell. `clockOffset` is that of the reference clock. Nothing: no start is known.
+  std::optional<Time> startOf(EndpointId, std::optional<std::chrono::milliseconds> stamp, bool inInitialLists,
+                              Time now, Time clockOffset);
   // The entry that the balancer was given for an endpoint, to be given again by reassess().
   void recordListed(const balancer::ListedEndpoint&);
   // After the reference clock has moved: the ready endpoints that turn out to have started later than
@@ -28,9 +30,9 @@
 
  private:
   struct Start {
-    std::int64_t stampMs = 0;  // as listed, Unix time
-    Time at{};                 // on this process's clock
-    bool fromStamp = false;    // `at` was computed from the stamp
+    std::chrono::milliseconds stamp{};  // as listed, Unix time
+    Time at{};                          // on this process's clock
+    bool fromStamp = false;             // `at` was computed from the stamp
     balancer::ListedEndpoint listed;
   };
   std::unordered_map<EndpointId, Start> starts_;
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -1,22 +1,42 @@
 #include "engine/endpoint_updater.hpp"
 
+#include <chrono>
+#include <utility>
+
 #include "logging/log.hpp"
 
 namespace sablespur {
 namespace {
 
-constexpr std::chrono::microseconds kFailureLogInterval = std::chrono::seconds(30);
+constexpr Clock::Time kFailureLogInterval = std::chrono::seconds(30);
+
+const char* stateName(balancer::Lifecycle state) {
+  switch (state) {
+    case balancer::Lifecycle::Ready:
+      return "active";
+    case balancer::Lifecycle::Draining:
+      return "leaving";
+    default:
+      return "gone";
+  }
+}
 
-const char* stateName(balancer::Lifecycle s) {
-  return s == balancer::Lifecycle::Ready ? "active" : s == balancer::Lifecycle::Draining ? "leaving" : "gone";
+void logChange(const DiscoveredEndpoint& endpoint) {
+  logEvent(LogLevel::Info, "endpoint_changed",
+           {{"name", endpoint.name},
+            {"state", stateName(endpoint.state)},
+            {"address", endpoint.address.text()},
+            {"group", endpoint.group},
+            {"weight", endpoint.weight},
+            {"started_ms", endpoint.startedMs}});
 }
 
 }  // namespace
 
-EndpointUpdater::EndpointUpdater(event_base* base, const Clock& clock, EndpointListConsumer& to,
+EndpointUpdater::EndpointUpdater(event_base* base, const Clock& clock, EndpointListConsumer& consumer,
                                  const EndpointTablePolicy& policy)
     : clock_(clock),
-      consumer_(to),
+      consumer_(consumer),
       table_(policy),
       timer_(event_new(
           base, -1, 0,
@@ -36,31 +56,25 @@
 void EndpointUpdater::discoveryFailed(const std::string& why) {
   const auto now = clock_.now();
   table_.recordFailure(now, why);
-  const auto view = table_.view(now);
-  if (lastFailureLoggedAt_ == std::chrono::microseconds(0) ||
-      now - lastFailureLoggedAt_ >= kFailureLogInterval) {
-    lastFailureLoggedAt_ = now;
-    if (view.lastUpdate)
-      logEvent(LogLevel::Warning, "discovery_failed",
-               {{"why", why}, {"list_age_s", static_cast<double>((now - *view.lastUpdate).count()) / 1e6}});
-    else
-      logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
-  }
+  logFailure(now, why);
   consumer_.discoveryFailed(why);
   deliverDueLists();
 }
 
+void EndpointUpdater::logFailure(Clock::Time now, const std::string& why) {
+  if (failureLoggedAt_ && now - *failureLoggedAt_ < kFailureLogInterval) return;
+  failureLoggedAt_ = now;
+  const auto lastUpdate = table_.view(now).lastUpdate;
+  if (!lastUpdate)
+    return logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
+  const std::chrono::duration<double> age = now - *lastUpdate;
+  logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list_age_s", age.count()}});
+}
+
 void EndpointUpdater::deliverDueLists() {
   const auto now = clock_.now();
   while (auto list = table_.nextUpdate(now)) {
-    for (const DiscoveredEndpoint& i : list->instances)
-      logEvent(LogLevel::Info, "endpoint_changed",
-               {{"name", i.name},
-                {"state", stateName(i.state)},
-                {"address", i.address.text()},
-                {"group", i.group},
-                {"weight", i.weight},
-                {"started_ms", i.startedMs}});
+    for (const DiscoveredEndpoint& endpoint : list->instances) logChange(endpoint);
     consumer_.endpointsListed(std::move(*list));
   }
   if (const auto at = table_.nextDeadline())
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -4,6 +4,10 @@
 // each change that the consumer receives.
 #pragma once
 
+#include <optional>
+#include <string>
+#include <vector>
+
 #include "discovery/endpoint_table.hpp"
 #include "engine/clock.hpp"
 #include "engine/event.hpp"
@@ -12,7 +16,8 @@
 
 class EndpointUpdater final : public EndpointListConsumer {
  public:
-  EndpointUpdater(event_base*, const Clock&, EndpointListConsumer& to, const EndpointTablePolicy&);
+  // The clock and the consumer have to outlive it.
+  EndpointUpdater(event_base*, const Clock&, EndpointListConsumer&, const EndpointTablePolicy&);
 
   // From a source that gives the whole list each time; see EndpointTable::found.
   void found(std::vector<DiscoveredEndpoint>, bool first);
@@ -21,17 +26,18 @@
   void discoveryFailed(const std::string& why) override;
   std::uint64_t generation() const override { return table_.generation(); }
 
-  void policy(const EndpointTablePolicy& p) { table_.setPolicy(p); }
+  void setPolicy(const EndpointTablePolicy& policy) { table_.setPolicy(policy); }
   EndpointTable::View view() const { return table_.view(clock_.now()); }
 
  private:
   void deliverDueLists();
+  void logFailure(Clock::Time now, const std::string& why);
 
   const Clock& clock_;
   EndpointListConsumer& consumer_;
   EndpointTable table_;
   Event timer_;
-  std::chrono::microseconds lastFailureLoggedAt_{};  // 0: never
+  std::optional<Clock::Time> failureLoggedAt_;
 };
 
 }  // namespace sablespur
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -3,7 +3,6 @@
 
 #include <algorithm>
 #include <chrono>
-#include <optional>
 #include <utility>
 
 #include "logging/log.hpp"
@@ -17,7 +16,6 @@
 // 4 x milliseconds fill a u32 only after twelve days.
 constexpr Time kPositionEpochLifetime = std::chrono::hours(2);
 constexpr Time kExpiryInterval = std::chrono::seconds(1);
-constexpr Time kWallClockInterval = std::chrono::milliseconds(100);
 
 // Positions are whole milliseconds of Unix time; so is their epoch, lest rounding make data look newer.
 Time wholeMilliseconds(Time time) { return std::chrono::duration_cast<std::chrono::milliseconds>(time); }
@@ -39,17 +37,19 @@
 Engine::~Engine() = default;
 
 void Engine::start(Backend& backend, DiscoverySource& discovery) {
-  backend_ = &backend;
-  discovery_ = &discovery;
-  events_.emplace_back(EndpointsListed{config_.known});
+  neighbours_.backend = &backend;
+  neighbours_.discovery = &discovery;
+  events_.emplace_back(engine_event::EndpointsListed{config_.known});
 }
 
 // ---- events, queued until the turn ----------------------------------------------------------------------
 RequestId Engine::request(ResponseHandler& handler, balancer::Request request, RequestMessage message) {
   request.id = ++lastRequest_;
-  requests_[request.id] = PendingRequest{
-      &handler, std::make_shared<const RequestMessage>(std::move(message)), request.classIndex, {}};
-  events_.emplace_back(RequestReceived{request});
+  PendingRequest& pending = requests_[request.id];
+  pending.handler = &handler;
+  pending.message = std::make_shared<const RequestMessage>(std::move(message));
+  pending.classIndex = request.classIndex;
+  events_.emplace_back(engine_event::RequestReceived{request});
   return request.id;
 }
 
@@ -57,41 +57,43 @@
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   it->second.handler = nullptr;
-  events_.emplace_back(ClientDisconnected{id});
+  events_.emplace_back(engine_event::ClientDisconnected{id});
 }
 
 void Engine::connectionReady(RequestId id, int attempt) {
-  events_.emplace_back(ConnectionReady{id, attempt});
+  events_.emplace_back(engine_event::ConnectionReady{id, attempt});
 }
 
 void Engine::attemptEnded(RequestId id, int attempt, EndpointId endpoint, AttemptEnd end) {
-  events_.emplace_back(AttemptEnded{id, attempt, endpoint, std::move(end)});
+  events_.emplace_back(engine_event::AttemptEnded{id, attempt, endpoint, std::move(end)});
 }
 
-void Engine::healthCheckEnded(EndpointId endpoint, bool ok, const std::vector<double>& report) {
-  events_.emplace_back(HealthCheckEnded{endpoint, ok, report});
+void Engine::healthCheckEnded(EndpointId endpoint, bool healthy, const std::vector<double>& report) {
+  events_.emplace_back(engine_event::HealthCheckEnded{endpoint, healthy, report});
 }
 
 void Engine::gossipReceived(const cluster::GossipUpdate& update) {
-  if (gossip_.empty()) events_.emplace_back(GossipReceived{});
+  if (gossip_.empty()) events_.emplace_back(engine_event::GossipReceived{});
   gossip_.push_back(update);
 }
 
-bool Engine::suspend(const std::string& name, bool on) {
+bool Engine::suspend(const std::string& name, bool suspended) {
   if (!endpoints_.wasListed(name) && suspended_.count(name) == 0) return false;
-  events_.emplace_back(SuspensionChanged{name, on});
+  events_.emplace_back(engine_event::SuspensionChanged{name, suspended});
   return true;
 }
 
 void Engine::restoreSuspension(const std::string& name) { suspended_.insert(name); }
 
 void Engine::updateSettings(const balancer::Settings& settings) {
-  events_.emplace_back(SettingsUpdated{settings});
+  events_.emplace_back(engine_event::SettingsUpdated{settings});
 }
 
-void Engine::endpointsListed(EndpointList list) { events_.emplace_back(EndpointsListed{std::move(list)}); }
+void Engine::endpointsListed(EndpointList list) {
+  events_.emplace_back(engine_event::EndpointsListed{std::move(list)});
+}
 
-void Engine::discoveryFailed(const std::string&) { events_.emplace_back(DiscoveryFailed{}); }
+void Engine::discoveryFailed(const std::string&) { events_.emplace_back(engine_event::DiscoveryFailed{}); }
 
 // ---- the turn -------------------------------------------------------------------------------------------
 void Engine::runTurn() {
@@ -106,31 +108,28 @@
 }
 
 void Engine::handleQueuedEvents() {
-  std::vector<QueuedEvent> events;
+  std::vector<engine_event::QueuedEvent> events;
   events.swap(events_);
-  for (QueuedEvent& event : events) std::visit([this](auto& concrete) { handle(concrete); }, event);
+  for (engine_event::QueuedEvent& event : events)
+    std::visit([this](auto& concrete) { handle(concrete); }, event);
 }
 
 void Engine::fireDueTimers() {
-  while (!timers_.empty() && timers_.top().due <= now_) {
-    const std::uint64_t token = timers_.top().token;
-    timers_.pop();
-    balancer_->timerFired(now_, token);
-  }
+  while (const auto token = timers_.popDue(now_)) balancer_->timerFired(now_, *token);
 }
 
 void Engine::performActions() {
-  if (replicationObserver_) actions_.emplace_back([this] { replicationObserver_->flush(); });
+  if (neighbours_.replication) actions_.emplace_back([this] { neighbours_.replication->flush(); });
   std::vector<std::function<void()>> actions;
   actions.swap(actions_);
   for (const auto& action : actions) action();
 }
 
 void Engine::armWakeup() {
-  if (timers_.empty())
-    event_del(wakeup_.get());
+  if (const auto due = timers_.nextDue())
+    startTimer(wakeup_.get(), *due - clock_.now());
   else
-    startTimer(wakeup_.get(), timers_.top().due - clock_.now());
+    event_del(wakeup_.get());
 }
 
 // Endpoints that are replaced come back under new names, so the tables would grow without bound.
@@ -139,37 +138,39 @@
   lastExpiryAt_ = now_;
   for (const EndpointId id : balancer_->removeExpiredEndpoints(now_)) {
     endpoints_.remove(id);
-    ready_.erase(id);
     startTimes_.remove(id);
-    healthCheckSentAt_.erase(id);
     reference_.forget(id);
-    actions_.emplace_back([this, id] { backend_->removeEndpoint(id); });
+    actions_.emplace_back([this, id] { neighbours_.backend->removeEndpoint(id); });
   }
 }
 
 // ---- reference time -------------------------------------------------------------------------------------
 void Engine::followWallClock() {
-  if (now_ - wallReadAt_ < kWallClockInterval) return;
-  wallReadAt_ = now_;
-  if (const std::optional<Time> offset = clock_.wallOffset()) reference_.readWall(*offset);
+  reference_.followWallClock(clock_, now_);
   applyClockOffset();
 }
 
-void Engine::primaryAnswered(EndpointId endpoint, Time position, Time sentAt) {
-  reference_.primaryAnswered(endpoint, position, sentAt, now_);
-  applyClockOffset();
+// Only answers of a primary bound the time of other machines; a replica's position may lag.
+void Engine::observeAnswer(EndpointId endpoint, const cluster::GossipUpdate& status,
+                           std::optional<Time> sentAt) {
+  if (status.role == cluster::GossipRole::Primary && status.positionMs > 0 && sentAt) {
+    reference_.primaryAnswered(endpoint, std::chrono::milliseconds(status.positionMs), *sentAt, now_);
+    applyClockOffset();
+  } else if (status.role == cluster::GossipRole::Replica) {
+    reference_.forget(endpoint);
+  }
 }
 
 void Engine::applyClockOffset() {
-  // Whole milliseconds, rounded up: data must not look newer than they are.
-  const Time offset = std::chrono::ceil<std::chrono::milliseconds>(reference_.offset());
-  const Time by = clockOffset_ - offset;
-  if (by == Time(0)) return;
-  clockOffset_ = offset;
+  using std::chrono::milliseconds;
+  const auto movedBy = reference_.updateOffset();
+  if (!movedBy) return;
+  const Time offset = reference_.offset();
   logEvent(LogLevel::Warning, "reference_clock_moved",
-           {{"by_ms", -by.count() / 1000}, {"offset_ms", clockOffset_.count() / 1000}});
-  balancer_->instantsMoved(now_, by);
-  const auto corrected = startTimes_.reassess(now_, clockOffset_, config_.settings.warmUpPeriod);
+           {{"by_ms", std::chrono::duration_cast<milliseconds>(*movedBy).count()},
+            {"offset_ms", std::chrono::duration_cast<milliseconds>(offset).count()}});
+  balancer_->instantsMoved(now_, -*movedBy);
+  const auto corrected = startTimes_.reassess(now_, offset, config_.settings.warmUpPeriod);
   if (!corrected.empty()) balancer_->endpointsListed(now_, balancer::ListKind::Delta, corrected);
 }
 
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -3,11 +3,10 @@
 
 #include <functional>
 #include <memory>
-#include <queue>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <unordered_set>
-#include <variant>
 #include <vector>
 
 #include "engine/clock.hpp"
@@ -15,8 +14,10 @@
 #include "engine/endpoint_start_times.hpp"
 #include "engine/event.hpp"
 #include "engine/interfaces.hpp"
-#include "engine/reference_clock.hpp"
+#include "engine/queued_event.hpp"
+#include "engine/reference_time.hpp"
 #include "engine/replication_status.hpp"
+#include "engine/timer_queue.hpp"
 
 namespace sablespur {
 
@@ -25,10 +26,12 @@
 // is never entered from within one of its own calls; the actions are carried out at the end of the turn.
 class Engine final : public RequestHandler, public EndpointListConsumer, balancer::ActionSink {
  public:
+  // The settings have to outlive it.
   Engine(event_base*, const Config&, ClockSource = {});
   ~Engine() override;
-  void setAttemptObserver(AttemptObserver* observer) { attemptObserver_ = observer; }  // null: none
-  void setReplicationObserver(ReplicationObserver* observer) { replicationObserver_ = observer; }
+  // Null: none. An observer has to outlive the last turn.
+  void setAttemptObserver(AttemptObserver* observer) { neighbours_.attempts = observer; }
+  void setReplicationObserver(ReplicationObserver* observer) { neighbours_.replication = observer; }
   // Queues the endpoint list of the settings. Both have to outlive the last turn.
   void start(Backend&, DiscoverySource&);
 
@@ -38,20 +41,21 @@
   void connectionReady(RequestId, int attempt);
   void attemptEnded(RequestId, int attempt, EndpointId, AttemptEnd);
   // `report` holds the values of the configured report fields; positions in Unix seconds.
-  void healthCheckEnded(EndpointId, bool ok, const std::vector<double>& report);
+  void healthCheckEnded(EndpointId, bool healthy, const std::vector<double>& report);
   // From another proxy. Updates of endpoints that this proxy does not know are ignored.
   void gossipReceived(const cluster::GossipUpdate&);
   void endpointsListed(EndpointList) override;
   void discoveryFailed(const std::string& why) override;
-  std::uint64_t generation() const override { return generation_; }
+  std::uint64_t generation() const override { return list_.generation; }
 
   // Suspends or restores an endpoint in the next turn. False: the endpoint list has never named it.
-  bool suspend(const std::string& name, bool on);
+  bool suspend(const std::string& name, bool suspended);
   // Before the start: a suspension that an earlier process of this proxy has recorded.
   void restoreSuspension(const std::string& name);
   // Replaces the balancer's settings in the next turn.
   void updateSettings(const balancer::Settings&);
 
+  // Empty for an endpoint that is not known (any more).
   std::string endpointName(EndpointId id) const { return endpoints_.name(id); }
   bool hasPendingEvents() const { return !events_.empty(); }
   void runTurn();
@@ -62,67 +66,34 @@
   const Clock& clock() const { return clock_; }
   // Unix time by the reference clock, for comparison with instants of other machines; spans are measured
   // with now().
-  Time unixNow() const { return clock_.now() + clockOffset_; }
-  Time clockOffset() const { return clockOffset_; }
+  Time unixNow() const { return clock_.now() + reference_.offset(); }
+  // Unix time of other machines less now().
+  Time clockOffset() const { return reference_.offset(); }
 
  private:
-  struct RequestReceived {
-    balancer::Request request;
+  // What the engine calls; set before the first turn.
+  struct Neighbours {
+    Backend* backend = nullptr;
+    DiscoverySource* discovery = nullptr;
+    AttemptObserver* attempts = nullptr;         // null: none
+    ReplicationObserver* replication = nullptr;  // null: none
   };
-  struct ClientDisconnected {
-    RequestId request;
-  };
-  struct ConnectionReady {
-    RequestId request;
-    int attempt;
-  };
-  struct AttemptEnded {
-    RequestId request;
-    int attempt;
-    EndpointId endpoint;
-    AttemptEnd end;
-  };
-  struct HealthCheckEnded {
-    EndpointId endpoint;
-    bool ok;
-    std::vector<double> report;
-  };
-  struct EndpointsListed {
-    EndpointList list;
-  };
-  struct DiscoveryFailed {};
-  struct GossipReceived {};  // the updates are in gossip_
-  struct SuspensionChanged {
-    std::string name;
-    bool on;
-  };
-  struct SettingsUpdated {
-    balancer::Settings settings;
-  };
-  using QueuedEvent =
-      std::variant<RequestReceived, ClientDisconnected, ConnectionReady, AttemptEnded, HealthCheckEnded,
-                   EndpointsListed, DiscoveryFailed, GossipReceived, SuspensionChanged, SettingsUpdated>;
-
   struct InFlightAttempt {
     EndpointId endpoint;
     Time sentAt;
   };
   struct PendingRequest {
-    ResponseHandler* handler;  // null: the client has disconnected
+    ResponseHandler* handler = nullptr;  // null: the client has disconnected
     std::shared_ptr<const RequestMessage> message;
-    int classIndex;
+    int classIndex = 0;
     std::vector<InFlightAttempt> attempts;  // by number; ended ones stay
     const InFlightAttempt& attempt(int number) const { return attempts[static_cast<std::size_t>(number)]; }
   };
-  struct Timer {
-    Time due;
-    std::uint64_t sequence;  // timers due at the same time fire in the order in which they were set
-    std::uint64_t token;
-    bool operator>(const Timer& other) const {
-      return due != other.due ? due > other.due : sequence > other.sequence;
-    }
+  // The endpoint list as it was last received.
+  struct ListState {
+    std::uint64_t generation = 0;
+    int applied = 0;  // lists so far
   };
-  using Timers = std::priority_queue<Timer, std::vector<Timer>, std::greater<Timer>>;
 
   // The steps of a turn.
   void followWallClock();
@@ -132,26 +103,30 @@
   void performActions();
   void armWakeup();
 
-  void handle(RequestReceived&);
-  void handle(ClientDisconnected&);
-  void handle(ConnectionReady&);
-  void handle(AttemptEnded&);
-  void handle(HealthCheckEnded&);
-  void handle(EndpointsListed&);
-  void handle(DiscoveryFailed&);
-  void handle(GossipReceived&);
-  void handle(SuspensionChanged&);
-  void handle(SettingsUpdated&);
-
-  void shareStatus(const AttemptEnded&);
-  void shareStatus(const HealthCheckEnded&);
+  void handle(engine_event::RequestReceived&);
+  void handle(engine_event::ClientDisconnected&);
+  void handle(engine_event::ConnectionReady&);
+  void handle(engine_event::AttemptEnded&);
+  void handle(engine_event::HealthCheckEnded&);
+  void handle(engine_event::EndpointsListed&);
+  void handle(engine_event::DiscoveryFailed&);
+  void handle(engine_event::GossipReceived&);
+  void handle(engine_event::SuspensionChanged&);
+  void handle(engine_event::SettingsUpdated&);
+
+  // Answers: what the client is sent, what other proxies and the reference clock learn.
   void respond(const PendingRequest&, AttemptEnd&);
+  void shareStatus(const engine_event::AttemptEnded&);
+  void shareStatus(const engine_event::HealthCheckEnded&);
+  void observeAnswer(EndpointId, const cluster::GossipUpdate& status, std::optional<Time> sentAt);
+  void applyClockOffset();
+  Time positionEpochUnix() const { return positionEpoch_ + reference_.offset(); }
+
+  // The endpoint list.
   void applyList(balancer::ListKind, const EndpointList&);
   balancer::ListedEndpoint listEndpoint(const DiscoveredEndpoint&, bool inInitialLists);
+  int zoneIndex(const std::string& zone) const;
   void markUnlistedNotReady(const std::vector<balancer::ListedEndpoint>& listed);
-  void primaryAnswered(EndpointId, Time position, Time sentAt);
-  void applyClockOffset();
-  Time positionEpochUnix() const { return positionEpoch_ + clockOffset_; }
 
   // balancer::ActionSink
   void send(RequestId, EndpointId, Time until) override;
@@ -163,21 +138,15 @@
   void subscribe() override;
 
   const Config& config_;
+  Neighbours neighbours_;
 
   Clock clock_;
-  ReferenceClock reference_;
-  Time clockOffset_{};   // Unix time of other machines less clock_, as the balancer knows it
-  Time wallReadAt_{};    // when the wall clock was last read
+  ReferenceTime reference_;
   Time now_;             // of this turn
   Time positionEpoch_;   // the balancer counts positions from here, on clock_
   Time lastExpiryAt_{};  // of removeExpired()
 
-  Backend* backend_ = nullptr;
-  DiscoverySource* discovery_ = nullptr;
-  AttemptObserver* attemptObserver_ = nullptr;
-  ReplicationObserver* replicationObserver_ = nullptr;
-
-  std::vector<QueuedEvent> events_;
+  std::vector<engine_event::QueuedEvent> events_;
   std::vector<cluster::GossipUpdate> gossip_;   // since the last turn; keeps its storage
   std::vector<std::function<void()>> actions_;  // in the order in which they take effect
   std::unordered_map<RequestId, PendingRequest> requests_;
@@ -185,14 +154,10 @@
 
   EndpointRegistry endpoints_;
   EndpointStartTimes startTimes_;
-  std::unordered_set<std::string> suspended_;
-  std::unordered_set<EndpointId> ready_;  // by the endpoint list
-  std::unordered_map<EndpointId, Time> healthCheckSentAt_;
-  std::uint64_t generation_ = 0;  // of the endpoint list
-  int listsApplied_ = 0;
-
-  Timers timers_;
-  std::uint64_t lastTimer_ = 0;
+  std::unordered_set<std::string> suspended_;  // by name
+  ListState list_;
+
+  TimerQueue timers_;
   Event wakeup_;  // ends the loop's wait when the first timer is due
   std::unique_ptr<balancer::Balancer> balancer_;
 };
--- a/src/engine/engine_actions.cpp
+++ b/src/engine/engine_actions.cpp
@@ -13,8 +13,8 @@
   request.attempts.push_back({endpoint, now_});
   trace::attemptSent(id, attempt, endpoints_, endpoint);
   actions_.emplace_back([this, id, attempt, endpoint, until, message = request.message] {
-    if (attemptObserver_) attemptObserver_->attemptSent(id, attempt, endpointName(endpoint));
-    backend_->send(id, attempt, endpoint, until, message);
+    if (neighbours_.attempts) neighbours_.attempts->attemptSent(id, attempt, endpointName(endpoint));
+    neighbours_.backend->send(id, attempt, endpoint, until, message);
   });
 }
 
@@ -37,20 +37,20 @@
 }
 
 void Engine::cancel(RequestId id, int attempt) {
-  actions_.emplace_back([this, id, attempt] { backend_->cancel(id, attempt); });
+  actions_.emplace_back([this, id, attempt] { neighbours_.backend->cancel(id, attempt); });
 }
 
-void Engine::scheduleTimer(Time in, std::uint64_t token) { timers_.push({now_ + in, ++lastTimer_, token}); }
+void Engine::scheduleTimer(Time in, std::uint64_t token) { timers_.schedule(now_ + in, token); }
 
 void Engine::startHealthCheck(EndpointId endpoint) {
   trace::healthCheckSent(endpoints_, endpoint);
-  healthCheckSentAt_[endpoint] = now_;
-  actions_.emplace_back([this, endpoint] { backend_->startHealthCheck(endpoint); });
+  if (auto* const registered = endpoints_.find(endpoint)) registered->healthCheckSentAt = now_;
+  actions_.emplace_back([this, endpoint] { neighbours_.backend->startHealthCheck(endpoint); });
 }
 
 void Engine::subscribe() {
-  trace::discoveryWatchOpened(generation_);
-  actions_.emplace_back([this] { discovery_->watch(generation_); });
+  trace::discoveryWatchOpened(list_.generation);
+  actions_.emplace_back([this] { neighbours_.discovery->watch(list_.generation); });
 }
 
 }  // namespace sablespur
--- a/src/engine/event.hpp
+++ b/src/engine/event.hpp
@@ -6,19 +6,22 @@
 #include <event2/event.h>
 #include <event2/listener.h>
 
+#include <algorithm>
 #include <chrono>
+#include <cstddef>
 #include <memory>
 #include <string>
 #include <string_view>
+#include <utility>
 
 namespace sablespur {
 
 struct LibeventDeleter {
-  void operator()(event_base* p) const { event_base_free(p); }
-  void operator()(event* p) const { event_free(p); }
-  void operator()(evbuffer* p) const { evbuffer_free(p); }
-  void operator()(bufferevent* p) const { bufferevent_free(p); }
-  void operator()(evconnlistener* p) const { evconnlistener_free(p); }
+  void operator()(event_base* base) const { event_base_free(base); }
+  void operator()(event* owned) const { event_free(owned); }
+  void operator()(evbuffer* buffer) const { evbuffer_free(buffer); }
+  void operator()(bufferevent* stream) const { bufferevent_free(stream); }
+  void operator()(evconnlistener* listener) const { evconnlistener_free(listener); }
 };
 using EventBase = std::unique_ptr<event_base, LibeventDeleter>;
 using Event = std::unique_ptr<event, LibeventDeleter>;
@@ -31,16 +34,19 @@
 
 // The same without a copy, for what is long.
 inline void appendByReference(evbuffer* to, std::string&& bytes) {
-  auto kept = std::make_unique<std::string>(std::move(bytes));
-  const auto release = [](const void*, std::size_t, void* p) { delete static_cast<std::string*>(p); };
-  if (evbuffer_add_reference(to, kept->data(), kept->size(), release, kept.get()) == 0) kept.release();
+  auto owned = std::make_unique<std::string>(std::move(bytes));
+  const auto release = [](const void*, std::size_t, void* text) { delete static_cast<std::string*>(text); };
+  const bool added = evbuffer_add_reference(to, owned->data(), owned->size(), release, owned.get()) == 0;
+  if (added) static_cast<void>(owned.release());  // the buffer's from here on
 }
 
 // (Re)starts a timer; what is due already fires in the next pass of the loop.
 inline void startTimer(event* timer, std::chrono::microseconds in) {
-  const auto us = in.count() > 0 ? in.count() : 0;
-  const timeval tv{static_cast<time_t>(us / 1000000), static_cast<suseconds_t>(us % 1000000)};
-  event_add(timer, &tv);
+  using std::chrono::seconds;
+  const auto wait = std::max(in, std::chrono::microseconds(0));
+  const auto whole = std::chrono::duration_cast<seconds>(wait);
+  const timeval timeout{static_cast<time_t>(whole.count()), static_cast<suseconds_t>((wait - whole).count())};
+  event_add(timer, &timeout);
 }
 
 }  // namespace sablespur
--- a/src/engine/file_calls.hpp
+++ b/src/engine/file_calls.hpp
@@ -25,11 +25,13 @@
   return calls;
 }
 
-// Each returns false, or -1, with errno set if the call fails. An interrupted call is repeated, and a short
-// one continued.
-inline bool writeFully(int file, std::string_view bytes) {
+namespace detail {
+
+// `writeOnce(bytes)` is one write(2) or pwrite(2) of as many of `bytes` as it will take.
+template <typename WriteOnce>
+bool repeatWrite(std::string_view bytes, WriteOnce writeOnce) {
   while (!bytes.empty()) {
-    const ssize_t written = fileCalls().write(file, bytes.data(), bytes.size());
+    const ssize_t written = writeOnce(bytes);
     if (written < 0 && errno == EINTR) continue;
     if (written == 0) errno = EIO;
     if (written <= 0) return false;
@@ -37,16 +39,29 @@
   }
   return true;
 }
+
+inline bool repeatSync(int (*sync)(int), int file) {
+  int result = 0;
+  do {
+    result = sync(file);
+  } while (result != 0 && errno == EINTR);
+  return result == 0;
+}
+
+}  // namespace detail
+
+// Each returns false, or -1, with errno set if the call fails. An interrupted call is repeated, and a short
+// one continued.
+inline bool writeFully(int file, std::string_view bytes) {
+  return detail::repeatWrite(
+      bytes, [file](std::string_view rest) { return fileCalls().write(file, rest.data(), rest.size()); });
+}
 inline bool writeFullyAt(int file, std::string_view bytes, off_t offset) {
-  while (!bytes.empty()) {
-    const ssize_t written = fileCalls().pwrite(file, bytes.data(), bytes.size(), offset);
-    if (written < 0 && errno == EINTR) continue;
-    if (written == 0) errno = EIO;
-    if (written <= 0) return false;
-    bytes.remove_prefix(static_cast<std::size_t>(written));
-    offset += written;
-  }
-  return true;
+  return detail::repeatWrite(bytes, [file, &offset](std::string_view rest) {
+    const ssize_t written = fileCalls().pwrite(file, rest.data(), rest.size(), offset);
+    if (written > 0) offset += written;
+    return written;
+  });
 }
 // Returns the number of bytes read, less than `size` only at the end of the file.
 inline ssize_t readFullyAt(int file, char* to, std::size_t size, off_t offset) {
@@ -60,19 +75,7 @@
   }
   return static_cast<ssize_t>(have);
 }
-inline bool syncFully(int file) {
-  int result = 0;
-  do {
-    result = fileCalls().fsync(file);
-  } while (result != 0 && errno == EINTR);
-  return result == 0;
-}
-inline bool syncDataFully(int file) {
-  int result = 0;
-  do {
-    result = fileCalls().fdatasync(file);
-  } while (result != 0 && errno == EINTR);
-  return result == 0;
-}
+inline bool syncFully(int file) { return detail::repeatSync(fileCalls().fsync, file); }
+inline bool syncDataFully(int file) { return detail::repeatSync(fileCalls().fdatasync, file); }
 
 }  // namespace sablespur
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -27,9 +27,10 @@
 // A request in the form in which it is forwarded. The backend writes the remaining time in milliseconds
 // between `before` and `after`.
 struct RequestMessage {
-  Buffer before, after;
-  std::shared_ptr<const translation::SessionSettings>
-      from;            // the client's session settings; null: the defaults
+  Buffer before;
+  Buffer after;
+  // The client's session settings; null: the defaults.
+  std::shared_ptr<const translation::SessionSettings> from;
   std::string id;      // the client's name for the request; may be empty
   std::string key;     // idempotency key; empty: none
   Time clockOffset{};  // Engine::clockOffset() when the age of the session token was computed
@@ -62,6 +63,7 @@
   virtual void clientDisconnected(RequestId) = 0;
 };
 
+// The role in which an endpoint has answered.
 enum class Role { Unknown, Primary, Replica };
 
 // How an attempt ended.
--- a/src/engine/reference_clock.cpp
+++ b/src/engine/reference_clock.cpp
@@ -21,10 +21,10 @@
 void ReferenceClock::readWall(Time wallOffset) {
   if (std::chrono::abs(wallOffset - wallOffset_) < kJitter) return;
   wallOffset_ = wallOffset;
-  behind_ = ahead_ = confirming_ = 0;
+  votes_ = {};
   for (auto& [server, sample] : samples_) {
-    judgeWallClock(sample);
-    countVotes(sample, 1);
+    sample.verdict = judgeWallClock(sample);
+    addVote(sample);
   }
   updateOffset();
 }
@@ -33,7 +33,7 @@
   if (received - sent > kLongestRoundTrip) return;
   const auto [it, added] = samples_.try_emplace(server);
   Sample& sample = it->second;
-  if (!added) countVotes(sample, -1);
+  if (!added) removeVote(sample);
   sample.minOffset = position - received;
   sample.maxOffset = position - sent;
   if (added || std::chrono::abs(sample.minOffset - sample.steadyOffset) > kLongestRoundTrip) {
@@ -41,55 +41,69 @@
     sample.steadySince = received;
   }
   sample.steady = received - sample.steadySince >= kSteadyFor;
-  judgeWallClock(sample);
-  countVotes(sample, 1);
+  sample.verdict = judgeWallClock(sample);
+  addVote(sample);
   updateOffset();
 }
 
 void ReferenceClock::forget(ServerId server) {
   const auto it = samples_.find(server);
   if (it == samples_.end()) return;
-  countVotes(it->second, -1);
+  removeVote(it->second);
   samples_.erase(it);
 }
 
-void ReferenceClock::judgeWallClock(Sample& sample) {
-  sample.wallBehind = sample.minOffset > wallOffset_ + kSkew;
-  sample.wallAhead = sample.steady && sample.maxOffset < wallOffset_ - kOldestPresent;
-  sample.confirmsWall = !sample.wallBehind && sample.maxOffset >= wallOffset_ - kOldestPresent;
+ReferenceClock::WallVerdict ReferenceClock::judgeWallClock(const Sample& sample) const {
+  if (sample.minOffset > wallOffset_ + kSkew) return WallVerdict::Behind;
+  if (sample.maxOffset >= wallOffset_ - kOldestPresent) return WallVerdict::Confirmed;
+  return sample.steady ? WallVerdict::Ahead : WallVerdict::Undecided;
 }
 
-void ReferenceClock::countVotes(const Sample& sample, int by) {
-  const auto add = [by](std::size_t& counter, bool says) {
-    if (says) counter = by > 0 ? counter + 1 : counter - 1;
-  };
-  add(behind_, sample.wallBehind);
-  add(ahead_, sample.wallAhead);
-  add(confirming_, sample.confirmsWall);
+std::size_t* ReferenceClock::votesFor(WallVerdict verdict) {
+  switch (verdict) {
+    case WallVerdict::Behind:
+      return &votes_.behind;
+    case WallVerdict::Ahead:
+      return &votes_.ahead;
+    case WallVerdict::Confirmed:
+      return &votes_.confirmed;
+    case WallVerdict::Undecided:
+      break;
+  }
+  return nullptr;
+}
+
+void ReferenceClock::addVote(const Sample& sample) {
+  if (std::size_t* const votes = votesFor(sample.verdict)) ++*votes;
+}
+
+void ReferenceClock::removeVote(const Sample& sample) {
+  if (std::size_t* const votes = votesFor(sample.verdict)) --*votes;
 }
 
 void ReferenceClock::updateOffset() {
-  const auto most = [this](std::size_t votes) { return 2 * votes > samples_.size(); };
-  const bool behind = most(behind_);
-  if (behind || most(ahead_)) {
-    const Time told = medianOffset(behind);
-    // Their answers differ by their round trips: no move for that, but forward, where data only look older.
-    const bool same = byPrimaries_ && told <= offset_ + kJitter && told > offset_ - kLongestRoundTrip;
-    if (!same) offset_ = told;
-    byPrimaries_ = true;
-    return;
-  }
-  if (wallOffset_ < offset_ && !most(confirming_)) return;
+  if (isMajority(votes_.behind)) return followPrimaries(WallVerdict::Behind);
+  if (isMajority(votes_.ahead)) return followPrimaries(WallVerdict::Ahead);
+  // A step back needs the consent of most primaries.
+  if (wallOffset_ < offset_ && !isMajority(votes_.confirmed)) return;
   offset_ = wallOffset_;
   byPrimaries_ = false;
 }
 
-Time ReferenceClock::medianOffset(bool behind) const {
-  std::vector<Time> all;
+void ReferenceClock::followPrimaries(WallVerdict majority) {
+  const Time median = medianOffset(majority);
+  // Their answers differ by their round trips: no move for that, but forward, where data only look older.
+  const bool same = byPrimaries_ && median <= offset_ + kJitter && median > offset_ - kLongestRoundTrip;
+  if (!same) offset_ = median;
+  byPrimaries_ = true;
+}
+
+ReferenceClock::Time ReferenceClock::medianOffset(WallVerdict verdict) const {
+  std::vector<Time> offsets;
   for (const auto& [server, sample] : samples_)
-    if (behind ? sample.wallBehind : sample.wallAhead) all.push_back(sample.maxOffset);
-  const auto middle = all.begin() + static_cast<std::ptrdiff_t>(all.size() / 2);
-  std::nth_element(all.begin(), middle, all.end());
+    if (sample.verdict == verdict) offsets.push_back(sample.maxOffset);
+  const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
+  std::nth_element(offsets.begin(), middle, offsets.end());
   return *middle;
 }
 
--- a/src/engine/reference_clock.hpp
+++ b/src/engine/reference_clock.hpp
@@ -32,6 +32,8 @@
   Time offset() const { return offset_; }
 
  private:
+  // What a primary's answers say about the wall clock.
+  enum class WallVerdict { Undecided, Behind, Ahead, Confirmed };
   struct Sample {
     // Bounds of the true offset, by the newest response.
     Time minOffset{};
@@ -39,23 +41,29 @@
     Time steadyOffset{};  // close to minOffset of all responses since `steadySince`
     Time steadySince{};
     bool steady = false;  // for long enough to show that its position advances
-    // What it says about wallOffset_.
-    bool wallBehind = false;
-    bool wallAhead = false;
-    bool confirmsWall = false;
+    WallVerdict verdict = WallVerdict::Undecided;
   };
-  void judgeWallClock(Sample&);
-  void countVotes(const Sample&, int by);
+  // How many samples say so.
+  struct Votes {
+    std::size_t behind = 0;
+    std::size_t ahead = 0;
+    std::size_t confirmed = 0;
+  };
+
+  WallVerdict judgeWallClock(const Sample&) const;
+  // Null for samples that are undecided.
+  std::size_t* votesFor(WallVerdict);
+  void addVote(const Sample&);
+  void removeVote(const Sample&);
+  bool isMajority(std::size_t votes) const { return 2 * votes > samples_.size(); }
   void updateOffset();
-  Time medianOffset(bool behind) const;  // median of those that contradict the wall clock
+  void followPrimaries(WallVerdict majority);
+  Time medianOffset(WallVerdict) const;  // of the samples of this verdict, at least one
 
   Time wallOffset_{};
   Time offset_{};
   std::unordered_map<ServerId, Sample> samples_;
-  // Samples that say so.
-  std::size_t behind_ = 0;
-  std::size_t ahead_ = 0;
-  std::size_t confirming_ = 0;
+  Votes votes_;
   bool byPrimaries_ = false;  // offset_ is theirs, not the wall clock's
 };
 
--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -18,64 +18,69 @@
 
 class ResourceBudget {
  public:
-  explicit ResourceBudget(const Config& c) : maxBytes_(c.largeStatements) {
-    shares_[0].most = c.clientConnections;
-    shares_[1].most = c.serverConnections;
+  explicit ResourceBudget(const Config& config) : maxBytes_(config.largeStatements) {
+    mutableShare(DescriptorHolder::Clients).most = config.clientConnections;
+    mutableShare(DescriptorHolder::Servers).most = config.serverConnections;
   }
   ResourceBudget(const ResourceBudget&) = delete;
+  ResourceBudget& operator=(const ResourceBudget&) = delete;
 
   struct DescriptorShare {
     std::size_t held = 0;
     std::size_t most = 0;  // limit
     std::size_t peak = 0;
   };
-  const DescriptorShare& share(DescriptorHolder h) const { return shares_[static_cast<std::size_t>(h)]; }
-  bool hasRoom(DescriptorHolder h) const { return share(h).held < share(h).most; }
+  const DescriptorShare& share(DescriptorHolder holder) const {
+    return shares_[static_cast<std::size_t>(holder)];
+  }
+  bool hasRoom(DescriptorHolder holder) const { return share(holder).held < share(holder).most; }
 
   // Counts one descriptor of a share while it lives. It is granted even if the share is full: the caller has
-  // checked hasRoom(), or needs a descriptor for a moment to reject a connection.
+  // checked hasRoom(), or needs a descriptor for a moment to reject a connection. The budget has to outlive
+  // it.
   class DescriptorPermit {
    public:
     DescriptorPermit() = default;
-    DescriptorPermit(ResourceBudget& a, DescriptorHolder h) : budget_(&a), holder_(h) {
-      DescriptorShare& p = a.shares_[static_cast<std::size_t>(h)];
-      p.peak = std::max(p.peak, ++p.held);
+    DescriptorPermit(ResourceBudget& budget, DescriptorHolder holder) : share_(&budget.mutableShare(holder)) {
+      ++share_->held;
+      share_->peak = std::max(share_->peak, share_->held);
     }
-    DescriptorPermit(DescriptorPermit&& o) noexcept
-        : budget_(std::exchange(o.budget_, nullptr)), holder_(o.holder_) {}
-    DescriptorPermit& operator=(DescriptorPermit&& o) noexcept {
-      std::swap(budget_, o.budget_);
-      std::swap(holder_, o.holder_);
+    DescriptorPermit(DescriptorPermit&& other) noexcept : share_(std::exchange(other.share_, nullptr)) {}
+    DescriptorPermit& operator=(DescriptorPermit&& other) noexcept {
+      std::swap(share_, other.share_);
       return *this;
     }
     ~DescriptorPermit() {
-      if (budget_) --budget_->shares_[static_cast<std::size_t>(holder_)].held;
+      if (share_) --share_->held;
     }
 
    private:
-    ResourceBudget* budget_ = nullptr;
-    DescriptorHolder holder_ = DescriptorHolder::Clients;
+    DescriptorShare* share_ = nullptr;
   };
 
   // Bytes of long statements and of prepared statements. False: no room, and nothing is reserved.
-  bool reserveBytes(std::size_t n) {
-    if (n > maxBytes_ - bytes_) return false;
-    bytes_ += n;
+  bool reserveBytes(std::size_t count) {
+    if (count > maxBytes_ - bytes_) return false;
+    bytes_ += count;
     peakBytes_ = std::max(peakBytes_, bytes_);
     return true;
   }
-  void releaseBytes(std::size_t n) { bytes_ -= n; }
+  void releaseBytes(std::size_t count) { bytes_ -= count; }
   std::size_t bytes() const { return bytes_; }
   std::size_t maxBytes() const { return maxBytes_; }
   std::size_t peakBytes() const { return peakBytes_; }
 
   // Shortages that the system reported, whatever this budget says.
-  void recordExhaustion(ResourceExhaustion s) { ++exhaustionCounts_[static_cast<std::size_t>(s)]; }
-  std::uint64_t exhaustionCount(ResourceExhaustion s) const {
-    return exhaustionCounts_[static_cast<std::size_t>(s)];
+  void recordExhaustion(ResourceExhaustion resource) {
+    ++exhaustionCounts_[static_cast<std::size_t>(resource)];
+  }
+  std::uint64_t exhaustionCount(ResourceExhaustion resource) const {
+    return exhaustionCounts_[static_cast<std::size_t>(resource)];
   }
 
  private:
+  DescriptorShare& mutableShare(DescriptorHolder holder) { return shares_[static_cast<std::size_t>(holder)]; }
+
   std::array<DescriptorShare, kDescriptorHolderCount> shares_{};
   const std::size_t maxBytes_;
   std::size_t bytes_ = 0;
--- a/src/engine/system_calls.cpp
+++ b/src/engine/system_calls.cpp
@@ -28,8 +28,9 @@
       return ResourceExhaustion::None;
   }
 }
-const char* resourceExhaustionName(ResourceExhaustion s) {
-  switch (s) {
+
+const char* resourceExhaustionName(ResourceExhaustion exhaustion) {
+  switch (exhaustion) {
     case ResourceExhaustion::Descriptors:
       return "descriptors";
     case ResourceExhaustion::Memory:
@@ -38,20 +39,21 @@
       return "ports";
     case ResourceExhaustion::Route:
       return "route";
-    default:
-      return "none";
+    case ResourceExhaustion::None:
+      break;
   }
+  return "none";
 }
 
 namespace {
 
-bool isScarceMemoryOrDescriptors(int error) {
-  const ResourceExhaustion what = resourceExhaustionOf(error);
-  return what == ResourceExhaustion::Descriptors || what == ResourceExhaustion::Memory;
+bool isOutOfMemoryOrDescriptors(int error) {
+  const ResourceExhaustion resource = resourceExhaustionOf(error);
+  return resource == ResourceExhaustion::Descriptors || resource == ResourceExhaustion::Memory;
 }
 
 SocketFault classifyAccept(int error) {
-  if (isScarceMemoryOrDescriptors(error)) return SocketFault::OwnResource;
+  if (isOutOfMemoryOrDescriptors(error)) return SocketFault::OwnResource;
   // The rest, the network's errors among them, is of the connection that was next (accept(2), "Error
   // handling").
   return SocketFault::Transient;
@@ -85,48 +87,46 @@
     case SocketCall::Open:
       return SocketFault::OwnResource;  // there is no other side yet
     case SocketCall::Connecting:
-      return isScarceMemoryOrDescriptors(error) || error == EADDRNOTAVAIL ? SocketFault::OwnResource
-                                                                          : SocketFault::Peer;
+      return isOutOfMemoryOrDescriptors(error) || error == EADDRNOTAVAIL ? SocketFault::OwnResource
+                                                                         : SocketFault::Peer;
     default:
-      return isScarceMemoryOrDescriptors(error) ? SocketFault::OwnResource : SocketFault::Peer;
+      return isOutOfMemoryOrDescriptors(error) ? SocketFault::OwnResource : SocketFault::Peer;
   }
 }
 
 int acceptNonBlocking(int listener, sockaddr* from, socklen_t* length) {
   return accept4(listener, from, length, SOCK_NONBLOCK | SOCK_CLOEXEC);
 }
+
 int openNonBlockingTcpSocket(int family) {
   return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
 StartedConnect startConnect(const Address& to) {
   StartedConnect started;
-  started.fd = systemCalls().socket(to.v6() ? AF_INET6 : AF_INET);
-  if (started.fd < 0) {
+  FileDescriptor socket(systemCalls().socket(to.v6() ? AF_INET6 : AF_INET));
+  if (!socket) {
     started.error = errno;
     started.fault = classify(SocketCall::Open, started.error);
     return started;
   }
-  if (systemCalls().connect(started.fd, to.data(), to.size()) == 0) return started;
-  started.error = errno;
-  started.fault = classify(SocketCall::Connect, started.error);
-  if (started.fault == SocketFault::None) return started;
-  close(started.fd);
-  started.fd = -1;
+  if (systemCalls().connect(socket.get(), to.data(), to.size()) != 0) {
+    started.error = errno;
+    started.fault = classify(SocketCall::Connect, started.error);
+    if (started.fault != SocketFault::None) return started;
+  }
+  started.fd = socket.release();
   return started;
 }
 
 ReservedDescriptor::ReservedDescriptor() { reacquire(); }
-ReservedDescriptor::~ReservedDescriptor() { release(); }
-void ReservedDescriptor::release() {
-  if (fd_ >= 0) close(fd_);
-  fd_ = -1;
-}
+
 void ReservedDescriptor::reacquire() {
-  if (fd_ < 0) fd_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
+  if (!held()) descriptor_.reset(open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
+
 bool ReservedDescriptor::lend(const std::function<void()>& use) {
-  if (fd_ < 0) return false;
+  if (!held()) return false;
   release();
   struct Reacquire {
     ReservedDescriptor& descriptor;
@@ -137,14 +137,14 @@
 }
 
 std::size_t descriptorsAllowed(std::size_t wanted) {
-  rlimit r{};
-  if (getrlimit(RLIMIT_NOFILE, &r) != 0) return wanted;
-  if (r.rlim_cur < wanted && r.rlim_cur < r.rlim_max) {
-    r.rlim_cur = std::min<rlim_t>(wanted, r.rlim_max);
-    setrlimit(RLIMIT_NOFILE, &r);
-    getrlimit(RLIMIT_NOFILE, &r);
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return wanted;
+  if (limit.rlim_cur < wanted && limit.rlim_cur < limit.rlim_max) {
+    limit.rlim_cur = std::min<rlim_t>(wanted, limit.rlim_max);
+    setrlimit(RLIMIT_NOFILE, &limit);
+    getrlimit(RLIMIT_NOFILE, &limit);
   }
-  return static_cast<std::size_t>(std::min<rlim_t>(wanted, r.rlim_cur));
+  return static_cast<std::size_t>(std::min<rlim_t>(wanted, limit.rlim_cur));
 }
 
 }  // namespace sablespur
--- a/src/engine/system_calls.hpp
+++ b/src/engine/system_calls.hpp
@@ -4,8 +4,10 @@
 
 #include <sys/socket.h>
 
+#include <cstddef>
 #include <functional>
 
+#include "engine/file_descriptor.hpp"
 #include "support/address.hpp"
 
 namespace sablespur {
@@ -20,6 +22,7 @@
 };
 constexpr std::size_t kResourceExhaustionCount = 5;
 ResourceExhaustion resourceExhaustionOf(int error);
+// The name that log events and the status give it.
 const char* resourceExhaustionName(ResourceExhaustion);
 
 enum class SocketCall {
@@ -76,17 +79,19 @@
 class ReservedDescriptor {
  public:
   ReservedDescriptor();
-  ~ReservedDescriptor();
   ReservedDescriptor(const ReservedDescriptor&) = delete;
+  ReservedDescriptor& operator=(const ReservedDescriptor&) = delete;
   // Calls `use` while the descriptor is released; `use` has to close what it opens. False: it was not held,
   // and `use` has not been called.
   bool lend(const std::function<void()>& use);
-  bool held() const { return fd_ >= 0; }
-  void reacquire();  // no effect if it is held; may fail, see held()
-  void release();    // for a descriptor that stays open; reacquire() once that is closed
+  bool held() const { return static_cast<bool>(descriptor_); }
+  // No effect if it is held; may fail, see held().
+  void reacquire();
+  // For a descriptor that stays open; reacquire() once that is closed.
+  void release() { descriptor_.reset(); }
 
  private:
-  int fd_ = -1;
+  FileDescriptor descriptor_;
 };
 
 // Raises the soft limit of descriptors to `wanted` as far as the hard limit allows; returns the smaller of
--- a/src/engine/workers.cpp
+++ b/src/engine/workers.cpp
@@ -11,19 +11,20 @@
 namespace sablespur {
 namespace {
 
-// Bounds memory and waiting time: jobs beyond this are refused at once.
+// Bounds memory and waiting time: jobs beyond this are rejected at once.
 constexpr std::size_t kMaxWaitingJobs = 1024;
 
 }  // namespace
 
 WorkerPool::WorkerPool(event_base* base, std::size_t threads)
-    : maxThreads_(threads), wakeupFd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (wakeupFd_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
+    : maxThreads_(threads), wakeup_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  if (!wakeup_) throw std::system_error(errno, std::generic_category(), "eventfd");
   wakeupEvent_.reset(event_new(
-      base, wakeupFd_, EV_READ | EV_PERSIST,
+      base, wakeup_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<WorkerPool*>(self)->deliverResults(); }, this));
   event_add(wakeupEvent_.get(), nullptr);
 }
+
 WorkerPool::~WorkerPool() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -31,9 +32,7 @@
     waitingJobs_.clear();
   }
   workAvailable_.notify_all();
-  for (std::thread& t : threads_) t.join();
-  wakeupEvent_.reset();
-  close(wakeupFd_);
+  for (std::thread& thread : threads_) thread.join();
 }
 
 WorkerPool::Ticket WorkerPool::run(std::function<std::string()> work, std::function<void(std::string)> done) {
@@ -53,29 +52,30 @@
   for (;;) {
     workAvailable_.wait(lock, [this] { return stopping_ || !waitingJobs_.empty(); });
     if (stopping_) return;
-    Job piece = std::move(waitingJobs_.front());
+    Job job = std::move(waitingJobs_.front());
     waitingJobs_.pop_front();
     lock.unlock();
-    if (!piece.interest.expired()) piece.result = piece.work();
+    if (!job.interest.expired()) job.result = job.work();
     lock.lock();
-    finishedJobs_.push_back(std::move(piece));
+    finishedJobs_.push_back(std::move(job));
     const std::uint64_t one = 1;
-    [[maybe_unused]] const ssize_t n =
-        write(wakeupFd_, &one, sizeof one);  // fails only if a wakeup is pending already
+    // Fails only if a wakeup is pending already.
+    [[maybe_unused]] const ssize_t written = write(wakeup_.get(), &one, sizeof one);
   }
 }
 
 void WorkerPool::deliverResults() {
   std::uint64_t count = 0;
-  [[maybe_unused]] const ssize_t n = read(wakeupFd_, &count, sizeof count);
-  std::deque<Job> done;
+  // Fails only if there is no wakeup, as after an earlier call has taken several at once.
+  [[maybe_unused]] const ssize_t received = read(wakeup_.get(), &count, sizeof count);
+  std::deque<Job> finished;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    done.swap(finishedJobs_);
+    finished.swap(finishedJobs_);
   }
   // Checked one by one: delivering a result may cancel the jobs after it.
-  for (Job& p : done)
-    if (!p.interest.expired()) p.done(std::move(p.result));
+  for (Job& job : finished)
+    if (!job.interest.expired()) job.done(std::move(job.result));
 }
 
 }  // namespace sablespur
--- a/src/engine/workers.hpp
+++ b/src/engine/workers.hpp
@@ -13,14 +13,17 @@
 #include <vector>
 
 #include "engine/event.hpp"
+#include "engine/file_descriptor.hpp"
 
 namespace sablespur {
 
 class WorkerPool {
  public:
   WorkerPool(event_base*, std::size_t threads);
-  ~WorkerPool();  // drops jobs that have not begun and waits for those that run
+  // Drops jobs that have not begun and waits for those that run.
+  ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
+  WorkerPool& operator=(const WorkerPool&) = delete;
 
   // Cancels a job when it is destroyed: `done` is not called then.
   struct Interest {};
@@ -45,7 +48,7 @@
   std::deque<Job> waitingJobs_;   // guarded by mutex_
   std::deque<Job> finishedJobs_;  // guarded by mutex_
   bool stopping_ = false;         // guarded by mutex_
-  int wakeupFd_ = -1;             // eventfd
+  FileDescriptor wakeup_;         // eventfd, written when a job has finished
   Event wakeupEvent_;
   std::vector<std::thread> threads_;
 };
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -11,12 +11,13 @@
 namespace sablespur {
 namespace {
 
+using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 constexpr Time kNow = seconds(1000);
 constexpr Time kWarmUp = seconds(30);
 
-std::int64_t unixMs(Time onOwnClock) { return onOwnClock.count() / 1000; }
+milliseconds stampOf(Time onOwnClock) { return std::chrono::duration_cast<milliseconds>(onOwnClock); }
 
 TEST(EndpointRegistry, RemovedEndpointGetsANewIdWhenItReturns) {
   EndpointRegistry registry;
@@ -25,9 +26,9 @@
   EXPECT_EQ(registry.add("s-1"), first);
   EXPECT_EQ(registry.name(first), "s-1");
   registry.remove(first);
-  EXPECT_EQ(registry.find("s-1"), std::nullopt);
+  EXPECT_EQ(registry.findByName("s-1"), std::nullopt);
   EXPECT_EQ(registry.name(first), "");
-  EXPECT_EQ(registry.tag(first), std::nullopt);
+  EXPECT_EQ(registry.find(first), nullptr);
   EXPECT_NE(registry.add("s-1"), first);
   EXPECT_TRUE(registry.everHadEndpoints());
 }
@@ -37,7 +38,8 @@
   const auto one = registry.add("s-1488d");
   const std::uint64_t tag = cluster::endpointTag("s-1488d");
   EXPECT_EQ(registry.findByTag(tag), one);
-  EXPECT_EQ(registry.tag(one), tag);
+  ASSERT_NE(registry.find(one), nullptr);
+  EXPECT_EQ(registry.find(one)->gossipTag, tag);
   ASSERT_EQ(cluster::endpointTag("s-1488f"), tag);
   registry.add("s-1488f");
   EXPECT_EQ(registry.findByTag(tag), std::nullopt);
@@ -54,11 +56,11 @@
 TEST(EndpointStartTimes, StampCountsOnlyInTheInitialLists) {
   EndpointStartTimes starts;
   const Time longAgo = kNow - seconds(500);
-  EXPECT_EQ(starts.startOf(1, unixMs(longAgo), true, kNow, Time(0)), longAgo);
-  EXPECT_EQ(starts.startOf(2, unixMs(longAgo), false, kNow, Time(0)), kNow) << "first seen now";
-  EXPECT_EQ(starts.startOf(2, unixMs(longAgo), false, kNow + seconds(9), Time(0)), kNow) << "the same start";
-  EXPECT_EQ(starts.startOf(3, unixMs(kNow + seconds(5)), true, kNow, Time(0)), kNow) << "not in the future";
-  EXPECT_EQ(starts.startOf(3, 0, true, kNow, Time(0)), Time(0)) << "no start is told";
+  EXPECT_EQ(starts.startOf(1, stampOf(longAgo), true, kNow, Time(0)), longAgo);
+  EXPECT_EQ(starts.startOf(2, stampOf(longAgo), false, kNow, Time(0)), kNow) << "first seen now";
+  EXPECT_EQ(starts.startOf(2, stampOf(longAgo), false, kNow + seconds(9), Time(0)), kNow) << "the same start";
+  EXPECT_EQ(starts.startOf(3, stampOf(kNow + seconds(5)), true, kNow, Time(0)), kNow) << "not in the future";
+  EXPECT_EQ(starts.startOf(3, std::nullopt, true, kNow, Time(0)), std::nullopt) << "no start is told";
 }
 
 TEST(EndpointStartTimes, ReassessGivesReadyEndpointsThatAreStillWarmingUp) {
@@ -67,7 +69,7 @@
     balancer::ListedEndpoint listed;
     listed.id = id;
     listed.state = state;
-    listed.started = starts.startOf(id, unixMs(started), true, kNow, Time(0));
+    listed.started = starts.startOf(id, stampOf(started), true, kNow, Time(0)).value();
     starts.recordListed(listed);
   };
   list(1, kNow - seconds(20), balancer::Lifecycle::Ready);
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,10 +1,14 @@
 // The engine between a fake way to the members and a fake asker: no sockets.
 #include "engine/engine.hpp"
 
+#include <fcntl.h>
 #include <gtest/gtest.h>
 
+#include <cerrno>
 #include <map>
 
+#include "engine/file_descriptor.hpp"
+#include "engine/timer_queue.hpp"
 #include "engine_fakes.hpp"
 #include "scenario.hpp"
 
@@ -185,5 +189,45 @@
   EXPECT_EQ(millisecondsSince(zero, zero.count() / 1000 + (std::int64_t{1} << 30)), 0u);
 }
 
+TEST(TimerQueue, GivesDueTimersInTheOrderInWhichTheyAreDueAndWereSet) {
+  using std::chrono::seconds;
+  TimerQueue timers;
+  EXPECT_EQ(timers.nextDue(), std::nullopt);
+  timers.schedule(seconds(2), 20);
+  timers.schedule(seconds(1), 10);
+  timers.schedule(seconds(1), 11);
+  EXPECT_EQ(timers.nextDue(), seconds(1));
+  EXPECT_EQ(timers.popDue(seconds(1) - Time(1)), std::nullopt);
+  EXPECT_EQ(timers.popDue(seconds(1)), 10u);
+  EXPECT_EQ(timers.popDue(seconds(1)), 11u);
+  EXPECT_EQ(timers.popDue(seconds(1)), std::nullopt);
+  EXPECT_EQ(timers.popDue(seconds(3)), 20u);
+  EXPECT_EQ(timers.nextDue(), std::nullopt);
+}
+
+TEST(FileDescriptor, ClosesWhatItOwnsOnceAndKeepsErrno) {
+  const auto isOpen = [](int fd) { return fcntl(fd, F_GETFD) != -1; };
+  const auto openNull = [] { return open("/dev/null", O_RDONLY | O_CLOEXEC); };
+  const int first = openNull();
+  const int second = openNull();
+  {
+    FileDescriptor owner(first);
+    FileDescriptor other(second);
+    owner = std::move(other);
+    EXPECT_FALSE(isOpen(first));
+    EXPECT_FALSE(other);
+    EXPECT_EQ(owner.get(), second);
+  }
+  EXPECT_FALSE(isOpen(second));
+  const int third = openNull();
+  EXPECT_EQ(FileDescriptor(third).release(), third);
+  EXPECT_TRUE(isOpen(third)) << "given up, not closed";
+  errno = ENOSPC;
+  FileDescriptor(third).reset();
+  EXPECT_EQ(errno, ENOSPC);
+  EXPECT_FALSE(isOpen(third));
+  EXPECT_FALSE(FileDescriptor(-1));
+}
+
 }  // namespace
 }  // namespace sablespur
