--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -1,13 +1,14 @@
 #include "admin/listener.hpp"
 
 #include <sys/socket.h>
-#include <unistd.h>
 
 #include <algorithm>
 #include <cerrno>
-#include <cstring>
-#include <stdexcept>
+#include <chrono>
+#include <utility>
+#include <variant>
 
+#include "engine/listening_socket.hpp"
 #include "engine/system_calls.hpp"
 
 namespace sablespur::admin {
@@ -20,35 +21,23 @@
 
 }  // namespace
 
-Listener::Listener(event_base* base, const Address& at, CommandHandler& commands)
-    : base_(base), commands_(commands) {
-  const int on = 1;
-  fd_ = systemCalls().socket(at.v6() ? AF_INET6 : AF_INET);
-  if (fd_ < 0 || setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-      bind(fd_, at.data(), at.size()) != 0 || listen(fd_, kBacklog) != 0) {
-    const std::string why = std::strerror(errno);
-    if (fd_ >= 0) close(fd_);
-    throw std::runtime_error("key control: " + why);
-  }
-  readable_.reset(event_new(
-      base, fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Listener*>(self)->acceptConnection(); }, this));
-  resumeTimer_.reset(event_new(
-      base, -1, 0,
-      [](evutil_socket_t, short, void* self) {
-        event_add(static_cast<Listener*>(self)->readable_.get(), nullptr);
-      },
-      this));
+Listener::Listener(event_base* base, const Address& address, CommandHandler& commands)
+    : base_(base),
+      commands_(commands),
+      socket_(openListeningSocket(address, kBacklog, PortSharing::Exclusive, "control")),
+      readable_(event_new(
+          base, socket_.get(), EV_READ | EV_PERSIST,
+          [](evutil_socket_t, short, void* self) { static_cast<Listener*>(self)->acceptConnection(); },
+          this)),
+      resumeTimer_(event_new(
+          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Listener*>(self)->resume(); },
+          this)) {
   event_add(readable_.get(), nullptr);
 }
-Listener::~Listener() {
-  readable_.reset();
-  connections_.clear();
-  close(fd_);
-}
+Listener::~Listener() = default;
 
 void Listener::acceptConnection() {
-  const int fd = systemCalls().accept(fd_, nullptr, nullptr);
+  const int fd = systemCalls().accept(socket_.get(), nullptr, nullptr);
   if (fd < 0) {
     if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
     // The socket may stay readable whatever failed: without a pause the loop would spin.
@@ -60,11 +49,13 @@
   addConnection(fd);
 }
 
+void Listener::resume() { event_add(readable_.get(), nullptr); }
+
 void Listener::closeOldest() {
-  const auto oldest =
-      std::min_element(connections_.begin(), connections_.end(),
-                       [](const auto& a, const auto& b) { return a.second.sequence < b.second.sequence; });
-  connections_.erase(oldest);
+  const auto acceptedEarlier = [](const auto& a, const auto& b) {
+    return a.second.sequence < b.second.sequence;
+  };
+  connections_.erase(std::min_element(connections_.begin(), connections_.end(), acceptedEarlier));
 }
 
 void Listener::addConnection(evutil_socket_t fd) {
@@ -101,10 +92,11 @@
 }
 
 void Listener::executeCommand(Connection& connection) {
-  std::string text;
-  const auto command = parse(connection.reader.line(), text);
-  const bool succeeded = command && commands_.execute(*command, text);
-  respond(connection, succeeded ? success(text) : failure(text));
+  const auto parsed = parse(connection.reader.line());
+  if (const auto* const invalid = std::get_if<InvalidCommand>(&parsed))
+    return respond(connection, failure(invalid->reason));
+  const CommandResult result = commands_.execute(std::get<Command>(parsed));
+  respond(connection, result.succeeded ? success(result.text) : failure(result.text));
 }
 
 // Half-closes once the response has gone out; the client closes.
--- a/src/admin/listener.hpp
+++ b/src/admin/listener.hpp
@@ -4,21 +4,27 @@
 // each is closed after a few seconds of silence.
 #pragma once
 
-#include <memory>
+#include <cstdint>
 #include <string>
 #include <unordered_map>
 
 #include "admin/command_parser.hpp"
 #include "engine/event.hpp"
+#include "engine/file_descriptor.hpp"
 #include "support/address.hpp"
 
 namespace sablespur::admin {
 
-// Executes a command at once. Returns whether it succeeded; `text` receives the message for the operator.
+struct CommandResult {
+  bool succeeded = false;
+  std::string text;  // for the operator
+};
+
 class CommandHandler {
  public:
   virtual ~CommandHandler() = default;
-  virtual bool execute(const Command&, std::string& text) = 0;
+  // Executes a command at once.
+  virtual CommandResult execute(const Command&) = 0;
 };
 
 class Listener {
@@ -36,7 +42,9 @@
     std::uint64_t sequence = 0;  // in the order of accept
     bool answered = false;
   };
+
   void acceptConnection();
+  void resume();
   void closeOldest();
   void addConnection(evutil_socket_t);
   void readCommand(bufferevent*);
@@ -47,7 +55,7 @@
 
   event_base* const base_;
   CommandHandler& commands_;
-  int fd_ = -1;
+  FileDescriptor socket_;
   std::uint64_t lastSequence_ = 0;
   Event readable_;
   Event resumeTimer_;
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -5,12 +5,14 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
 #include <utility>
 
 #include "engine/file_calls.hpp"
+#include "engine/file_descriptor.hpp"
 #include "logging/log.hpp"
 
 namespace sablespur::admin {
@@ -20,96 +22,103 @@
 constexpr std::size_t kMaxFileBytes = std::size_t{2} << 20;
 constexpr int kMaxBackoffPolls = 25;  // 5 s at one poll each 200 ms
 
-// Inode and modification time in ns; nothing if there is no file.
-std::optional<std::pair<unsigned long, long>> fileVersion(const std::string& path) {
-  struct stat s {};
-  if (stat(path.c_str(), &s) != 0) return std::nullopt;
-  return std::make_pair(static_cast<unsigned long>(s.st_ino),
-                        s.st_mtim.tv_sec * 1000000000l + s.st_mtim.tv_nsec);
-}
-
-// False, with errno set, if it could not be read. Stops one piece beyond the longest valid file.
-bool readFile(const std::string& path, std::string& text) {
-  const int file = open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
-  if (file < 0) return false;
-  char bytes[4096];
-  ssize_t got = 0;
+// Nothing, with errno set, if it could not be read. Stops one piece beyond the longest valid file.
+std::optional<std::string> readFile(const std::string& path) {
+  const FileDescriptor file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
+  if (!file) return std::nullopt;
+  std::string text;
+  std::array<char, 4096> bytes{};
   while (text.size() <= kMaxFileBytes) {
-    got = fileCalls().read(file, bytes, sizeof bytes);
+    const ssize_t got = fileCalls().read(file.get(), bytes.data(), bytes.size());
     if (got < 0 && errno == EINTR) continue;
-    if (got <= 0) break;
-    text.append(bytes, static_cast<std::size_t>(got));
+    if (got < 0) return std::nullopt;
+    if (got == 0) break;
+    text.append(bytes.data(), static_cast<std::size_t>(got));
   }
-  const int error = errno;
-  close(file);
-  errno = error;
-  return got >= 0;
+  return text;
 }
 
 bool syncDirectoryOf(const std::string& path) {
   const std::size_t slash = path.rfind('/');
   const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash + 1);
-  const int file = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (file < 0) return false;
-  const bool good = syncFully(file);
-  const int error = errno;
-  close(file);
-  errno = error;
-  return good;
+  const FileDescriptor file(open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  return file && syncFully(file.get());
 }
 
 }  // namespace
 
-std::string formatSuspendedEndpoints(const std::set<std::string>& all) {
+std::string formatSuspendedEndpoints(const std::set<std::string>& names) {
   std::string text(kHeader);
-  for (const std::string& id : all) text += id + "\n";
-  return text + "end " + std::to_string(all.size()) + "\n";
+  for (const std::string& name : names) text += name + "\n";
+  return text + "end " + std::to_string(names.size()) + "\n";
 }
 
 std::optional<std::set<std::string>> parseSuspendedEndpoints(std::string_view text) {
   if (text.substr(0, kHeader.size()) != kHeader) return std::nullopt;
   text.remove_prefix(kHeader.size());
-  std::set<std::string> all;
-  for (std::size_t end; (end = text.find('\n')) != std::string_view::npos; text.remove_prefix(end + 1)) {
+  std::set<std::string> names;
+  while (!text.empty()) {
+    const std::size_t end = text.find('\n');
+    if (end == std::string_view::npos) return std::nullopt;
     const std::string line(text.substr(0, end));
-    if (line == "end " + std::to_string(all.size()) && end + 1 == text.size()) return all;
-    if (line.empty() || line.find(' ') != std::string::npos || all.size() >= kMaxSuspendedEndpoints)
+    text.remove_prefix(end + 1);
+    if (line == "end " + std::to_string(names.size()) && text.empty()) return names;
+    if (line.empty() || line.find(' ') != std::string::npos || names.size() >= kMaxSuspendedEndpoints)
       return std::nullopt;
-    all.insert(line);
+    names.insert(line);
   }
   return std::nullopt;  // truncated
 }
 
 SuspendedEndpoints::SuspendedEndpoints(std::string path) : path_(std::move(path)) { load(); }
 
+std::optional<SuspendedEndpoints::FileVersion> SuspendedEndpoints::versionOf(const std::string& path) {
+  struct stat status {};
+  if (stat(path.c_str(), &status) != 0) return std::nullopt;
+  using std::chrono::nanoseconds;
+  using std::chrono::seconds;
+  return FileVersion{status.st_ino, seconds(status.st_mtim.tv_sec) + nanoseconds(status.st_mtim.tv_nsec)};
+}
+
+// True: endpoints() has changed.
 bool SuspendedEndpoints::load() {
-  const auto now = fileVersion(path_);
-  if (path_.empty() || now == lastSeen_) return false;
-  if (!now) {
-    lastSeen_ = now;
+  const auto version = versionOf(path_);
+  if (path_.empty() || version == lastSeen_) return false;
+  if (!version) {
+    lastSeen_ = version;
     return false;  // deleted: the known set stays
   }
-  std::string text;
-  if (!readFile(path_, text)) {  // lastSeen_ stays, so that the next poll tries again
-    if (!std::exchange(unreadable_, true))
-      logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}, {"why", std::strerror(errno)}});
+  const auto text = readFile(path_);
+  if (!text) {  // lastSeen_ stays, so that the next poll tries again
+    logUnreadable();
     return false;
   }
-  lastSeen_ = now;
+  lastSeen_ = version;
   unreadable_ = false;
-  auto read = parseSuspendedEndpoints(text);
+  auto read = parseSuspendedEndpoints(*text);
   if (!read) {
     logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}});
     return false;
   }
+  return replaceBy(std::move(*read));
+}
+
+void SuspendedEndpoints::logUnreadable() {
+  const char* const why = std::strerror(errno);
+  if (std::exchange(unreadable_, true)) return;
+  logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}, {"why", why}});
+}
+
+// Takes over what the file says, but for the changes that are not in it yet.
+bool SuspendedEndpoints::replaceBy(std::set<std::string> read) {
   for (const auto& [name, suspended] : unwritten_) {
     if (suspended)
-      read->insert(name);
+      read.insert(name);
     else
-      read->erase(name);
+      read.erase(name);
   }
-  const bool changed = *read != endpoints_;
-  endpoints_ = std::move(*read);
+  const bool changed = read != endpoints_;
+  endpoints_ = std::move(read);
   return changed;
 }
 
@@ -137,7 +146,7 @@
   if (!replaceFile(formatSuspendedEndpoints(endpoints_))) {
     if (!std::exchange(writeFailing_, true))
       logEvent(LogLevel::Error, "suspensions_write_failed", {{"file", path_}, {"why", std::strerror(errno)}});
-    lastSeen_ = fileVersion(path_);
+    lastSeen_ = versionOf(path_);
     return false;
   }
   if (std::exchange(writeFailing_, false))
@@ -145,23 +154,19 @@
   unwritten_.clear();
   pollsToSkip_ = 0;
   nextBackoff_ = 1;
-  lastSeen_ = fileVersion(path_);
+  lastSeen_ = versionOf(path_);
   return true;
 }
 
 // Durable under its name when it returns true; else the earlier file is intact, and errno is set.
 bool SuspendedEndpoints::replaceFile(const std::string& text) const {
   const std::string fresh = path_ + "." + std::to_string(getpid());
-  const int file = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  if (file < 0) return false;
-  bool good = writeFully(file, text) && syncFully(file);
-  int error = errno;
-  close(file);
-  if (good && std::rename(fresh.c_str(), path_.c_str()) != 0) {
-    good = false;
-    error = errno;
-  }
-  if (good) return syncDirectoryOf(path_);
+  FileDescriptor file(open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  if (!file) return false;
+  const bool written = writeFully(file.get(), text) && syncFully(file.get());
+  file.reset();
+  if (written && std::rename(fresh.c_str(), path_.c_str()) == 0) return syncDirectoryOf(path_);
+  const int error = errno;
   unlink(fresh.c_str());
   errno = error;
   return false;
--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -32,34 +32,29 @@
   }
 
  private:
-  bool execute(const admin::Command& command, std::string& text) override {
+  admin::CommandResult execute(const admin::Command& command) override {
     switch (command.type) {
       case admin::CommandType::Status:
-        return describeState(text);
+        return describeState();
       case admin::CommandType::Suspend:
-        return changeSuspension(command.endpoint, true, text);
+        return changeSuspension(command.endpoint, true);
       case admin::CommandType::Restore:
-        return changeSuspension(command.endpoint, false, text);
+        return changeSuspension(command.endpoint, false);
     }
-    return false;
+    return {};
   }
 
-  bool describeState(std::string& text) const {
-    const bool draining = clients_.draining();
-    text = draining ? "draining" : "serving, " + std::to_string(suspended_.endpoints().size()) + " suspended";
-    return !draining;
+  admin::CommandResult describeState() const {
+    if (clients_.draining()) return {false, "draining"};
+    return {true, "serving, " + std::to_string(suspended_.endpoints().size()) + " suspended"};
   }
 
-  bool changeSuspension(const std::string& name, bool suspend, std::string& text) {
-    if (!engine_.suspend(name, suspend)) {
-      text = name + " was never on the list";
-      return false;
-    }
+  admin::CommandResult changeSuspension(const std::string& name, bool suspend) {
+    if (!engine_.suspend(name, suspend)) return {false, name + " was never on the list"};
     const bool durable = suspended_.set(name, suspend);
     logEvent(LogLevel::Info, suspend ? "member_suspended" : "member_restored", {{"name", name}});
-    text = name + (suspend ? " suspended" : " restored");
-    if (!durable) text += ", in this process alone: not kept on disk yet";
-    return true;
+    const char* const durability = durable ? "" : ", in this process alone: not kept on disk yet";
+    return {true, name + (suspend ? " suspended" : " restored") + durability};
   }
 
   // Applies what another process of this proxy has changed.
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -10,6 +10,7 @@
 #include <filesystem>
 #include <fstream>
 #include <thread>
+#include <variant>
 
 #include "admin/command_parser.hpp"
 #include "admin/suspended_endpoints.hpp"
@@ -25,22 +26,20 @@
 using admin::SuspendedEndpoints;
 
 TEST(ControlLine, KnowsItsCallsAndNoOthers) {
-  std::string why;
-  const auto status = admin::parse("STATUS", why);
-  ASSERT_TRUE(status);
-  EXPECT_EQ(status->type, CommandType::Status);
-  const auto suspend = admin::parse("  suspend \t s-5be2a07c ", why);
-  ASSERT_TRUE(suspend);
-  EXPECT_EQ(suspend->type, CommandType::Suspend);
-  EXPECT_EQ(suspend->endpoint, "s-5be2a07c");
-  ASSERT_TRUE(admin::parse("RESTORE s-1", why));
+  const auto command = [](const std::string& line) { return std::get<admin::Command>(admin::parse(line)); };
+  EXPECT_EQ(command("STATUS").type, CommandType::Status);
+  const admin::Command suspend = command("  suspend \t s-5be2a07c ");
+  EXPECT_EQ(suspend.type, CommandType::Suspend);
+  EXPECT_EQ(suspend.endpoint, "s-5be2a07c");
+  EXPECT_EQ(command("RESTORE s-1").type, CommandType::Restore);
   for (const std::string bad :
        {"", " ", "STATUS now", "SUSPEND", "RESTORE", "SUSPEND a b", "REMOVE s-1", "SUSPEND \x01"}) {
-    why.clear();
-    EXPECT_FALSE(admin::parse(bad, why)) << bad;
-    EXPECT_FALSE(why.empty()) << bad;
+    const auto parsed = admin::parse(bad);
+    ASSERT_TRUE(std::holds_alternative<admin::InvalidCommand>(parsed)) << bad;
+    EXPECT_FALSE(std::get<admin::InvalidCommand>(parsed).reason.empty()) << bad;
   }
-  EXPECT_FALSE(admin::parse("SUSPEND " + std::string(admin::kMaxEndpointIdBytes + 1, 'x'), why));
+  const std::string tooLong(admin::kMaxEndpointIdBytes + 1, 'x');
+  EXPECT_TRUE(std::holds_alternative<admin::InvalidCommand>(admin::parse("SUSPEND " + tooLong)));
 }
 TEST(ControlLine, IsReadInPiecesOfAnySizeAndBounded) {
   const std::string call = "SUSPEND s-1\r\nSTATUS\n";
