--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -16,30 +16,35 @@
 // instances.
 #pragma once
 
-#include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <optional>
-#include <pcg_random.hpp>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "config/config.hpp"
+#include "discovery/dnssd/query_budget.hpp"
+#include "discovery/dnssd/refresh_schedule.hpp"
+#include "discovery/dnssd/target_index.hpp"
 #include "protocol/dns/message.hpp"
 
 namespace sablespur {
 
 class DnsSdDirectory {
  public:
+  // Throws BadInput where the settings name no domain.
   DnsSdDirectory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
 
   struct Query {
     dns::Question question;
-    bool tcp = false;
+    bool overTcp = false;
   };
   // The queries to send now. Each ends in one call of handleAnswer or handleFailure.
   std::vector<Query> dueQueries(Time now);
-  void handleAnswer(Time now, const dns::Question&, const dns::Message&, bool tcp);
+  void handleAnswer(Time now, const dns::Question&, const dns::Message&, bool overTcp);
   void handleFailure(Time now, const dns::Question&);
   // When dueQueries has something, unless a PTR query is in flight.
   std::optional<Time> nextDeadline() const;
@@ -52,7 +57,8 @@
   std::vector<DiscoveredEndpoint> instances() const;
   // The instances that are left out, by name, and why.
   const std::map<std::string, std::string>& faults() const { return faults_; }
-  bool failing() const { return ptrFailures_ > 0; }
+  // Whether the last PTR query has failed.
+  bool failing() const { return ptr_.failures > 0; }
 
  private:
   // The records of a name and type.
@@ -64,63 +70,79 @@
     bool attempted = false;
     int failures = 0;  // in a row
   };
+  // Records of one name and type as a message brings them.
+  struct ReceivedRecords {
+    std::vector<dns::Data> data;
+    std::uint32_t ttl = 0;  // the shortest
+    void add(const dns::Record&);
+  };
+  // How the queries for the list of instances go.
+  struct PtrState {
+    int failures = 0;  // in a row
+    Time answeredAt{};
+    bool broughtAll = false;   // the last answer brought all other records along
+    bool overTcp = false;      // the next query goes over TCP
+    int roundsWithoutTcp = 0;  // refreshes until TCP is tried again
+  };
   // What the records of an instance amount to. Neither: some are not known yet.
   struct Description {
     std::optional<DiscoveredEndpoint> endpoint;
     std::string fault;
   };
 
-  // Queries: what is due when.
+  // Queries (directory.cpp): what is due when.
+  bool ptrQueryDue(Time now) const;
   std::vector<Query> dueRecordQueries(Time now);
-  bool spendQueryBudget(Time now);
-  Time refreshTime(Time now, std::uint32_t ttl);
-  Time backoff(int failures);
+  std::vector<std::pair<const dns::Question, RecordSet>*> dueRecordSets(Time now);
+  void queryEnded(const dns::Question&, RecordSet&);
+  const RecordSet* find(const dns::Name&, dns::Type) const;
+  std::vector<dns::Name> listedInstances() const;
 
-  // Answers: what is stored.
-  void storeRecords(Time now, const dns::Question&, std::vector<dns::Data>, std::uint32_t ttl);
+  // Answers (directory_answers.cpp): what is stored.
+  void storeRecords(Time now, const dns::Question&, ReceivedRecords);
+  void storeAbsence(Time now, const dns::Question&, std::uint32_t ttl);
   void storeNegativeAnswer(Time now, const dns::Question&, const dns::Message&);
-  std::vector<dns::Question> storeKnownRecords(Time now, const std::vector<dns::Record>&, bool additional);
+  void storeAnswer(Time now, const dns::Question&, const dns::Message&);
+  std::vector<dns::Question> storeAdditionals(Time now, const std::vector<dns::Record>&);
   void storeIpv6OnlyTargets(Time now, const std::vector<dns::Record>&, std::vector<dns::Question>& stored);
   std::vector<dns::Name> storePtrRecords(Time now, const dns::Message&);
-  void handlePtrAnswer(Time now, const dns::Message&, bool tcp);
+  void handlePtrAnswer(Time now, const dns::Message&, bool overTcp);
   void chooseTransport(Time now, bool answeredOverTcp);
   bool additionalsComplete() const;
-  const RecordSet* find(const dns::Name&, dns::Type) const;
-  std::vector<dns::Name> listedInstances() const;
 
-  // Endpoints: what the records amount to.
+  // Endpoints (directory_endpoints.cpp): what the records amount to.
   void resolveInstances();
-  void resolve(const dns::Name& instance);
-  void resolve(const dns::Question&);  // the instances that it concerns
+  void resolveInstance(const dns::Name&);
+  void resolveInstancesOf(const dns::Question&);
   Description describeInstance(const dns::Name&);
+  const RecordSet& addressesOf(const dns::Name& target);
   Address chooseAddress(const dns::Name& instance, const std::vector<dns::Data>& records, std::uint16_t port);
-  void setTarget(const dns::Name& instance, const dns::Name& target);
-  void removeFromTarget(const dns::Name& target, const dns::Name& instance);
+  bool updateEndpoint(const dns::Name& instance, Description&);
+  bool updateFault(const dns::Name& instance, const std::string& fault);
   // Drops what belongs to instances that are no longer listed.
   void removeUnlisted();
   bool isNeeded(const dns::Question&, const std::set<dns::Name>& listed) const;
 
+  // After TCP failed or brought no more than a datagram, so many refreshes go without it.
+  static constexpr int kRoundsWithoutTcp = 20;
+
   const DnsSdSettings settings_;
   const std::vector<GroupName> groups_;
-  const dns::Question ptr_;
+  const dns::Question ptrQuestion_;
   const dns::Name domain_;
-  pcg32 random_;
+
   std::map<dns::Question, RecordSet> sets_;
+  RefreshSchedule schedule_;
+  PtrState ptr_;
+  QueryBudget recordQueryBudget_;  // of queries for single records
+  std::size_t recordQueriesInFlight_ = 0;
+
   std::map<dns::Name, DiscoveredEndpoint> endpoints_;
   std::map<dns::Name, Address> chosenAddresses_;  // of each instance: kept while it is still listed
-  std::map<dns::Name, std::set<dns::Name>> instancesByTarget_;
-  std::map<dns::Name, dns::Name> targetByInstance_;
+  TargetIndex targets_;
   std::map<std::string, std::string> faults_;
   std::uint64_t version_ = 0;
   bool complete_ = false;
-  double queryBudget_ = 0;  // of queries for single records
-  Time queryBudgetUpdatedAt_{};
-  std::size_t recordQueriesInFlight_ = 0;
-  int ptrFailures_ = 0;
-  bool lastAnswerComplete_ = false;  // the last PTR answer brought all else along
-  bool ptrOverTcp_ = false;          // the next PTR query goes over TCP
-  int roundsWithoutTcp_ = 0;         // PTR refreshes until TCP is tried again
-  Time lastPtrAnswer_{};
 };
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/directory_endpoints.cpp
+++ b/src/discovery/dnssd/directory_endpoints.cpp
@@ -1,5 +1,6 @@
-// DnsSdDirectory: from the records of instances to endpoints, and what is kept for them.
+// DnsSdDirectory: which endpoints the records of the instances amount to.
 #include <algorithm>
+#include <iterator>
 #include <tuple>
 #include <utility>
 
@@ -29,26 +30,20 @@
   return best && best->target != "." && best->port != 0 ? best : nullptr;
 }
 
-}  // namespace
-
-void DnsSdDirectory::setTarget(const Name& instance, const Name& target) {
-  Name& current = targetByInstance_[instance];
-  if (current == target) return;
-  if (!current.empty()) removeFromTarget(current, instance);
-  if (!target.empty()) instancesByTarget_[target].insert(instance);
-  current = target;
+std::vector<std::string> stringsOf(const std::vector<Data>& txtRecords) {
+  std::vector<std::string> strings;
+  for (const Data& data : txtRecords)
+    for (const std::string& text : std::get<dns::TxtStrings>(data)) strings.push_back(text);
+  return strings;
 }
 
-void DnsSdDirectory::removeFromTarget(const Name& target, const Name& instance) {
-  const auto instances = instancesByTarget_.find(target);
-  if (instances == instancesByTarget_.end()) return;
-  if (instances->second.erase(instance) > 0 && instances->second.empty()) instancesByTarget_.erase(instances);
-}
+}  // namespace
 
 // Of several addresses one is chosen, and kept while it is listed: the others lead to the same server.
 Address DnsSdDirectory::chooseAddress(const Name& instance, const std::vector<Data>& records,
                                       std::uint16_t port) {
   std::vector<std::string> listed;
+  listed.reserve(records.size());
   for (const Data& data : records) listed.push_back(std::get<dns::AddressBytes>(data).bytes);
   std::sort(listed.begin(), listed.end());
   Address& chosen = chosenAddresses_[instance];
@@ -59,56 +54,73 @@
   return chosen;
 }
 
-DnsSdDirectory::Description DnsSdDirectory::describeInstance(const Name& name) {
+// IPv6 addresses are of interest, and queried, only where there is no IPv4 address.
+const DnsSdDirectory::RecordSet& DnsSdDirectory::addressesOf(const Name& target) {
+  const RecordSet& ipv4 = sets_[{target, Type::A}];
+  return ipv4.state == RecordSet::State::Absent ? sets_[{target, Type::Aaaa}] : ipv4;
+}
+
+DnsSdDirectory::Description DnsSdDirectory::describeInstance(const Name& instance) {
   using State = RecordSet::State;
-  const RecordSet& srv = sets_[{name, Type::Srv}];
-  const RecordSet& txt = sets_[{name, Type::Txt}];
+  const RecordSet& srv = sets_[{instance, Type::Srv}];
+  const RecordSet& txt = sets_[{instance, Type::Txt}];
   const dns::Srv* const target = preferredTarget(srv.data);
-  setTarget(name, target ? target->target : Name());
+  targets_.set(instance, target ? target->target : Name());
   if (srv.state == State::Absent) return {std::nullopt, "it has no SRV record"};
   if (!target && srv.state == State::Known)
     return {std::nullopt, "its SRV record says that it is not to be had"};
   if (!target) return {};
-  const RecordSet& a = sets_[{target->target, Type::A}];
-  const RecordSet& addresses = a.state == State::Absent ? sets_[{target->target, Type::Aaaa}] : a;
+  const RecordSet& addresses = addressesOf(target->target);
   if (addresses.state == State::Absent)
     return {std::nullopt, "its target " + target->target + " has no address"};
   if (addresses.state == State::Unknown) return {};
-  DiscoveredEndpoint endpoint;
-  endpoint.name = dns::firstLabel(name);
-  endpoint.address = chooseAddress(name, addresses.data, target->port);
+  const Address address = chooseAddress(instance, addresses.data, target->port);
   if (txt.state == State::Unknown) return {};
-  std::vector<std::string> strings;
-  for (const Data& data : txt.data)
-    for (const std::string& text : std::get<dns::TxtStrings>(data)) strings.push_back(text);
-  if (const auto wrong = readTxt(strings, groups_, settings_.defaultGroup, endpoint))
-    return {std::nullopt, "TXT: " + *wrong};
+  auto attributes = readTxt(stringsOf(txt.data), groups_, settings_.defaultGroup);
+  if (const auto* const fault = std::get_if<TxtFault>(&attributes))
+    return {std::nullopt, "TXT: " + fault->reason};
+  auto& endpoint = std::get<DiscoveredEndpoint>(attributes);
+  endpoint.name = dns::firstLabel(instance);
+  endpoint.address = address;
   return {std::move(endpoint), ""};
 }
 
-void DnsSdDirectory::resolve(const Name& name) {
-  Description now = describeInstance(name);
-  const auto before = endpoints_.find(name);
-  const bool known = before != endpoints_.end();
+void DnsSdDirectory::resolveInstance(const Name& instance) {
+  Description description = describeInstance(instance);
+  const bool endpointChanged = updateEndpoint(instance, description);
+  const bool faultChanged = updateFault(instance, description.fault);
+  if (endpointChanged || faultChanged) ++version_;
+}
+
+// True: it has changed. Moves the endpoint out of the description.
+bool DnsSdDirectory::updateEndpoint(const Name& instance, Description& description) {
+  const auto known = endpoints_.find(instance);
+  if (description.endpoint) {
+    if (known != endpoints_.end() && known->second == *description.endpoint) return false;
+    endpoints_[instance] = std::move(*description.endpoint);
+    return true;
+  }
   // With neither an endpoint nor a fault something has still to be queried, as after a change of target: the
   // endpoint stays as it was.
-  const bool pending = !now.endpoint && now.fault.empty();
-  const bool same = pending || (now.endpoint ? known && before->second == *now.endpoint : !known);
-  if (!same && now.endpoint) endpoints_[name] = std::move(*now.endpoint);
-  if (!same && !now.endpoint) endpoints_.erase(before);
-  const auto faultBefore = faults_.find(name);
-  const bool sameFault = faultBefore == faults_.end() ? now.fault.empty() : faultBefore->second == now.fault;
-  if (!sameFault && now.fault.empty()) faults_.erase(faultBefore);
-  if (!sameFault && !now.fault.empty()) faults_[name] = now.fault;
-  if (!same || !sameFault) ++version_;
+  if (description.fault.empty() || known == endpoints_.end()) return false;
+  endpoints_.erase(known);
+  return true;
+}
+
+// True: it has changed. An empty fault: there is none.
+bool DnsSdDirectory::updateFault(const Name& instance, const std::string& fault) {
+  if (fault.empty()) return faults_.erase(instance) > 0;
+  std::string& known = faults_[instance];
+  const bool changed = known != fault;
+  known = fault;
+  return changed;
 }
 
-void DnsSdDirectory::resolve(const Question& question) {
-  if (question.type == Type::Srv || question.type == Type::Txt) return resolve(question.name);
-  const auto instances = instancesByTarget_.find(question.name);
-  if (instances == instancesByTarget_.end()) return;
-  const std::set<Name> all = instances->second;  // resolving may change targets
-  for (const Name& instance : all) resolve(instance);
+void DnsSdDirectory::resolveInstancesOf(const Question& question) {
+  if (question.type == Type::Srv || question.type == Type::Txt) return resolveInstance(question.name);
+  // A copy: resolving may change targets.
+  const std::set<Name> instances = targets_.instancesOf(question.name);
+  for (const Name& instance : instances) resolveInstance(instance);
 }
 
 void DnsSdDirectory::resolveInstances() {
@@ -117,35 +129,31 @@
   const std::set<Name> listed(all.begin(), all.end());
   for (auto endpoint = endpoints_.begin(); endpoint != endpoints_.end();)
     endpoint = listed.count(endpoint->first) > 0 ? std::next(endpoint) : endpoints_.erase(endpoint);
-  for (const Name& instance : all) resolve(instance);
+  for (const Name& instance : all) resolveInstance(instance);
 }
 
 void DnsSdDirectory::removeUnlisted() {
   const std::vector<Name> all = listedInstances();
   const std::set<Name> listed(all.begin(), all.end());
-  for (auto target = targetByInstance_.begin(); target != targetByInstance_.end();) {
-    if (listed.count(target->first) > 0) {
-      ++target;
-      continue;
-    }
-    removeFromTarget(target->second, target->first);
-    target = targetByInstance_.erase(target);
-  }
+  targets_.retain(listed);
   for (auto chosen = chosenAddresses_.begin(); chosen != chosenAddresses_.end();)
-    chosen = listed.count(chosen->first) == 0 ? chosenAddresses_.erase(chosen) : std::next(chosen);
+    chosen = listed.count(chosen->first) > 0 ? std::next(chosen) : chosenAddresses_.erase(chosen);
   for (auto set = sets_.begin(); set != sets_.end();) {
-    const bool needed = isNeeded(set->first, listed);
-    if (!needed && set->second.inFlight) --recordQueriesInFlight_;
-    set = needed ? std::next(set) : sets_.erase(set);
+    if (isNeeded(set->first, listed)) {
+      ++set;
+      continue;
+    }
+    queryEnded(set->first, set->second);
+    set = sets_.erase(set);
   }
 }
 
 bool DnsSdDirectory::isNeeded(const Question& question, const std::set<Name>& listed) const {
-  if (question == ptr_) return true;
+  if (question == ptrQuestion_) return true;
   if (question.type != Type::A && question.type != Type::Aaaa) return listed.count(question.name) > 0;
-  if (instancesByTarget_.count(question.name) == 0) return false;
+  if (!targets_.isTarget(question.name)) return false;
   if (question.type == Type::A) return true;
-  const RecordSet* const ipv4 = find(question.name, Type::A);  // IPv6 is queried only where there is no IPv4
+  const RecordSet* const ipv4 = find(question.name, Type::A);
   return ipv4 && ipv4->state == RecordSet::State::Absent;
 }
 
--- a/src/discovery/dnssd/name_servers.cpp
+++ b/src/discovery/dnssd/name_servers.cpp
@@ -1,37 +1,42 @@
 #include "discovery/dnssd/name_servers.hpp"
 
 #include <algorithm>
+#include <cstdint>
 #include <tuple>
 
 namespace sablespur {
 namespace {
 
-constexpr NameServers::Time kInitialBackoff = std::chrono::seconds(1), kMaxBackoff = std::chrono::seconds(30);
+constexpr NameServers::Time kInitialBackoff = std::chrono::seconds(1);
+constexpr NameServers::Time kMaxBackoff = std::chrono::seconds(30);
+constexpr int kMaxDoublings = 6;
 
 }  // namespace
 
 std::optional<std::size_t> NameServers::select(Time now, const std::vector<bool>& tried) const {
-  std::optional<std::size_t> best;
-  const auto rank = [&](std::size_t k) {
-    const bool rests = servers_[k].backoffUntil > now;
-    const std::size_t turn = (k + servers_.size() - current_) % servers_.size();
-    return std::make_tuple(rests, rests ? servers_[k].backoffUntil : Time(0), turn);
+  // Servers that do not back off come first, in turn from the current one; then those that do, by its end.
+  const auto rank = [&](std::size_t index) {
+    const Time backoffUntil = servers_[index].backoffUntil;
+    const bool backsOff = backoffUntil > now;
+    const std::size_t turn = (index + servers_.size() - current_) % servers_.size();
+    return std::make_tuple(backsOff, backsOff ? backoffUntil : Time(0), turn);
   };
-  for (std::size_t k = 0; k < servers_.size(); ++k)
-    if (!tried[k] && (!best || rank(k) < rank(*best))) best = k;
+  std::optional<std::size_t> best;
+  for (std::size_t index = 0; index < servers_.size(); ++index)
+    if (!tried[index] && (!best || rank(index) < rank(*best))) best = index;
   return best;
 }
 
-void NameServers::recordFailure(std::size_t k, Time now) {
-  ServerState& s = servers_[k];
-  s.backoffUntil =
-      now + std::min(kInitialBackoff * (std::int64_t{1} << std::min(s.failures, 6)), kMaxBackoff);
-  ++s.failures;
+void NameServers::recordFailure(std::size_t index, Time now) {
+  ServerState& server = servers_[index];
+  const Time doubled = kInitialBackoff * (std::int64_t{1} << std::min(server.failures, kMaxDoublings));
+  server.backoffUntil = now + std::min(doubled, kMaxBackoff);
+  ++server.failures;
 }
 
-void NameServers::recordAnswer(std::size_t k) {
-  servers_[k] = {};
-  current_ = k;
+void NameServers::recordAnswer(std::size_t index) {
+  servers_[index] = {};
+  current_ = index;
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/name_servers.hpp
+++ b/src/discovery/dnssd/name_servers.hpp
@@ -19,8 +19,9 @@
 
   // The index of a server that is not in `tried`; nothing when all are.
   std::optional<std::size_t> select(Time now, const std::vector<bool>& tried) const;
-  void recordFailure(std::size_t, Time now);
-  void recordAnswer(std::size_t);
+  void recordFailure(std::size_t index, Time now);
+  void recordAnswer(std::size_t index);
+  // The index of the server that answered last.
   std::size_t current() const { return current_; }
 
  private:
--- a/src/discovery/dnssd/records.hpp
+++ b/src/discovery/dnssd/records.hpp
@@ -14,16 +14,21 @@
 
 #include <optional>
 #include <string>
+#include <variant>
 #include <vector>
 
 #include "config/config.hpp"
 
 namespace sablespur {
 
-// Sets the attributes of the endpoint. Returns what is wrong with the record, if anything; the endpoint is
-// then partly set.
-std::optional<std::string> readTxt(const std::vector<std::string>& strings,
-                                   const std::vector<GroupName>& groups,
-                                   std::optional<balancer::GroupId> defaultGroup, DiscoveredEndpoint&);
+// What is wrong with a TXT record; names the key.
+struct TxtFault {
+  std::string reason;
+};
+
+// The attributes of the endpoint, with neither name nor address.
+std::variant<DiscoveredEndpoint, TxtFault> readTxt(const std::vector<std::string>& strings,
+                                                   const std::vector<GroupName>& groups,
+                                                   std::optional<balancer::GroupId> defaultGroup);
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -1,14 +1,16 @@
 #include "discovery/dnssd/source.hpp"
 
+#include <variant>
+
 #include "logging/log.hpp"
 
 namespace sablespur {
 
-DnsSdDiscovery::DnsSdDiscovery(event_base* base, const Clock& clock, EndpointUpdater& feed,
+DnsSdDiscovery::DnsSdDiscovery(event_base* base, const Clock& clock, EndpointUpdater& updater,
                                const Config& config)
     : base_(base),
       clock_(clock),
-      updater_(feed),
+      updater_(updater),
       timer_(event_new(
           base, -1, 0,
           [](evutil_socket_t, short, void* self) { static_cast<DnsSdDiscovery*>(self)->sendDueQueries(); },
@@ -23,7 +25,7 @@
   settings_ = config.dnssd;
   resolver_ = std::make_unique<Resolver>(
       base_, clock_, settings_,
-      [this](const dns::Question& q, const Resolver::Reply& r) { handleReply(q, r); });
+      [this](const dns::Question& question, const Resolver::Reply& reply) { handleReply(question, reply); });
   hasPublished_ = false;
   startTimer(timer_.get(), Time(0));
 }
@@ -35,43 +37,54 @@
 
 void DnsSdDiscovery::sendDueQueries() {
   const Time now = clock_.now();
-  for (const DnsSdDirectory::Query& a : directory_->dueQueries(now)) resolver_->query(a.question, a.tcp);
+  for (const DnsSdDirectory::Query& query : directory_->dueQueries(now))
+    resolver_->query(query.question, query.overTcp);
   if (const auto at = directory_->nextDeadline())
     startTimer(timer_.get(), *at - now);
   else
     event_del(timer_.get());  // the next reply starts it
 }
 
-void DnsSdDiscovery::handleReply(const dns::Question& q, const Resolver::Reply& r) {
-  const Time now = clock_.now();
-  if (r.ok)
-    directory_->handleAnswer(now, q, r.message, r.tcp);
+void DnsSdDiscovery::handleReply(const dns::Question& question, const Resolver::Reply& reply) {
+  if (const auto* const answer = std::get_if<Resolver::Answer>(&reply))
+    handleAnswer(question, *answer);
   else
-    directory_->handleFailure(now, q);
-  if (!r.ok && q.type == dns::Type::Ptr) updater_.discoveryFailed(r.error);
-  if (!r.ok && q.type != dns::Type::Ptr)
-    logEvent(LogLevel::Warning, "record_failed",
-             {{"name", q.name}, {"type", static_cast<int>(q.type)}, {"why", r.error}});
+    handleFailure(question, std::get<Resolver::Failure>(reply));
+  sendDueQueries();
+}
+
+void DnsSdDiscovery::handleAnswer(const dns::Question& question, const Resolver::Answer& answer) {
+  directory_->handleAnswer(clock_.now(), question, answer.message, answer.overTcp);
   // An answer that only confirms a single record changes nothing; the PTR answer confirms the list as a
   // whole.
-  if (r.ok && (q.type == dns::Type::Ptr || directory_->version() != publishedVersion_ || !hasPublished_))
-    publish();
-  sendDueQueries();
+  const bool changed = directory_->version() != publishedVersion_;
+  if (question.type == dns::Type::Ptr || changed || !hasPublished_) publish();
+}
+
+void DnsSdDiscovery::handleFailure(const dns::Question& question, const Resolver::Failure& failure) {
+  directory_->handleFailure(clock_.now(), question);
+  if (question.type == dns::Type::Ptr) return updater_.discoveryFailed(failure.reason);
+  logEvent(LogLevel::Warning, "record_failed",
+           {{"name", question.name}, {"type", static_cast<int>(question.type)}, {"why", failure.reason}});
 }
 
 // Not before the first list is complete: endpoints that followed it would count as just started.
 void DnsSdDiscovery::publish() {
   if (!hasPublished_ && !directory_->isComplete()) return;
   publishedVersion_ = directory_->version();
+  logNewFaults();
+  const bool first = !hasPublished_;
+  hasPublished_ = true;
+  updater_.found(directory_->instances(), first);
+}
+
+void DnsSdDiscovery::logNewFaults() {
   for (const auto& [name, why] : directory_->faults()) {
-    const auto it = loggedFaults_.find(name);
-    if (it == loggedFaults_.end() || it->second != why)
+    const auto logged = loggedFaults_.find(name);
+    if (logged == loggedFaults_.end() || logged->second != why)
       logEvent(LogLevel::Warning, "endpoint_ignored", {{"name", dns::firstLabel(name)}, {"why", why}});
   }
   loggedFaults_ = directory_->faults();
-  const bool first = !hasPublished_;
-  hasPublished_ = true;
-  updater_.found(directory_->instances(), first);
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/source.hpp
+++ b/src/discovery/dnssd/source.hpp
@@ -16,7 +16,8 @@
 
 class DnsSdDiscovery {
  public:
-  // Throws BadInput where the settings name no domain. Queries start with the loop's next pass.
+  // Throws BadInput where the settings name no domain. Queries start with the loop's next pass. The clock and
+  // the updater have to outlive it.
   DnsSdDiscovery(event_base*, const Clock&, EndpointUpdater&, const Config&);
   // The published endpoints stay until the new settings have given a whole list. Equal settings change
   // nothing.
@@ -24,6 +25,7 @@
 
   // Whether a whole list has been published since the start or the last change of settings.
   bool hasPublished() const { return hasPublished_; }
+  // The instances that are left out, by name, and why.
   const std::map<std::string, std::string>& faults() const { return directory_->faults(); }
   const Resolver::Counts& counts() const { return resolver_->counts(); }
 
@@ -31,7 +33,10 @@
   void open(const Config&);
   void sendDueQueries();
   void handleReply(const dns::Question&, const Resolver::Reply&);
+  void handleAnswer(const dns::Question&, const Resolver::Answer&);
+  void handleFailure(const dns::Question&, const Resolver::Failure&);
   void publish();
+  void logNewFaults();
 
   event_base* const base_;
   const Clock& clock_;
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -127,30 +127,34 @@
 // ---- TXT ----------------------------------------------------------------------------------------------
 TEST(DnsSdRecords, TxtSaysWhatAnInstanceIsAndFaultsNameTheKey) {
   const std::vector<GroupName> groups{{"rentals", 3}};
-  DiscoveredEndpoint i;
-  EXPECT_FALSE(readTxt({"txtvers=1", "Group=rentals", "zone=ruwi", "kind=big", "weight=2.5", "state=leaving",
-                        "started=1767225600123", "group=9", "other", "=x"},
-                       groups, std::nullopt, i));
-  EXPECT_EQ(i.group, 3u);
-  EXPECT_EQ(i.zone, "ruwi");
-  EXPECT_EQ(i.kind, "big");
-  EXPECT_EQ(i.weight, 2.5);
-  EXPECT_EQ(i.state, balancer::Lifecycle::Draining);
-  EXPECT_EQ(i.startedMs, 1767225600123);
-  DiscoveredEndpoint plain;
-  EXPECT_FALSE(readTxt({""}, groups, 7, plain));
+  const auto read = [&](const std::vector<std::string>& strings,
+                        std::optional<balancer::GroupId> defaultGroup) {
+    return readTxt(strings, groups, defaultGroup);
+  };
+  const auto full =
+      std::get<DiscoveredEndpoint>(read({"txtvers=1", "Group=rentals", "zone=ruwi", "kind=big", "weight=2.5",
+                                         "state=leaving", "started=1767225600123", "group=9", "other", "=x"},
+                                        std::nullopt));
+  EXPECT_EQ(full.group, 3u);
+  EXPECT_EQ(full.zone, "ruwi");
+  EXPECT_EQ(full.kind, "big");
+  EXPECT_EQ(full.weight, 2.5);
+  EXPECT_EQ(full.state, balancer::Lifecycle::Draining);
+  EXPECT_EQ(full.startedMs, 1767225600123);
+  const auto plain = std::get<DiscoveredEndpoint>(read({""}, 7));
   EXPECT_EQ(plain.group, 7u);
   EXPECT_EQ(plain.weight, 1);
   EXPECT_EQ(plain.state, balancer::Lifecycle::Ready);
   EXPECT_EQ(plain.startedMs, 0);
-  EXPECT_TRUE(readTxt({}, groups, std::nullopt, i));
-  for (const char* bad : {"group=lost", "group=70000", "group=", "weight=0", "weight=-1", "weight=nan",
-                          "weight=x", "state=gone", "started=-1", "started=soon", "txtvers=2"}) {
-    const auto why = readTxt({bad}, groups, 7, i);
-    ASSERT_TRUE(why) << bad;
-    EXPECT_EQ(why->find(std::string(bad).substr(0, std::string(bad).find('='))), 0u) << *why;
+  EXPECT_TRUE(std::holds_alternative<TxtFault>(read({}, std::nullopt)));
+  for (const std::string bad : {"group=lost", "group=70000", "group=", "weight=0", "weight=-1", "weight=nan",
+                                "weight=x", "state=gone", "started=-1", "started=soon", "txtvers=2"}) {
+    const auto result = read({bad}, 7);
+    const auto* const fault = std::get_if<TxtFault>(&result);
+    ASSERT_TRUE(fault) << bad;
+    EXPECT_EQ(fault->reason.find(bad.substr(0, bad.find('='))), 0u) << fault->reason;
   }
-  EXPECT_TRUE(readTxt({"zone=" + std::string(64, 'z')}, groups, 7, i));
+  EXPECT_TRUE(std::holds_alternative<TxtFault>(read({"zone=" + std::string(64, 'z')}, 7)));
 }
 
 // ---- name servers -------------------------------------------------------------------------------------
@@ -186,8 +190,8 @@
     std::string all;
     for (const auto& a : d->dueQueries(now)) {
       out.push_back(a.question);
-      all +=
-          (all.empty() ? "" : " ") + std::to_string(static_cast<int>(a.question.type)) + (a.tcp ? "t" : "");
+      all += (all.empty() ? "" : " ") + std::to_string(static_cast<int>(a.question.type)) +
+             (a.overTcp ? "t" : "");
     }
     return all;
   }
