--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -17,11 +17,13 @@
 
 using namespace std::chrono_literals;
 
-// Two groups: desks in 127.1.0.0/16, and everyone else.
-Setting door(const std::string& admission, const std::string& desks = "", const std::string& others = "") {
+// Two groups: desks in 127.1.0.0/16, and everyone else. `idleLeast`: how long a client has been idle before
+// it may be asked to make way.
+Setting door(const std::string& admission, const std::string& desks = "", const std::string& others = "",
+             const std::string& idleLeast = "0") {
   Setting s;
   s.ini = true;
-  s.more = "[admission]\ndoor = yes\nidle_least = 0\n" + admission +
+  s.more = "[admission]\ndoor = yes\nidle_least = " + idleLeast + "\n" + admission +
            "[admission_group desks]\nnetworks = 127.1.0.0/16\n" + desks + "[admission_group others]\n" +
            others;
   return s;
@@ -441,9 +443,10 @@
 }
 
 // ---- what the system runs out of ----------------------------------------------------------------------
-// All that is out has its one answer, new ones are told so, and it is well again.
+// All that is out has its one answer, new ones are told so, and it is well again. The shortage lasts while
+// the answers come, so a client that has its answer would be asked to make way as soon as it is idle.
 TEST(Shortage, OfDescriptorsWithRequestsOutLeavesEachItsOneAnswer) {
-  Setting s = door("requests = off\n");
+  Setting s = door("requests = off\n", "", "", "1h");
   s.sockets = s.descriptors = 160;
   s.inherited = 108;
   Scenario t(s);
