--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -135,11 +135,11 @@
   const auto left = std::chrono::floor<std::chrono::milliseconds>(operation.deadline - now);
   if (left < kLeastTimeLeft) return withdraw(operation);
   operation.written = true;
-  const std::optional<Buffer> query = clientBackslashes == connection.backslashes()
-                                          ? composeQuery(message, left)
-                                          : composeRewrittenQuery(message, left, connection.backslashes());
+  std::optional<Buffer> query = clientBackslashes == connection.backslashes()
+                                    ? composeQuery(message, left)
+                                    : composeRewrittenQuery(message, left, connection.backslashes());
   if (!query) return answerTooLong(connection);
-  connection.writeQuery(query->get(), now);
+  connection.writeQuery(std::move(*query), now);
 }
 
 // Its connection is free for others.
--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -69,7 +69,7 @@
   append(output(), postgres::startup(startup));
 }
 
-bool Connection::flushed() const { return evbuffer_get_length(output()) == 0; }
+bool Connection::flushed() const { return evbuffer_get_length(output()) == 0 && !unsent_; }
 
 bool Connection::quiet() const {
   if (evbuffer_get_length(bufferevent_get_input(bev_.get())) > 0) return false;
@@ -93,17 +93,43 @@
 
 void Connection::writeHealthCheck() { append(output(), postgres::query("SHOW load")); }
 
-void Connection::writeQuery(evbuffer* query, Time composed) {
-  if (flushed()) evbuffer_write(query, bufferevent_getfd(bev_.get()));  // an error comes back as an event
-  evbuffer_add_buffer(output(), query);
-  if (flushed()) return;
+void Connection::writeQuery(Buffer query, Time composed) {
+  unsent_ = std::move(query);
+  composedAt_ = composed;
   flushing_ = true;
+  writeUnsent();
+  if (!flushing_) return;
   const Time left = composed + kFlushTimeout - context_.engine.now();
   // Late already: nothing more of it may go out in this pass of the loop either.
   if (left <= Time(0)) bufferevent_disable(bev_.get(), EV_WRITE);
   startTimer(timer_.get(), left);
 }
 
+// libevent would write the rest as soon as the kernel takes it, however late: it is written here instead,
+// after a look at the clock.
+void Connection::writeUnsent() {
+  const evutil_socket_t fd = bufferevent_getfd(bev_.get());
+  if (evbuffer_write(unsent_.get(), fd) < 0 && errno != EAGAIN && errno != EINTR) {
+    evbuffer_add_buffer(output(), unsent_.get());  // the error comes back as an event
+    unsent_.reset();
+    return;
+  }
+  if (evbuffer_get_length(unsent_.get()) == 0) {
+    unsent_.reset();
+    return outputDrained();
+  }
+  if (!writable_)
+    writable_.reset(event_new(
+        context_.base, fd, EV_WRITE,
+        [](evutil_socket_t, short, void* self) { static_cast<Connection*>(self)->becameWritable(); }, this));
+  event_add(writable_.get(), nullptr);
+}
+
+void Connection::becameWritable() {
+  if (context_.engine.now() - composedAt_ >= kFlushTimeout) return timedOut();
+  writeUnsent();
+}
+
 bool Connection::sendCancelRequest() {
   if (!key_ || cancelRequest_) return false;
   cancelDescriptor_ = ResourceBudget::DescriptorPermit(context_.resources, DescriptorHolder::Servers);
@@ -134,7 +160,7 @@
 }
 
 void Connection::outputDrained() {
-  if (!flushing_) return;
+  if (!flushing_ || unsent_) return;
   flushing_ = false;
   event_del(timer_.get());
 }
--- a/src/backend/postgres/connection.hpp
+++ b/src/backend/postgres/connection.hpp
@@ -84,7 +84,7 @@
   void writeHealthCheck();
   // Writes as much of the query as the kernel takes now. What it does not take soon after `composed`, when
   // the time left that the query tells was right, never goes out: the connection ends.
-  void writeQuery(evbuffer* query, Time composed);
+  void writeQuery(Buffer query, Time composed);
   // Asks the data server to cancel what runs here. False: it has told no key, or one is on its way already.
   bool sendCancelRequest();
   // The key for a login challenge; if it is this connection's, its login goes on.
@@ -96,6 +96,8 @@
   evbuffer* output() const { return bufferevent_get_output(bev_.get()); }
   void sendStartup();
   void handleEvent(short what);
+  void writeUnsent();
+  void becameWritable();
   void outputDrained();
   void timedOut();
   void read();
@@ -137,6 +139,9 @@
   std::optional<AnswerParser> answer_;  // of the operation, or of the last one; none while dialing
   AttemptResult resultIfLost_ = AttemptResult::ConnectFailed;  // what its end means now
   bool flushing_ = false;  // the timer runs for what the kernel has not taken of the query
+  Buffer unsent_;          // that part of the query; null: none
+  Time composedAt_{};      // when the time left that it tells was right
+  Event writable_;         // the kernel takes bytes again
 
   ResourceBudget::DescriptorPermit cancelDescriptor_;
   std::unique_ptr<CancelRequest> cancelRequest_;
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -15,11 +15,13 @@
 #include <set>
 
 #include "backend/postgres/backend_pool.hpp"
+#include "backend/postgres/query.hpp"
 #include "discovery/dnssd/resolver.hpp"
 #include "discovery/registry/watch.hpp"
 #include "engine/acceptor.hpp"
 #include "protocol/postgres/pg.hpp"
 #include "scenario.hpp"
+#include "translation/settings.hpp"
 
 namespace sablespur::test {
 namespace {
@@ -29,10 +31,11 @@
 // What the C library's calls do on the descriptors that the proxy has opened; all others go through.
 struct CallFaults {
   std::set<int> descriptors;
-  std::function<int(int fd)> onRead, onWrite;  // an errno, or 0: the call goes on
-  int connectOutcome = 0;                      // SO_ERROR in place of the true one; 0: the true one
-  std::size_t longest = 0;                     // bytes that one read or write moves; 0: no limit
-  int connectError = 0;                        // of connect(2) itself; 0: none
+  std::function<int(int fd)> onRead, onWrite;           // an errno, or 0: the call goes on
+  std::function<void(const std::string&)> beforeWrite;  // sees the bytes just before the kernel gets them
+  int connectOutcome = 0;                               // SO_ERROR in place of the true one; 0: the true one
+  std::size_t longest = 0;                              // bytes that one read or write moves; 0: no limit
+  int connectError = 0;                                 // of connect(2) itself; 0: none
   int connects = 0;
   int datagrams = 0, datagramErrors = 0;  // sent, and how many of the next fail with ENOBUFS
 };
@@ -43,6 +46,11 @@
 Function* original(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
+std::string bytesOf(const iovec* parts, int count) {
+  std::string all;
+  for (int k = 0; k < count; ++k) all.append(static_cast<const char*>(parts[k].iov_base), parts[k].iov_len);
+  return all;
+}
 // The first part of a vector that is not empty, cut to what one call may move.
 iovec cut(const iovec* parts, int count, std::size_t longest) {
   for (int k = 0; k < count; ++k)
@@ -76,6 +84,7 @@
     errno = error;
     return -1;
   }
+  if (faults->beforeWrite) faults->beforeWrite(bytesOf(parts, count));
   if (faults->longest == 0) return real(fd, parts, count);
   const iovec part = cut(parts, count, faults->longest);
   return write(fd, part.iov_base, part.iov_len);
@@ -221,6 +230,16 @@
     return r;
   }
 };
+// A statement that ends in the time left; `backslashes`: they escape in its literals.
+RequestMessage messageOf(const std::string& beforeTimeLeft, bool backslashes) {
+  translation::SessionSettings settings;
+  settings.backslashes = backslashes;
+  RequestMessage m{
+      newBuffer(), newBuffer(), std::make_shared<const translation::SessionSettings>(settings), {}, {}};
+  append(m.before.get(), beforeTimeLeft);
+  append(m.after.get(), std::string_view(" */\0", 4));
+  return m;
+}
 struct Client : ResponseHandler {
   std::string got;
   void served(Answer a) override {
@@ -241,6 +260,8 @@
   static constexpr int kRead = 0, kWrite = 1;  // classes
   const SystemCalls kept = systemCalls();
   CallFaults faults;
+  Time heldUp{};     // time that has passed on the process's clock beside the real one
+  Time clockRead{};  // what the process's clock showed when it was last read
   EventBase base{event_base_new()};
   DataServer first{base.get()}, second{base.get()};
   Config config = parseConfig(configuration({}, 1, {first.address.port(), second.address.port()}));
@@ -266,7 +287,7 @@
       errno = active->connectError;
       return -1;
     };
-    engine = std::make_unique<Engine>(base.get(), config);
+    engine = std::make_unique<Engine>(base.get(), config, stallingClock());
     workers = std::make_unique<WorkerPool>(base.get(), 1);
     upstream = std::make_unique<BackendPool>(base.get(), *engine, *workers, account, config);
     engine->setAttemptObserver(&outcomes);
@@ -278,6 +299,13 @@
     active = nullptr;
     systemCalls() = kept;
   }
+  ClockSource stallingClock() {
+    const ClockSource real;
+    ClockSource stalling;
+    stalling.wall = [this, real] { return real.wall() + heldUp; };
+    stalling.steady = [this, real] { return clockRead = real.steady() + heldUp; };
+    return stalling;
+  }
   void startEngine() {
     engine->start(*upstream, lists);
     engine->runTurn();
@@ -293,12 +321,13 @@
     return m;
   }
   void ask() { ask(kRead, engine->now() + 9s); }
-  void ask(int cls, Time deadline) {
+  void ask(int cls, Time deadline) { ask(cls, deadline, statement()); }
+  void ask(int cls, Time deadline, RequestMessage message) {
     balancer::Request q;
     q.classIndex = cls;
     q.group = 3;
     q.deadline = deadline;
-    engine->request(client, q, statement());
+    engine->request(client, q, std::move(message));
     engine->runTurn();
   }
   void pass() {
@@ -628,6 +657,134 @@
   EXPECT_EQ(outcomes.results(), std::vector<AttemptResult>{AttemptResult::Ok});
 }
 
+// Whoever writes looks at the clock first: the loop may find that the server takes bytes again long after the
+// query was composed, before any timer is looked at.
+TEST_F(TimeLeftTest, TheRestOfAQueryGoesNoMoreAfterAStall) {
+  faults.longest = 16;
+  send(engine->now() + 1h, statement());
+  heldUp += 250ms;  // the server took nothing for 100 ms, then the process was held up
+  faults.longest = 0;
+  ASSERT_TRUE(until([&] { return !outcomes.all.empty(); }));
+  EXPECT_EQ(outcomes.results(), std::vector<AttemptResult>{AttemptResult::ConnectFailed}) << "it never ran";
+  for (int k = 0; k < 5; ++k) pass();
+  EXPECT_TRUE(first.statements.empty());
+}
+
+// The process is held up between reading the clock and the write: what a server is told may exceed what the
+// client has left by that, and by nothing else. The proxy sends no hedged requests; an attempt that takes
+// another's place is a retry.
+struct StallTest : ServerCallsTest {
+  static constexpr Time kMostTooMuch = 150ms;
+  struct WrittenQuery {
+    std::chrono::milliseconds told;
+    Time left;  // of the client's time as the kernel gets the query
+  };
+  std::vector<WrittenQuery> queries;
+  Time deadline{};
+
+  // Exactly `stall` lies between the process's last look at its clock and each query's way to the kernel.
+  void holdUpQueries(Time stall) {
+    queries.clear();
+    faults.beforeWrite = [this, stall](const std::string& bytes) {
+      const long long told = timeTold(bytes);
+      if (told < 0) return;
+      const Time lastRead = clockRead;
+      const Time now = engine->now();
+      const Time written = now - (clockRead - lastRead) + stall;
+      heldUp += written - now;
+      queries.push_back({std::chrono::milliseconds(told), deadline - written});
+    };
+  }
+  void expectTold(std::size_t count) const {
+    ASSERT_EQ(queries.size(), count);
+    for (const WrittenQuery& query : queries) {
+      EXPECT_LE(query.told, query.left + kMostTooMuch);
+      EXPECT_GT(query.told, query.left) << "the stall lies behind the last look at the clock";
+    }
+  }
+  void start() {
+    startEngine();
+    ASSERT_TRUE(until([&] { return first.greeted() >= 2 && second.greeted() >= 2; }));
+    holdUpQueries(kMostTooMuch);
+    deadline = engine->now() + 5s;
+  }
+};
+TEST_F(StallTest, AFirstAttemptIsToldNoMoreThanTheStallTooMuch) {
+  start();
+  ask(kRead, deadline);
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  expectTold(1);
+}
+TEST_F(StallTest, ARetryIsToldNoMoreThanTheStallTooMuch) {
+  start();
+  first.answers = second.answers = false;
+  ask(kRead, deadline);
+  ASSERT_TRUE(until([&] { return first.statements.size() + second.statements.size() == 1; }));
+  int failures = 0;
+  faults.onRead = [&failures](int) { return ++failures == 1 ? ECONNRESET : 0; };
+  first.answerAll();
+  second.answerAll();
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  EXPECT_EQ(outcomes.results(), (std::vector<AttemptResult>{AttemptResult::Reset, AttemptResult::Ok}));
+  expectTold(2);
+}
+TEST_F(StallTest, AnAttemptThatWaitedForItsConnectionIsToldNoMoreThanTheStallTooMuch) {
+  config.dialTimeout = 1h;
+  first.greets = second.greets = false;
+  startEngine();
+  deadline = engine->now() + 5s;
+  holdUpQueries(kMostTooMuch);
+  ask(kWrite, deadline);
+  ASSERT_TRUE(until([&] { return outcomes.sends == 1; }));
+  heldUp += 1s;  // that it waits
+  first.greetAll();
+  second.greetAll();
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  expectTold(1);
+}
+TEST_F(StallTest, ARewrittenStatementIsToldNoMoreThanTheStallTooMuch) {
+  start();
+  ask(kRead, deadline, messageOf("SELECT 'it\\'s' /* d=", true));
+  ASSERT_TRUE(until([&] { return !client.got.empty(); }));
+  expectTold(1);
+  const std::string& sent = (first.statements.empty() ? second : first).statements.at(0);
+  EXPECT_EQ(sent.substr(0, sent.find("d=")), "SELECT E'it\\'s' /* ");
+}
+
+// ---- statements rewritten for a server that reads backslashes differently -----------------------------
+using namespace std::string_literals;
+
+std::string statementOf(const std::optional<Buffer>& query) {
+  if (!query) return "none";
+  std::string bytes(evbuffer_get_length(query->get()), '\0');
+  evbuffer_copyout(query->get(), bytes.data(), bytes.size());
+  EXPECT_EQ(bytes.substr(0, postgres::kHeaderSize),
+            postgres::queryHeader(bytes.size() - postgres::kHeaderSize));
+  return bytes.substr(postgres::kHeaderSize);
+}
+TEST(RewrittenQuery, TellsTheTimeLeftBetweenLiteralsThatReadAlike) {
+  const RequestMessage standard = messageOf("SELECT 'a\\b' /* d=", false);
+  EXPECT_EQ(statementOf(composeRewrittenQuery(standard, 250ms, true)), "SELECT E'a\\\\b' /* d=250 */\0"s);
+  const RequestMessage escaping = messageOf("SELECT 'it\\'s' /* d=", true);
+  EXPECT_EQ(statementOf(composeRewrittenQuery(escaping, 1ms, false)), "SELECT E'it\\'s' /* d=1 */\0"s);
+}
+// A retry tells its own time: the first attempt has left the message as it was.
+TEST(RewrittenQuery, LeavesTheMessageForTheNextAttempt) {
+  const RequestMessage message = messageOf("SELECT 'a\\b' /* d=", false);
+  EXPECT_EQ(statementOf(composeRewrittenQuery(message, 2500ms, true)), "SELECT E'a\\\\b' /* d=2500 */\0"s);
+  EXPECT_EQ(statementOf(composeRewrittenQuery(message, 90ms, true)), "SELECT E'a\\\\b' /* d=90 */\0"s);
+}
+TEST(RewrittenQuery, TellsNoTimeWhereTheStatementDoesNot) {
+  RequestMessage message{newBuffer(), newBuffer(), nullptr, {}, {}};
+  append(message.after.get(), "SELECT 'a\\b'\0"s);
+  EXPECT_EQ(statementOf(composeRewrittenQuery(message, 250ms, true)), "SELECT E'a\\\\b'\0"s);
+}
+TEST(RewrittenQuery, IsNoneWhereTheRewritingMakesItTooLong) {
+  const std::string backslashes(postgres::kMaxMessage * 2 / 3, '\\');
+  const RequestMessage message = messageOf("SELECT '" + backslashes + "' /* d=", false);
+  EXPECT_EQ(composeRewrittenQuery(message, 250ms, true), std::nullopt);
+}
+
 // ---- discovery ------------------------------------------------------------------------------------------
 struct DiscoveryCallsTest : testing::Test {
   CallFaults faults;
