--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -14,6 +14,7 @@
 #include <list>
 #include <set>
 
+#include "admin/listener.hpp"
 #include "backend/postgres/backend_pool.hpp"
 #include "backend/postgres/query.hpp"
 #include "discovery/dnssd/resolver.hpp"
@@ -375,7 +376,8 @@
 // ---- accept(2) ------------------------------------------------------------------------------------------
 struct AcceptTest : testing::Test {
   static inline int error = 0, failures = 0,
-                    calls = 0;  // what accept(2) fails with, how often; all its calls
+                    calls = 0;    // what accept(2) fails with, how often; all its calls
+  static inline int opened = -1;  // the last socket where a test notes it
   const SystemCalls kept = systemCalls();
   EventBase base{event_base_new()};
   Config config = parseConfig(configuration({}, 1, {11, 12}));
@@ -406,6 +408,12 @@
     t.reject = [](evutil_socket_t) {};
     return t;
   }
+  static int portOf(int fd) {
+    sockaddr_storage at{};
+    socklen_t size = sizeof at;
+    getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
+    return Address::fromSocket(reinterpret_cast<const sockaddr*>(&at)).port();
+  }
   static int connectTo(int port) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const Address to = *Address::parse("127.0.0.1:" + std::to_string(port));
@@ -449,6 +457,37 @@
   }
 }
 
+// The listener of admin commands: its socket stays readable, too, while accept(2) fails.
+TEST_F(AcceptTest, AnErrorOfAcceptPausesTheListenerOfAdminCommands) {
+  struct NoCommands : admin::CommandHandler {
+    bool execute(const admin::Command&, std::string& text) override {
+      text = "done";
+      return true;
+    }
+  } commands;
+  systemCalls().socket = [](int family) { return opened = openNonBlockingTcpSocket(family); };
+  for (const int lasting : {EMFILE, ENOBUFS, EPERM}) {
+    admin::Listener listener(base.get(), *Address::parse("127.0.0.1:0"), commands);
+    const int fd = connectTo(portOf(opened));
+    error = lasting;
+    failures = 1 << 20;
+    calls = 0;
+    event_base_loop(base.get(), EVLOOP_ONCE);
+    EXPECT_EQ(calls, 1) << lasting;
+    event_base_loop(base.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
+    EXPECT_EQ(calls, 1) << lasting << ": not before the pause is over";
+    failures = 0;
+    while (calls < 2) ASSERT_EQ(event_base_loop(base.get(), EVLOOP_ONCE), 0);
+    ASSERT_EQ(write(fd, "STATUS\n", 7), 7);
+    char answer[256];
+    ssize_t got = 0;
+    while ((got = recv(fd, answer, sizeof answer, MSG_DONTWAIT)) < 0)
+      ASSERT_EQ(event_base_loop(base.get(), EVLOOP_ONCE), 0);
+    EXPECT_NE(std::string(answer, static_cast<std::size_t>(got)).find("done"), std::string::npos) << lasting;
+    close(fd);
+  }
+}
+
 // ---- connections to data servers ----------------------------------------------------------------------
 TEST_F(ServerCallsTest, AConnectThatFailsForWantOfSomethingHereIsHeldAgainstNoServer) {
   for (const int error : {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ENOMEM, EAGAIN, EPERM}) {
