--- a/src/durability/database.cpp
+++ b/src/durability/database.cpp
@@ -24,6 +24,10 @@
 // Two places, written in turn, so that a torn one leaves the other; each on a sector of its own.
 constexpr std::size_t kMarkPlaces = 2, kMarkStride = 512, kMarkBytes = 16;
 constexpr std::uint64_t kMarksPerSync = 1024;
+constexpr int kMaxOpenFiles = 32;
+constexpr std::size_t kMaxTableBytes = 2 << 20;
+constexpr int kDecimal = 10;
+constexpr std::string_view kLogSuffix = ".log";
 
 // LevelDB's own account would grow on the same disk.
 class DiscardingLogger final : public leveldb::Logger {
@@ -56,6 +60,22 @@
 }
 std::string baseName(const std::string& path) { return path.substr(path.rfind('/') + 1); }
 
+bool isLogName(const std::string& name) {
+  const std::size_t suffix = kLogSuffix.size();
+  return name.size() > suffix && name.compare(name.size() - suffix, suffix, kLogSuffix) == 0;
+}
+
+std::map<std::uint64_t, std::string> logsByNumber(const std::vector<std::string>& names) {
+  std::map<std::uint64_t, std::string> logs;
+  for (const std::string& name : names)
+    if (isLogName(name)) logs[std::strtoull(name.c_str(), nullptr, kDecimal)] = name;
+  return logs;
+}
+
+std::string tailDamage(const std::string& name, const LogInspection& inspection) {
+  return name + " is damaged at offset " + std::to_string(inspection.wholeBytes) + ": " + inspection.defect;
+}
+
 }  // namespace
 
 Database::Batch::Batch() {
@@ -83,30 +103,8 @@
   }
   try {
     inspectLogs();
-    leveldb::Options o;
-    o.env = &files_;
-    o.create_if_missing = true;
-    o.paranoid_checks = true;
-    o.write_buffer_size = kWriteBuffer;
-    o.max_open_files = 32;
-    o.max_file_size = 2 << 20;
-    o.block_cache = cache_.get();
-    o.info_log = discardingLogger_.get();
-    leveldb::DB* db = nullptr;
-    const Status s = leveldb::DB::Open(o, directory_, &db);
-    db_.reset(db);
-    if (!s.ok()) fail(s, "opening");
-    const auto last = get(kCommitKey);
-    commits_ = last && last->size() >= kCommitBytes ? big64(*last) : 0;
-    if (commits_ < markedCommits_)
-      throw StoreError(
-          StoreError::Kind::Damaged,
-          "commits up to " + std::to_string(markedCommits_) + " had been durable, and the last one here is " +
-              std::to_string(commits_) +
-              (opened_.tornBytes > 0 ? "; the end of " + opened_.tornFile + " was torn at offset " +
-                                           std::to_string(opened_.tornOffset)
-                                     : ""),
-          opened_.tornBytes > 0 ? opened_.tornFile : kMarkFile, opened_.tornOffset);
+    openDatabase();
+    checkMark();
     opened_.commits = commits_;
   } catch (...) {
     db_.reset();
@@ -125,64 +123,119 @@
   files_.UnlockFile(lock_);
 }
 
-// A writer that ended amid a commit leaves a ragged end, which is cut off: LevelDB would turn some forms of
-// it down. Whether what is cut had been durable, the mark tells once the rest is open.
+void Database::openDatabase() {
+  leveldb::Options options;
+  options.env = &files_;
+  options.create_if_missing = true;
+  options.paranoid_checks = true;
+  options.write_buffer_size = kWriteBuffer;
+  options.max_open_files = kMaxOpenFiles;
+  options.max_file_size = kMaxTableBytes;
+  options.block_cache = cache_.get();
+  options.info_log = discardingLogger_.get();
+  leveldb::DB* db = nullptr;
+  const Status status = leveldb::DB::Open(options, directory_, &db);
+  db_.reset(db);
+  if (!status.ok()) fail(status, "opening");
+  const auto last = get(kCommitKey);
+  commits_ = last && last->size() >= kCommitBytes ? big64(*last) : 0;
+}
+
+// The mark names the last commit that was durable: fewer commits mean that some were lost.
+void Database::checkMark() const {
+  if (commits_ >= markedCommits_) return;
+  const bool isTorn = opened_.tornBytes > 0;
+  std::string what = "commits up to " + std::to_string(markedCommits_) +
+                     " had been durable, and the last one here is " + std::to_string(commits_);
+  if (isTorn)
+    what += "; the end of " + opened_.tornFile + " was torn at offset " + std::to_string(opened_.tornOffset);
+  throw StoreError(StoreError::Kind::Damaged, what, isTorn ? opened_.tornFile : kMarkFile,
+                   opened_.tornOffset);
+}
+
+// The name of the manifest in use; empty in a new database. Its file may be missing.
+std::string Database::currentManifest() {
+  std::string name;
+  if (const Status status = files_.read(directory_ + "/CURRENT", name); !status.ok() && !status.IsNotFound())
+    fail(status, "reading");
+  while (!name.empty() && name.back() == '\n') name.pop_back();
+  return name;
+}
+
+// A writer that ended during a commit leaves an incomplete tail, which is cut off: LevelDB would reject some
+// forms of it. The mark tells, once the rest is open, whether what was cut off had been durable.
 void Database::inspectLogs() {
   readMark();
   std::vector<std::string> names;
-  if (const Status s = files_.list(directory_, names); !s.ok()) fail(s, "listing");
-  std::map<std::uint64_t, std::string> logs;
-  std::string current;
-  for (const std::string& n : names)
-    if (n.size() > 4 && n.compare(n.size() - 4, 4, ".log") == 0)
-      logs[std::strtoull(n.c_str(), nullptr, 10)] = n;
-  if (const Status s = files_.read(directory_ + "/CURRENT", current); !s.ok() && !s.IsNotFound())
-    fail(s, "reading");
-  while (!current.empty() && current.back() == '\n') current.pop_back();
-  std::uint64_t next = 0, reached = 0, firstLog = 0;
-  const auto look = [&](const std::string& name, LogKind kind, bool last) {
-    const std::string path = directory_ + "/" + name;
-    std::string bytes;
-    if (const Status s = files_.read(path, bytes); !s.ok()) fail(s, "reading");
-    const LogInspection i = inspectLog(bytes, kind, next);
-    if (kind == LogKind::Manifest) {
-      reached = i.lastSequence;
-      firstLog = i.logNumber;
-    } else {
-      // LevelDB would take the logs for all there is, and throw away the tables that this manifest does not
-      // know.
-      if (next == 0 && i.firstSequence > reached + 1)
-        throw StoreError(StoreError::Kind::Damaged,
-                         current + " is older than " + name + ": it ends at " + std::to_string(reached) +
-                             ", and the log begins with " + std::to_string(i.firstSequence),
-                         current);
-      next = i.nextSequence;
-    }
-    if (!i.incompleteTail) return;
-    if (i.laterRecordAt || !last)
-      throw StoreError(StoreError::Kind::Damaged,
-                       name + " is damaged at offset " + std::to_string(i.wholeBytes) + ": " + i.defect +
-                           (i.laterRecordAt ? ", and a later record stands whole at offset " +
-                                                  std::to_string(*i.laterRecordAt)
-                                            : ", and a later log follows"),
-                       name, i.wholeBytes);
-    if (kind == LogKind::Batches && i.commit != 0 && i.commit < markedCommits_)
-      throw StoreError(StoreError::Kind::Damaged,
-                       name + " is damaged at offset " + std::to_string(i.wholeBytes) + ": " + i.defect +
-                           "; commits up to " + std::to_string(markedCommits_) +
-                           " had been durable, and whole are those up to " + std::to_string(i.commit),
-                       name, i.wholeBytes);
-    opened_.tornFile = name;
-    opened_.tornOffset = i.wholeBytes;
-    opened_.tornBytes = bytes.size() - i.wholeBytes;
-    // Kept for people, should what had been durable turn out to be missing.
-    files_.overwrite(directory_ + "/" + kTornFile, 0, std::string_view(bytes).substr(i.wholeBytes), false);
-    if (const Status s = files_.truncate(path, i.wholeBytes); !s.ok()) fail(s, "cutting off a torn end");
-  };
-  if (!current.empty() && std::find(names.begin(), names.end(), current) != names.end())
-    look(current, LogKind::Manifest, true);
-  for (auto it = logs.begin(); it != logs.end(); ++it)
-    if (it->first >= firstLog) look(it->second, LogKind::Batches, std::next(it) == logs.end());
+  if (const Status status = files_.list(directory_, names); !status.ok()) fail(status, "listing");
+  LogProgress progress;
+  progress.manifest = currentManifest();
+  if (std::find(names.begin(), names.end(), progress.manifest) != names.end()) inspectManifest(progress);
+  const std::map<std::uint64_t, std::string> logs = logsByNumber(names);
+  for (auto it = logs.begin(); it != logs.end(); ++it) {
+    const bool isLast = std::next(it) == logs.end();
+    if (it->first >= progress.firstLog)
+      inspectBatches(it->second, isLast ? LogPlace::Last : LogPlace::Earlier, progress);
+  }
+}
+
+std::string Database::readLog(const std::string& name) {
+  std::string bytes;
+  if (const Status status = files_.read(directory_ + "/" + name, bytes); !status.ok())
+    fail(status, "reading");
+  return bytes;
+}
+
+void Database::inspectManifest(LogProgress& progress) {
+  const std::string bytes = readLog(progress.manifest);
+  const LogInspection inspection = inspectLog(bytes, LogKind::Manifest, progress.nextSequence);
+  progress.manifestSequence = inspection.lastSequence;
+  progress.firstLog = inspection.logNumber;
+  if (!inspection.incompleteTail) return;
+  checkTail(progress.manifest, LogPlace::Last, inspection);
+  cutTail(progress.manifest, bytes, inspection);
+}
+
+void Database::inspectBatches(const std::string& name, LogPlace place, LogProgress& progress) {
+  const std::string bytes = readLog(name);
+  const LogInspection inspection = inspectLog(bytes, LogKind::Batches, progress.nextSequence);
+  // LevelDB would take the logs for all there is, and delete the tables that this manifest does not know.
+  const bool isFirst = progress.nextSequence == 0;
+  if (isFirst && inspection.firstSequence > progress.manifestSequence + 1)
+    throw StoreError(StoreError::Kind::Damaged,
+                     progress.manifest + " is older than " + name + ": it ends at " +
+                         std::to_string(progress.manifestSequence) + ", and the log begins with " +
+                         std::to_string(inspection.firstSequence),
+                     progress.manifest);
+  progress.nextSequence = inspection.nextSequence;
+  if (!inspection.incompleteTail) return;
+  checkTail(name, place, inspection);
+  if (inspection.commit != 0 && inspection.commit < markedCommits_)
+    throw StoreError(StoreError::Kind::Damaged,
+                     tailDamage(name, inspection) + "; commits up to " + std::to_string(markedCommits_) +
+                         " had been durable, and whole are those up to " + std::to_string(inspection.commit),
+                     name, inspection.wholeBytes);
+  cutTail(name, bytes, inspection);
+}
+
+// Only the last record of the last log may be incomplete: nothing was written after it.
+void Database::checkTail(const std::string& name, LogPlace place, const LogInspection& inspection) {
+  if (!inspection.laterRecordAt && place == LogPlace::Last) return;
+  const std::string later = inspection.laterRecordAt ? ", and a later record stands whole at offset " +
+                                                           std::to_string(*inspection.laterRecordAt)
+                                                     : ", and a later log follows";
+  throw StoreError(StoreError::Kind::Damaged, tailDamage(name, inspection) + later, name,
+                   inspection.wholeBytes);
+}
+
+// A copy is kept, should what had been durable turn out to be missing.
+void Database::cutTail(const std::string& name, std::string_view bytes, const LogInspection& inspection) {
+  opened_.tornFile = name;
+  opened_.tornOffset = inspection.wholeBytes;
+  opened_.tornBytes = bytes.size() - inspection.wholeBytes;
+  files_.overwrite(directory_ + "/" + kTornFile, 0, bytes.substr(inspection.wholeBytes), false);
+  if (const Status status = files_.truncate(directory_ + "/" + name, inspection.wholeBytes); !status.ok())
+    fail(status, "cutting off a torn end");
 }
 
 void Database::readMark() {
--- a/src/durability/database.hpp
+++ b/src/durability/database.hpp
@@ -22,6 +22,8 @@
 
 namespace sablespur::durability {
 
+struct LogInspection;
+
 struct StoreError : std::runtime_error {
   enum class Kind {
     Busy,     // another process has it open
@@ -76,7 +78,24 @@
   std::uint64_t commits() const { return commits_; }
 
  private:
+  // What the manifest and the logs before have told.
+  struct LogProgress {
+    std::string manifest;                // its name; empty: none is named
+    std::uint64_t manifestSequence = 0;  // the last that the manifest knows
+    std::uint64_t firstLog = 0;          // the number of the first log that is still needed
+    std::uint64_t nextSequence = 0;      // that the next log has to begin with; 0: not known yet
+  };
+  enum class LogPlace { Earlier, Last };
+
   void inspectLogs();
+  std::string currentManifest();
+  std::string readLog(const std::string& name);
+  void inspectManifest(LogProgress&);
+  void inspectBatches(const std::string& name, LogPlace, LogProgress&);
+  static void checkTail(const std::string& name, LogPlace, const LogInspection&);
+  void cutTail(const std::string& name, std::string_view bytes, const LogInspection&);
+  void openDatabase();
+  void checkMark() const;
   void readMark();
   void writeMark(bool durable);
   [[noreturn]] void fail(const leveldb::Status&, const char* doing);
