--- a/src/durability/group_commit_writer.cpp
+++ b/src/durability/group_commit_writer.cpp
@@ -9,6 +9,7 @@
 #include <condition_variable>
 #include <deque>
 #include <mutex>
+#include <optional>
 #include <system_error>
 #include <thread>
 #include <utility>
@@ -20,12 +21,17 @@
 namespace {
 
 constexpr std::size_t kLargestGroup = 1024;  // bounds how long one commit can take
-constexpr Time kRetryLeast = std::chrono::milliseconds(100), kRetryMost = std::chrono::seconds(5);
-constexpr Time kLastWait = std::chrono::seconds(1);
-constexpr std::size_t kMostNotes =
-    65536;  // guards the memory while a disk hangs: a note that is lost makes nobody freer
-// Notes wait so long for a commit that somebody waits for, and then have one of their own.
-constexpr Time kNoteWait = std::chrono::milliseconds(50);
+constexpr Time kRetryLeast = std::chrono::milliseconds(100);
+constexpr Time kRetryMost = std::chrono::seconds(5);
+constexpr Time kShutdownTimeout = std::chrono::seconds(1);
+// Bounds the memory while a disk hangs. An unacknowledged operation that is lost only makes the store
+// stricter.
+constexpr std::size_t kMaxUnacknowledged = 65536;
+// Unacknowledged operations wait so long for a commit that somebody waits for, and then have one of their
+// own.
+constexpr Time kUnacknowledgedWait = std::chrono::milliseconds(50);
+// The size on disk costs a walk over the directory, so it is read once in so many commits.
+constexpr std::uint64_t kCommitsPerSizeReading = 256;
 
 Time monotonic() {
   return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch());
@@ -33,274 +39,364 @@
 
 }  // namespace
 
-// Outlives the Writer where the disk hangs: its thread cannot be ended then.
+// Outlives the GroupCommitWriter where the disk hangs: its thread cannot be ended then.
 struct GroupCommitWriter::Shared {
-  struct Piece {
+  struct QueuedOperation {
     Operation operation;
-    Completion done;  // empty: a note
-    std::weak_ptr<Interest> wanted;
-    Time since{};
+    Completion completion;  // empty: unacknowledged
+    std::weak_ptr<Interest> interest;
+    Time submittedAt{};
   };
   struct CommitResult {
-    Completion done;
-    std::weak_ptr<Interest> wanted;
+    Completion completion;
+    std::weak_ptr<Interest> interest;
     bool durable;
-    OperationResult said;
+    OperationResult result;
   };
-  struct Change {
+  struct StateChange {
     State state;
     std::string why;
     StoreRecovery recovered;
   };
 
   explicit Shared(const IdempotencyStoreSettings& s, FileHook* hook)
-      : settings(s), files(hook), wake(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    if (wake < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
+      : settings(s), files(hook), wakeupFd(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+    if (wakeupFd < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
+  }
+  ~Shared() { close(wakeupFd); }
+  Shared(const Shared&) = delete;
+
+  // Has the loop deliver the results and state changes.
+  void wakeLoop() const {
+    const std::uint64_t one = 1;
+    [[maybe_unused]] const ssize_t n = write(wakeupFd, &one, sizeof one);
   }
-  ~Shared() { close(wake); }
 
   const IdempotencyStoreSettings settings;
   Files files;
-  const int wake;
+  const int wakeupFd;
+  std::unique_ptr<IdempotencyStore> store;  // the thread's, once it runs
+
+  // Guarded by the mutex.
   mutable std::mutex mutex;
-  std::condition_variable more, ended;
-  std::deque<Piece> waiting;
-  std::size_t asked = 0;     // of those that wait, somebody waits for
-  Time began{};              // the commit under way
-  std::vector<Piece> group;  // under way
+  std::condition_variable workArrived;
+  std::condition_variable threadEnded;
+  std::deque<QueuedOperation> queue;
+  std::size_t awaited = 0;                  // operations of the queue that somebody waits for
+  std::vector<QueuedOperation> committing;  // by the commit in progress
+  Time commitStartedAt{};
   std::vector<CommitResult> results;
-  std::vector<Change> changes;
-  bool stop = false, over = false;
-  Statistics figures;
-  std::unique_ptr<IdempotencyStore> ledger;  // the thread's, once it runs
+  std::vector<StateChange> stateChanges;
+  bool stopRequested = false;
+  bool stopped = false;
+  Statistics statistics;
 
   // The loop's copies.
   State state = State::Down;
   std::string why;
   StoreRecovery recovered;
+};
 
-  void tell() const {
-    const std::uint64_t one = 1;
-    [[maybe_unused]] const ssize_t n = write(wake, &one, sizeof one);
+// The thread that owns the store. Holds the mutex except while it works on the disk.
+class GroupCommitWriter::WriterThread {
+ public:
+  explicit WriterThread(Shared& shared)
+      : shared_(shared), state_(shared.state), lock_(shared.mutex, std::defer_lock) {}
+  void run();
+
+ private:
+  using QueuedOperation = Shared::QueuedOperation;
+  struct Failure {
+    State state;  // Down or Damaged
+    std::string why;
+  };
+  static Failure failureOf(const StoreError&);
+
+  bool hasWork() const { return shared_.stopRequested || !shared_.queue.empty(); }
+  bool groupIsDue() const {
+    return shared_.stopRequested || shared_.awaited > 0 || shared_.queue.size() >= kLargestGroup;
   }
+  void waitForWork();
+  bool shouldStop() const { return shared_.stopRequested && (shared_.queue.empty() || state_ != State::Up); }
+  void commitGroup();
+  void takeGroup();
+  std::optional<Failure> apply(std::vector<OperationResult>&);
+  void recordCommit(std::uint64_t commits, Time took, std::uint64_t bytesOnDisk);
+  void deliver(std::vector<OperationResult>&&);
+  void tryReopen();
+  void reopen();
+  void finish();
+  void changeState(State, const std::string& why);
+  void lose(std::vector<QueuedOperation>&);
+  void loseQueue();
+  void backOff();
+
+  Shared& shared_;
+  State state_;
+  std::unique_lock<std::mutex> lock_;
+  // What failed commits were to record; applied before anything else once the disk is back.
+  Backlog backlog_;
+  Time retryDelay_ = kRetryLeast;  // reset by the first group that is committed, not by the reopening
+  Time retryAt_{};
 };
 
 GroupCommitWriter::GroupCommitWriter(event_base* base, const IdempotencyStoreSettings& s,
                                      StateCallback changed, FileHook* hook)
     : onStateChange_(std::move(changed)), shared_(std::make_shared<Shared>(s, hook)) {
   try {
-    shared_->ledger = std::make_unique<IdempotencyStore>(shared_->files, s);
+    shared_->store = std::make_unique<IdempotencyStore>(shared_->files, s);
     shared_->state = State::Up;
-    shared_->recovered = shared_->ledger->recovered();
+    shared_->recovered = shared_->store->recovered();
   } catch (const StoreError& e) {
     if (e.kind != StoreError::Kind::Failed) throw;
     shared_->why = e.what();
   }
   resultsReady_.reset(event_new(
-      base, shared_->wake, EV_READ | EV_PERSIST,
+      base, shared_->wakeupFd, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<GroupCommitWriter*>(self)->deliverResults(); },
       this));
   event_add(resultsReady_.get(), nullptr);
-  std::thread([shared = shared_] { runWriterThread(shared); }).detach();
+  std::thread([shared = shared_] { WriterThread(*shared).run(); }).detach();
 }
 
 GroupCommitWriter::~GroupCommitWriter() {
   std::unique_lock<std::mutex> lock(shared_->mutex);
-  shared_->stop = true;
-  shared_->more.notify_all();
+  shared_->stopRequested = true;
+  shared_->workArrived.notify_all();
   // A disk that hangs must not keep the process from ending.
-  shared_->ended.wait_for(lock, kLastWait, [this] { return shared_->over; });
+  shared_->threadEnded.wait_for(lock, kShutdownTimeout, [this] { return shared_->stopped; });
 }
 
 GroupCommitWriter::Ticket GroupCommitWriter::submit(Operation o, Completion done) {
   auto ticket = std::make_shared<Interest>();
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
-    shared_->waiting.push_back({std::move(o), std::move(done), ticket, monotonic()});
-    ++shared_->asked;
+    shared_->queue.push_back({std::move(o), std::move(done), ticket, monotonic()});
+    ++shared_->awaited;
   }
-  shared_->more.notify_one();
+  shared_->workArrived.notify_one();
   return ticket;
 }
 void GroupCommitWriter::submitUnacknowledged(Operation o) {
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
-    if (shared_->waiting.size() >= kMostNotes) {
-      ++shared_->figures.lost;
+    if (shared_->queue.size() >= kMaxUnacknowledged) {
+      ++shared_->statistics.lost;
       return;
     }
-    shared_->waiting.push_back({std::move(o), {}, {}, monotonic()});
-    // Its thread sleeps while there is nothing; once it is awake it looks after notes by itself.
-    if (shared_->waiting.size() != 1 && shared_->waiting.size() != kLargestGroup) return;
+    shared_->queue.push_back({std::move(o), {}, {}, monotonic()});
+    // The thread sleeps while the queue is empty; once awake it commits unacknowledged operations in their
+    // time.
+    if (shared_->queue.size() != 1 && shared_->queue.size() != kLargestGroup) return;
   }
-  shared_->more.notify_one();
+  shared_->workArrived.notify_one();
 }
 
-void GroupCommitWriter::runWriterThread(const std::shared_ptr<Shared>& shared) {
-  Shared& s = *shared;
-  // What failed commits were to record; it is applied before anything else once the disk is back.
-  Backlog backlog;
-  Time retry = kRetryLeast;  // starts anew with the first group that is committed, not with the opening
-  Time retryAt{};
-  const auto backOff = [&] {
-    retryAt = monotonic() + retry;
-    retry = std::min(2 * retry, kRetryMost);
-  };
+void GroupCommitWriter::WriterThread::run() {
   backOff();
-  State state = s.state;
-  std::unique_lock<std::mutex> lock(s.mutex);
-  const auto turn = [&](State to, const std::string& why) {
-    state = to;
-    s.changes.push_back({to, why, s.ledger ? s.ledger->recovered() : StoreRecovery{}});
-    s.tell();
-  };
-  const auto lose = [&](std::vector<Shared::Piece>& pieces) {
-    for (Shared::Piece& p : pieces) {
-      ++s.figures.lost;
-      backlog.add(std::move(p.operation));
-      if (p.done) s.results.push_back({std::move(p.done), p.wanted, false, {}});
-    }
-    pieces.clear();
-    s.tell();
-  };
-  const auto loseWaiting = [&] {
-    std::vector<Shared::Piece> all(std::make_move_iterator(s.waiting.begin()),
-                                   std::make_move_iterator(s.waiting.end()));
-    s.waiting.clear();
-    s.asked = 0;
-    if (!all.empty()) lose(all);
-  };
-  // Opens the ledger and applies the backlog; without the lock.
-  const auto reopen = [&] {
-    s.ledger.reset();
-    s.ledger = std::make_unique<IdempotencyStore>(s.files, s.settings);
-    while (!backlog.empty()) {
-      const std::vector<Operation> part = backlog.oldest(kLargestGroup);
-      s.ledger->apply(part);
-      backlog.drop(part.size());
-    }
-  };
+  lock_.lock();
   for (;;) {
-    const auto something = [&] { return s.stop || !s.waiting.empty(); };
-    const auto ready = [&] { return s.stop || s.asked > 0 || s.waiting.size() >= kLargestGroup; };
-    if (state == State::Up) {
-      s.more.wait(lock, something);
-      if (!ready()) {
-        const Time waited = monotonic() - s.waiting.front().since;
-        if (waited < kNoteWait) s.more.wait_for(lock, kNoteWait - waited, ready);
-      }
-    } else if (state == State::Damaged) {
-      s.more.wait(lock, something);
-    } else if (const Time now = monotonic(); now < retryAt) {
-      s.more.wait_for(lock, retryAt - now, something);
-    }
-    if (s.stop && (s.waiting.empty() || state != State::Up)) break;
-    if (state != State::Up) {
-      loseWaiting();
-      // Not at each operation that comes: the disk is tried at its own pace.
-      if (state == State::Damaged || monotonic() < retryAt) continue;
-      lock.unlock();
-      std::string why;
-      bool damaged = false;
-      try {
-        reopen();
-      } catch (const StoreError& e) {
-        s.ledger.reset();
-        why = e.what();
-        damaged = e.kind == StoreError::Kind::Damaged || e.kind == StoreError::Kind::Newer;
-      }
-      lock.lock();
-      if (why.empty()) {
-        turn(State::Up, "");
-      } else if (damaged) {
-        turn(State::Damaged, why);
-      } else {
-        backOff();
-      }
-      continue;
-    }
-    const std::size_t n = std::min(s.waiting.size(), kLargestGroup);
-    s.group.assign(std::make_move_iterator(s.waiting.begin()),
-                   std::make_move_iterator(s.waiting.begin() + static_cast<std::ptrdiff_t>(n)));
-    s.waiting.erase(s.waiting.begin(), s.waiting.begin() + static_cast<std::ptrdiff_t>(n));
-    for (const Shared::Piece& p : s.group) s.asked -= p.done != nullptr;
-    s.began = monotonic();
-    lock.unlock();
-    std::vector<Operation> operations;
-    operations.reserve(n);
-    for (const Shared::Piece& p : s.group) operations.push_back(p.operation);
-    std::vector<OperationResult> said;
-    std::string why;
-    bool damaged = false;
-    const Time began = monotonic();
-    const std::uint64_t commits = s.ledger->commits();
-    try {
-      said = s.ledger->apply(operations);
-    } catch (const StoreError& e) {
-      why = e.what();
-      damaged = e.kind == StoreError::Kind::Damaged || e.kind == StoreError::Kind::Newer;
-    }
-    const Time took = monotonic() - began;
-    const std::uint64_t bytes = why.empty() && s.ledger->commits() % 256 == 0 ? s.ledger->bytesOnDisk() : 0;
-    lock.lock();
-    if (!why.empty()) {
-      lose(s.group);
-      turn(damaged ? State::Damaged : State::Down, why);
-      backOff();
-      continue;
-    }
-    retry = kRetryLeast;
-    Statistics& f = s.figures;
-    f.operations += n;
-    f.commits += s.ledger->commits() - commits;
-    f.largestGroup = std::max<std::uint64_t>(f.largestGroup, n);
-    f.keys = s.ledger->totals().keys;
-    f.sessions = s.ledger->totals().sessions;
-    if (bytes > 0) f.bytesOnDisk = bytes;
-    f.lastCommit = took;
-    f.longestCommit = std::max(f.longestCommit, took);
-    bool anyone = false;
-    for (std::size_t k = 0; k < n; ++k)
-      if (s.group[k].done) {
-        s.results.push_back({std::move(s.group[k].done), s.group[k].wanted, true, std::move(said[k])});
-        anyone = true;
-      }
-    s.group.clear();
-    if (anyone) s.tell();
+    waitForWork();
+    if (shouldStop()) break;
+    if (state_ == State::Up)
+      commitGroup();
+    else
+      tryReopen();
+  }
+  finish();
+}
+
+void GroupCommitWriter::WriterThread::waitForWork() {
+  const auto somethingToDo = [this] { return hasWork(); };
+  if (state_ == State::Damaged) {
+    shared_.workArrived.wait(lock_, somethingToDo);
+    return;
+  }
+  if (state_ == State::Down) {
+    const Time now = monotonic();
+    if (now < retryAt_) shared_.workArrived.wait_for(lock_, retryAt_ - now, somethingToDo);
+    return;
+  }
+  shared_.workArrived.wait(lock_, somethingToDo);
+  if (groupIsDue()) return;
+  const Time waited = monotonic() - shared_.queue.front().submittedAt;
+  if (waited >= kUnacknowledgedWait) return;
+  shared_.workArrived.wait_for(lock_, kUnacknowledgedWait - waited, [this] { return groupIsDue(); });
+}
+
+void GroupCommitWriter::WriterThread::commitGroup() {
+  takeGroup();
+  shared_.commitStartedAt = monotonic();
+  lock_.unlock();
+  std::vector<OperationResult> results;
+  const Time startedAt = monotonic();
+  const std::uint64_t commitsBefore = shared_.store->commits();
+  const std::optional<Failure> failure = apply(results);
+  const Time took = monotonic() - startedAt;
+  const bool readSize = !failure && shared_.store->commits() % kCommitsPerSizeReading == 0;
+  const std::uint64_t bytesOnDisk = readSize ? shared_.store->bytesOnDisk() : 0;
+  lock_.lock();
+  if (failure) {
+    lose(shared_.committing);
+    changeState(failure->state, failure->why);
+    backOff();
+    return;
+  }
+  retryDelay_ = kRetryLeast;
+  recordCommit(shared_.store->commits() - commitsBefore, took, bytesOnDisk);
+  deliver(std::move(results));
+}
+
+void GroupCommitWriter::WriterThread::takeGroup() {
+  std::deque<QueuedOperation>& queue = shared_.queue;
+  const auto end = queue.begin() + static_cast<std::ptrdiff_t>(std::min(queue.size(), kLargestGroup));
+  shared_.committing.assign(std::make_move_iterator(queue.begin()), std::make_move_iterator(end));
+  queue.erase(queue.begin(), end);
+  for (const QueuedOperation& queued : shared_.committing)
+    if (queued.completion) --shared_.awaited;
+}
+
+// Without the mutex.
+std::optional<GroupCommitWriter::WriterThread::Failure> GroupCommitWriter::WriterThread::apply(
+    std::vector<OperationResult>& results) {
+  std::vector<Operation> operations;
+  operations.reserve(shared_.committing.size());
+  for (const QueuedOperation& queued : shared_.committing) operations.push_back(queued.operation);
+  try {
+    results = shared_.store->apply(operations);
+  } catch (const StoreError& e) {
+    return failureOf(e);
+  }
+  return std::nullopt;
+}
+
+void GroupCommitWriter::WriterThread::recordCommit(std::uint64_t commits, Time took,
+                                                   std::uint64_t bytesOnDisk) {
+  Statistics& statistics = shared_.statistics;
+  const std::uint64_t size = shared_.committing.size();
+  statistics.operations += size;
+  statistics.commits += commits;
+  statistics.largestGroup = std::max(statistics.largestGroup, size);
+  statistics.keys = shared_.store->totals().keys;
+  statistics.sessions = shared_.store->totals().sessions;
+  if (bytesOnDisk > 0) statistics.bytesOnDisk = bytesOnDisk;
+  statistics.lastCommit = took;
+  statistics.longestCommit = std::max(statistics.longestCommit, took);
+}
+
+void GroupCommitWriter::WriterThread::deliver(std::vector<OperationResult>&& results) {
+  bool anyAwaited = false;
+  for (std::size_t k = 0; k < shared_.committing.size(); ++k) {
+    QueuedOperation& queued = shared_.committing[k];
+    if (!queued.completion) continue;
+    shared_.results.push_back({std::move(queued.completion), queued.interest, true, std::move(results[k])});
+    anyAwaited = true;
+  }
+  shared_.committing.clear();
+  if (anyAwaited) shared_.wakeLoop();
+}
+
+// The disk is tried with backoff, not at each operation that arrives.
+void GroupCommitWriter::WriterThread::tryReopen() {
+  loseQueue();
+  if (state_ == State::Damaged || monotonic() < retryAt_) return;
+  lock_.unlock();
+  std::optional<Failure> failure;
+  try {
+    reopen();
+  } catch (const StoreError& e) {
+    shared_.store.reset();
+    failure = failureOf(e);
   }
-  if (state == State::Down) loseWaiting();
-  lock.unlock();
-  if (state == State::Down && !backlog.empty()) {
+  lock_.lock();
+  if (!failure)
+    changeState(State::Up, "");
+  else if (failure->state == State::Damaged)
+    changeState(State::Damaged, failure->why);
+  else
+    backOff();
+}
+
+// Opens the store and applies the backlog. Without the mutex; throws StoreError.
+void GroupCommitWriter::WriterThread::reopen() {
+  shared_.store.reset();
+  shared_.store = std::make_unique<IdempotencyStore>(shared_.files, shared_.settings);
+  while (!backlog_.empty()) {
+    const std::vector<Operation> oldest = backlog_.oldest(kLargestGroup);
+    shared_.store->apply(oldest);
+    backlog_.drop(oldest.size());
+  }
+}
+
+void GroupCommitWriter::WriterThread::finish() {
+  if (state_ == State::Down) loseQueue();
+  lock_.unlock();
+  if (state_ == State::Down && !backlog_.empty()) {
     try {
       reopen();                    // the last chance to record it
-    } catch (const StoreError&) {  // NOLINT(bugprone-empty-catch): it was said when the store went down
+    } catch (const StoreError&) {  // NOLINT(bugprone-empty-catch): logged when the store went down
     }
   }
-  s.ledger.reset();
-  lock.lock();
-  s.over = true;
-  s.ended.notify_all();
+  shared_.store.reset();
+  lock_.lock();
+  shared_.stopped = true;
+  shared_.threadEnded.notify_all();
+}
+
+GroupCommitWriter::WriterThread::Failure GroupCommitWriter::WriterThread::failureOf(const StoreError& error) {
+  const bool mayPass = error.kind != StoreError::Kind::Damaged && error.kind != StoreError::Kind::Newer;
+  return {mayPass ? State::Down : State::Damaged, error.what()};
+}
+
+void GroupCommitWriter::WriterThread::changeState(State state, const std::string& why) {
+  state_ = state;
+  shared_.stateChanges.push_back({state, why, shared_.store ? shared_.store->recovered() : StoreRecovery{}});
+  shared_.wakeLoop();
+}
+
+void GroupCommitWriter::WriterThread::lose(std::vector<QueuedOperation>& operations) {
+  for (QueuedOperation& queued : operations) {
+    ++shared_.statistics.lost;
+    backlog_.add(std::move(queued.operation));
+    if (queued.completion)
+      shared_.results.push_back({std::move(queued.completion), queued.interest, false, {}});
+  }
+  operations.clear();
+  shared_.wakeLoop();
+}
+
+void GroupCommitWriter::WriterThread::loseQueue() {
+  std::vector<QueuedOperation> all(std::make_move_iterator(shared_.queue.begin()),
+                                   std::make_move_iterator(shared_.queue.end()));
+  shared_.queue.clear();
+  shared_.awaited = 0;
+  if (!all.empty()) lose(all);
+}
+
+void GroupCommitWriter::WriterThread::backOff() {
+  retryAt_ = monotonic() + retryDelay_;
+  retryDelay_ = std::min(2 * retryDelay_, kRetryMost);
 }
 
 void GroupCommitWriter::deliverResults() {
   std::uint64_t count = 0;
-  [[maybe_unused]] const ssize_t n = read(shared_->wake, &count, sizeof count);
+  [[maybe_unused]] const ssize_t n = read(shared_->wakeupFd, &count, sizeof count);
   std::vector<Shared::CommitResult> results;
-  std::vector<Shared::Change> changes;
+  std::vector<Shared::StateChange> changes;
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
     results.swap(shared_->results);
-    changes.swap(shared_->changes);
+    changes.swap(shared_->stateChanges);
   }
-  for (Shared::Change& c : changes) {
-    shared_->state = c.state;
-    shared_->why = c.why;
-    if (c.state == State::Up) shared_->recovered = c.recovered;
-    if (onStateChange_) onStateChange_(c.state, c.why);
+  for (const Shared::StateChange& change : changes) {
+    shared_->state = change.state;
+    shared_->why = change.why;
+    if (change.state == State::Up) shared_->recovered = change.recovered;
+    if (onStateChange_) onStateChange_(change.state, change.why);
   }
-  // Each is looked at when its turn comes: one result may end what waits for the next.
-  for (Shared::CommitResult& r : results)
-    if (!r.wanted.expired()) r.done(r.durable, std::move(r.said));
+  // Whether each is still awaited is looked up in its turn: a completion may release the next one's ticket.
+  for (Shared::CommitResult& result : results)
+    if (!result.interest.expired()) result.completion(result.durable, std::move(result.result));
 }
 
 GroupCommitWriter::State GroupCommitWriter::state() const { return shared_->state; }
@@ -308,15 +404,15 @@
 const StoreRecovery& GroupCommitWriter::recovered() const { return shared_->recovered; }
 Time GroupCommitWriter::currentCommitAge() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
-  return shared_->group.empty() ? Time(0) : monotonic() - shared_->began;
+  return shared_->committing.empty() ? Time(0) : monotonic() - shared_->commitStartedAt;
 }
 std::size_t GroupCommitWriter::pendingOperations() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
-  return shared_->waiting.size() + shared_->group.size();
+  return shared_->queue.size() + shared_->committing.size();
 }
 GroupCommitWriter::Statistics GroupCommitWriter::statistics() const {
   const std::lock_guard<std::mutex> lock(shared_->mutex);
-  return shared_->figures;
+  return shared_->statistics;
 }
 
 }  // namespace sablespur::durability
--- a/src/durability/group_commit_writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -54,8 +54,9 @@
 
  private:
   struct Shared;
-  static void runWriterThread(const std::shared_ptr<Shared>&);
+  class WriterThread;
   void deliverResults();
+
   StateCallback onStateChange_;
   std::shared_ptr<Shared> shared_;
   Event resultsReady_;
