--- a/src/durability/files.cpp
+++ b/src/durability/files.cpp
@@ -79,7 +79,7 @@
     return partly.ok() ? fate.status : partly;
   }
   Status Sync() override {
-    if (const Status s = Flush(); !s.ok()) return s;
+    if (Status s = Flush(); !s.ok()) return s;
     if (const FileHook::Result fate = files_.consultHook(FileOp::Sync, path_); !fate.status.ok())
       return fate.status;
     if (!syncDataFully(fd_.get())) return failed(path_);
@@ -103,7 +103,7 @@
       : files_(files), path_(std::move(path)), file_(std::move(file)) {}
   Status Read(std::size_t n, Slice* result, char* scratch) override {
     files_.rememberRead(path_, offset_, n);
-    const Status s = file_->Read(n, result, scratch);
+    Status s = file_->Read(n, result, scratch);
     if (s.ok()) offset_ += result->size();
     return s;
   }
@@ -153,7 +153,7 @@
 Status Files::NewSequentialFile(const std::string& path, leveldb::SequentialFile** to) {
   rememberRead(path, 0, 0);
   leveldb::SequentialFile* file = nullptr;
-  const Status s = target()->NewSequentialFile(path, &file);
+  Status s = target()->NewSequentialFile(path, &file);
   *to = s.ok() ? new TrackedSequentialFile(*this, path, std::unique_ptr<leveldb::SequentialFile>(file))
                : nullptr;
   return s;
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -236,11 +236,11 @@
     a.className = classNames_[static_cast<std::size_t>(e.request.classIndex)];
     a.group = e.request.group;
     a.deduplicationWindow = c.deduplicationWindow;
-    e.ticket = writer_.submit(
-        durability::BeginKeyedRequest{std::move(a)},
-        [this, &e](bool durable, OperationResult s) { intentDecided(e, durable, std::move(s)); });
+    e.ticket =
+        writer_.submit(durability::BeginKeyedRequest{std::move(a)},
+                       [this, &e](bool durable, const OperationResult& s) { intentDecided(e, durable, s); });
   }
-  void intentDecided(PendingRequest& e, bool durable, OperationResult s) {
+  void intentDecided(PendingRequest& e, bool durable, const OperationResult& s) {
     e.ticket.reset();
     e.waitReason = WaitReason::None;
     if (!durable || s.storeFull) {
--- a/src/durability/idempotency_store.cpp
+++ b/src/durability/idempotency_store.cpp
@@ -12,7 +12,8 @@
 // Forgotten in one commit: each commit makes room for what it brings, so the store stays level under any
 // load.
 constexpr std::size_t kMinExpiriesPerCommit = 32, kExpiriesPerOperation = 2;
-constexpr std::size_t kMaxEpochRecords = 64;  // kept for people
+constexpr std::size_t kMaxEpochRecords = 64;   // kept for people
+constexpr std::size_t kExpiryPrefixBytes = 9;  // of an entry of the index: 'x' and the time
 
 std::string encodeNumber(std::uint64_t n) {
   std::string s;
@@ -253,14 +254,14 @@
   return said;
 }
 
-void IdempotencyStore::recordPosition(Transaction& g, std::uint64_t of, std::int64_t positionMs) {
-  CachedSession& c = loadSession(g, of);
+void IdempotencyStore::recordPosition(Transaction& g, std::uint64_t session, std::int64_t positionMs) {
+  CachedSession& c = loadSession(g, session);
   if (!c.record) {
     // One more than there is room for is forgotten at once: that raises the floor for all who are not known.
     if (totals_.sessions >= settings_.maxSessions) {
       totals_.forgottenPositionMs = std::max(totals_.forgottenPositionMs, positionMs);
       g.changed = true;
-      g.sessions.erase(of);
+      g.sessions.erase(session);
       return;
     }
     ++totals_.sessions;
@@ -308,57 +309,101 @@
 }
 
 // ---- for people ---------------------------------------------------------------------------------------
-StoreStatistics check(Files& files, const std::string& directory) {
-  Database db(files, directory);
-  checkFormat(db);
-  StoreStatistics c;
-  db.scan("", "", [&](std::string_view key, std::string_view value) {
-    ++c.pairs;
-    if (key == kClock)
-      decodeRecord(key, value, decodeClock);
-    else if (key == kTotals)
-      decodeRecord(key, value, decodeTotals);
-    else if (key[0] == 'e')
-      c.epochs += decodeRecord(key, value, decodeEpoch).number == decodeNumber(key.substr(1));
-    return true;
-  });
-  // An entry of the index for each record, and none for what is not there. Key by key: memory stays level.
-  db.scan("k", "k", [&](std::string_view key, std::string_view value) {
-    const KeyRecord r = decodeRecord(key, value, decodeKey);
-    ++c.keys;
-    c.pendingKeys += r.outcome == Outcome::Pending;
-    c.responses += r.hasResponse;
-    c.responseBytes += r.response.size();
-    c.pendingIds += r.pendingIds.size();
-    if (!db.get(expiryKey(r.expiresAt, std::string(key))))
-      throwDamaged("no expiry stands for " + printable(key));
-    return true;
-  });
-  db.scan("s", "s", [&](std::string_view key, std::string_view value) {
-    ++c.sessions;
-    if (!db.get(expiryKey(decodeRecord(key, value, decodeSession).expiresAt, std::string(key))))
+namespace {
+
+// Reads every record, key by key, so that memory stays level; throws where they do not fit together.
+class StoreCheck {
+ public:
+  explicit StoreCheck(Database& database) : database_(database) {}
+
+  StoreStatistics run() {
+    checkOwnRecords();
+    checkKeys();
+    checkSessions();
+    checkExpiryIndex();
+    checkTotals();
+    statistics_.commits = database_.commits();
+    statistics_.bytesOnDisk = database_.bytesOnDisk();
+    statistics_.openResult = database_.opened();
+    return statistics_;
+  }
+
+ private:
+  void checkOwnRecords() {
+    database_.scan("", "", [this](std::string_view key, std::string_view value) {
+      ++statistics_.pairs;
+      if (key == kClock)
+        decodeRecord(key, value, decodeClock);
+      else if (key == kTotals)
+        decodeRecord(key, value, decodeTotals);
+      else if (key[0] == 'e')
+        statistics_.epochs += decodeRecord(key, value, decodeEpoch).number == decodeNumber(key.substr(1));
+      return true;
+    });
+  }
+
+  void checkKeys() {
+    database_.scan("k", "k", [this](std::string_view key, std::string_view value) {
+      const KeyRecord record = decodeRecord(key, value, decodeKey);
+      ++statistics_.keys;
+      statistics_.pendingKeys += record.outcome == Outcome::Pending;
+      statistics_.responses += record.hasResponse;
+      statistics_.responseBytes += record.response.size();
+      statistics_.pendingIds += record.pendingIds.size();
+      checkIsIndexed(key, record.expiresAt);
+      return true;
+    });
+  }
+
+  void checkSessions() {
+    database_.scan("s", "s", [this](std::string_view key, std::string_view value) {
+      ++statistics_.sessions;
+      checkIsIndexed(key, decodeRecord(key, value, decodeSession).expiresAt);
+      return true;
+    });
+  }
+
+  void checkIsIndexed(std::string_view key, Time expiresAt) {
+    if (!database_.get(expiryKey(expiresAt, std::string(key))))
       throwDamaged("no expiry stands for " + printable(key));
-    return true;
-  });
-  std::uint64_t entries = 0;
-  db.scan("x", "x", [&](std::string_view key, std::string_view) {
-    ++entries;
-    if (key.size() < 10 || !db.get(key.substr(9)))
-      throwDamaged("an expiry entry for what is not there: " + printable(key));
-    return true;
-  });
-  if (entries != c.keys + c.sessions) throwDamaged("entries that expire and records differ in number");
-  if (const auto t = db.get(kTotals)) {
-    const StoreTotals totals = decodeRecord(kTotals, *t, decodeTotals);
-    if (totals.keys != c.keys || totals.sessions != c.sessions || totals.pendingKeys != c.pendingKeys)
-      throwDamaged("counted are " + std::to_string(totals.keys) + " keys and " +
-                   std::to_string(totals.sessions) + " sessions, and there are " + std::to_string(c.keys) +
-                   " and " + std::to_string(c.sessions));
   }
-  c.commits = db.commits();
-  c.bytesOnDisk = db.bytesOnDisk();
-  c.openResult = db.opened();
-  return c;
+
+  // Each record has an entry of its own, so as many entries as records, each for one that exists, are all.
+  void checkExpiryIndex() {
+    std::uint64_t entries = 0;
+    database_.scan("x", "x", [&](std::string_view key, std::string_view) {
+      ++entries;
+      if (key.size() < kExpiryPrefixBytes + 1 || !database_.get(key.substr(kExpiryPrefixBytes)))
+        throwDamaged("an expiry entry for what is not there: " + printable(key));
+      return true;
+    });
+    if (entries != statistics_.keys + statistics_.sessions)
+      throwDamaged("entries that expire and records differ in number");
+  }
+
+  void checkTotals() {
+    const auto value = database_.get(kTotals);
+    if (!value) return;
+    const StoreTotals totals = decodeRecord(kTotals, *value, decodeTotals);
+    const StoreStatistics& found = statistics_;
+    if (totals.keys == found.keys && totals.sessions == found.sessions &&
+        totals.pendingKeys == found.pendingKeys)
+      return;
+    throwDamaged("counted are " + std::to_string(totals.keys) + " keys and " +
+                 std::to_string(totals.sessions) + " sessions, and there are " + std::to_string(found.keys) +
+                 " and " + std::to_string(found.sessions));
+  }
+
+  Database& database_;
+  StoreStatistics statistics_;
+};
+
+}  // namespace
+
+StoreStatistics check(Files& files, const std::string& directory) {
+  Database database(files, directory);
+  checkFormat(database);
+  return StoreCheck(database).run();
 }
 
 void dump(Files& files, const std::string& directory,
--- a/src/durability/store_clock.cpp
+++ b/src/durability/store_clock.cpp
@@ -1,9 +1,8 @@
 #include "durability/store_clock.hpp"
 
-#include <time.h>
-
 #include <algorithm>
 #include <chrono>
+#include <ctime>
 #include <fstream>
 
 namespace sablespur::durability {
