--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -58,8 +58,7 @@
 
  private:
   void report(const std::string& title, const char* key, ValueError wrong) {
-    document_.report(document_.titleLine(title, key), title + (key ? std::string(" ") + key : ""),
-                     std::move(wrong));
+    document_.report(document_.titleKeyLine(title, key), title + " " + key, std::move(wrong));
   }
 
   void addGroups() {
@@ -69,7 +68,8 @@
       const std::string title = "[admission_group " + group.name + "]";
       if (group.name == kOthers &&
           (!group.networks.empty() || !group.networksFile.empty() || !group.users.empty()))
-        report(title, nullptr, {"it is whoever is in no other group", "leave out its networks and users"});
+        document_.report(document_.titleLine(title), title,
+                         {"it is whoever is in no other group", "leave out its networks and users"});
       addNetworks(group, index, title, *networks);
       addUsers(group, index, title);
       if (group.maxConnections > 0 && group.reservedConnections > group.maxConnections)
--- a/src/config/credentials.cpp
+++ b/src/config/credentials.cpp
@@ -57,7 +57,7 @@
     return std::nullopt;
   };
   const std::string path = document.resolvePath(name);
-  const std::optional<std::string> text = readTextFile(path);
+  std::optional<std::string> text = readTextFile(path);
   struct stat status {};
   if (!text || text->empty() || stat(path.c_str(), &status) != 0)
     return report("cannot be read or is empty", "see that it exists and may be read");
--- a/src/config/discovery_checks.cpp
+++ b/src/config/discovery_checks.cpp
@@ -16,10 +16,8 @@
   for (const IniSection& candidate : document.sections())
     if (candidate.type == "dnssd") section = &candidate;
   const auto report = [&](const char* key, ValueError wrong) {
-    if (section)
-      document.report(document.keyLine(*section, key), std::string("[dnssd] ") + key, std::move(wrong));
-    else
-      document.report(document.sectionLine("discovery"), std::string("[dnssd] ") + key, std::move(wrong));
+    const int line = section ? SettingsDocument::keyLine(*section, key) : document.sectionLine("discovery");
+    document.report(line, std::string("[dnssd] ") + key, std::move(wrong));
   };
   if (dnssd.domain.empty())
     report("domain", {"source = dnssd needs it", "say which, such as domain = ruwi.example.org"});
--- a/src/config/settings_document.cpp
+++ b/src/config/settings_document.cpp
@@ -8,6 +8,7 @@
 #include "config/config.hpp"
 
 namespace sablespur {
+
 int SettingsDocument::keyLine(const IniSection& section, const char* key) {
   for (const IniEntry& entry : section.entries)
     if (entry.key == key) return entry.line;
@@ -56,9 +57,15 @@
   return 0;
 }
 
-int SettingsDocument::titleLine(const std::string& title, const char* key) const {
+int SettingsDocument::titleLine(const std::string& title) const {
+  for (const IniSection& section : file_.sections)
+    if (section.title() == title) return section.line;
+  return 0;
+}
+
+int SettingsDocument::titleKeyLine(const std::string& title, const char* key) const {
   for (const IniSection& section : file_.sections)
-    if (section.title() == title) return key ? keyLine(section, key) : section.line;
+    if (section.title() == title) return keyLine(section, key);
   return 0;
 }
 
--- a/src/config/settings_document.hpp
+++ b/src/config/settings_document.hpp
@@ -11,6 +11,7 @@
 
 namespace sablespur {
 
+// The parsed file. Checks read its sections and report what is wrong; throwIfFaulty() ends the reading.
 class SettingsDocument {
  public:
   // The faults of the file itself come first.
@@ -27,6 +28,7 @@
   void reportKey(const std::string& sectionType, const char* key, ValueError);
   // In a file that the settings name.
   void reportInFile(Fault);
+  // Of all faults so far, those of the file itself included.
   std::size_t faultCount() const { return faults_.size(); }
   // In the order of the lines. Throws BadSettings if there is any.
   void throwIfFaulty();
@@ -36,7 +38,9 @@
   // 0 where there is no such section.
   int keyLine(const std::string& sectionType, const char* key) const;
   int sectionLine(const std::string& type) const;
-  int titleLine(const std::string& title, const char* key) const;  // null key: of the title itself
+  // `title` is as IniSection::title() has it.
+  int titleLine(const std::string& title) const;
+  int titleKeyLine(const std::string& title, const char* key) const;
 
   // A path as it is opened: relative ones start from the directory of this file.
   std::string resolvePath(const std::string& path) const;
