--- a/src/app/list_source.cpp
+++ b/src/app/list_source.cpp
@@ -63,10 +63,10 @@
     return p;
   }
   const DnsSdSettings& s = c.dnssd;
-  p.suppressThreshold = s.flapSuppressThreshold;
-  p.reuseThreshold = s.flapReuseThreshold;
-  p.halfLife = s.flapHalfLife;
-  p.maxSuppression = s.flapMaxSuppression;
+  p.suppressThreshold = s.flapDamping.suppressThreshold;
+  p.reuseThreshold = s.flapDamping.reuseThreshold;
+  p.halfLife = s.flapDamping.halfLife;
+  p.maxSuppression = s.flapDamping.maxSuppression;
   p.maxListAge = s.maxListAge;
   return p;
 }
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -66,8 +66,7 @@
     for (std::size_t index = 0; index < groups_.size(); ++index) {
       const AdmissionGroupDraft& group = groups_[index];
       const std::string title = "[admission_group " + group.name + "]";
-      if (group.name == kOthers &&
-          (!group.networks.empty() || !group.networksFile.empty() || !group.users.empty()))
+      if (group.name == kOthers && !group.clients.none())
         document_.report(document_.titleLine(title), title,
                          {"it is whoever is in no other group", "leave out its networks and users"});
       addNetworks(group, index, title, *networks);
@@ -82,17 +81,18 @@
   void addNetworks(const AdmissionGroupDraft& group, std::size_t index, const std::string& title,
                    admission::Networks& networks) {
     std::string problem;
-    for (const std::string& network : group.networks)
+    for (const std::string& network : group.clients.networks)
       if (!networks.add(network, index, problem))
         report(title, "networks", {problem, "write networks such as 10.1.0.0/16 or fd00:1::/32"});
-    if (!group.networksFile.empty()) addNetworksFile(group, index, title, networks);
+    if (!group.clients.networksFile.empty()) addNetworksFile(group, index, title, networks);
   }
 
   void addNetworksFile(const AdmissionGroupDraft& group, std::size_t index, const std::string& title,
                        admission::Networks& networks) {
-    const auto text = readTextFile(document_.resolvePath(group.networksFile));
+    const auto text = readTextFile(document_.resolvePath(group.clients.networksFile));
     if (!text)
-      report(title, "networks_file", {"'" + group.networksFile + "' cannot be read", "see that it exists"});
+      report(title, "networks_file",
+             {"'" + group.clients.networksFile + "' cannot be read", "see that it exists"});
     std::istringstream lines(text.value_or(""));
     std::string problem;
     int number = 0;
@@ -101,18 +101,18 @@
       const std::string network = strippedLine(line);
       if (network.empty() || networks.add(network, index, problem)) continue;
       report(title, "networks_file",
-             {group.networksFile + ":" + std::to_string(number) + ": " + problem,
+             {group.clients.networksFile + ":" + std::to_string(number) + ": " + problem,
               "write a network a line, such as 10.1.0.0/16"});
       return;  // one fault a file: a file of another form would fill the screen
     }
   }
 
   void addUsers(const AdmissionGroupDraft& group, std::size_t index, const std::string& title) {
-    if (!group.users.empty() && !wantsPassword(config_))
+    if (!group.clients.users.empty() && !wantsPassword(config_))
       report(
           title, "users",
           {"a name proves nothing without a password", "write [clients] login = scram, or leave users out"});
-    for (const std::string& user : group.users) {
+    for (const std::string& user : group.clients.users) {
       const auto [entry, isNew] = settings_->users.emplace(user, index);
       if (!isNew && entry->second != index)
         report(title, "users",
--- a/src/config/adopt.cpp
+++ b/src/config/adopt.cpp
@@ -1,7 +1,9 @@
 // What a reloaded configuration changes in the running one.
-#include <algorithm>
+#include <optional>
+#include <string>
 #include <tuple>
 #include <utility>
+#include <vector>
 
 #include "config/config.hpp"
 
@@ -19,20 +21,24 @@
   return all(a) == all(b);
 }
 
+// The index of the running class of this name and these settings.
+std::optional<std::size_t> findUnchangedClass(const Config& running, const std::string& name,
+                                              const balancer::ClassSettings& settings) {
+  for (std::size_t index = 0; index < running.classes.size(); ++index)
+    if (running.classes[index] == name && same(running.settings.classes[index], settings)) return index;
+  return std::nullopt;
+}
+
 }  // namespace
 
 void adopt(Config& running, const Config& read) {
-  const std::size_t runningCount = running.settings.classes.size();
   std::vector<balancer::ClassSettings> classes = running.settings.classes;
   std::vector<std::string> names(running.classes.size(), kRemovedClass);
   for (std::size_t index = 0; index < read.classes.size(); ++index) {
     const std::string& name = read.classes[index];
     const balancer::ClassSettings& settings = read.settings.classes[index];
-    std::size_t place = 0;
-    while (place < runningCount && !(running.classes[place] == name && same(classes[place], settings)))
-      ++place;
-    if (place < runningCount) {
-      names[place] = name;
+    if (const auto unchanged = findUnchangedClass(running, name, settings)) {
+      names[*unchanged] = name;
       continue;
     }
     names.push_back(name);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -43,8 +43,9 @@
 bool operator==(const DnsSdSettings& a, const DnsSdSettings& b) {
   const auto all = [](const DnsSdSettings& s) {
     return std::tie(s.domain, s.service, s.servers, s.minRefresh, s.maxRefresh, s.jitter, s.attemptTimeout,
-                    s.queriesPerSecond, s.udpPayload, s.defaultGroup, s.maxListAge, s.flapHalfLife,
-                    s.flapMaxSuppression, s.flapSuppressThreshold, s.flapReuseThreshold);
+                    s.queriesPerSecond, s.udpPayload, s.defaultGroup, s.maxListAge, s.flapDamping.halfLife,
+                    s.flapDamping.maxSuppression, s.flapDamping.suppressThreshold,
+                    s.flapDamping.reuseThreshold);
   };
   return all(a) == all(b);
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -33,6 +33,14 @@
   balancer::GroupId id = 0;
 };
 
+// How long an instance that comes and goes is left out; see EndpointTablePolicy.
+struct FlapDampingConfig {
+  Time halfLife{};
+  Time maxSuppression{};
+  double suppressThreshold = 0;
+  double reuseThreshold = 0;
+};
+
 // DNS-SD: what is queried, of which name servers, how often. See docs/design/dnssd.md.
 struct DnsSdSettings {
   std::string domain;            // "ruwi.example.org"
@@ -47,13 +55,8 @@
   double queriesPerSecond = 50;  // for single records, where a PTR answer has no room for all
   int udpPayload = 0;            // EDNS0 payload size, in bytes
   std::optional<balancer::GroupId> defaultGroup;  // of instances whose TXT record names none
-  std::string defaultGroupName;                   // as the file has it; empty: none
   Time maxListAge{};  // the last list is used for so long when no name server answers; 0: for ever
-  // Flap damping; see EndpointTablePolicy.
-  Time flapHalfLife{};
-  Time flapMaxSuppression{};
-  double flapSuppressThreshold = 0;
-  double flapReuseThreshold = 0;
+  FlapDampingConfig flapDamping;
   friend bool operator==(const DnsSdSettings&, const DnsSdSettings&);
 };
 
--- a/src/config/discovery_checks.cpp
+++ b/src/config/discovery_checks.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::int64_t kMaxGroupNumber = 65535;
 
-void checkDnsSd(SettingsDocument& document, Config& config) {
-  DnsSdSettings& dnssd = config.dnssd;
+void checkDnsSd(SettingsDocument& document, SettingsDraft& draft) {
+  DnsSdSettings& dnssd = draft.config.dnssd;
   const IniSection* section = nullptr;
   for (const IniSection& candidate : document.sections())
     if (candidate.type == "dnssd") section = &candidate;
@@ -27,11 +27,11 @@
            {"source = dnssd needs one", "say where name servers listen, such as 10.2.0.1:53"});
   if (dnssd.maxRefresh < dnssd.minRefresh)
     report("refresh_most", {"it is shorter than refresh_least", "make it at least refresh_least"});
-  if (dnssd.flapReuseThreshold >= dnssd.flapSuppressThreshold)
+  if (dnssd.flapDamping.reuseThreshold >= dnssd.flapDamping.suppressThreshold)
     report("flap_reuse", {"it is not below flap_suppress", "make it less than flap_suppress"});
-  const std::string& group = dnssd.defaultGroupName;
+  const std::string& group = draft.dnssdGroup;
   if (group.empty()) return;
-  dnssd.defaultGroup = findGroup(config, group);
+  dnssd.defaultGroup = findGroup(draft.config, group);
   if (!dnssd.defaultGroup)
     report("group", {"'" + group + "' is neither a [group] nor a number up to 65535",
                      "add [group " + group + "] with its number"});
@@ -48,11 +48,12 @@
   return std::nullopt;
 }
 
-void checkDiscovery(SettingsDocument& document, Config& config) {
+void checkDiscovery(SettingsDocument& document, SettingsDraft& draft) {
+  const Config& config = draft.config;
   if (config.source == Source::Registry && config.discovery.none())
     document.report(document.sectionLine("discovery"), "[discovery] registry",
                     {"source = registry needs it", "say where the registry listens, or set source = fixed"});
-  if (config.source == Source::DnsSd) checkDnsSd(document, config);
+  if (config.source == Source::DnsSd) checkDnsSd(document, draft);
   if (config.source == Source::Fixed && config.known.instances.empty())
     document.report(document.sectionLine("discovery"), "[discovery] source",
                     {"source = fixed needs a [member NAME]", "add one for each data server"});
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -124,7 +124,7 @@
     if (config_.classes.empty())
       document_.report(
           0, "", {"there is no [class NAME]", "add one for each class of requests that clients name (c=)"});
-    checkDiscovery(document_, config_);
+    checkDiscovery(document_, draft_);
     loadCredentials(document_, draft_);
   }
 
@@ -161,7 +161,7 @@
 
   SettingsDocument document_;
   Config config_;
-  SettingsDraft draft_{config_, {}, {}, {}, {}, {}};
+  SettingsDraft draft_{config_, {}, {}, {}, {}, {}, {}};
 };
 
 }  // namespace
--- a/src/config/key_values.cpp
+++ b/src/config/key_values.cpp
@@ -142,11 +142,12 @@
 
 Read<KeyValue> readValue(const Key& key, const std::string& text) {
   Read<KeyValue> value = readUnbounded(key, text);
-  if (std::holds_alternative<ValueError>(value) || key.min == key.max) return value;
+  if (std::holds_alternative<ValueError>(value) || !key.bounds) return value;
   const double number = std::visit(BoundedNumber{}, std::get<KeyValue>(value));
-  if (number >= key.min && number <= key.max) return value;
+  const auto [min, max] = *key.bounds;
+  if (number >= min && number <= max) return value;
   return ValueError{"'" + text + "' is out of range",
-                    "write " + writeBound(key.kind, key.min) + " to " + writeBound(key.kind, key.max)};
+                    "write " + writeBound(key.kind, min) + " to " + writeBound(key.kind, max)};
 }
 
 std::string writeBound(KeyKind kind, double bound) {
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <variant>
 #include <vector>
@@ -32,14 +33,23 @@
 using KeyValue = std::variant<std::string, Address, std::vector<Address>, Time, std::uint64_t, std::int64_t,
                               double, bool, std::vector<std::string>>;
 
+// The least and the greatest value of a key, both allowed: in microseconds, bytes or the plain number.
+struct Bounds {
+  double min;
+  double max;
+};
+constexpr std::nullopt_t kUnbounded = std::nullopt;
+
+// What a key that is no KeyKind::Choice has in place of choices.
+constexpr const char* kNoChoices = "";
+
 // One key of a section. All text has static storage duration.
 struct Key {
   const char* section;
   const char* name;
   KeyKind kind;
   const char* defaultText;  // as a file would have it; null: the key is required
-  double min;               // in microseconds, bytes or the plain number; min == max: unbounded
-  double max;
+  std::optional<Bounds> bounds;
   const char* choices;  // KeyKind::Choice: the allowed words, separated by blanks
   void (*set)(SettingsDraft&, const KeyValue&);
   const char* description;
--- a/src/config/settings_checks.hpp
+++ b/src/config/settings_checks.hpp
@@ -13,7 +13,8 @@
 // By its name or its number.
 std::optional<balancer::GroupId> findGroup(const Config&, const std::string& nameOrNumber);
 
-void checkDiscovery(SettingsDocument&, Config&);
+// Sets the group of DNS-SD instances whose records name none.
+void checkDiscovery(SettingsDocument&, SettingsDraft&);
 // Login methods of both sides; reads the files of users and of the password for data servers.
 void loadCredentials(SettingsDocument&, SettingsDraft&);
 void checkPeers(SettingsDocument&, const Config&);
--- a/src/config/settings_draft.hpp
+++ b/src/config/settings_draft.hpp
@@ -10,13 +10,19 @@
 
 namespace sablespur {
 
+// The clients of an [admission_group NAME].
+struct AdmissionGroupClients {
+  std::vector<std::string> networks;
+  std::string networksFile;  // more networks, a line each; empty: none
+  std::vector<std::string> users;
+  bool none() const { return networks.empty() && networksFile.empty() && users.empty(); }
+};
+
 // [admission_group NAME] as it stands in the file. Limits of 0 mean no limit.
 struct AdmissionGroupDraft {
   std::string name;
   int line = 0;
-  std::vector<std::string> networks;
-  std::vector<std::string> users;
-  std::string networksFile;
+  AdmissionGroupClients clients;
   std::size_t maxConnections = 0;
   std::size_t maxConnectionsPerAddress = 0;
   std::size_t maxConnectionsPerNetwork = 0;
@@ -95,6 +101,7 @@
   CredentialFiles files;
   AdmissionDraft admission;
   StoreConfig store;
+  std::string dnssdGroup;  // [dnssd] group: a name or a number; empty: none
   NamedSectionDraft section;
 };
 
--- a/src/config/settings_page.cpp
+++ b/src/config/settings_page.cpp
@@ -46,8 +46,8 @@
 
 std::string boundsOf(const Key& key) {
   if (key.kind == KeyKind::Choice) return "`" + std::string(key.choices) + "`";
-  if (key.min < key.max) return writeBound(key.kind, key.min) + " to " + writeBound(key.kind, key.max);
-  return "";
+  if (!key.bounds) return "";
+  return writeBound(key.kind, key.bounds->min) + " to " + writeBound(key.kind, key.bounds->max);
 }
 
 }  // namespace
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -399,10 +399,10 @@
     s.attemptTimeout = milliseconds(150);
     s.udpPayload = 1232;
     s.defaultGroup = 3;
-    s.flapHalfLife = seconds(15);
-    s.flapMaxSuppression = seconds(60);
-    s.flapSuppressThreshold = 1.5;
-    s.flapReuseThreshold = 0.75;
+    s.flapDamping.halfLife = seconds(15);
+    s.flapDamping.maxSuppression = seconds(60);
+    s.flapDamping.suppressThreshold = 1.5;
+    s.flapDamping.reuseThreshold = 0.75;
     for (int k = 1; k <= 3; ++k) publish("s-" + std::to_string(k), 6000 + k);
   }
   void publish(const std::string& label, int port) {
