--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -17,18 +17,18 @@
 
 class AdminCommands final : public AdminHandler, admin::CommandHandler {
  public:
-  AdminCommands(event_base* base, const Config& c, Engine& engine, const Clients& clients)
+  AdminCommands(event_base* base, const Config& config, Engine& engine, const Clients& clients)
       : engine_(engine),
         clients_(clients),
-        suspended_(c.bans),
+        suspended_(config.bans),
         pollTimer_(event_new(
             base, -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<AdminCommands*>(self)->pollFile(); }, this)),
-        listener_(base, c.control, *this) {
-    for (const std::string& id : suspended_.endpoints()) engine_.restoreSuspension(id);
+        listener_(base, config.control, *this) {
+    for (const std::string& name : suspended_.endpoints()) engine_.restoreSuspension(name);
     if (!suspended_.endpoints().empty())
       logEvent(LogLevel::Info, "suspensions_loaded", {{"count", suspended_.endpoints().size()}});
-    if (!c.bans.empty()) startTimer(pollTimer_.get(), kPollInterval);
+    if (!config.bans.empty()) startTimer(pollTimer_.get(), kPollInterval);
   }
 
  private:
@@ -64,12 +64,13 @@
 
   // Applies what another process of this proxy has changed.
   void pollFile() {
-    const std::set<std::string> was = suspended_.endpoints();
+    const std::set<std::string> before = suspended_.endpoints();
     if (!suspended_.poll()) return;
-    for (const std::string& id : was)
-      if (suspended_.endpoints().count(id) == 0) engine_.suspend(id, false);
-    for (const std::string& id : suspended_.endpoints())
-      if (was.count(id) == 0 && !engine_.suspend(id, true)) engine_.restoreSuspension(id);
+    const std::set<std::string>& now = suspended_.endpoints();
+    for (const std::string& name : before)
+      if (now.count(name) == 0) engine_.suspend(name, false);
+    for (const std::string& name : now)
+      if (before.count(name) == 0 && !engine_.suspend(name, true)) engine_.restoreSuspension(name);
     logEvent(LogLevel::Info, "suspensions_changed", {{"count", suspended_.endpoints().size()}});
   }
 
@@ -82,9 +83,10 @@
 
 }  // namespace
 
-std::unique_ptr<AdminHandler> createAdminHandler(event_base* base, const Config& c, Engine& engine,
+std::unique_ptr<AdminHandler> createAdminHandler(event_base* base, const Config& config, Engine& engine,
                                                  const Clients& clients) {
-  return c.control.none() ? nullptr : std::make_unique<AdminCommands>(base, c, engine, clients);
+  if (config.control.none()) return nullptr;
+  return std::make_unique<AdminCommands>(base, config, engine, clients);
 }
 
 }  // namespace sablespur
--- a/src/app/admin_handler.hpp
+++ b/src/app/admin_handler.hpp
@@ -11,10 +11,15 @@
 
 class Clients;
 
+// Accepts commands while it lives.
 class AdminHandler {
  public:
+  AdminHandler() = default;
   virtual ~AdminHandler() = default;
+  AdminHandler(const AdminHandler&) = delete;
+  AdminHandler& operator=(const AdminHandler&) = delete;
 };
+
 // Null if the settings give no admin address. Hands the suspensions of an earlier process to the engine, and
 // so has to be called before Engine::start. Throws std::runtime_error if it cannot listen.
 std::unique_ptr<AdminHandler> createAdminHandler(event_base*, const Config&, Engine&, const Clients&);
--- /dev/null
+++ b/src/app/discovery_source.cpp
@@ -0,0 +1,93 @@
+#include "app/discovery_source.hpp"
+
+#include "discovery/registry/watch.hpp"
+#include "logging/log.hpp"
+#ifdef SABLESPUR_DNSSD
+#include "discovery/dnssd/source.hpp"
+#endif
+
+namespace sablespur {
+namespace {
+
+// Whether the new settings name the running kind of source. Another one needs a restart, which is logged.
+bool keepsSource(const Config& config, Source running) {
+  if (config.source == running) return true;
+  logEvent(LogLevel::Warning, "config_restart_needed", {{"key", "[discovery] source"}});
+  return false;
+}
+
+class RegistrySource final : public ConfiguredDiscovery {
+ public:
+  RegistrySource(event_base* base, EndpointUpdater& updater, const Config& config)
+      : watch_(base, updater, config.discovery) {}
+  void watch(std::uint64_t after) override { watch_.watch(after); }
+  void updateSettings(const Config& config) override {
+    if (keepsSource(config, Source::Registry)) watch_.changeAddress(config.discovery);
+  }
+
+ private:
+  RegistryWatch watch_;
+};
+
+// The endpoints of the settings alone, which the engine knows from its start.
+class FixedSource final : public ConfiguredDiscovery {
+ public:
+  void watch(std::uint64_t) override {}
+  void updateSettings(const Config& config) override { keepsSource(config, Source::Fixed); }
+};
+
+#ifdef SABLESPUR_DNSSD
+class DnsSdSource final : public ConfiguredDiscovery {
+ public:
+  DnsSdSource(event_base* base, const Clock& clock, EndpointUpdater& updater, const Config& config)
+      : updater_(updater), dnssd_(base, clock, updater, config) {}
+  void watch(std::uint64_t) override {}  // it queries from its construction on
+  void updateSettings(const Config& config) override {
+    if (!keepsSource(config, Source::DnsSd)) return;
+    updater_.policy(endpointTablePolicy(config));
+    dnssd_.updateSettings(config);
+  }
+  std::map<std::string, std::string> faults() const override { return dnssd_.faults(); }
+
+ private:
+  EndpointUpdater& updater_;
+  DnsSdDiscovery dnssd_;
+};
+#endif
+
+}  // namespace
+
+EndpointTablePolicy endpointTablePolicy(const Config& config) {
+  EndpointTablePolicy policy;
+  if (config.source != Source::DnsSd) {
+    policy.flapDamping = false;
+    return policy;
+  }
+  const FlapDampingConfig& damping = config.dnssd.flapDamping;
+  policy.suppressThreshold = damping.suppressThreshold;
+  policy.reuseThreshold = damping.reuseThreshold;
+  policy.halfLife = damping.halfLife;
+  policy.maxSuppression = damping.maxSuppression;
+  policy.maxListAge = config.dnssd.maxListAge;
+  return policy;
+}
+
+std::unique_ptr<ConfiguredDiscovery> createDiscoverySource(event_base* base,
+                                                           [[maybe_unused]] const Clock& clock,
+                                                           EndpointUpdater& updater, const Config& config) {
+  switch (config.source) {
+    case Source::Fixed:
+      return std::make_unique<FixedSource>();
+    case Source::DnsSd:
+#ifdef SABLESPUR_DNSSD
+      return std::make_unique<DnsSdSource>(base, clock, updater, config);
+#else
+      throw BadInput("key [discovery] source: this build has no DNS-SD; build it with -DSABLESPUR_DNSSD=ON");
+#endif
+    case Source::Registry:
+      break;
+  }
+  return std::make_unique<RegistrySource>(base, updater, config);
+}
+
+}  // namespace sablespur
--- a/src/app/members.hpp
+++ b/src/app/members_report.hpp
@@ -1,4 +1,4 @@
-// `sablespur members`: what discovery finds now.
+// The members that discovery has found, as a table and as JSON.
 #pragma once
 
 #include <map>
@@ -9,22 +9,15 @@
 
 namespace sablespur {
 
-struct MembersOptions {
-  bool json = false;
-  double waitSeconds = 5;
-};
-
-// Asks the configured source once and prints what it has told within the wait. 0: it told; 1: it did not
-// (what is known from the settings is printed all the same, and the reason goes to standard error).
-int showMembers(const Config&, const MembersOptions&);
-
-// The same as text.
+// What a report tells.
 struct MembersView {
   EndpointTable::View members;
   std::map<std::string, std::string> faults;  // instances that are no members, and why
-  Time now{};
+  Time now{};                                 // by the clock of `members`
 };
+
 std::string membersTable(const Config&, const MembersView&);
+// One document with a newline at its end.
 std::string membersJson(const Config&, const MembersView&);
 
 }  // namespace sablespur
--- a/src/app/password.hpp
+++ b/src/app/password_command.hpp
@@ -8,12 +8,12 @@
 
 struct PasswordOptions {
   std::string user;
-  bool md5 = false;
-  std::uint32_t iterations = 4096;
+  bool md5 = false;                 // else SCRAM
+  std::uint32_t iterations = 4096;  // of SCRAM
 };
 
-// Reads the password from standard input, without echo where that is a terminal; prints the line. Its exit
-// status.
+// Reads the password from standard input, without echo where that is a terminal, and prints the line. Returns
+// the exit status.
 int makePassword(const PasswordOptions&);
 
 }  // namespace sablespur
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -1,15 +1,13 @@
-// A running proxy: everything that serves, from checked settings to the exit.
+// `sablespur serve`: a proxy from its checked settings to the exit, and the signals that it follows.
 #pragma once
 
-#include <functional>
-
+#include "app/proxy.hpp"
 #include "config/config.hpp"
 
 namespace sablespur {
 
-// Serves until SIGTERM or SIGINT has been carried out; gives the exit status. SIGHUP calls `reread`, which
-// reads and checks the settings anew (a fault is a BadInput). Throws std::runtime_error where it cannot
-// listen.
-int serve(const Config&, const std::function<Config()>& reread);
+// Serves until SIGTERM or SIGINT has been carried out; returns the exit status. SIGHUP reads the settings
+// anew from `source`. Throws std::runtime_error where the proxy cannot start.
+int serve(const Config&, const SettingsSource& source);
 
 }  // namespace sablespur
--- a/src/app/store.hpp
+++ b/src/app/store_command.hpp
@@ -9,7 +9,9 @@
   std::string directory;
   bool json = false;
 };
-// Exit status: 0; 1 where the store fails its check or cannot be opened, after a line that says where.
+
+// Each returns the exit status: 0, or 1 where the store fails its check or cannot be opened, after a line
+// that says where. Throws std::runtime_error where there is no store.
 int storeCheck(const StoreOptions&);
 int storeDump(const StoreOptions&);
 int storeCompact(const StoreOptions&);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "admission/settings.hpp"
-#include "app/members.hpp"
+#include "app/members_report.hpp"
 #include "scenario.hpp"
 #include "support/units.hpp"
 
