--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -5,11 +5,15 @@
 #include <string_view>
 
 #include "backend/postgres/backend_pool.hpp"
-#include "cluster/udp/link.hpp"
 #include "protocol/postgres/codec.hpp"
 
 namespace sablespur {
 
+std::unique_ptr<PeerLink> openPeerLink(event_base* base, Engine& engine, const Config& config) {
+  if (config.peerListen.none()) return nullptr;
+  return std::make_unique<PeerLink>(base, engine, config);
+}
+
 #ifdef SABLESPUR_STORE
 namespace {
 
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -14,10 +14,6 @@
 // For the salting of passwords, a few milliseconds each.
 constexpr std::size_t kWorkerThreads = 2;
 
-std::unique_ptr<PeerLink> openPeerLink(event_base* base, Engine& engine, const Config& config) {
-  return config.peerListen.none() ? nullptr : std::make_unique<PeerLink>(base, engine, config);
-}
-
 // `optional` where there is one, else `otherwise`.
 template <typename Interface, typename Optional>
 Interface& orElse(const std::unique_ptr<Optional>& optional, Interface& otherwise) {
