--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -45,14 +45,14 @@
 
 // One key of a section. All text has static storage duration.
 struct Key {
-  const char* section;
-  const char* name;
-  KeyKind kind;
-  const char* defaultText;  // as a file would have it; null: the key is required
+  const char* section = "";
+  const char* name = "";
+  KeyKind kind = KeyKind::Text;
+  const char* defaultText = nullptr;  // as a file would have it; null: the key is required
   std::optional<Bounds> bounds;
-  const char* choices;  // KeyKind::Choice: the allowed words, separated by blanks
-  void (*set)(SettingsDraft&, const KeyValue&);
-  const char* description;
+  const char* choices = kNoChoices;  // KeyKind::Choice: the allowed words, separated by blanks
+  void (*set)(SettingsDraft&, const KeyValue&) = nullptr;
+  const char* description = "";
 };
 
 struct SectionInfo {
