--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -460,10 +460,7 @@
 // The listener of admin commands: its socket stays readable, too, while accept(2) fails.
 TEST_F(AcceptTest, AnErrorOfAcceptPausesTheListenerOfAdminCommands) {
   struct NoCommands : admin::CommandHandler {
-    bool execute(const admin::Command&, std::string& text) override {
-      text = "done";
-      return true;
-    }
+    admin::CommandResult execute(const admin::Command&) override { return {true, "done"}; }
   } commands;
   systemCalls().socket = [](int family) { return opened = openNonBlockingTcpSocket(family); };
   for (const int lasting : {EMFILE, ENOBUFS, EPERM}) {
