--- a/fuzz/extended.cpp
+++ b/fuzz/extended.cpp
@@ -7,7 +7,7 @@
 #include "fuzz/target.hpp"
 #include "protocol/postgres/codec.hpp"
 #include "protocol/postgres/login.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "protocol/postgres/startup.hpp"
 #include "protocol/postgres2/codec.hpp"
 #include "translation/answer.hpp"
--- a/fuzz/pg.cpp
+++ b/fuzz/pg.cpp
@@ -1,11 +1,11 @@
 // PostgreSQL messages from either side: heads, errors, parameters, rows, tags and the comment of a statement.
-#include "protocol/postgres/pg.hpp"
-
 #include <algorithm>
 #include <cstdlib>
 #include <string>
 
 #include "fuzz/target.hpp"
+#include "protocol/postgres/messages.hpp"
+#include "protocol/postgres/statement_comment.hpp"
 
 using namespace sablespur;
 
--- a/fuzz/pg2.cpp
+++ b/fuzz/pg2.cpp
@@ -1,9 +1,9 @@
 // Version 2's messages from either side. What a client sends, and what a stand-in client reads.
-#include "protocol/postgres2/pg2.hpp"
-
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
+#include "protocol/postgres2/messages.hpp"
+#include "protocol/postgres2/server_message_reader.hpp"
 
 using namespace sablespur;
 
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -8,7 +8,8 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
+#include "protocol/postgres/statement_comment.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -3,7 +3,7 @@
 #include "auth/scram.hpp"
 #include "protocol/postgres/codec.hpp"
 #include "protocol/postgres/login.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "protocol/postgres/startup.hpp"
 #include "translation/values.hpp"
 
--- a/lab/rogue.cpp
+++ b/lab/rogue.cpp
@@ -29,7 +29,7 @@
 #include <vector>
 
 #include "protocol/dns/message.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "support/ini.hpp"
 
 namespace {
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -5,9 +5,10 @@
 
 #include "auth/scram.hpp"
 #include "protocol/postgres/extended.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "protocol/postgres/startup.hpp"
-#include "protocol/postgres2/pg2.hpp"
+#include "protocol/postgres2/messages.hpp"
+#include "protocol/postgres2/server_message_reader.hpp"
 
 namespace sablespur::lab {
 namespace {
--- a/src/backend/postgres/answer_parser.cpp
+++ b/src/backend/postgres/answer_parser.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "protocol/postgres/codec.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -8,7 +8,7 @@
 #include "backend/postgres/query.hpp"
 #include "logging/log.hpp"
 #include "protocol/postgres/codec.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "translation/settings.hpp"
 
 namespace sablespur {
--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -10,7 +10,7 @@
 #include "engine/system_calls.hpp"
 #include "logging/log.hpp"
 #include "protocol/postgres/login.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/backend/postgres/query.cpp
+++ b/src/backend/postgres/query.cpp
@@ -3,7 +3,7 @@
 #include <cstddef>
 #include <string>
 
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "translation/values.hpp"
 
 namespace sablespur {
--- a/src/backend/postgres/server_error.hpp
+++ b/src/backend/postgres/server_error.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "engine/engine.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur {
 
--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -64,7 +64,7 @@
     relays_.emplace(*policy.rankedBefore, policy.peers);
 }
 
-void GossipScheduler::observedLocally(const GossipUpdate& hint, std::int64_t nowMs) {
+void GossipScheduler::observedLocally(const GossipUpdate& update, std::int64_t nowMs) {
   if (policy_.peers == 0) return;
   if (!started_) {
     started_ = true;  // proxies that start together don't send together
@@ -72,7 +72,7 @@
   }
   byteBudget_ = std::min(byteBudget_ + kBytesPerStatus,
                          std::max(kMinByteBudgetCap, deliveredBytes(kGossipUpdatesPerDatagram)));
-  const std::optional<News> news = newsIn(hint, nowMs);
+  const std::optional<News> news = newsIn(update, nowMs);
   if (!news) return;
   if (relays_ && *news != News::RoleChange) {
     // The relay only passes on: who observed an update pays for its delivery to all.
@@ -80,7 +80,7 @@
     if (byteBudget_ < cost) return;
     byteBudget_ -= cost;
   }
-  enqueue(hint, *news, nowMs);
+  enqueue(update, *news, nowMs);
 }
 
 void GossipScheduler::datagramReceived(std::size_t peer) {
@@ -89,65 +89,65 @@
 
 // Datagrams do not tell whether they were sent to all. A change of role always is. A position counts as sent
 // once this proxy has broadcast it, so none is passed on twice.
-void GossipScheduler::receivedByRelay(const GossipUpdate& hint, std::int64_t nowMs) {
-  const std::optional<News> news = newsIn(hint, nowMs);
+void GossipScheduler::receivedByRelay(const GossipUpdate& update, std::int64_t nowMs) {
+  const std::optional<News> news = newsIn(update, nowMs);
   if (!news) return;
   if (*news == News::RoleChange)
-    recordStatus(hint, nowMs);
+    recordStatus(update, nowMs);
   else
-    enqueue(hint, *news, nowMs);
+    enqueue(update, *news, nowMs);
 }
 
-void GossipScheduler::receivedFromPeer(const GossipUpdate& hint, std::int64_t nowMs) {
+void GossipScheduler::receivedFromPeer(const GossipUpdate& update, std::int64_t nowMs) {
   if (!sampled()) {
-    const auto own = find(hint.endpointTag);
-    if (own != pending_.end() && own->news == News::RoleChange && own->update.role == hint.role)
+    const auto own = find(update.endpointTag);
+    if (own != pending_.end() && own->news == News::RoleChange && own->update.role == update.role)
       pending_.erase(own);  // the broadcast has reached all others too
     if (isRelay(nowMs))
-      receivedByRelay(hint, nowMs);
+      receivedByRelay(update, nowMs);
     else
-      recordStatus(hint, nowMs);
+      recordStatus(update, nowMs);
     return;
   }
   // Only kFanout peers have got it. A change of role is passed on, once; nothing else is.
-  if (!changesRole(hint)) return;
-  recordStatus(hint, nowMs);
-  enqueue(hint, News::RoleChange, nowMs);
+  if (!changesRole(update)) return;
+  recordStatus(update, nowMs);
+  enqueue(update, News::RoleChange, nowMs);
 }
 
-bool GossipScheduler::changesRole(const GossipUpdate& hint) const {
-  if (hint.role == GossipRole::Unknown) return false;
-  const auto told = endpointStatuses_.find(hint.endpointTag);
+bool GossipScheduler::changesRole(const GossipUpdate& update) const {
+  if (update.role == GossipRole::Unknown) return false;
+  const auto told = endpointStatuses_.find(update.endpointTag);
   if (told == endpointStatuses_.end() || told->second.role == GossipRole::Unknown)
-    return hint.role == GossipRole::Primary;
-  return told->second.role != hint.role && hint.positionMs >= told->second.positionMs;
+    return update.role == GossipRole::Primary;
+  return told->second.role != update.role && update.positionMs >= told->second.positionMs;
 }
 
-std::optional<GossipScheduler::News> GossipScheduler::newsIn(const GossipUpdate& hint,
+std::optional<GossipScheduler::News> GossipScheduler::newsIn(const GossipUpdate& update,
                                                              std::int64_t nowMs) const {
-  if (changesRole(hint)) return News::RoleChange;
-  const auto told = endpointStatuses_.find(hint.endpointTag);
+  if (changesRole(update)) return News::RoleChange;
+  const auto told = endpointStatuses_.find(update.endpointTag);
   if (told == endpointStatuses_.end()) return News::Position;
-  const bool tooOld = nowMs - hint.positionMs >= policy_.boundMs;
-  if (tooOld && hint.role == GossipRole::Replica && !told->second.lagging &&
-      hint.positionMs >= told->second.positionMs)
+  const bool tooOld = nowMs - update.positionMs >= policy_.boundMs;
+  if (tooOld && update.role == GossipRole::Replica && !told->second.lagging &&
+      update.positionMs >= told->second.positionMs)
     return News::Lag;
   // A position too old for any read proves nothing useful.
-  if (tooOld || hint.positionMs - told->second.positionMs < policy_.boundMs / kPositionAdvanceDivisor)
+  if (tooOld || update.positionMs - told->second.positionMs < policy_.boundMs / kPositionAdvanceDivisor)
     return std::nullopt;
   return News::Position;
 }
 
-void GossipScheduler::enqueue(const GossipUpdate& hint, News news, std::int64_t nowMs) {
-  auto entry = find(hint.endpointTag);
+void GossipScheduler::enqueue(const GossipUpdate& update, News news, std::int64_t nowMs) {
+  auto entry = find(update.endpointTag);
   if (entry == pending_.end()) {
     evictPending(nowMs);
-    entry = pending_.insert(pending_.end(), PendingUpdate{hint, news});
+    entry = pending_.insert(pending_.end(), PendingUpdate{update, news});
   } else {
-    if (hint.positionMs < entry->update.positionMs) return;
-    const GossipRole role = hint.role != GossipRole::Unknown ? hint.role : entry->update.role;
+    if (update.positionMs < entry->update.positionMs) return;
+    const GossipRole role = update.role != GossipRole::Unknown ? update.role : entry->update.role;
     const bool sameChange = entry->news == News::RoleChange && entry->update.role == role;
-    entry->update = hint;
+    entry->update = update;
     entry->update.role = role;
     if (sameChange) return;
     entry->news = news;
@@ -310,24 +310,24 @@
   return drawnPeers_;
 }
 
-double GossipScheduler::deliveredBytes(std::size_t hints) const {
-  return static_cast<double>(receivers_ * (1 + hints * kGossipUpdateBytes));
+double GossipScheduler::deliveredBytes(std::size_t updates) const {
+  return static_cast<double>(receivers_ * (1 + updates * kGossipUpdateBytes));
 }
 
-void GossipScheduler::recordStatus(const GossipUpdate& hint, std::int64_t nowMs) {
-  auto it = endpointStatuses_.find(hint.endpointTag);
+void GossipScheduler::recordStatus(const GossipUpdate& update, std::int64_t nowMs) {
+  auto it = endpointStatuses_.find(update.endpointTag);
   if (it == endpointStatuses_.end()) {
     if (endpointStatuses_.size() >= kMaxEndpoints) expireStatuses(nowMs);
     if (endpointStatuses_.size() >= kMaxEndpoints) return;
-    it = endpointStatuses_.emplace(hint.endpointTag, EndpointStatus{}).first;
-  } else if (hint.positionMs < it->second.positionMs) {
+    it = endpointStatuses_.emplace(update.endpointTag, EndpointStatus{}).first;
+  } else if (update.positionMs < it->second.positionMs) {
     return;
   }
   EndpointStatus& told = it->second;
-  told.positionMs = hint.positionMs;
+  told.positionMs = update.positionMs;
   told.atMs = nowMs;
-  if (hint.role != GossipRole::Unknown) told.role = hint.role;
-  told.lagging = nowMs - hint.positionMs >= policy_.boundMs;
+  if (update.role != GossipRole::Unknown) told.role = update.role;
+  told.lagging = nowMs - update.positionMs >= policy_.boundMs;
 }
 
 void GossipScheduler::expireStatuses(std::int64_t nowMs) {
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -89,10 +89,10 @@
   socket_.send(others_[peer], datagram);
 }
 
-void PeerLink::statusObserved(const cluster::GossipUpdate& hint) {
+void PeerLink::statusObserved(const cluster::GossipUpdate& update) {
   if (!config_.hints) return;
   followReference();
-  scheduler_->observedLocally(moved(hint, -offsetMs_), nowMs());
+  scheduler_->observedLocally(moved(update, -offsetMs_), nowMs());
 }
 
 void PeerLink::flush() {
@@ -123,7 +123,7 @@
 }
 
 std::string PeerLink::encodeDue() {
-  for (cluster::GossipUpdate& hint : due_) hint = moved(hint, offsetMs_);
+  for (cluster::GossipUpdate& update : due_) update = moved(update, offsetMs_);
   return cluster::encode(due_);
 }
 
@@ -146,9 +146,9 @@
   const std::int64_t now = nowMs();
   const std::size_t count = cluster::gossipUpdateCount(datagram);
   for (std::size_t k = 0; k < count; ++k) {
-    const cluster::GossipUpdate hint = cluster::gossipUpdateAt(datagram, k, now + offsetMs_);
-    scheduler_->receivedFromPeer(moved(hint, -offsetMs_), now);
-    engine_.gossipReceived(hint);
+    const cluster::GossipUpdate update = cluster::gossipUpdateAt(datagram, k, now + offsetMs_);
+    scheduler_->receivedFromPeer(moved(update, -offsetMs_), now);
+    engine_.gossipReceived(update);
   }
 }
 
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -10,7 +10,7 @@
 #include "frontend/postgres/shutdown.hpp"
 #include "logging/log.hpp"
 #include "protocol/postgres/codec.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "support/secret.hpp"
 
 namespace sablespur {
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -7,7 +7,7 @@
 
 #include "auth/login.hpp"
 #include "protocol/postgres/login.hpp"
-#include "protocol/postgres2/pg2.hpp"
+#include "protocol/postgres2/messages.hpp"
 #include "support/secret.hpp"
 #endif
 
--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "protocol/postgres/codec.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "translation/parameters.hpp"
 
 namespace sablespur {
--- a/src/frontend/postgres/session_handshake.cpp
+++ b/src/frontend/postgres/session_handshake.cpp
@@ -5,8 +5,8 @@
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
 #include "logging/log.hpp"
-#include "protocol/postgres/pg.hpp"
-#include "protocol/postgres2/pg2.hpp"
+#include "protocol/postgres/messages.hpp"
+#include "protocol/postgres2/messages.hpp"
 #include "protocol/proxy_protocol/header.hpp"
 
 namespace sablespur {
--- a/src/frontend/postgres/session_messages.cpp
+++ b/src/frontend/postgres/session_messages.cpp
@@ -3,8 +3,8 @@
 
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
-#include "protocol/postgres/pg.hpp"
-#include "protocol/postgres2/pg2.hpp"
+#include "protocol/postgres/messages.hpp"
+#include "protocol/postgres2/messages.hpp"
 
 namespace sablespur {
 namespace {
--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -4,7 +4,8 @@
 #include "frontend/postgres/session.hpp"
 #include "frontend/postgres/session_common.hpp"
 #include "logging/log.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
+#include "protocol/postgres/statement_comment.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/answer_parser_test.cpp
+++ b/tests/answer_parser_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -8,7 +8,7 @@
 #include "auth/scram.hpp"
 #include "backend/postgres/backend_pool.hpp"
 #include "engine/acceptor.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "protocol/proxy_protocol/header.hpp"
 #include "scenario.hpp"
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -6,7 +6,8 @@
 #include "discovery/endpoint_list.hpp"
 #include "logging/log.hpp"
 #include "protocol/http/http.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
+#include "protocol/postgres/statement_comment.hpp"
 
 namespace sablespur {
 namespace {
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -19,7 +19,7 @@
 #include "lab/name_server.hpp"
 #include "protocol/postgres/codec.hpp"
 #include "protocol/postgres/login.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "protocol/postgres/startup.hpp"
 
 namespace sablespur::test {
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -17,7 +17,7 @@
 #include "frontend/postgres/input_timestamps.hpp"
 #include "frontend/postgres/shutdown.hpp"
 #include "protocol/postgres/codec.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "protocol/postgres/startup.hpp"
 #include "scenario.hpp"
 
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -20,7 +20,7 @@
 #include "discovery/dnssd/resolver.hpp"
 #include "discovery/registry/watch.hpp"
 #include "engine/acceptor.hpp"
-#include "protocol/postgres/pg.hpp"
+#include "protocol/postgres/messages.hpp"
 #include "scenario.hpp"
 #include "translation/settings.hpp"
 
