--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -57,6 +57,7 @@
     if (auto rank = rankOf(others[peer]); rank < ownRank) before.emplace_back(std::move(rank), peer);
   std::sort(before.begin(), before.end());
   std::vector<std::size_t> peers;
+  peers.reserve(before.size());
   for (const auto& [rank, peer] : before) peers.push_back(peer);
   return peers;
 }
