--- a/src/durability/inspect.hpp
+++ b/src/durability/inspect.hpp
@@ -25,7 +25,8 @@
   std::uint64_t nextSequence = 0;   // that the next batch has to begin with; 0: any
   // LogKind::Manifest: the last sequence that its tables and logs had reached, the first log that still
   // counts.
-  std::uint64_t lastSequence = 0, logNumber = 0;
+  std::uint64_t lastSequence = 0;
+  std::uint64_t logNumber = 0;
   // What follows is no whole record, from `whole` on.
   bool incompleteTail = false;
   const char* defect = "";  // the first thing that is wrong with it
@@ -37,7 +38,4 @@
 // `sequence`: the first batch has to begin with it (of the log before); 0: any.
 LogInspection inspectLog(std::string_view bytes, LogKind, std::uint64_t sequence = 0);
 
-// LevelDB's checksum of a record's type and payload, or of a table's block and type.
-std::uint32_t maskedCrc(std::string_view);
-
 }  // namespace sablespur::durability
