--- a/src/balancer/attempt_outcome.cpp
+++ b/src/balancer/attempt_outcome.cpp
@@ -15,23 +15,27 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kFastFailureFraction = 0.5;  // of a class's low latency: no work was done by then
-constexpr Time kCommitRounding = std::chrono::milliseconds(1);  // a commit's position was rounded up by it
+// A failure within this fraction of the low latency of its class is assumed to have done no work.
+constexpr double kFastFailureFraction = 0.5;
+// A commit's position may have been rounded up by as much as this.
+constexpr Time kCommitRounding = std::chrono::milliseconds(1);
 
-// Whether the endpoint's process itself replied.
+// Returns whether the result is a reply by the endpoint's own process.
 bool isReply(AttemptResult result) {
   return result == AttemptResult::Ok || result == AttemptResult::StaleAnswer ||
          result == AttemptResult::TooStale || result == AttemptResult::Rejected ||
          result == AttemptResult::Error;
 }
 
-// Whether the request was answered, whatever the answer is worth.
+// Returns whether the endpoint answered the request, even if the answer is too stale to use.
 bool isAnswered(AttemptResult result) {
   return result == AttemptResult::Ok || result == AttemptResult::StaleAnswer;
 }
 
-std::optional<InFlightAttempt> takeInFlight(Context& context, Endpoint& endpoint,
-                                            const AttemptOutcome& outcome) {
+// Removes the attempt from the in-flight attempts of its endpoint and returns it; `std::nullopt` if
+// it is not in flight.
+std::optional<InFlightAttempt> removeInFlight(Context& context, Endpoint& endpoint,
+                                              const AttemptOutcome& outcome) {
   std::vector<InFlightAttempt>& inFlight = endpoint.inFlight;
   const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const InFlightAttempt& attempt) {
     return attempt.request == outcome.request && attempt.attempt == outcome.attempt;
@@ -44,22 +48,23 @@
   return attempt;
 }
 
-// What the outcome shows of the endpoint's role.
-Role shownRole(const AttemptOutcome& outcome, bool isWrite) {
+// Returns the role of the endpoint as far as the outcome shows it.
+Role observedRole(const AttemptOutcome& outcome, bool isWrite) {
   if (!isReply(outcome.result)) return Role::Unknown;
-  // Whatever it calls itself, a primary's data are never too old.
+  // The data of a primary are never too old, so this is a replica whatever role it reports.
   if (outcome.result == AttemptResult::StaleAnswer) return Role::Replica;
-  const Role told = roleOf(outcome.replicationStatus);
-  const bool turnedWriteAway = isWrite && outcome.result == AttemptResult::TooStale;
-  return told == Role::Unknown && turnedWriteAway ? Role::Replica : told;
+  const Role reported = roleOf(outcome.replicationStatus);
+  const bool rejectedWrite = isWrite && outcome.result == AttemptResult::TooStale;
+  return reported == Role::Unknown && rejectedWrite ? Role::Replica : reported;
 }
 
-// Role, position and load that came with the outcome.
-void learnReplicationState(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
-                           const AttemptOutcome& outcome, bool isWrite) {
-  const Role role = shownRole(outcome, isWrite);
+// Records the role, replication position and load that the outcome carries.
+void updateReplicationState(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
+                            const AttemptOutcome& outcome, bool isWrite) {
+  const Role role = observedRole(outcome, isWrite);
   if (role != Role::Unknown) recordRole(context, endpoint, role, context.now);
-  // The answer was written after the send, so that much is certain whenever it came.
+  // The endpoint wrote the answer after the attempt was sent, so at the send it had all earlier
+  // commits, whenever the answer arrived.
   if (role == Role::Primary)
     endpoint.replication.primaryAt = std::max(endpoint.replication.primaryAt, attempt.sentAt);
   const std::optional<Time> position = plausiblePositionOf(context, outcome.replicationStatus);
@@ -69,8 +74,8 @@
   recordReport(context, endpoint, outcome.report);
 }
 
-void learnContact(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
-                  AttemptResult result) {
+void updateContact(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
+                   AttemptResult result) {
   if (!isReply(result) || result == AttemptResult::Error) return;
   Contact& contact = endpoint.contact;
   contact.lastAnswer = context.now;
@@ -79,7 +84,7 @@
   if (isAnswered(result)) contact.newestAnsweredSend = std::max(contact.newestAnsweredSend, attempt.sentAt);
 }
 
-void learnFromSuccess(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
+void recordSuccess(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
   const Time now = context.now;
   const double work = context.latencies.relativeCost(attempt.classIndex);
   endpoint.served.add(now, work);
@@ -91,11 +96,16 @@
   markHealthy(endpoint);
 }
 
-// A fast failure must not look fast: it enters the statistics as late. A full queue counts as a wait past the
-// deadline, a time-out as one past the latency objective, both at that load and no symptom of a fault;
-// whether the endpoint is silent, silence detection finds.
-void learnFromFailure(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
-                      AttemptResult result) {
+// Records a failed attempt. A failure must not improve the latency statistics, so it enters them as
+// late:
+// - A full queue counts as a wait past the deadline.
+// - A time-out of an attempt that was not overtaken counts as a wait past the latency objective.
+// - Any other failure counts as unanswered.
+//
+// The first two are attributed to the load at that time. Neither they nor a TooStale result are
+// recorded as faults. Silence detection finds endpoints that do not answer at all.
+void recordFailure(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
+                   AttemptResult result) {
   const ClassSettings& settings = context.settings.classes[toIndex(attempt.classIndex)];
   const Time now = context.now;
   const bool isRejected = result == AttemptResult::Rejected;
@@ -106,31 +116,33 @@
   context.latencies.addSample(endpoint, attempt,
                               causedByLoad ? static_cast<double>(latency.count()) : kUnansweredLatency, now);
   if (result == AttemptResult::TooStale || result == AttemptResult::Timeout)
-    context.groups[endpoint.listed.group].troubleAt = now;
+    context.groups[endpoint.listed.group].lastFailureAt = now;
   if (result != AttemptResult::TooStale && !causedByLoad) recordFault(context, endpoint, attempt, result);
 }
 
-// What the outcome says of the endpoint, whether or not the request is still pending.
-void learn(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
-           const AttemptOutcome& outcome) {
+// Updates the state of the endpoint, whether or not the request is still pending.
+void updateEndpointState(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt,
+                         const AttemptOutcome& outcome) {
   const AttemptResult result = outcome.result;
   const bool isWrite =
       context.settings.classes[toIndex(attempt.classIndex)].requirement == Requirement::Write;
-  learnReplicationState(context, endpoint, attempt, outcome, isWrite);
-  learnContact(context, endpoint, attempt, result);
+  updateReplicationState(context, endpoint, attempt, outcome, isWrite);
+  updateContact(context, endpoint, attempt, result);
   if (isAnswered(result)) {
-    learnFromSuccess(context, endpoint, attempt);
-    if (result == AttemptResult::StaleAnswer) context.groups[endpoint.listed.group].troubleAt = context.now;
+    recordSuccess(context, endpoint, attempt);
+    if (result == AttemptResult::StaleAnswer)
+      context.groups[endpoint.listed.group].lastFailureAt = context.now;
     return;
   }
-  // A cancelled attempt, or one that never left, tells nothing; nor is a write too old for any data.
-  const bool tellsNothing = result == AttemptResult::NotSent || result == AttemptResult::Cancelled ||
-                            (isWrite && result == AttemptResult::TooStale);
-  if (!tellsNothing) learnFromFailure(context, endpoint, attempt, result);
+  // A cancelled attempt and one that was never sent say nothing about the endpoint. Nor does a
+  // write rejected as too stale, which only shows that the endpoint is not the primary.
+  const bool isUninformative = result == AttemptResult::NotSent || result == AttemptResult::Cancelled ||
+                               (isWrite && result == AttemptResult::TooStale);
+  if (!isUninformative) recordFailure(context, endpoint, attempt, result);
 }
 
-// Whether a retry after this outcome is free: what cost the endpoint nothing is, what was really tried must
-// be earned.
+// Returns whether a retry after this outcome takes nothing from the retry budget: the attempt cost
+// the endpoint no work, its answer was too stale, or this proxy cancelled it.
 bool isRetryFree(const Context& context, const PendingRequest& pending, const Attempt& attempt,
                  AttemptResult result) {
   const bool costsNothing = result == AttemptResult::TooStale || result == AttemptResult::StaleAnswer ||
@@ -138,14 +150,15 @@
   if (costsNothing || attempt.cancelled) return true;
   const bool isFault = result == AttemptResult::Error || result == AttemptResult::Reset ||
                        result == AttemptResult::ConnectFailed;
-  const double noWorkBefore = context.latencies.low(pending.request.classIndex) * kFastFailureFraction;
-  return isFault && static_cast<double>((context.now - attempt.sentAt).count()) < noWorkBefore;
+  const double fastFailureLimit = context.latencies.low(pending.request.classIndex) * kFastFailureFraction;
+  return isFault && static_cast<double>((context.now - attempt.sentAt).count()) < fastFailureLimit;
 }
 
-// Whether requests that wait in the group go on after an outcome, or only with the next housekeeping.
+// Whether the waiting requests of the group are resumed right after an outcome or by the next
+// housekeeping run.
 enum class WaitingRequests { Resume, LeaveToHousekeeping };
 
-// Takes the request on after an outcome. The record may be gone after the call.
+// Takes the next step of the request after an outcome. May destroy the PendingRequest.
 WaitingRequests continueRequest(Context& context, PendingRequest& pending, const AttemptOutcome& outcome) {
   const AttemptResult result = outcome.result;
   Attempt& attempt = pending.attempts[toIndex(outcome.attempt)];
@@ -160,9 +173,9 @@
     closeRequest(context, pending);
     return WaitingRequests::Resume;
   }
-  const bool mustBeEarned = pending.outstanding == 0 && !isRetryFree(context, pending, attempt, result) &&
-                            context.now < pending.request.deadline;
-  if (mustBeEarned && !context.retryBudget.trySpend()) {
+  const bool needsRetryBudget = pending.outstanding == 0 && !isRetryFree(context, pending, attempt, result) &&
+                                context.now < pending.request.deadline;
+  if (needsRetryBudget && !context.retryBudget.trySpend()) {
     finishUnserved(context, pending);
     return WaitingRequests::LeaveToHousekeeping;
   }
@@ -175,10 +188,10 @@
 void handleOutcome(Context& context, const AttemptOutcome& outcome) {
   Endpoint* const endpoint = context.findEndpoint(outcome.endpoint);
   if (!endpoint) return;
-  const std::optional<InFlightAttempt> attempt = takeInFlight(context, *endpoint, outcome);
+  const std::optional<InFlightAttempt> attempt = removeInFlight(context, *endpoint, outcome);
   if (!attempt) return;
   const GroupId group = endpoint->listed.group;
-  learn(context, *endpoint, *attempt, outcome);
+  updateEndpointState(context, *endpoint, *attempt, outcome);
   const auto found = context.requests.find(outcome.request);
   WaitingRequests waiting = WaitingRequests::Resume;
   if (found != context.requests.end()) waiting = continueRequest(context, found->second, outcome);
--- a/src/balancer/attempt_outcome.hpp
+++ b/src/balancer/attempt_outcome.hpp
@@ -1,11 +1,12 @@
-// What the outcome of an attempt teaches of its endpoint, and what it means to its request.
+// Handles attempt outcomes: updates the state of the endpoint and takes the next step of the
+// request.
 #pragma once
 
 #include "balancer/context.hpp"
 
 namespace sablespur::balancer {
 
-// Takes in an outcome. Outcomes of attempts that are not in flight are ignored.
+// Handles the outcome of an attempt. Ignored if the attempt is not in flight.
 void handleOutcome(Context&, const AttemptOutcome&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,4 +1,4 @@
-// The events of the public interface, handed to the decisions that they concern.
+// Passes the events of the public interface to the modules that handle them.
 #include "balancer/balancer.hpp"
 
 #include <algorithm>
@@ -90,14 +90,14 @@
     recordReport(context, *endpoint, result.report);
     endpoint->contact.lastReply = now;
     endpoint->health.consecutiveFailures = 0;
-    // Stale data bring no sends: the check counts as the endpoint's turn, lest the same ones be asked for
-    // ever.
+    // Endpoints with stale data are not sent reads. Counting the check as a use moves this endpoint
+    // back in the order of candidates, so that other endpoints are checked next.
     if (endpoint->replication.position < now - tightestStalenessBound(context.settings))
       endpoint->contact.lastUsed = now;
   } else {
     recordFailedHealthCheck(context, *endpoint);
   }
-  // A choice by load needs the replies of all that were asked.
+  // A choice by load needs the replies of all endpoints that were checked.
   Group& group = context.groups[endpoint->listed.group];
   if (!context.reportsCarryLoad || !awaitsHealthChecks(context, group)) resumeWaiting(context, group);
 }
@@ -132,7 +132,8 @@
     case TimerKind::Housekeeping:
       if (timerId(token) == 0) runHousekeeping(context);
       break;
-    case TimerKind::RequestWait:  // to the instant: a request that waits must not outlast its client
+    // A timer of its own, because a waiting request must not outlast its client.
+    case TimerKind::RequestWait:
       resumeRequest(context, timerId(token));
       break;
     case TimerKind::DiscoveryPoll:
@@ -152,7 +153,7 @@
   if (!repeatIsSafe(context, pending)) return false;
   const Group& group = context.groups[endpoint->listed.group];
   const Time required = requiredPosition(context, pending);
-  // The age of the data counts from the send.
+  // The staleness bound applies at the time of the send.
   if (!pending.attempts.empty() && pending.attempts.back().endpoint == to)
     pending.attempts.back().requiredPosition = required;
   return freshProbability(context, *endpoint, group, required).has_value();
@@ -192,7 +193,7 @@
 
 void Balancer::setPositionEpoch(Time epoch) { context_->settings.positionEpoch = epoch; }
 
-// What was seen by this proxy's own clock (a role, a fresh read's arrival) stays where it is.
+// Instants taken from this proxy's own clock (roles, arrivals of strong reads) do not change.
 void Balancer::instantsMoved(Time now, Time by) {
   Context& context = *context_;
   context.now = now;
--- a/src/balancer/consistency.cpp
+++ b/src/balancer/consistency.cpp
@@ -6,17 +6,19 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kUnknownFreshness = 0.5;  // with no recent sample
+constexpr double kUnknownFreshness = 0.5;  // without recent lag samples
 constexpr double kMicrosecondsPerMillisecond = 1e3;
 constexpr Time kDefaultStalenessBound = std::chrono::seconds(1);
 
-// AttemptOutcome::replicationStatus: 4 x the position in milliseconds, plus the role.
+// Encoding of AttemptOutcome::replicationStatus: 4 x the position in milliseconds, plus the role.
 constexpr std::uint32_t kStatusRoleRange = 4;
 constexpr std::uint32_t kStatusPrimary = 1;
 constexpr std::uint32_t kStatusReplica = 2;
-constexpr Time kClockTolerance = std::chrono::milliseconds(1);  // positions are rounded to it
+// Positions are rounded to milliseconds.
+constexpr Time kClockTolerance = std::chrono::milliseconds(1);
 
-// The age may have been rounded up: the next f32 below it is taken, so that the requirement is rounded up.
+// Returns the position for the age in a session token. The age may have been rounded up, so the
+// next smaller f32 is used; the required position is then never too low.
 Time tokenPosition(Time now, float ageMs) {
   const double age = static_cast<double>(std::nextafterf(ageMs, 0.0F)) * kMicrosecondsPerMillisecond;
   return now - Time(static_cast<std::int64_t>(std::min(age, static_cast<double>(now.count()))));
@@ -43,15 +45,15 @@
   const ReplicationProgress& replication = endpoint.replication;
   const bool isPrimary = endpoint.listed.id == group.primary;
   if (required == kNever || isPrimary || knownPosition(endpoint) >= required) return 1;
-  // It would answer from old data: only a proof will do.
+  // The endpoint would serve stale data, so only a proven position counts.
   if (context.settings.laggingReplicaPolicy == LaggingReplicaPolicy::Serve) return std::nullopt;
-  const Time allowedLag = context.now - required;
+  const Time maxLag = context.now - required;
   double fresh = 0;
   double all = 0;
   for (const LagSample& sample : replication.lags) {
     if (sample.at + kRecentPeriod < context.now) continue;
     all += 1;
-    if (sample.lag <= allowedLag) fresh += 1;
+    if (sample.lag <= maxLag) fresh += 1;
   }
   return all > 0 ? fresh / all : kUnknownFreshness;
 }
@@ -59,13 +61,14 @@
 bool showsStaleData(const Context& context, const Endpoint& endpoint, const Attempt& attempt,
                     std::uint32_t replicationStatus) {
   const Time required = attempt.requiredPosition;
-  // Elsewhere the endpoints hold the bound themselves.
+  // With any other policy the endpoints enforce the required position themselves.
   if (required == kNever || context.settings.laggingReplicaPolicy != LaggingReplicaPolicy::Serve)
     return false;
   const Role role = roleOf(replicationStatus);
   if (role == Role::Primary || knownPosition(endpoint) >= required) return false;
-  // A position is that of the answer's end: a replica may have caught up since it read its data. It proves
-  // the data of the next send.
+  // The position in the answer was taken when the endpoint finished it. A replica may have caught
+  // up after it read the data, so that position proves nothing for this read, only for the next
+  // attempt.
   return role == Role::Replica || positionOf(context.settings, replicationStatus).has_value();
 }
 
@@ -75,7 +78,8 @@
   const Time commit = positionOf(context.settings, outcome.replicationStatus).value_or(context.now);
   const std::optional<Time> newestForgotten = context.sessionCommits.record(session, commit);
   if (!newestForgotten) return;
-  // Forgetting must not make a read stale: one commit stands for all that were forgotten.
+  // Reads of forgotten sessions must not become stale: the newest forgotten commit stands in for
+  // all.
   for (auto& entry : context.groups) {
     Group& group = entry.second;
     group.forgottenCommit = std::max(group.forgottenCommit, *newestForgotten);
--- a/src/balancer/consistency.hpp
+++ b/src/balancer/consistency.hpp
@@ -1,4 +1,5 @@
-// How new the data must be that a request reads, and whether an endpoint has such data.
+// Consistency: how fresh the data must be that a request reads, and whether an endpoint has such
+// data.
 #pragma once
 
 #include <algorithm>
@@ -9,41 +10,45 @@
 
 namespace sablespur::balancer {
 
-// The instant that an endpoint's data must have reached if the request is sent now; kNever: any data will do.
+// Returns the replication position that an endpoint must have reached to serve the request if it is
+// sent now; kNever if data of any age will do.
 inline Time requiredPosition(const Context& context, const PendingRequest& pending) {
   const ClassSettings& settings = context.classOf(pending);
   return settings.requirement == Requirement::BoundedStaleness ? context.now - settings.maxStaleness
                                                                : pending.requiredPosition;
 }
 
-// The requirement of a request that arrives now, for session and strong reads; else kNever.
+// Returns the required position of a session or strong read that arrives now; kNever for other
+// requests.
 Time initialRequiredPosition(Context&, const PendingRequest&);
 
-// The probability that the endpoint's data reach `required` (the staleness factor of the paper): 1 where its
-// position proves it, the share of recent samples that were new enough elsewhere. Nothing where the endpoint
-// would answer from data that may be too old.
+// Returns the probability that the endpoint has applied all commits up to `required` (the staleness
+// factor of the paper): 1 if its known position proves it or it is the primary, otherwise the share
+// of recent lag samples that were fresh enough. `std::nullopt` if the position is unproven and the
+// endpoint would serve the read from stale data.
 std::optional<double> freshProbability(const Context&, const Endpoint&, const Group&, Time required);
 
-// The newest instant up to which the endpoint is known to have all commits.
+// Returns the newest instant up to which the endpoint is known to have all commits.
 inline Time knownPosition(const Endpoint& endpoint) {
   return std::max(endpoint.replication.position, endpoint.replication.primaryAt);
 }
 
-// Whether the answer to a read shows that it came from no primary, and nothing known before proves that its
-// data reached what the read required when it was sent. To be asked before anything is learned from the
-// answer.
+// Returns whether the answer to a read came from an endpoint other than the primary whose data are
+// not proven to have reached what the read required when it was sent. Must be called before the
+// state of the endpoint is updated from the answer.
 bool showsStaleData(const Context&, const Endpoint&, const Attempt&, std::uint32_t replicationStatus);
 
 // Remembers the commit of a write for later reads of its session.
 void recordSessionCommit(Context&, const PendingRequest& write, const AttemptOutcome&);
 
-// The position that a replication status tells, unless it lies in the future: that proves nothing.
+// Returns the position in a replication status; `std::nullopt` if there is none or it lies in the
+// future, which proves nothing.
 std::optional<Time> plausiblePositionOf(const Context&, std::uint32_t replicationStatus);
 
-// The bound of the class with the least; a second where no class has one.
+// Returns the smallest staleness bound of any class; 1 s if no class has one.
 Time tightestStalenessBound(const Settings&);
 
-// What a replication status says: the replication position, if it carries one, and the role.
+// Decode a replication status: its position, `std::nullopt` if it carries none, and the role.
 std::optional<Time> positionOf(const Settings&, std::uint32_t replicationStatus);
 Role roleOf(std::uint32_t replicationStatus);
 bool carriesRole(std::uint32_t replicationStatus);
--- a/src/balancer/context.hpp
+++ b/src/balancer/context.hpp
@@ -1,4 +1,5 @@
-// What the decisions of one Balancer share. Only the event under way touches it; nothing here decides.
+// Context: the state shared by the decisions of one Balancer. Contains no decision logic; only the
+// event being handled accesses it.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +19,22 @@
 
 namespace sablespur::balancer {
 
-// Where there is work, so that housekeeping costs what is under way and not what is listed.
+// Indexes of pending work, so that housekeeping costs depend on the work pending and not on the
+// length of the endpoint list.
 struct WorkIndex {
   std::set<EndpointId> busyEndpoints;  // with attempts in flight
-  std::set<EndpointId> goneEndpoints;  // with Endpoint::goneAt
-  std::set<GroupId> waitingGroups;     // every group with waiting requests; some may have none left
-  int inFlight = 0;                    // attempts
+  std::set<EndpointId> goneEndpoints;  // with Endpoint::goneAt set
+  // Every group with waiting requests; may include groups that have none left.
+  std::set<GroupId> waitingGroups;
+  int inFlight = 0;  // attempts
   bool housekeepingScheduled = false;
 };
 
 struct Context {
-  // Throws std::invalid_argument where the settings contradict each other.
+  // Throws std::invalid_argument if the settings contradict each other.
   Context(const Settings&, std::uint64_t seed, ActionSink&);
 
-  // nullptr for an endpoint that is not known, or no longer.
+  // Returns nullptr for an unknown or removed endpoint.
   Endpoint* findEndpoint(EndpointId id) {
     const auto found = endpoints.find(id);
     return found == endpoints.end() ? nullptr : &found->second;
@@ -47,7 +50,7 @@
   Settings settings;
   ActionSink& sink;
   const LocalHash random;
-  Time now{};  // of the event under way
+  Time now{};  // time of the event being handled
 
   std::map<EndpointId, Endpoint> endpoints;
   std::map<GroupId, Group> groups;
@@ -61,10 +64,11 @@
   KnownList knownList;
   WorkIndex work;
 
-  std::uint64_t listUpdates = 1;  // lists and changes of it taken in; 0 stands for none
-  bool started = false;           // the first list has come
-  bool gossipReceived = false;    // other proxies pass on what they hear of endpoints
-  const bool reportsCarryLoad;    // load reports tell how many requests an endpoint has
+  // Number of lists and list changes received, plus 1; 0 stands for none.
+  std::uint64_t listUpdates = 1;
+  bool started = false;         // the first list has been received
+  bool gossipReceived = false;  // other proxies share what they observe of endpoints
+  const bool reportsCarryLoad;  // load reports include the number of outstanding requests
 };
 
 }  // namespace sablespur::balancer
--- a/src/balancer/decaying_counter.hpp
+++ b/src/balancer/decaying_counter.hpp
@@ -1,4 +1,4 @@
-// A count of events of which each is worth less as it ages.
+// A counter of events whose weight decays with their age.
 #pragma once
 
 #include <cmath>
@@ -7,7 +7,8 @@
 
 namespace sablespur::balancer {
 
-// An event of age `a` is worth e^(-a / kRecentPeriod): at a steady rate the value is rate x kRecentPeriod.
+// An event of age `a` counts as e^(-a / kRecentPeriod). At a steady rate the value approaches rate
+// x kRecentPeriod.
 class DecayingCounter {
  public:
   double valueAt(Time now) const { return value_ * std::exp(-ratio(now - updatedAt_, kRecentPeriod)); }
--- a/src/balancer/discovery_poller.cpp
+++ b/src/balancer/discovery_poller.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint64_t kJitterSalt = 1;
-constexpr int kPollsPerDeadline = 3;  // a call that stays unanswered is repeated well before the deadline
+constexpr int kPollsPerDeadline = 3;  // an unanswered call is repeated well before the deadline
 
 }  // namespace
 
--- a/src/balancer/discovery_poller.hpp
+++ b/src/balancer/discovery_poller.hpp
@@ -1,4 +1,5 @@
-// When discovery is to be asked for the endpoint list: repeatedly, with a growing pause after failures.
+// Decides when to ask discovery for the endpoint list: repeatedly, with a growing pause after
+// failures.
 #pragma once
 
 #include "balancer/balancer.hpp"
@@ -9,7 +10,7 @@
 
 class DiscoveryPoller {
  public:
-  // What a call may use of its surroundings.
+  // Dependencies of a call; the references are only used during the call.
   struct Environment {
     const Settings& settings;
     ActionSink& sink;
@@ -17,13 +18,14 @@
     Time now;
   };
 
-  // Asks for the list now and, where the settings give a deadline, again unless a list has come by then.
+  // Requests the list now. If the settings give a deadline, requests it again unless a list arrives
+  // well before that deadline.
   void poll(const Environment&);
 
-  // A call was answered or failed; after a failure the next call is scheduled.
+  // Handles the response to a call; after a failure it schedules the next call.
   void responseReceived(const Environment&, ListKind);
 
-  // Whether this timer is still the current one; otherwise a later call has replaced it.
+  // Returns whether this timer is current, not replaced by that of a later call.
   bool isDue(std::uint64_t timerId) const { return polling_ && timerId == generation_; }
 
  private:
--- a/src/balancer/endpoint_list.cpp
+++ b/src/balancer/endpoint_list.cpp
@@ -26,7 +26,7 @@
   ids.erase(std::remove(ids.begin(), ids.end(), id), ids.end());
 }
 
-// In a full list what is absent is gone.
+// Marks every endpoint that a full list omits as gone.
 void markAbsentGone(Context& context, const std::vector<ListedEndpoint>& entries) {
   std::vector<EndpointId> listed;
   listed.reserve(entries.size());
@@ -40,7 +40,7 @@
   }
 }
 
-// Puts the endpoint into its group, and out of the one in which it was.
+// Adds the endpoint to the group of the entry and removes it from its previous group.
 void placeInGroup(Context& context, const Endpoint& endpoint, const ListedEndpoint& entry) {
   const bool isNew = endpoint.listed.id == 0;
   if (!isNew && endpoint.listed.group == entry.group) return;
@@ -49,7 +49,7 @@
   if (!isNew) removeId(context.groups[endpoint.listed.group].endpoints, entry.id);
 }
 
-// A new process at the same address: nothing of what was learned of the old one holds.
+// Discards what was learned about the previous process at this address.
 void resetForRestart(Context& context, Endpoint& endpoint, const ListedEndpoint& entry) {
   endpoint.latencies.immediate.clear();
   endpoint.latencies.delayed.clear();
@@ -65,7 +65,7 @@
   recordRole(context, endpoint, Role::Unknown, std::max(endpoint.role.at, restartedAt));
 }
 
-// Takes in one entry of a list.
+// Applies one entry of a list.
 void updateEndpoint(Context& context, Endpoint& endpoint, const ListedEndpoint& entry) {
   endpoint.tieBreaker = context.random.hash(entry.id);
   placeInGroup(context, endpoint, entry);
@@ -86,7 +86,8 @@
   }
 }
 
-// Clients may name groups that do not exist: their records go once nothing is kept in them.
+// Removes groups that hold no state. Clients may name groups that do not exist, so unused records
+// must not accumulate.
 void removeUnusedGroups(std::map<GroupId, Group>& groups) {
   for (auto it = groups.begin(); it != groups.end();) {
     const Group& group = it->second;
@@ -104,7 +105,8 @@
   if (kind == ListKind::Failed) return;
   context.traffic.endpointsChanged();
   if (kind != ListKind::Delta) markAbsentGone(context, entries);
-  auto position = context.endpoints.begin();  // most lists ascend by id: then no search is needed
+  // Most lists ascend by id; then no search is needed.
+  auto position = context.endpoints.begin();
   for (const ListedEndpoint& entry : entries) {
     if (position == context.endpoints.end() || position->first != entry.id)
       position = context.endpoints.try_emplace(entry.id).first;
@@ -125,7 +127,8 @@
     recordRole(context, *endpoint, Role::Unknown, std::max(endpoint->role.at, context.now));
     return;
   }
-  // There was a reason to suspend it: unless the list knows better it counts as one that has just started.
+  // The reason for the suspension may have affected the endpoint. Unless the list reports a start
+  // since then, it counts as just started.
   if (endpoint->listed.started < endpoint->suspendedAt) {
     endpoint->listed.started = context.now;
     endpoint->served = {};
--- a/src/balancer/endpoint_list.hpp
+++ b/src/balancer/endpoint_list.hpp
@@ -1,4 +1,5 @@
-// The endpoint list: who may be used, who has started anew, and when what is gone is forgotten.
+// The endpoint list: tracks which endpoints are usable, which have restarted, and when endpoints
+// that are gone are removed.
 #pragma once
 
 #include <vector>
@@ -7,14 +8,14 @@
 
 namespace sablespur::balancer {
 
-// Takes in a list or changes of it; what waits in any group goes on.
+// Applies a list or changes to it, then resumes the waiting requests of all groups.
 void updateEndpoints(Context&, ListKind, const std::vector<ListedEndpoint>&);
 
-// Takes an endpoint out of use or back, by an administrator. Nothing for an endpoint that is not known.
+// Suspends or restores an endpoint (Balancer::suspend). Ignored for an unknown endpoint.
 void setSuspended(Context&, EndpointId, bool suspended);
 
-// Forgets the endpoints that have been gone for long and of which no event is to come, so that memory does
-// not grow where endpoints are replaced. Returns their ids.
+// Removes the endpoints that were gone for long enough and of which no event is outstanding. This
+// bounds memory where endpoints are replaced. Returns their ids.
 std::vector<EndpointId> removeExpired(Context&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/endpoint_state.cpp
+++ b/src/balancer/endpoint_state.cpp
@@ -9,15 +9,18 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr std::size_t kLagSamples = 8;  // enough for a share, quick to follow a lag
+// Enough to estimate a share, few enough to follow a change of lag.
+constexpr std::size_t kLagSamples = 8;
 constexpr Time kLoadReportValidity = std::chrono::seconds(1);
-constexpr double kSilenceFactor = 4;           // silence for so many usual latencies is a symptom
-constexpr float kMaxReportedPosition = 1e9F;   // seconds; beyond it a value is no position
+// Multiple of the usual latency after which silence is a symptom.
+constexpr double kSilenceFactor = 4;
+constexpr float kMaxReportedPosition = 1e9F;   // seconds; larger values are not positions
 constexpr float kMaxReportedLoad = 1e6F;       // requests
 constexpr float kPrimaryFlagThreshold = 0.5F;  // the flag is 0 or 1
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// An f32 may have been rounded up: only the next one below it is proven.
+// Returns the position that a reported f32 proves. It may have been rounded up, so the next smaller
+// one is used.
 Time provenPosition(const Context& context, float reportedSeconds) {
   const double proven = static_cast<double>(std::nextafterf(reportedSeconds, 0.0F));
   return context.settings.positionEpoch +
@@ -47,7 +50,7 @@
       endpoint.reportedLoad = {static_cast<int>(value), context.now};
     }
   }
-  // A report is as old as the position in it; without one its role cannot be dated.
+  // The position in a report dates it. Without a position, the age of the reported role is unknown.
   if (!position || *position > context.now) return;
   recordPosition(context, endpoint, *position);
   if (role != Role::Unknown) recordRole(context, endpoint, role, *position);
--- a/src/balancer/endpoint_state.hpp
+++ b/src/balancer/endpoint_state.hpp
@@ -1,5 +1,5 @@
-// What is learned of an endpoint's state from lists and reports: whether it may be used, how far it has
-// replicated, how loaded it is.
+// The state of an endpoint as learned from lists and reports: whether it is usable, its replication
+// position and its load.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,8 @@
 
 namespace sablespur::balancer {
 
-// False from the very event that tells that the endpoint is draining, gone or suspended.
+// Returns false from the event on that shows the endpoint as draining, gone or suspended. An
+// endpoint that is only gone stays usable with Settings::removedEndpointsStayUsable.
 inline bool isUsable(const Settings& settings, const Endpoint& endpoint) {
   if (endpoint.suspended) return false;
   if (endpoint.listed.state == Lifecycle::Ready) return true;
@@ -16,20 +17,22 @@
          !endpoint.seenDraining;
 }
 
-// Takes in that the endpoint has applied all commits up to `position`.
+// Records that the endpoint has applied all commits up to `position`.
 void recordPosition(const Context&, Endpoint&, Time position);
 
-// Takes in a load report, whose values stand in the order of Settings::reportFields.
+// Records a load report, whose values are in the order of Settings::reportFields.
 void recordReport(Context&, Endpoint&, const std::vector<float>& report);
 
-// The age of an attempt from which on silence is a symptom.
+// Returns the age from which an unanswered attempt is a symptom of a silent endpoint.
 Time silenceThreshold(const Context&, int classIndex);
 
-// Whether the attempt is lost rather than queued: what was sent in the younger half of its age has been
-// answered. Only far beyond the usual latency, as endpoints may serve out of turn.
+// Returns whether the attempt is probably lost rather than queued: attempts that were sent during
+// the more recent half of its age have already been answered. Only applies past the silence
+// threshold, because endpoints may answer out of order.
 bool isOvertaken(const Context&, const Endpoint&, const InFlightAttempt&);
 
-// Requests outstanding there: this proxy's own, or those of all proxies by the latest report while it is new.
+// Returns the number of requests outstanding at the endpoint: those of this proxy, or those of all
+// proxies by the latest load report if that is recent and higher.
 int outstandingLoad(const Context&, const Endpoint&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/fleet_traffic.cpp
+++ b/src/balancer/fleet_traffic.cpp
@@ -12,8 +12,9 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kGroupOverloadFactor = 1.5;  // times its capacity is the most that a group is asked for
-constexpr double kMinWeight = 1e-9;           // keeps a division finite
+// Most that is assumed to be asked of a group, as a multiple of its capacity.
+constexpr double kGroupOverloadFactor = 1.5;
+constexpr double kMinWeight = 1e-9;  // avoids a division by zero
 
 }  // namespace
 
@@ -23,7 +24,8 @@
   writeShare_ += ((isWrite ? 1.0 : 0.0) - writeShare_) / requestsSeen_;
 }
 
-// A group is seldom asked at one of many proxies: its part of all requests tells more than its own.
+// Each of many proxies sees few requests of a single group, so the mean over all groups is a better
+// estimate than the count of that group.
 FleetTraffic::Rates FleetTraffic::rates(const Context& context) {
   updateWorkPerWeightUnit(context);
   const double workPerGroup = workPerWindow(context, requested_, startedAt_) / totals_.groupsInUse;
@@ -34,7 +36,8 @@
   if (std::exchange(updatedAt_, context.now) == context.now) return;
   const bool expired = totals_.validUntil != kNever && context.now >= totals_.validUntil;
   if (totals_.stale || expired) recount(context);
-  // Where no endpoint is warm, what is asked for is taken for the most that the group can be asked for.
+  // If no endpoint is warm, the requested work is assumed to be the most that the groups can be
+  // asked for.
   workPerWeightUnit_ = totals_.warmWeight > 0
                            ? workPerWindow(context, totals_.warmServed, startedAt_) / totals_.warmWeight
                            : workPerWindow(context, requested_, startedAt_) /
--- a/src/balancer/fleet_traffic.hpp
+++ b/src/balancer/fleet_traffic.hpp
@@ -1,4 +1,5 @@
-// How much work the fleet is asked for and does, as far as this proxy sees: what slow start plans by.
+// Estimates the work that the fleet is asked for and serves, from the traffic of this proxy. Slow
+// start bases its budgets on it.
 #pragma once
 
 #include <map>
@@ -9,32 +10,33 @@
 
 struct Context;
 
-// Work is counted in requests of mean work; rates are for one Settings::overloadWindow.
+// Work is counted in requests of mean work. Rates are per Settings::overloadWindow.
 class FleetTraffic {
  public:
-  // The first list has come: from here on rates can be told.
+  // Called when the first list arrives; rates are available from then on.
   void started(Time now) { startedAt_ = now; }
   void requestArrived(Time now, double work, bool isWrite);
   void answeredByWarmEndpoint(Time now, double work) { totals_.warmServed.add(now, work); }
-  // Endpoints, groups or settings have changed; the totals are counted anew when they are next needed.
+  // Called when endpoints, groups or settings change. The totals are recomputed on next use.
   void endpointsChanged() { totals_.stale = true; }
 
-  // Rates as of the event under way.
+  // Rates at the time of the event being handled.
   struct Rates {
-    double workPerGroup;       // requests of a replication group, as the mean over all
+    double workPerGroup;       // requests of a replication group, as the mean over all groups
     double writesPerGroup;     // the writes among them
-    double workPerWeightUnit;  // what a warm endpoint does for each unit of its weight
+    double workPerWeightUnit;  // work served by a warm endpoint per unit of its weight
   };
   Rates rates(const Context&);
 
  private:
-  // Over all usable endpoints. Counting costs a pass over them, which is made only after a change.
+  // Totals over all usable endpoints. Computing them takes a pass over all endpoints, so it is only
+  // done after a change.
   struct Totals {
     bool stale = true;
-    Time validUntil = kNever;  // when the next endpoint ends its warm-up; kNever: none is warming up
+    Time validUntil = kNever;  // end of the next warm-up; kNever: no endpoint is warming up
     double warmWeight = 0;
     double warmingWeight = 0;
-    DecayingCounter warmServed;  // kept up to date with every answer
+    DecayingCounter warmServed;  // updated with every answer
     double groupsInUse = 0;
   };
 
@@ -49,11 +51,12 @@
   double workPerWeightUnit_ = 0;  // as of updatedAt_
   Totals totals_;
 
-  // The write share starts as if so many reads had come before: one early write says little.
+  // The write share starts as if this many reads had arrived, because a single early write says
+  // little.
   static constexpr double kAssumedEarlierRequests = 10;
 };
 
-// The work for one overload window, from a counter that has counted since `since`.
+// Returns the work per overload window, by a counter that has counted since `since`.
 double workPerWindow(const Context&, const DecayingCounter&, Time since);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/health_checks.cpp
+++ b/src/balancer/health_checks.cpp
@@ -9,17 +9,18 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr int kCheckedCandidates = 2;  // asked before a choice: one may be the worse of two
-constexpr int kWaitsPerObjective = 8;  // a request waits for replies for 1/8 of its latency objective at most
-constexpr int kChecksPerBound = 4;     // positions are asked for four times in a staleness bound at most
-// So long an answer as primary is believed without a check. A takeover within it shows in the read's own
-// answer.
+constexpr int kCheckedCandidates = 2;  // before a choice; a single one may be the worse of two
+constexpr int kWaitsPerObjective = 8;  // a request waits at most 1/8 of its latency objective
+constexpr int kChecksPerBound = 4;     // at most four position checks per staleness bound
+// How long evidence of the role of primary is trusted without a check. A takeover within this
+// period is detected by the answer to the read itself.
 constexpr Time kPrimaryRoleValidity = std::chrono::seconds(1);
 
-// Whether what was last heard of the endpoint will do for a choice now: where endpoints do not check it, a
-// proven position; where reports tell the load, or for a write that must not be lost, a reply within the
-// latency objective.
-bool isKnownWellEnough(const Context& context, const PendingRequest& pending, const Endpoint& endpoint) {
+// Returns whether the endpoint can be chosen now without a health check:
+// - If endpoints serve reads from stale data, a replica needs a proven position.
+// - If reports carry the load, or the request is a write, a reply within the latency objective is
+//   needed. A write must not be lost at an endpoint that is down.
+bool hasEnoughInformation(const Context& context, const PendingRequest& pending, const Endpoint& endpoint) {
   const Time required = requiredPosition(context, pending);
   const Group& group = context.groups.at(pending.request.group);
   if (context.settings.laggingReplicaPolicy == LaggingReplicaPolicy::Serve && required != kNever &&
@@ -27,19 +28,20 @@
     return false;
   const ClassSettings& settings = context.classOf(pending);
   if (!context.reportsCarryLoad && settings.requirement != Requirement::Write) return true;
-  const Time heard = std::max(endpoint.contact.lastReply, endpoint.contact.lastGossip);
-  return heard != kNever && context.now - heard < settings.latencyObjective;
+  const Time lastContact = std::max(endpoint.contact.lastReply, endpoint.contact.lastGossip);
+  return lastContact != kNever && context.now - lastContact < settings.latencyObjective;
 }
 
-// Reads leave the primary alone; for a write it is the one to be asked. 0: none is left out.
-EndpointId uncheckedPrimary(Context& context, const PendingRequest& pending) {
+// Returns the primary, which is not checked for reads; 0 if no endpoint is excluded. For a write
+// the primary is the endpoint to check.
+EndpointId primaryExcludedFromChecks(Context& context, const PendingRequest& pending) {
   const bool isWrite = context.classOf(pending).requirement == Requirement::Write;
   return isWrite ? 0 : context.groups[pending.request.group].primary;
 }
 
-// Where proxies pass on what they hear, an endpoint that none hears of is checked by all in turn, lest they
-// all check at once.
-void checkUnheard(Context& context, const PendingRequest& pending, Endpoint& endpoint) {
+// Checks an endpoint about which no proxy receives anything. Proxies that share what they observe
+// through gossip spread these checks over time, because otherwise all of them would check at once.
+void checkUnknownEndpoint(Context& context, const PendingRequest& pending, Endpoint& endpoint) {
   const double jitter = 0.5 + context.random.fraction(pending.request.id);
   const Time interval = scaled(context.settings.proxyCount * kUnknownEndpointProbeInterval, jitter);
   const Health& health = endpoint.health;
@@ -47,26 +49,27 @@
     startHealthCheck(context, endpoint);
 }
 
-// Checks the first candidates of which too little is known.
+// Checks the first candidates about which too little is known. Returns whether to wait for replies.
 bool checkFirstCandidates(Context& context, const PendingRequest& pending,
-                          const std::vector<Endpoint*>& candidates, EndpointId leftOut) {
+                          const std::vector<Endpoint*>& candidates, EndpointId excluded) {
   const Time interval = context.reportsCarryLoad ? kHousekeepingInterval
                                                  : tightestStalenessBound(context.settings) / kChecksPerBound;
-  bool someKnown = false;
-  bool someInProgress = false;
+  bool anyKnown = false;
+  bool anyInProgress = false;
   int remaining = kCheckedCandidates;
   for (Endpoint* const endpoint : candidates) {
-    if (endpoint->listed.id == leftOut) continue;
-    const bool isKnown = isKnownWellEnough(context, pending, *endpoint);
-    someKnown = someKnown || isKnown;
+    if (endpoint->listed.id == excluded) continue;
+    const bool isKnown = hasEnoughInformation(context, pending, *endpoint);
+    anyKnown = anyKnown || isKnown;
     const bool isAmongFirst = remaining > 0;
     --remaining;
     if (!isAmongFirst || isKnown) continue;
     checkIfDue(context, *endpoint, interval);
-    someInProgress = someInProgress || endpoint->health.checkInProgress;
+    anyInProgress = anyInProgress || endpoint->health.checkInProgress;
   }
-  // A choice by load needs the reply of all that were asked; else one known endpoint is enough.
-  return someInProgress && (!someKnown || context.reportsCarryLoad);
+  // A choice by load needs the replies of all checked endpoints; otherwise one known endpoint is
+  // enough.
+  return anyInProgress && (!anyKnown || context.reportsCarryLoad);
 }
 
 }  // namespace
@@ -87,18 +90,18 @@
 bool checksNeededBeforeChoice(Context& context, const PendingRequest& pending,
                               const std::vector<Endpoint*>& candidates) {
   if (!context.canHealthCheck() || pending.healthChecksAwaited) return false;
-  // No replica's report can be new enough for a strong read.
+  // No replica can prove a position that is fresh enough for a strong read.
   if (context.classOf(pending).requirement == Requirement::Strong) return false;
-  const EndpointId leftOut = uncheckedPrimary(context, pending);
+  const EndpointId excluded = primaryExcludedFromChecks(context, pending);
   const auto isKnown = [&](const Endpoint* endpoint) {
-    return endpoint->listed.id != leftOut && isKnownWellEnough(context, pending, *endpoint);
+    return endpoint->listed.id != excluded && hasEnoughInformation(context, pending, *endpoint);
   };
   if (context.gossipReceived && std::any_of(candidates.begin(), candidates.end(), isKnown)) {
-    const auto unheard = std::find_if_not(candidates.begin(), candidates.end(), isKnown);
-    if (unheard != candidates.end()) checkUnheard(context, pending, **unheard);
+    const auto unknown = std::find_if_not(candidates.begin(), candidates.end(), isKnown);
+    if (unknown != candidates.end()) checkUnknownEndpoint(context, pending, **unknown);
     return false;
   }
-  return checkFirstCandidates(context, pending, candidates, leftOut);
+  return checkFirstCandidates(context, pending, candidates, excluded);
 }
 
 bool primaryCheckNeeded(Context& context, const PendingRequest& pending, Endpoint& choice) {
--- a/src/balancer/housekeeping.cpp
+++ b/src/balancer/housekeeping.cpp
@@ -18,7 +18,8 @@
 void runHousekeeping(Context& context) {
   WorkIndex& work = context.work;
   work.housekeepingScheduled = false;
-  // Sends nothing itself, so that the set stays as it is.
+  // The set of busy endpoints does not change during the loop, because detectSilence() sends no
+  // attempts.
   for (const EndpointId id : work.busyEndpoints) detectSilence(context, context.endpoints.at(id));
   resumeAllWaiting(context, PrimaryChecks::Yes);
   if (work.inFlight > 0 || !work.waitingGroups.empty()) scheduleHousekeeping(context);
--- a/src/balancer/housekeeping.hpp
+++ b/src/balancer/housekeeping.hpp
@@ -1,5 +1,5 @@
-// Work that no event calls for: waiting requests, silent endpoints. It goes on only while something is under
-// way.
+// Periodic work that no event triggers: resumes waiting requests and detects silent endpoints. Runs
+// only while attempts are in flight or requests wait.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -8,10 +8,10 @@
 
 constexpr Time kHousekeepingInterval = std::chrono::milliseconds(20);
 
-// Schedules the next run unless one is scheduled.
+// Schedules the next run unless one is already scheduled.
 void scheduleHousekeeping(Context&);
 
-// A scheduled run.
+// Performs a scheduled run.
 void runHousekeeping(Context&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/latency_estimate.cpp
+++ b/src/balancer/latency_estimate.cpp
@@ -7,8 +7,9 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kEndpointConcurrency = 3;  // requests that an endpoint serves side by side before they queue
-constexpr double kMaxBudgetsCounted = 4;    // a single very late sample must not rule the expected latency
+constexpr double kEndpointConcurrency = 3;  // requests that an endpoint serves at once; more queue
+// Limit of a sample in budgets, so that a single late one does not dominate the expected latency.
+constexpr double kMaxBudgetsCounted = 4;
 
 // Counts samples against a budget.
 class SampleTally {
@@ -27,7 +28,7 @@
     sum_ += latency;
     count_ += 1;
   }
-  // Makes one sample, their mean, of all that were counted so far.
+  // Replaces all samples so far by one, their mean.
   void mergeIntoOne() {
     misses_ /= count_;
     sum_ /= count_;
@@ -42,8 +43,9 @@
   double count_ = 0;
 };
 
-// Requests that share the endpoint's service, the one in question included.
-double sharedBy(int load) { return std::max(kEndpointConcurrency, load + 1.0); }
+// Returns the number of requests that share the capacity of the endpoint, including the new one; at
+// least kEndpointConcurrency.
+double concurrentRequests(int load) { return std::max(kEndpointConcurrency, load + 1.0); }
 
 }  // namespace
 
@@ -51,19 +53,19 @@
                                 const std::vector<LatencySample>& window, int classIndex, Time budget,
                                 CountedMisses counted) {
   const LatencyStatistics& latencies = context.latencies;
-  const double load = sharedBy(outstandingLoad(context, endpoint));
-  const bool byLoadAlone = counted == CountedMisses::CausedByLoad;
+  const double load = concurrentRequests(outstandingLoad(context, endpoint));
+  const bool onlyCausedByLoad = counted == CountedMisses::CausedByLoad;
   SampleTally tally(budget);
   const auto addAll = [&](const std::vector<LatencySample>& samples) {
     for (const LatencySample& sample : samples) {
       if (sample.at + kRecentPeriod < context.now) continue;
-      if (byLoadAlone && sample.latency == kUnansweredLatency) continue;
+      if (onlyCausedByLoad && sample.latency == kUnansweredLatency) continue;
       tally.add(latencies.convert(sample.latency, sample.classIndex, classIndex) * load /
-                sharedBy(sample.load));
+                concurrentRequests(sample.load));
     }
   };
   addAll(latencies.commonSamples());
-  // With nothing seen yet the usual latency is expected and counts as on time.
+  // Without any samples, the mean latency is expected and counted as on time.
   if (tally.empty()) tally.addOnTime(latencies.mean(classIndex) * load / kEndpointConcurrency);
   tally.mergeIntoOne();
   addAll(window);
@@ -71,7 +73,7 @@
     const auto age = static_cast<double>((context.now - attempt.sentAt).count());
     const double converted = latencies.convert(age, attempt.classIndex, classIndex);
     if (converted <= tally.budget()) continue;
-    if (byLoadAlone && isOvertaken(context, endpoint, attempt)) continue;
+    if (onlyCausedByLoad && isOvertaken(context, endpoint, attempt)) continue;
     tally.add(converted);
   }
   return tally.estimate();
--- a/src/balancer/latency_estimate.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -1,5 +1,5 @@
-// The probability that an endpoint's answer misses a time budget, from recent latencies (after the paper's
-// empirical distribution).
+// Estimates the probability that the answer of an endpoint misses a time budget, from recent
+// latencies (based on the empirical distribution of the paper).
 #pragma once
 
 #include <vector>
@@ -10,15 +10,16 @@
 
 struct LatencyEstimate {
   double missProbability;
-  double expectedLatency;  // microseconds, each sample counted as four budgets at most
+  double expectedLatency;  // microseconds; each sample counts as at most four budgets
 };
 
-// Which misses count: all, or only those that less load would have avoided.
+// Which misses to count: all, or only those that a lower load would have avoided.
 enum class CountedMisses { All, CausedByLoad };
 
-// Samples are brought to this class and the endpoint's present load. What all endpoints showed lately counts
-// as one more sample, which stands in for a thin window. An attempt that has been in flight for longer than
-// the budget is a miss: a hung endpoint gives no samples.
+// Estimates the latency of a request of this class. Samples are converted to the class and to the
+// current load of the endpoint. The recent samples of all endpoints together count as one more
+// sample, for windows with few samples. An attempt in flight for longer than the budget counts as a
+// miss, because a hung endpoint produces no samples.
 LatencyEstimate estimateLatency(const Context&, const Endpoint&, const std::vector<LatencySample>& window,
                                 int classIndex, Time budget, CountedMisses);
 
--- a/src/balancer/latency_statistics.cpp
+++ b/src/balancer/latency_statistics.cpp
@@ -5,10 +5,10 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr std::size_t kWindowSize = 20;  // latencies kept for each endpoint, as in the paper
+constexpr std::size_t kWindowSize = 20;  // samples per endpoint, as in the paper
 constexpr std::size_t kCommonWindowSize = 2 * kWindowSize;
-constexpr double kLatencyEwmaWeight = 0.05;                        // of a new latency in the moving average
-constexpr double kLowLatencyRiseWeight = kLatencyEwmaWeight / 10;  // the low mark rises slowly
+constexpr double kLatencyEwmaWeight = 0.05;  // weight of a new latency in the moving average
+constexpr double kLowLatencyRiseWeight = kLatencyEwmaWeight / 10;  // the low latency rises slowly
 constexpr double kMinRelativeCost = 0.5;
 constexpr double kMaxRelativeCost = 2.0;
 
--- a/src/balancer/load_shedding.cpp
+++ b/src/balancer/load_shedding.cpp
@@ -8,9 +8,11 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kMinUsefulProbability = 0.85;  // that an attempt's answer is useful
-constexpr double kMaxUnplacedShare = 0.45;  // of its time: so long a request waits for an endpoint to take it
-constexpr double kRetryAfterFactor = 0.25;  // of a usual latency, while the latency objective still runs
+constexpr double kMinUsefulProbability = 0.85;  // that the answer to an attempt is useful
+// Share of the time to its deadline that a request waits for a first endpoint to accept it.
+constexpr double kMaxUnplacedShare = 0.45;
+// Retry-after as a multiple of the usual latency, before the latency objective has passed.
+constexpr double kRetryAfterFactor = 0.25;
 
 }  // namespace
 
@@ -25,13 +27,13 @@
   const Time arrived = pending.arrivedAt;
   const Time usualLatency = context.latencies.meanTime(pending.request.classIndex);
   Time end = usefulUntil(context, pending);
-  // Where no endpoint has taken it by nearly half of its time, the client is told to come back while that is
-  // still of use to it.
+  // If no endpoint has accepted the request after nearly half of its time, it is rejected while the
+  // client can still retry usefully.
   if (!pending.reachedEndpoint && pending.outstanding == 0) {
     const Time unplaced = scaled(pending.request.deadline - arrived, kMaxUnplacedShare);
     end = std::min(end, arrived + unplaced + usualLatency);
   }
-  // A request with any time left gets the event of its arrival for a first attempt.
+  // A request with any time left may make a first attempt during the event of its arrival.
   const bool isUntried = pending.attempts.empty() && end > arrived;
   return std::max(end - usualLatency, arrived + Time(isUntried ? 1 : 0));
 }
@@ -45,7 +47,8 @@
   return 1 - estimate.missProbability >= kMinUsefulProbability;
 }
 
-// Soon, while the latency objective runs; what comes back after that is only load.
+// Advises an early retry before the latency objective has passed. After it a retry only adds load,
+// so the longest delay is advised.
 Time retryAfter(const Context& context, const PendingRequest& pending) {
   const Settings& settings = context.settings;
   if (!settings.retryAfterAllowed) return Time(0);
--- a/src/balancer/load_shedding.hpp
+++ b/src/balancer/load_shedding.hpp
@@ -1,21 +1,23 @@
-// Until when a request is worth an attempt, and which attempts are likely to pay.
+// Load shedding: decides how long a request is worth attempts, and which attempts are likely to
+// succeed.
 #pragma once
 
 #include "balancer/context.hpp"
 
 namespace sablespur::balancer {
 
-// From when on an answer earns nothing: a class with no worth for late answers ends at its latency objective.
+// Returns the instant after which an answer is worth nothing: the deadline, or the latency
+// objective for a class without worth for late answers.
 Time usefulUntil(const Context&, const PendingRequest&);
 
-// From when on a new attempt can no longer bring a useful answer.
+// Returns the instant after which a new attempt can no longer produce a useful answer.
 Time giveUpAt(const Context&, const PendingRequest&);
 
-// Whether an answer of the endpoint is likely to be useful. Without this, queues make everything late. An
-// idle endpoint takes any request, so that there is a way back.
+// Returns whether an answer of the endpoint is likely to be useful; otherwise growing queues would
+// make all answers late. An idle endpoint accepts any request, so that its estimate can recover.
 bool isWorthSending(const Context&, const PendingRequest&, const Endpoint&);
 
-// When a client that is turned away should come back; 0: nothing is told.
+// Returns when a rejected client should retry; 0 if the answer carries no such advice.
 Time retryAfter(const Context&, const PendingRequest&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/local_hash.hpp
+++ b/src/balancer/local_hash.hpp
@@ -1,11 +1,12 @@
-// Pseudo-random numbers that depend on their arguments and the seed alone.
+// Pseudo-random numbers that depend only on their arguments and the seed.
 #pragma once
 
 #include <cstdint>
 
 namespace sablespur::balancer {
 
-// Gives the same number for the same arguments at this proxy, and another one at each other proxy.
+// Returns the same number for the same arguments at this proxy, and different ones at other
+// proxies, whose seeds differ.
 class LocalHash {
  public:
   explicit LocalHash(std::uint64_t seed) : seed_(seed) {}
@@ -17,7 +18,7 @@
     return x ^ (x >> 29);
   }
 
-  // In [0, 1): the upper 53 bits, as many as a double holds.
+  // Returns a number in [0, 1), from the upper 53 bits, the precision of a double.
   double fraction(std::uint64_t a, std::uint64_t b = 0) const {
     return static_cast<double>(hash(a, b) >> 11) * 0x1p-53;
   }
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -12,7 +12,8 @@
 constexpr Time kMinEjection = std::chrono::milliseconds(500);
 constexpr Time kMaxEjection = std::chrono::seconds(8);
 
-// Ejected endpoints that do answer may be ejected anew at once, others only when their time is over.
+// Returns whether an ejection may start. An endpoint that was ejected for errors may be ejected
+// again at once, any other only after its current ejection has ended.
 bool mayEjectAgain(const Context& context, const Health& health) {
   return health.answersWithErrors || context.now >= health.ejectedUntil;
 }
@@ -24,7 +25,7 @@
   if (health.checkInProgress && context.now - health.checkedAt > kHealthCheckTimeout) return false;
   if (health.ejectedUntil == kNever) return true;
   if (context.now < health.ejectedUntil) return false;
-  // A trial is one attempt that was sent since the ejection ended.
+  // After the ejection, one attempt at a time is sent as a trial.
   return std::none_of(endpoint.inFlight.begin(), endpoint.inFlight.end(),
                       [&](const InFlightAttempt& attempt) { return attempt.sentAt >= health.ejectedUntil; });
 }
@@ -35,7 +36,7 @@
   const Time period = std::max(health.ejectionBackoff, kMinEjection);
   health.ejectedUntil = context.now + period;
   health.ejectionBackoff = std::min(2 * period, kMaxEjection);
-  context.groups[endpoint.listed.group].troubleAt = context.now;
+  context.groups[endpoint.listed.group].lastFailureAt = context.now;
 }
 
 void markHealthy(Endpoint& endpoint) {
@@ -47,12 +48,13 @@
 }
 
 void recordFault(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt, AttemptResult result) {
-  // A failed connection, with no answer since the attempt, is a process that is gone; a reset alone is not.
+  // A failed connection with no answer since the attempt was sent means that the process is down. A
+  // reset alone does not.
   const bool isDown = result == AttemptResult::ConnectFailed && endpoint.contact.lastAnswer < attempt.sentAt;
   ++endpoint.health.consecutiveFailures;
   if (endpoint.health.consecutiveFailures < kConsecutiveFailuresToEject && !isDown) return;
-  const bool isBroken = result == AttemptResult::ConnectFailed || result == AttemptResult::Reset;
-  if (isBroken && context.canHealthCheck()) {
+  const bool isConnectionFailure = result == AttemptResult::ConnectFailed || result == AttemptResult::Reset;
+  if (isConnectionFailure && context.canHealthCheck()) {
     if (!endpoint.health.checkInProgress && mayEjectAgain(context, endpoint.health))
       startHealthCheck(context, endpoint);
     return;
@@ -61,7 +63,7 @@
     const bool isError = result == AttemptResult::Error;
     eject(context, endpoint, isError ? EjectionCause::Errors : EjectionCause::NoAnswer);
   }
-  // Whoever is primary now must show it anew.
+  // The endpoint may no longer be primary; its role has to be confirmed again.
   if (isDown) recordRole(context, endpoint, Role::Unknown, context.now);
 }
 
@@ -69,7 +71,8 @@
   if (endpoint.contact.lastReply >= endpoint.health.checkedAt) return;
   if (!mayEjectAgain(context, endpoint.health)) return;
   eject(context, endpoint, EjectionCause::NoAnswer);
-  // With failures before the check its process is gone: whoever is primary now must show it anew.
+  // Failures before the check mean that the process is down. The endpoint may no longer be primary;
+  // its role has to be confirmed again.
   if (endpoint.health.consecutiveFailures > 0) recordRole(context, endpoint, Role::Unknown, context.now);
 }
 
--- a/src/balancer/outlier_detection.hpp
+++ b/src/balancer/outlier_detection.hpp
@@ -1,4 +1,5 @@
-// Which endpoints are failing or silent: they are ejected for a while and return by one trial at a time.
+// Outlier detection: ejects endpoints that fail or stay silent. After the ejection an endpoint gets
+// one trial attempt at a time until it answers.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -7,23 +8,25 @@
 
 enum class EjectionCause { NoAnswer, Errors };
 
-// Whether the endpoint may be sent requests: not ejected, and not silent under a health check.
+// Returns whether the endpoint may be sent requests: it is neither ejected nor overdue with the
+// reply to a health check.
 bool isHealthy(const Context&, const Endpoint&);
 
-// Ejects the endpoint for a backoff that doubles with each ejection in a row.
+// Ejects the endpoint for a period that doubles with each consecutive ejection.
 void eject(Context&, Endpoint&, EjectionCause);
 
-// The endpoint answered a request: whatever it was ejected for is over.
+// Resets failures and ejection after the endpoint answered a request.
 void markHealthy(Endpoint&);
 
-// Takes in an attempt that failed other than by load or by stale data. Ejects the endpoint, or starts a
-// health check that decides, once failures in a row or a failed connection call for it.
+// Records a failed attempt whose cause was neither load nor stale data. After several consecutive
+// failures, or one failed connection, it ejects the endpoint or starts a health check that decides.
 void recordFault(Context&, Endpoint&, const InFlightAttempt&, AttemptResult);
 
-// Takes in a health check that failed.
+// Records a failed health check.
 void recordFailedHealthCheck(Context&, Endpoint&);
 
-// How long a health check may stay unanswered: it is answered beside the queue, later is silence.
+// Time after which an unanswered health check counts as silence. Endpoints answer health checks
+// outside their request queue.
 constexpr Time kHealthCheckTimeout = std::chrono::milliseconds(25);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/primary_discovery.cpp
+++ b/src/balancer/primary_discovery.cpp
@@ -12,8 +12,9 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr Time kPrimaryDiscoveryInterval = std::chrono::milliseconds(250);  // between checks of an endpoint
-// Between rounds of a write over the endpoints where no health check can tell the primary.
+// Interval between health checks of an endpoint while its group searches for a primary.
+constexpr Time kPrimaryDiscoveryInterval = std::chrono::milliseconds(250);
+// Pause between rounds of trying the endpoints, where no health check can identify the primary.
 constexpr Time kMinRoundPause = std::chrono::milliseconds(250);
 constexpr Time kMaxRoundPause = std::chrono::seconds(1);
 
@@ -24,16 +25,18 @@
   group.discovery.roundBackoff = Time(0);
 }
 
-// Whether a write may begin to try the endpoints in turn.
+// Returns whether a write may begin to try the endpoints in turn.
 bool mayBeginRound(const Context& context, const PrimaryDiscovery& discovery) {
   if (discovery.write != 0) return false;
   const bool isExhausted = discovery.exhaustedInUpdate == context.listUpdates;
   if (context.canHealthCheck()) return !isExhausted;
-  // A takeover ends without a change of the list, and only a write can find it.
+  // A takeover may complete without a change of the list. Without health checks only a write can
+  // detect it.
   return context.now >= discovery.nextRoundAt;
 }
 
-// Proxies that come up empty together try again at different times.
+// Begins a round for this write. Jitter keeps proxies whose rounds fail together from retrying
+// together.
 void beginRound(const Context& context, PrimaryDiscovery& discovery, RequestId write) {
   discovery.write = write;
   const Time pause = std::max(discovery.roundBackoff, kMinRoundPause);
@@ -42,12 +45,14 @@
   discovery.roundBackoff = std::min(2 * pause, kMaxRoundPause);
 }
 
-// Reads are many: where proxies pass on what they hear, they ask in turn, lest they all ask at once.
+// Returns the interval between checks of an endpoint that are started for reads. Reads are
+// frequent, so where proxies share what they observe through gossip, the interval grows with the
+// number of proxies. Otherwise all of them would send checks at once.
 Time readCheckInterval(const Context& context, EndpointId id) {
   if (!context.gossipReceived) return kPrimaryDiscoveryInterval;
   const double jitter = 0.5 + context.random.fraction(id);
-  const Time inTurn = scaled(context.settings.proxyCount * kUnknownEndpointProbeInterval, jitter);
-  return std::max(inTurn, kPrimaryDiscoveryInterval);
+  const Time sharedInterval = scaled(context.settings.proxyCount * kUnknownEndpointProbeInterval, jitter);
+  return std::max(sharedInterval, kPrimaryDiscoveryInterval);
 }
 
 }  // namespace
@@ -87,7 +92,7 @@
   for (const EndpointId candidate : group.endpoints) {
     Endpoint& endpoint = context.endpoints.at(candidate);
     if (!isUsable(context.settings, endpoint) || !isHealthy(context, endpoint)) continue;
-    if (mayTake(context, write, endpoint) && slowStartAdmits(context, endpoint, write)) return &endpoint;
+    if (mayAttempt(context, write, endpoint) && slowStartAdmits(context, endpoint, write)) return &endpoint;
   }
   discovery.exhaustedInUpdate = context.listUpdates;
   discovery.write = 0;
--- a/src/balancer/replica_selection.cpp
+++ b/src/balancer/replica_selection.cpp
@@ -12,20 +12,23 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kTargetOnTimeProbability = 0.95;  // wanted that one of the read set answers in time
-constexpr double kMinMissProbability = 1e-9;       // keeps a product of probabilities above 0
-constexpr Time kTroublePeriod =
-    std::chrono::seconds(1);  // after a miss or a time-out, see ReadSet::isLikelyEnough
-
-// The time that an answer may take from now: up to the latency objective, after that up to the deadline.
+// Wanted probability that at least one endpoint of the read set answers in time.
+constexpr double kTargetOnTimeProbability = 0.95;
+constexpr double kMinMissProbability = 1e-9;  // keeps products of probabilities above 0
+// How long after Group::lastFailureAt a read set has to do without its best member
+// (ReadSet::isLikelyEnough).
+constexpr Time kRecentFailurePeriod = std::chrono::seconds(1);
+
+// Returns how long an answer may take from now: until the latency objective, or until the deadline
+// once the objective has passed.
 Time remainingBudget(const Context& context, const PendingRequest& pending) {
   const Time objective = pending.arrivedAt + context.classOf(pending).latencyObjective - context.now;
   if (objective > Time(0)) return objective;
   return std::max(pending.request.deadline - context.now, Time(1));
 }
 
-ReplicaChoice rate(const Context& context, int classIndex, Time budget, Endpoint& endpoint,
-                   double freshProbability) {
+ReplicaChoice evaluateChoice(const Context& context, int classIndex, Time budget, Endpoint& endpoint,
+                             double freshProbability) {
   const LatencyWindows& windows = endpoint.latencies;
   const auto estimate = [&](const std::vector<LatencySample>& window) {
     return estimateLatency(context, endpoint, window, classIndex, budget, CountedMisses::All);
@@ -39,7 +42,7 @@
   return {&endpoint, missProbability, immediate.expectedLatency};
 }
 
-// A read set that grows until one of its answers is likely enough to come in time.
+// Collects choices until it is likely enough that one of them answers in time.
 class ReadSet {
  public:
   explicit ReadSet(bool leaveBestOut) : leaveBestOut_(leaveBestOut) {}
@@ -53,8 +56,8 @@
     bestMiss_ = std::min(bestMiss_, missProbability);
   }
 
-  // Where there was trouble in the group lately the set has to do without its best member, which may be the
-  // next to fail.
+  // After a recent failure in the group the set must be sufficient without its best member, because
+  // that endpoint may be the next to fail.
   bool isLikelyEnough() const {
     const double miss = leaveBestOut_ ? allMiss_ / std::max(bestMiss_, kMinMissProbability) : allMiss_;
     return 1 - miss >= kTargetOnTimeProbability;
@@ -75,18 +78,20 @@
   double bestMiss_ = 1;
 };
 
-// Least recently used first (a send counts as use, lest a burst go to one endpoint), and alike endpoints in
-// an order of this proxy's own. A read for which any data will do leaves the fresh endpoints to those that
-// need them where a replica was too old for a bounded read: a lag must not spread.
-void sortByTurn(const Context& context, const PendingRequest& pending, std::vector<Endpoint*>& endpoints) {
+// Sorts endpoints least recently used first; equal ones by an order that differs between proxies. A
+// send counts as use, so that a burst is not sent to a single endpoint. A read that accepts data of
+// any age prefers replicas whose last known lag exceeded the tightest staleness bound. This leaves
+// the fresh endpoints to the reads that need them, so that a lagging replica does not overload the
+// others.
+void sortByLastUse(const Context& context, const PendingRequest& pending, std::vector<Endpoint*>& endpoints) {
   const Time bound = tightestStalenessBound(context.settings);
-  const bool anyDataWillDo = requiredPosition(context, pending) == kNever;
+  const bool acceptsAnyData = requiredPosition(context, pending) == kNever;
   const auto lags = [&](const Endpoint* endpoint) {
     const std::vector<LagSample>& samples = endpoint->replication.lags;
     return !samples.empty() && samples.back().lag > bound;
   };
   std::sort(endpoints.begin(), endpoints.end(), [&](const Endpoint* a, const Endpoint* b) {
-    if (anyDataWillDo && lags(a) != lags(b)) return lags(a);
+    if (acceptsAnyData && lags(a) != lags(b)) return lags(a);
     if (a->contact.lastUsed != b->contact.lastUsed) return a->contact.lastUsed < b->contact.lastUsed;
     return a->tieBreaker < b->tieBreaker;
   });
@@ -103,14 +108,14 @@
     const bool isLastResort =
         ejected == EjectedEndpoints::IncludeAnswering && endpoint.health.answersWithErrors;
     if (!isHealthy(context, endpoint) && !isLastResort) continue;
-    if (mayTake(context, pending, endpoint) && slowStartAdmits(context, endpoint, pending))
+    if (mayAttempt(context, pending, endpoint) && slowStartAdmits(context, endpoint, pending))
       candidates.push_back(&endpoint);
   }
-  sortByTurn(context, pending, candidates);
+  sortByLastUse(context, pending, candidates);
   return candidates;
 }
 
-// Estimates are made one after another, only as far as they are needed.
+// Computes estimates lazily, only for as many candidates as the set needs.
 std::vector<ReplicaChoice> selectReadSet(const Context& context, const PendingRequest& pending,
                                          const std::vector<Endpoint*>& candidates) {
   if (candidates.empty()) return {};
@@ -118,7 +123,7 @@
   const int classIndex = pending.request.classIndex;
   const Time required = requiredPosition(context, pending);
   const Time budget = remainingBudget(context, pending);
-  ReadSet set(group.troubleAt != kNever && context.now - group.troubleAt < kTroublePeriod);
+  ReadSet set(group.lastFailureAt != kNever && context.now - group.lastFailureAt < kRecentFailurePeriod);
   Endpoint* primary = nullptr;
   for (Endpoint* const endpoint : candidates) {
     if (endpoint->listed.id == group.primary) {
@@ -127,12 +132,13 @@
     }
     const std::optional<double> fresh = freshProbability(context, *endpoint, group, required);
     if (!fresh) continue;
-    set.add(rate(context, classIndex, budget, *endpoint, *fresh));
+    set.add(evaluateChoice(context, classIndex, budget, *endpoint, *fresh));
     if (set.isLikelyEnough()) break;
   }
-  // The primary's data is always new enough; it is spared for writes where the replicas will do.
+  // The primary always has fresh data. It is added only if the replicas are not sufficient, to
+  // leave its capacity to writes.
   if (primary && (set.empty() || !set.isLikelyEnough()))
-    set.add(rate(context, classIndex, budget, *primary, 1));
+    set.add(evaluateChoice(context, classIndex, budget, *primary, 1));
   return std::move(set).bestFirst();
 }
 
--- a/src/balancer/replica_selection.hpp
+++ b/src/balancer/replica_selection.hpp
@@ -1,5 +1,5 @@
-// Replica selection: the endpoints that a read may go to, and the read set among them that is likely to
-// answer in time (docs: PAPER, probabilistic replica selection).
+// Replica selection: finds the endpoints that may serve a read, and the smallest read set among
+// them that is likely to answer in time (docs: PAPER, probabilistic replica selection).
 #pragma once
 
 #include <vector>
@@ -11,23 +11,24 @@
 // A member of a read set.
 struct ReplicaChoice {
   Endpoint* endpoint;
-  double missProbability;  // that its answer comes too late
-  double expectedLatency;  // microseconds, for data that is new enough
+  double missProbability;  // probability that its answer comes too late
+  double expectedLatency;  // microseconds, assuming that its data is fresh enough
 };
 
-// Whether endpoints that were ejected, but do answer, are taken into account.
+// Whether to include endpoints that were ejected for errors but still answer.
 enum class EjectedEndpoints { LeaveOut, IncludeAnswering };
 
-// The endpoints that a read may go to, least recently used first. May draw from slow-start budgets.
+// Returns the endpoints that may serve the read, least recently used first. May draw from
+// slow-start budgets.
 std::vector<Endpoint*> readCandidates(Context&, const PendingRequest&,
                                       EjectedEndpoints = EjectedEndpoints::LeaveOut);
 
-// The read set among the candidates, in their order, until it is likely enough that one answers in time; best
-// choice first. Empty: no candidate has data that is new enough.
+// Returns the read set: candidates are added in their order until one of them is likely enough to
+// answer in time. Sorted best choice first. Empty if no candidate has data that is fresh enough.
 std::vector<ReplicaChoice> selectReadSet(const Context&, const PendingRequest&,
                                          const std::vector<Endpoint*>& candidates);
 
-// The read set among all candidates.
+// Returns the read set among all candidates of the read (readCandidates).
 std::vector<ReplicaChoice> selectReadSet(Context&, const PendingRequest&,
                                          EjectedEndpoints = EjectedEndpoints::LeaveOut);
 
--- a/src/balancer/request_completion.hpp
+++ b/src/balancer/request_completion.hpp
@@ -1,16 +1,16 @@
-// The end of a request: its final answer, and what is then forgotten.
+// Completion of a request: sends its final answer and removes its record.
 #pragma once
 
 #include "balancer/context.hpp"
 
 namespace sablespur::balancer {
 
-// Answers finally that the request is not served: as rejected where a repeat is harmless, else as failed. The
-// record is gone after the call.
+// Sends a final answer for a request that cannot be served: rejected if a repeat is harmless,
+// otherwise failed. Destroys the PendingRequest.
 void finishUnserved(Context&, PendingRequest&);
 
-// Forgets the request and cancels what is in flight for it; nothing is owed to its client any more. The
-// record is gone after the call.
+// Removes the request and cancels its attempts in flight; the client is owed no answer any more.
+// Destroys the PendingRequest.
 void closeRequest(Context&, PendingRequest&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/request_dispatch.cpp
+++ b/src/balancer/request_dispatch.cpp
@@ -20,7 +20,9 @@
 namespace sablespur::balancer {
 namespace {
 
-// Waits until something changes in the group, but for `limit` and for what the request is worth at most.
+// Makes the request wait until the state of its group changes. A timer ends the wait after `limit`,
+// and at the latest when a new attempt could no longer produce a useful answer (giveUpAt) or at the
+// deadline.
 void waitForEndpoint(Context& context, PendingRequest& pending, std::optional<Time> limit = std::nullopt) {
   if (pending.waiting) return;
   pending.waiting = true;
@@ -33,7 +35,7 @@
   context.work.waitingGroups.insert(pending.request.group);
 }
 
-// Returns whether the request waits for the health checks of its candidates now.
+// Returns true if the request now waits for health checks of its candidates.
 bool waitedForHealthChecks(Context& context, PendingRequest& pending,
                            const std::vector<Endpoint*>& candidates) {
   if (!checksNeededBeforeChoice(context, pending, candidates)) return false;
@@ -72,12 +74,13 @@
   set.erase(std::remove_if(set.begin(), set.end(), isNotWorthSending), set.end());
 }
 
-// Where no endpoint would take a read, one that fails some requests at once is tried, again if need be: that
-// costs less than the request.
+// Selects among endpoints that answer but were ejected for errors, for a read that no healthy
+// endpoint is likely to answer usefully. If none is left, a second round includes endpoints that
+// were already tried: an attempt that may fail costs less than not serving the request.
 std::vector<ReplicaChoice> selectLastResort(Context& context, PendingRequest& pending) {
-  constexpr int kRounds = 2;
+  constexpr int kMaxRounds = 2;
   std::vector<ReplicaChoice> set;
-  for (int round = 0; set.empty() && round < kRounds; ++round) {
+  for (int round = 0; set.empty() && round < kMaxRounds; ++round) {
     if (round > 0) pending.tried.clear();
     set = selectReadSet(context, pending, EjectedEndpoints::IncludeAnswering);
     const auto isSilent = [](const ReplicaChoice& choice) {
@@ -89,7 +92,8 @@
   return set;
 }
 
-// Sends the read, or waits for the check of an endpoint whose role as primary was heard of long ago.
+// Sends the read to `choice`. If the choice relies on its role as primary and that evidence is old,
+// waits for a health check of the endpoint first.
 void sendOnceConfirmed(Context& context, PendingRequest& pending, Endpoint& choice) {
   if (!primaryCheckNeeded(context, pending, choice)) return send(context, pending, choice);
   const Time limit = healthCheckWait(context, pending);
@@ -97,8 +101,9 @@
   waitForEndpoint(context, pending, limit);
 }
 
-// Whether the read goes on with the choice that it has made already. A new choice would draw anew from the
-// budgets of endpoints that are warming up.
+// Continues a read with the endpoint it chose before it waited for a health check. Returns false if
+// the read has to choose again. The first choice is kept where possible because a new one would
+// draw again from the slow-start budgets of endpoints that are warming up.
 bool advancedAwaitedChoice(Context& context, PendingRequest& pending) {
   if (!pending.awaitedChoice) return false;
   Endpoint* const choice = context.findEndpoint(pending.awaitedChoice->endpoint);
@@ -109,7 +114,7 @@
   }
   pending.awaitedChoice.reset();
   if (!choice || !isUsable(context.settings, *choice) || !isHealthy(context, *choice)) return false;
-  if (!mayTake(context, pending, *choice) || !slowStartAdmits(context, *choice, pending)) return false;
+  if (!mayAttempt(context, pending, *choice) || !slowStartAdmits(context, *choice, pending)) return false;
   const Group& group = context.groups[pending.request.group];
   if (!freshProbability(context, *choice, group, requiredPosition(context, pending))) return false;
   send(context, pending, *choice);
@@ -121,17 +126,17 @@
   const std::vector<Endpoint*> candidates = readCandidates(context, pending);
   if (waitedForHealthChecks(context, pending, candidates)) return;
   std::vector<ReplicaChoice> set = selectReadSet(context, pending, candidates);
-  if (set.empty() && !pending.tried.empty()) {  // all were tried: another round
+  if (set.empty() && !pending.tried.empty()) {  // all candidates were tried: start another round
     pending.tried.clear();
     set = selectReadSet(context, pending);
   }
-  const bool hadNoCandidate = set.empty();
+  const bool noFreshCandidate = set.empty();
   removeNotWorthSending(context, pending, set);
   if (set.empty()) set = selectLastResort(context, pending);
   if (!set.empty()) return sendOnceConfirmed(context, pending, *set.front().endpoint);
-  if (hadNoCandidate) {
-    // Some would take it, but none is known to have the data, and no check is to tell of it. The primary has
-    // them, whoever that is.
+  if (noFreshCandidate) {
+    // There are candidates, but none is known to have the data and no health check is pending that
+    // could show it. The primary has the data, so the search for it also serves this read.
     Group& group = context.groups[pending.request.group];
     if (!candidates.empty() && !awaitsHealthChecks(context, group))
       group.discovery.dataWantedAt = context.now;
@@ -142,9 +147,10 @@
 
 void advanceWriteAtPrimary(Context& context, PendingRequest& pending, Endpoint& primary) {
   pending.tried.clear();
-  // A primary that fails some requests at once is the only way all the same; a silent one is none.
+  // A primary that fails some requests quickly is still the only endpoint for writes. A silent
+  // primary gets none.
   const bool answers = isHealthy(context, primary) || primary.health.answersWithErrors;
-  if (!answers || !mayTake(context, pending, primary) || !slowStartAdmits(context, primary, pending))
+  if (!answers || !mayAttempt(context, pending, primary) || !slowStartAdmits(context, primary, pending))
     return waitForEndpoint(context, pending);
   if (waitedForHealthChecks(context, pending, {&primary})) return;
   if (isWorthSending(context, pending, primary)) return send(context, pending, primary);
@@ -171,9 +177,9 @@
 void advance(Context& context, PendingRequest& pending) {
   if (pending.outstanding > 0) return;
   const ClassSettings& settings = context.classOf(pending);
-  const bool isSpent = static_cast<int>(pending.attempts.size()) >= context.settings.maxAttempts;
+  const bool attemptsExhausted = static_cast<int>(pending.attempts.size()) >= context.settings.maxAttempts;
   const bool mayNotRepeat = pending.possibleExecution && settings.idempotency == Idempotency::NonIdempotent;
-  if (isSpent || mayNotRepeat || context.now >= giveUpAt(context, pending))
+  if (attemptsExhausted || mayNotRepeat || context.now >= giveUpAt(context, pending))
     return finishUnserved(context, pending);
   if (context.knownList.isTooOld(context.settings, context.now)) return waitForEndpoint(context, pending);
   if (settings.requirement == Requirement::Write)
--- a/src/balancer/request_dispatch.hpp
+++ b/src/balancer/request_dispatch.hpp
@@ -1,21 +1,23 @@
-// What a pending request does next: an attempt at an endpoint, a wait for one, or its end.
+// Decides the next step of a pending request: send an attempt, wait for an endpoint, or finish.
 #pragma once
 
 #include "balancer/context.hpp"
 
 namespace sablespur::balancer {
 
-// Takes the next step of a request with no attempt in flight. The record may be gone after the call.
+// Takes the next step of a request that has no attempt in flight. May destroy the PendingRequest.
 void advance(Context&, PendingRequest&);
 
-// A request's wait is over by its timer, whatever has come of it.
+// Handles the expiry of a request's wait timer. Ignored if the request has ended or no longer
+// waits.
 void resumeRequest(Context&, RequestId);
 
-// Takes the next step of every request that waits for an endpoint of the group.
+// Calls advance() for every request that waits for an endpoint of the group.
 void resumeWaiting(Context&, Group&);
 
-// The same for every group, in the order of their ids. With PrimaryChecks::Yes endpoints are asked for their
-// role where writes still wait for a primary.
+// Calls resumeWaiting() for every group, in ascending order of group id. With PrimaryChecks::Yes it
+// also starts health checks that ask endpoints for their role in groups where requests still wait
+// for a primary.
 enum class PrimaryChecks { No, Yes };
 void resumeAllWaiting(Context&, PrimaryChecks);
 
--- a/src/balancer/retry_budget.hpp
+++ b/src/balancer/retry_budget.hpp
@@ -1,4 +1,4 @@
-// Retries are earned by requests, so that an overload cannot feed itself.
+// A retry budget that is earned by requests, so that retries cannot amplify an overload.
 #pragma once
 
 #include <algorithm>
@@ -10,17 +10,17 @@
 
 class RetryBudget {
  public:
-  // Each request earns a fraction of a retry. What has been saved fades, down to one retry: hundreds of saved
-  // retries would feed an overload.
+  // Adds the fraction of a retry that a request earns. Saved retries decay, down to one, because
+  // hundreds of them would amplify an overload.
   void requestArrived(Time now) {
-    const double kept = std::exp(-ratio(now - updatedAt_, kRetryBudgetWindow));
+    const double decay = std::exp(-ratio(now - updatedAt_, kRetryBudgetWindow));
     updatedAt_ = now;
-    balance_ = std::max(std::min(balance_, 1.0), balance_ * kept) + kRetriesPerRequest;
+    balance_ = std::max(std::min(balance_, 1.0), balance_ * decay) + kRetriesPerRequest;
   }
 
   bool canSpend() const { return balance_ >= 1; }
 
-  // Takes one retry; false where none is left.
+  // Takes one retry; returns false if none is left.
   bool trySpend() {
     if (!canSpend()) return false;
     balance_ -= 1;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -24,7 +24,7 @@
          context.now < pending.possibleExecution->sentAt + settings.deduplicationWindow;
 }
 
-bool mayTake(Context& context, const PendingRequest& pending, const Endpoint& endpoint) {
+bool mayAttempt(Context& context, const PendingRequest& pending, const Endpoint& endpoint) {
   const std::vector<EndpointId>& tried = pending.tried;
   if (std::find(tried.begin(), tried.end(), endpoint.listed.id) != tried.end()) return false;
   if (!repeatIsSafe(context, pending)) return false;
@@ -32,7 +32,8 @@
   if (!pending.possibleExecution || settings.idempotency == Idempotency::Idempotent) return true;
   const EndpointId firstId = pending.possibleExecution->endpoint;
   const Endpoint* const first = context.findEndpoint(firstId);
-  // An earlier request of the key ran at an unknown endpoint, but certainly in this group.
+  // The endpoint of the possible execution is unknown. If it belongs to an earlier request with the
+  // same key (id 0), it certainly ran in this group, though perhaps in another zone.
   if (!first) return firstId == 0 && settings.idempotencyScope != IdempotencyScope::Zone;
   switch (settings.idempotencyScope) {
     case IdempotencyScope::All:
--- a/src/balancer/session_commits.hpp
+++ b/src/balancer/session_commits.hpp
@@ -1,4 +1,4 @@
-// The last commit of each session, for session reads where clients do not bring it along.
+// Remembers the last commit of each session, for session reads whose clients do not send it.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 class SessionCommits {
  public:
-  // Keeps the newer of what is known and `commit`. At the bound on sessions all are forgotten, and the newest
-  // commit among them is returned: the caller must hold every unknown session to it.
+  // Stores the newer of the remembered commit and `commit`. At the limit of sessions, all are
+  // forgotten and the newest commit among them is returned; the caller must require it of reads of
+  // every unknown session. Otherwise returns `std::nullopt`.
   std::optional<Time> record(std::uint64_t session, Time commit);
 
   std::optional<Time> find(std::uint64_t session) const;
 
-  // Moves all commits: the caller's idea of the clock that they were taken from has changed.
+  // Shifts all commits after the caller's estimate of the clock behind them has changed.
   void shift(Time by);
 
  private:
--- a/src/balancer/settings.hpp
+++ b/src/balancer/settings.hpp
@@ -1,5 +1,5 @@
-// Settings of the decision module: what the caller knows of its clients,
-// endpoints and rules before any event.
+// Settings of the decision module: what the caller knows about clients, endpoints and rules before
+// any event.
 #pragma once
 
 #include <chrono>
@@ -8,35 +8,35 @@
 
 namespace sablespur::balancer {
 
-using Time = std::chrono::microseconds;  // an instant on the caller's clock, or
-                                         // a span; never negative
-using EndpointId = std::uint64_t;        // opaque, the same as long as the endpoint keeps its address
-using RequestId = std::uint64_t;         // never used twice during the life of a Balancer
-using GroupId = std::uint32_t;           // a replication group: a primary and its replicas
+// An instant on the caller's clock or a duration; never negative.
+using Time = std::chrono::microseconds;
+using EndpointId = std::uint64_t;  // opaque; constant as long as the endpoint keeps its address
+using RequestId = std::uint64_t;   // never reused during the life of a Balancer
+using GroupId = std::uint32_t;     // a replication group: a primary and its replicas
 
 // Whether a request may run twice.
 enum class Idempotency { Idempotent, WithKey, NonIdempotent };
 
-// For requests with an idempotency key: which endpoints recognise a repeat.
+// Which endpoints recognise a repeated request by its idempotency key.
 enum class IdempotencyScope { All, Zone, Group };
 
-// What data a request needs.
+// Which data a request needs.
 enum class Requirement { Any, BoundedStaleness, Session, Strong, Write };
 
 // What a replica does with a read for which its data are too old.
 enum class LaggingReplicaPolicy { Serve, Reject, Wait };
 
-// How the role in the endpoint list follows the real one.
+// How the role in the endpoint list relates to the actual role: absent, as at the start, or
+// delayed.
 enum class ListedRolePolicy { NotListed, AtStart, Delayed };
 
-// Whether the endpoint list comes by itself or has to be asked for.
+// Whether the endpoint list arrives unasked or has to be subscribed to.
 enum class DiscoveryMode { Automatic, Subscribe };
 
-// How load reports travel: not at all, with answers, or in replies to health
-// checks alone.
+// How load reports arrive: not at all, with answers, or only in replies to health checks.
 enum class LoadReportMode { None, Piggyback, Pull };
 
-// What a value of a load report says.
+// Meaning of a value in a load report.
 enum class ReportField { Position, Primary, Inflight, Queue, Other };
 
 // The settings of a class of requests.
@@ -44,14 +44,14 @@
   Requirement requirement = Requirement::Any;
   Idempotency idempotency = Idempotency::Idempotent;
   IdempotencyScope idempotencyScope = IdempotencyScope::All;  // with a key only
-  Time deduplicationWindow{};                                 // with a key only: how long repeats are
-                                                              // recognised, from the first send
-  Time maxStaleness{};        // bounded staleness only: greatest age of the data at
-                              // the time of the send
-  Time latencyObjective{};    // an answer within this earns the full worth
-  Time deadline{};            // from the arrival; then the client leaves
-  double priorityWeight = 1;  // the worth of an answer
-  double lateWeight = 0;      // share of the worth that an answer past the objective earns
+  // With a key only: how long repeats are recognised, counted from the first send.
+  Time deduplicationWindow{};
+  // Bounded staleness only: greatest age of the data at the time of the send.
+  Time maxStaleness{};
+  Time latencyObjective{};    // an answer within this time earns its full worth
+  Time deadline{};            // from the arrival; the client leaves at this time
+  double priorityWeight = 1;  // worth of an answer
+  double lateWeight = 0;      // share of the worth that an answer after the objective earns
 };
 
 struct Settings {
@@ -62,34 +62,35 @@
   LoadReportMode loadReportMode = LoadReportMode::None;
   std::vector<ReportField> reportFields;  // order of the values in a load report
   bool positionsInAnswers = false;        // every answer carries a replication position
-  bool sessionTokensCarried = false;      // session reads bring the age of their
-                                          // last write; else it is kept here
-  bool synchronousReplication = false;    // a write is answered only once a replica has it
+  // Session reads carry the age of the last commit of their session; otherwise the Balancer
+  // remembers it.
+  bool sessionTokensCarried = false;
+  bool synchronousReplication = false;  // a write is answered only after a replica has it
   bool healthChecksAllowed = false;
   bool cancelAllowed = false;
   bool parallelAttemptsAllowed = false;
   bool retryAfterAllowed = false;
-  bool knownListMayBeOld = false;           // a cached first list may be older than what discovery counts
-                                            // as told; discovery is asked at once
-  bool removedEndpointsStayUsable = false;  // only Lifecycle::Draining binds, not Lifecycle::Gone
-  int maxAttempts = 1;                      // for one request
-  int proxyCount = 1;                       // proxies in front of the same endpoints, this one included
-  Time replicaWaitLimit{};                  // LaggingReplicaPolicy::Wait: how long a replica
-                                            // waits to catch up
-  Time positionEpoch{};                     // replication positions in answers and reports count
-                                            // from here
-  Time maxRetryAfter{};                     // the longest wait that a client may be told
-  Time drainGrace{};                        // how long an endpoint still takes requests after it began
-                                            // to drain
-  Time warmUpPeriod{};                      // from an endpoint's start to its full capacity
-  Time overloadWindow{};                    // over which the load of a warming-up endpoint is
-                                            // counted
-  Time discoveryPollDeadline{};             // a call is due so long after the last; 0: none is due
-  Time timerResolution{};                   // shorter timers are not useful
-  double warmUpStartCapacity = 1;           // share of the full capacity at the start, in (0, 1]
-  double overloadFactor = 1;          // a warming-up endpoint bears so many times its capacity in the window
-  double wholeServiceGoalWeight = 1;  // what counts: the worth served in all
-  double worstClassGoalWeight = 0;    // what counts: the share served of the worst class
+  // A cached first list may be older than the changes of which discovery counts this proxy as
+  // informed. Discovery is asked at once.
+  bool knownListMayBeOld = false;
+  // Only Lifecycle::Draining stops new requests, not Lifecycle::Gone.
+  bool removedEndpointsStayUsable = false;
+  int maxAttempts = 1;      // per request
+  int proxyCount = 1;       // proxies in front of the same endpoints, including this one
+  Time replicaWaitLimit{};  // how long a replica waits to catch up (LaggingReplicaPolicy::Wait)
+  Time positionEpoch{};     // origin of the replication positions in answers and reports
+  Time maxRetryAfter{};     // longest retry-after that a client may be given
+  Time drainGrace{};        // how long an endpoint accepts requests after it began to drain
+  Time warmUpPeriod{};      // from an endpoint's start to its full capacity
+  Time overloadWindow{};    // period over which the load of a warming-up endpoint is counted
+  // A call of discovery is due this long after the last; 0: none is due.
+  Time discoveryPollDeadline{};
+  Time timerResolution{};          // shorter timers are not useful
+  double warmUpStartCapacity = 1;  // share of the full capacity at the start, in (0, 1]
+  // How many times its capacity a warming-up endpoint can take within overloadWindow.
+  double overloadFactor = 1;
+  double wholeServiceGoalWeight = 1;  // weight of the goal: total worth served
+  double worstClassGoalWeight = 0;    // weight of the goal: share served of the worst class
 };
 
 }  // namespace sablespur::balancer
--- a/src/balancer/silence_detection.cpp
+++ b/src/balancer/silence_detection.cpp
@@ -10,7 +10,8 @@
 namespace sablespur::balancer {
 namespace {
 
-// Ejects the endpoint or starts a health check. Returns whether the attempt is to be given up now.
+// Returns whether the attempt counts as lost. For a silent endpoint it also ejects the endpoint or
+// starts a health check.
 bool isLost(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
   const Time due = attempt.sentAt + silenceThreshold(context, attempt.classIndex);
   if (endpoint.contact.lastAnswer >= attempt.sentAt || context.now < due) return false;
@@ -27,7 +28,7 @@
   return isEjected || answersChecks;
 }
 
-// Cancels the attempt if another one may follow, and there is an endpoint for it.
+// Cancels the attempt if the request may be repeated and another endpoint is available.
 void cancelIfReplaceable(Context& context, const InFlightAttempt& attempt) {
   const auto found = context.requests.find(attempt.request);
   if (found == context.requests.end()) return;
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -7,23 +7,28 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr double kPlannedShare = 0.8;  // of what the endpoint bears: a margin for the errors of the estimate
-constexpr double kMaxSaved = 1;        // windows of the planned rate that may be saved up
-constexpr double kMinFleetBudget = 1.5;  // requests that all proxies may send in a window, whatever it bears
-constexpr int kMinProxies = 3;           // that share kMinFleetBudget: more may run than the settings name
-constexpr double kRampWeight = 2;        // of the ramp's estimate beside one of what the endpoint has served
-// Divides the two estimates' sum: some more than a mean, as no less is assumed than either of them tells.
+// Planned share of the estimated capacity; the rest is a margin for errors of the estimate.
+constexpr double kPlannedShare = 0.8;
+constexpr double kMaxSavedWindows = 1;  // limit of the saved budget, in windows of the planned rate
+// Requests that all proxies together may send in a window, whatever the estimated capacity.
+constexpr double kMinFleetBudget = 1.5;
+// Least number of proxies assumed to share kMinFleetBudget; more may run than the settings name.
+constexpr int kMinProxies = 3;
+// Weight of the estimate by the warm-up ramp, relative to the estimate by the requests served.
+constexpr double kRampWeight = 2;
+// Divides the weighted sum of the two estimates. It is below the sum of their weights, 3, which
+// gives more than a mean, because each estimate alone is a lower bound.
 constexpr double kCapacityDivisor = 2.7;
-constexpr double kMinRate = 1e-9;              // keeps a division finite
-constexpr std::uint64_t kTimeHashFactor = 31;  // spreads draws at neighbouring instants
+constexpr double kMinRate = 1e-9;              // avoids a division by zero
+constexpr std::uint64_t kTimeHashFactor = 31;  // decorrelates draws at neighbouring instants
 
 SlowStartBudget& budgetFor(const Context& context, Endpoint& endpoint, const PendingRequest& request) {
   const bool isWrite = context.classOf(request).requirement == Requirement::Write;
   return isWrite ? endpoint.writeBudget : endpoint.readBudget;
 }
 
-// Requests that the endpoint can serve in a window: by its place on the ramp from what warm ones do, and by
-// what it has served itself.
+// Estimates how many requests the endpoint can serve in a window. Combines its position on the
+// warm-up ramp, scaled by what warm endpoints serve, with what it has served itself.
 double estimatedCapacity(const Context& context, const Endpoint& endpoint, double workPerWeightUnit) {
   const double start = context.settings.warmUpStartCapacity;
   const double ramp =
@@ -32,19 +37,19 @@
   return (kRampWeight * ramp * endpoint.listed.weight * workPerWeightUnit + served) / kCapacityDivisor;
 }
 
-// Adds what the endpoint has earned since the last draw.
+// Adds the budget earned since the last draw.
 void refill(Context& context, const Endpoint& endpoint, SlowStartBudget& budget, bool isWrite) {
   const Time now = context.now;
   const FleetTraffic::Rates rates = context.traffic.rates(context);
   const double capacity = estimatedCapacity(context, endpoint, rates.workPerWeightUnit);
   const double floor = kMinFleetBudget / std::max(context.settings.proxyCount, kMinProxies);
   double planned = std::max(kPlannedShare * context.settings.overloadFactor * capacity, floor);
-  // Writes have no other way: reads get what is left of a primary.
+  // Writes can only go to the primary, so reads get what writes leave of its budget.
   const bool isPrimary = context.groups.at(endpoint.listed.group).primary == endpoint.listed.id;
   if (!isWrite && isPrimary) planned = std::max(planned - rates.writesPerGroup, 0.0);
   const double demand =
       std::max(isWrite ? rates.writesPerGroup : rates.workPerGroup - rates.writesPerGroup, kMinRate);
-  const double limit = std::max({kMaxSaved * planned, floor, std::min(1.0, planned / demand)});
+  const double limit = std::max({kMaxSavedWindows * planned, floor, std::min(1.0, planned / demand)});
   if (budget.updatedAt == kNever) {
     budget.balance = std::min(1.0, std::max(limit, 2 * floor));
   } else {
@@ -64,7 +69,8 @@
   SlowStartBudget& budget = budgetFor(context, endpoint, pending);
   if (budget.drawnFor == id && (budget.granted || budget.drawnAt == now)) return budget.granted;
   refill(context, endpoint, budget, context.classOf(pending).requirement == Requirement::Write);
-  // A part of a request is drawn for: whoever loses pays as well, so that the mean is right.
+  // A balance below the cost of a request admits it with the probability balance / cost. A draw
+  // that is lost is charged the same price as one that wins, which keeps the mean rate right.
   const double cost = context.latencies.relativeCost(pending.request.classIndex);
   const double odds = std::min(1.0, budget.balance / cost);
   const std::uint64_t instant = static_cast<std::uint64_t>(now.count()) * kTimeHashFactor;
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -1,5 +1,5 @@
-// Limits on what an endpoint that has just started is sent, by all proxies together though none knows what
-// the others send: docs/design/cold-start.md.
+// Slow start: limits what all proxies together send to an endpoint that has just started. No proxy
+// knows what the others send (docs/design/cold-start.md).
 #pragma once
 
 #include "balancer/context.hpp"
@@ -12,11 +12,13 @@
          warmUp > Time(0);
 }
 
-// Whether the budget of a warming-up endpoint admits the request; a warm one admits all. A draw stands for
-// the rest of the event, and once granted until the request is sent or another one draws.
+// Returns whether the budget of a warming-up endpoint admits the request; a warm endpoint admits
+// all. The result of a draw is reused for the same request during the event, and a granted draw
+// until the request is sent or another request draws.
 bool slowStartAdmits(Context&, Endpoint&, const PendingRequest&);
 
-// Charges the endpoint's budget for an attempt that is being sent.
+// Charges the endpoint's budget for an attempt that is being sent. Does nothing for a warm
+// endpoint.
 void chargeSlowStart(const Context&, Endpoint&, const PendingRequest&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -1,4 +1,4 @@
-// The records that the decisions share: endpoints, replication groups and pending requests. Plain data.
+// Plain data shared by the decisions: endpoints, replication groups and pending requests.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,26 @@
 
 namespace sablespur::balancer {
 
-// One observed latency of an endpoint, with what is needed to compare it with others.
+// An observed latency of an endpoint, with what is needed to compare it with others.
 struct LatencySample {
-  double latency;  // microseconds; kUnansweredLatency: it never answered
+  double latency;  // microseconds; kUnansweredLatency: no answer came
   int classIndex;
   int load;  // requests outstanding at the endpoint when the attempt was sent
   Time at;
 };
 
-// An attempt whose outcome is still to come.
+// An attempt whose outcome has not arrived yet.
 struct InFlightAttempt {
   RequestId request;
   int attempt;  // index into PendingRequest::attempts
   int classIndex;
   int load;  // requests outstanding at the endpoint before this one
   Time sentAt;
-  bool mayLag;  // the endpoint's known position fell short of what the read required
+  bool mayLag;  // the endpoint's known position was below what the read required
 };
 
-// Latencies of an endpoint by whether it could answer at once or may have had to wait for replication.
+// Latencies of an endpoint, separated by whether its data were known to be fresh enough (immediate)
+// or it may have had to wait for replication (delayed).
 struct LatencyWindows {
   std::vector<LatencySample> immediate;
   std::vector<LatencySample> delayed;
@@ -39,49 +40,53 @@
 
 struct RoleEvidence {
   Role role = Role::Unknown;
-  Time at = kNever;  // when the newest evidence was true
+  Time at = kNever;  // instant at which the newest evidence was true
 };
 
 struct LagSample {
   Time at;
-  Time lag;  // age of the known position at that instant
+  Time lag;  // age of the known position at `at`
 };
 
 struct ReplicationProgress {
-  Time position = kNever;   // all commits up to here are applied; a lower bound that only grows
-  Time primaryAt = kNever;  // it was primary then, on this proxy's clock: it had all commits up to here
+  Time position = kNever;  // all commits up to here are applied; a lower bound that never decreases
+  // Latest instant, on this proxy's clock, at which it is known to have been primary and so had all
+  // commits up to then.
+  Time primaryAt = kNever;
   std::vector<LagSample> lags;
 };
 
-// What is known of an endpoint's ability to answer (outlier_detection.hpp).
+// Health of an endpoint as seen by outlier detection (outlier_detection.hpp).
 struct Health {
   int consecutiveFailures = 0;
-  Time ejectedUntil = kNever;  // then one trial at a time, until one succeeds
+  Time ejectedUntil = kNever;  // after that one trial attempt at a time, until one is answered
   Time ejectionBackoff{};
-  bool answersWithErrors = false;  // ejected for errors alone: it does answer
+  bool answersWithErrors = false;  // ejected for errors only; the endpoint does answer
   bool checkInProgress = false;
   Time checkedAt = kNever;  // when the latest health check began
 };
 
-// When an endpoint was last used and heard of.
+// When an endpoint was last used, and when it last replied to this proxy or, by gossip, to others.
 struct Contact {
-  Time lastAnswer = kNever;          // to an attempt
-  Time lastUsed = kNever;            // last send or answer; also a health check that showed stale data
-  Time newestAnsweredSend = kNever;  // when the youngest of the answered attempts was sent
-  Time lastReply = kNever;           // of any kind, health checks included
-  Time lastGossip = kNever;          // latest instant of which another proxy has passed on a reply
+  Time lastAnswer = kNever;  // to an attempt
+  Time lastUsed = kNever;    // last send or answer, or a health check that showed stale data
+  // Send time of the most recently sent attempt that was answered.
+  Time newestAnsweredSend = kNever;
+  Time lastReply = kNever;   // of any kind, including to health checks
+  Time lastGossip = kNever;  // newest reply to another proxy that gossip has reported
 };
 
 struct ReportedLoad {
-  int inFlight = 0;  // from all proxies
+  int inFlight = 0;  // requests of all proxies
   Time at = kNever;
 };
 
-// What this proxy may send an endpoint that is warming up, in requests of mean work (slow_start.hpp).
+// Budget of what this proxy may send to an endpoint that is warming up, in requests of mean work
+// (slow_start.hpp).
 struct SlowStartBudget {
   double balance = 0;
   Time updatedAt = kNever;
-  // The latest draw for a fraction of a request: when, for which request, what it costs if it is sent.
+  // The latest draw: when, for which request, its price, and whether it was granted.
   Time drawnAt = kNever;
   RequestId drawnFor = 0;
   double price = 0;
@@ -93,7 +98,7 @@
   bool seenDraining = false;
   bool suspended = false;  // by an administrator, whatever the list says
   Time suspendedAt = kNever;
-  Time goneAt = kNever;  // when the list first lacked it
+  Time goneAt = kNever;  // when it first became absent from the list or was listed as gone
   RoleEvidence role;
   ReplicationProgress replication;
   LatencyWindows latencies;
@@ -101,62 +106,67 @@
   Contact contact;
   ReportedLoad reportedLoad;
   std::vector<InFlightAttempt> inFlight;
-  std::uint64_t tieBreaker = 0;  // this proxy's own order of endpoints that are alike
-  DecayingCounter served;        // its answers to this proxy, in requests of mean work
+  std::uint64_t tieBreaker = 0;  // orders otherwise equal endpoints, differently at each proxy
+  DecayingCounter served;        // answers to this proxy, in requests of mean work
   SlowStartBudget readBudget;
   SlowStartBudget writeBudget;
 };
 
-// The search for a primary that neither the list nor an answer has named.
+// State of the search for a primary that neither the list nor an answer has named.
 struct PrimaryDiscovery {
-  Time wantedAt = kNever;               // when a write last needed the primary
-  Time dataWantedAt = kNever;           // when a read last needed its data, as no other endpoint had them
-  RequestId write = 0;                  // the one write that tries the endpoints in turn; 0: none
-  std::uint64_t exhaustedInUpdate = 0;  // no endpoint was it, as of this list update; 0: not tried in vain
-  Time nextRoundAt = kNever;            // without health checks: when the endpoints are tried anew
-  Time roundBackoff{};                  // pause after the next round in vain; 0: the shortest
+  Time wantedAt = kNever;  // when a write last needed the primary
+  // When a read last needed its data because no other endpoint had them.
+  Time dataWantedAt = kNever;
+  RequestId write = 0;  // the write that tries the endpoints in turn; 0: none
+  // List update in which no endpoint turned out to be primary; 0: no round has failed.
+  std::uint64_t exhaustedInUpdate = 0;
+  Time nextRoundAt = kNever;  // without health checks: start of the next round over the endpoints
+  Time roundBackoff{};        // pause after the next unsuccessful round; 0: the shortest
 };
 
 struct Group {
-  std::vector<EndpointId> endpoints;  // ascending: the order in which writes look for a primary
+  std::vector<EndpointId> endpoints;  // ascending; writes search for a primary in this order
   EndpointId primary = 0;             // 0: none known
-  Time troubleAt = kNever;            // latest time-out, ejection or refusal of a stale read
+  Time lastFailureAt = kNever;        // latest time-out, ejection, stale answer or TooStale
   PrimaryDiscovery discovery;
-  Time forgottenCommit = kNever;  // sessions that are no longer remembered may have written until then
+  Time forgottenCommit = kNever;  // newest commit among sessions that are no longer remembered
   std::vector<RequestId> waiting;
 };
 
 struct Attempt {
   EndpointId endpoint;
   Time sentAt;
-  Time requiredPosition = kNever;  // of a read when it was sent; kNever: any data will do
+  Time requiredPosition = kNever;  // of a read when it was sent; kNever: data of any age will do
   bool inFlight = true;
   bool cancelled = false;
 };
 
-// The earliest attempt that may have run: what bounds further ones of a request that is not idempotent.
+// The earliest attempt that may have run. Limits further attempts of a request that is not
+// idempotent.
 struct PossibleExecution {
   Time sentAt{};
-  EndpointId endpoint = 0;  // 0: an earlier request of the same key, it is not known where
+  EndpointId endpoint = 0;  // 0: an earlier request with the same key, at an unknown endpoint
 };
 
-// The endpoint that a read has chosen, while it waits for a check that tells whether it is still the primary.
+// The endpoint that a read has chosen, while it waits for a health check to confirm that the
+// endpoint is still primary.
 struct AwaitedChoice {
   EndpointId endpoint = 0;
-  Time until{};  // then the read goes there without the check's reply
+  Time until{};  // after that the read is sent without waiting for the check
 };
 
 struct PendingRequest {
   Request request;
   Time arrivedAt{};
-  Time requiredPosition = kNever;  // session and strong reads: data must reach this; kNever: any data will do
+  // Session and strong reads: least position of the data; kNever: any data will do.
+  Time requiredPosition = kNever;
   std::vector<Attempt> attempts;
-  std::vector<EndpointId> tried;  // in this round over the endpoints
+  std::vector<EndpointId> tried;  // in the current round over the endpoints
   int outstanding = 0;            // attempts in flight
-  bool reachedEndpoint = false;   // some endpoint has had it, whatever came of it
+  bool reachedEndpoint = false;   // an attempt has reached an endpoint, whatever its outcome
   std::optional<PossibleExecution> possibleExecution;
   bool waiting = false;
-  bool healthChecksAwaited = false;  // its next attempt has already waited for health checks
+  bool healthChecksAwaited = false;  // the next attempt has already waited for health checks
   std::optional<AwaitedChoice> awaitedChoice;
 };
 
--- a/src/balancer/time_math.hpp
+++ b/src/balancer/time_math.hpp
@@ -1,4 +1,4 @@
-// Arithmetic on spans of time, and the sentinel for an instant that has not been.
+// Arithmetic on durations, and the sentinel for an instant that has not occurred.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 
 namespace sablespur::balancer {
 
-// Stands for "not yet"; it is before every instant, so that `position < need` holds where no position is
-// known.
+// Means "not yet". It is before every instant, so `position < required` holds for an unknown
+// position.
 constexpr Time kNever{-1};
 
-// What was seen longer ago than this says little about the present.
+// Age beyond which an observation says little about the current state.
 constexpr Time kRecentPeriod = std::chrono::seconds(8);
 
 inline double ratio(Time a, Time b) {
@@ -26,7 +26,7 @@
   return Time(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
 }
 
-// Moves an instant, not before 0; kNever stays.
+// Shifts an instant, clamped at 0; kNever is unchanged.
 inline void shiftInstant(Time& instant, Time by) {
   if (instant != kNever) instant = std::max(instant + by, Time(0));
 }
--- a/src/balancer/timer_token.hpp
+++ b/src/balancer/timer_token.hpp
@@ -1,4 +1,4 @@
-// The tokens that tell the module's timers apart: the kind in the low byte, an id above it.
+// Tokens that identify the module's timers: the kind in the low byte, an id in the bytes above.
 #pragma once
 
 #include <cstdint>
