--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -17,27 +17,32 @@
 
 namespace {
 
-constexpr std::uint8_t kReportBack = 1, kEstablished = 2, kProvision = 3, kDefineList = 5, kHealth = 6,
-                       kOrder = 7, kGone = 8, kBell = 9, kFleet = 10, kStop = 11;
-constexpr std::uint8_t kDispatch = 65, kRefuse = 66, kError = 67, kRecall = 68, kSleep = 69, kAskLoad = 70,
-                       kDie = 74, kKeepInformed = 75;
-constexpr std::size_t kEntryBytes = 29, kLongestText = 60000;
-constexpr std::uint32_t kLongestFrame = 1u << 30;
+// Codes of the records from the simulator.
+constexpr std::uint8_t kAttemptEnded = 1, kEstablished = 2, kCreateInstance = 3, kDefineList = 5,
+                       kHealthCheckEnded = 6, kRequest = 7, kClientDisconnected = 8, kTimerFired = 9,
+                       kEndpointsListed = 10, kStopInstance = 11;
+// Codes of the records to the simulator.
+constexpr std::uint8_t kSend = 65, kReject = 66, kFail = 67, kCancel = 68, kScheduleTimer = 69,
+                       kStartHealthCheck = 70, kInstanceFailed = 74, kSubscribe = 75;
+constexpr std::size_t kListEntryBytes = 29, kMaxTextBytes = 60000;
+constexpr std::uint32_t kMaxFrameBytes = 1u << 30;
 
+// Reads the fields of a record; throws Malformed if the record ends too early.
 class Reader {
  public:
   Reader(const std::uint8_t* data, std::size_t size, std::uint64_t offset)
       : data_(data), size_(size), offset_(offset) {}
-  std::size_t left() const { return size_ - at_; }
-  std::uint64_t where() const { return offset_ + at_; }
+  std::size_t remaining() const { return size_ - at_; }
+  std::uint64_t offset() const { return offset_ + at_; }
   const std::uint8_t* skip(std::size_t n, const char* what) {
-    if (left() < n) throw Malformed(std::string(what) + " is cut short", where());
+    if (remaining() < n) throw Malformed(std::string(what) + " is truncated", offset());
     const std::uint8_t* p = data_ + at_;
     at_ += n;
     return p;
   }
+  // Little-endian, like this wire protocol and the supported machines.
   template <typename T>
-  T get(const char* what) {  // little-endian, as this wire and the machines that it is built for
+  T get(const char* what) {
     T v;
     std::memcpy(&v, skip(sizeof(T), what), sizeof(T));
     return v;
@@ -60,6 +65,7 @@
   std::uint64_t offset_;
 };
 
+// Builds a reply: a header with the number of records and their size, then the records.
 class Writer {
  public:
   void record(std::uint8_t code, std::uint16_t instance) {
@@ -80,7 +86,7 @@
     put(static_cast<std::uint16_t>(id));
   }
   void text(const std::string& s) {
-    const std::size_t n = std::min(s.size(), kLongestText);
+    const std::size_t n = std::min(s.size(), kMaxTextBytes);
     put(static_cast<std::uint16_t>(n));
     bytes_.insert(bytes_.end(), s.begin(), s.begin() + static_cast<std::ptrdiff_t>(n));
   }
@@ -105,19 +111,20 @@
   std::uint32_t count_ = 0;
 };
 
-std::vector<std::string> split(const std::string& s, char by) {
+std::vector<std::string> split(const std::string& s, char separator) {
   std::vector<std::string> parts;
   for (std::size_t from = 0; from <= s.size();) {
-    const std::size_t to = std::min(s.find(by, from), s.size());
+    const std::size_t to = std::min(s.find(separator, from), s.size());
     parts.push_back(s.substr(from, to - from));
     from = to + 1;
   }
   return parts;
 }
 
-class Facts {
+// Parsed `key=value` lines with typed accessors, which throw BadSetting.
+class SettingsText {
  public:
-  explicit Facts(const std::string& text) {
+  explicit SettingsText(const std::string& text) {
     for (const std::string& line : split(text, '\n')) {
       const std::size_t eq = line.find('=');
       if (eq != std::string::npos) values_[line.substr(0, eq)] = line.substr(eq + 1);
@@ -137,9 +144,9 @@
       throw BadSetting("setting " + key + " is no usable number: '" + value + "'");
     return v;
   }
-  int count(const std::string& key, double least, double most) const {
+  int count(const std::string& key, double minimum, double maximum) const {
     const double v = number(key);
-    if (v < least || v > most || v != std::floor(v))
+    if (v < minimum || v > maximum || v != std::floor(v))
       throw BadSetting("setting " + key + " is out of range: '" + text(key) + "'");
     return static_cast<int>(v);
   }
@@ -160,8 +167,9 @@
   std::map<std::string, std::string> values_;
 };
 
-std::optional<AttemptResult> toResult(std::uint16_t how) {
-  switch (how) {
+// `std::nullopt` for a code that this version does not know.
+std::optional<AttemptResult> toResult(std::uint16_t code) {
+  switch (code) {
     case 0:
       return AttemptResult::Ok;
     case 13:
@@ -187,29 +195,30 @@
 
 }  // namespace
 
-Settings parseSettings(const std::string& facts) {
-  const Facts f(facts);
+Settings parseSettings(const std::string& text) {
+  const SettingsText f(text);
   Settings s;
   const int n = f.count("classes.count", 1, 65535);
-  const auto needs = split(f.text("specifics.consistency"), ',');
+  const auto requirements = split(f.text("specifics.consistency"), ',');
   const auto bounds = split(f.text("specifics.classBoundUs"), ',');
-  if (needs.size() != static_cast<std::size_t>(n))
+  if (requirements.size() != static_cast<std::size_t>(n))
     throw BadSetting("setting specifics.consistency does not fit classes.count: '" +
                      f.text("specifics.consistency") + "'");
-  if (bounds.size() != needs.size())
+  if (bounds.size() != requirements.size())
     throw BadSetting("setting specifics.classBoundUs does not fit classes.count: '" +
                      f.text("specifics.classBoundUs") + "'");
   for (int k = 0; k < n; ++k) {
     const std::string p = "classes." + std::to_string(k) + ".";
     const auto at = static_cast<std::size_t>(k);
     ClassSettings c;
-    c.requirement = Facts::toChoice<Requirement>("specifics.consistency", needs[at],
-                                                 {{"any", Requirement::Any},
-                                                  {"bounded", Requirement::BoundedStaleness},
-                                                  {"session", Requirement::Session},
-                                                  {"fresh", Requirement::Strong},
-                                                  {"write", Requirement::Write}});
-    c.maxStaleness = Time(static_cast<std::int64_t>(Facts::toNumber("specifics.classBoundUs", bounds[at])));
+    c.requirement = SettingsText::toChoice<Requirement>("specifics.consistency", requirements[at],
+                                                        {{"any", Requirement::Any},
+                                                         {"bounded", Requirement::BoundedStaleness},
+                                                         {"session", Requirement::Session},
+                                                         {"fresh", Requirement::Strong},
+                                                         {"write", Requirement::Write}});
+    c.maxStaleness =
+        Time(static_cast<std::int64_t>(SettingsText::toNumber("specifics.classBoundUs", bounds[at])));
     c.idempotency = f.choice<Idempotency>(p + "effect", {{"safe", Idempotency::Idempotent},
                                                          {"keyed", Idempotency::WithKey},
                                                          {"unsafe", Idempotency::NonIdempotent}});
@@ -280,45 +289,45 @@
   std::uint16_t number = 0;
   Writer* out = nullptr;
   std::unique_ptr<Balancer> balancer;
-  bool dead = false;
+  bool terminated = false;
 
   void send(RequestId id, EndpointId m, Time until) override {
-    out->record(kDispatch, number);
+    out->record(kSend, number);
     out->put(static_cast<std::uint32_t>(id));
     out->put(static_cast<std::uint64_t>(until.count()));
     out->node(m);
   }
   void reject(RequestId id, Time retryAfter) override {
-    out->record(kRefuse, number);
+    out->record(kReject, number);
     out->put(static_cast<std::uint32_t>(id));
     out->put(static_cast<std::uint32_t>(retryAfter.count()));
   }
   void fail(RequestId id) override {
-    out->record(kError, number);
+    out->record(kFail, number);
     out->put(static_cast<std::uint32_t>(id));
   }
   void cancel(RequestId id, int attempt) override {
-    out->record(kRecall, number);
+    out->record(kCancel, number);
     out->put(static_cast<std::uint32_t>(id));
     out->put(static_cast<std::uint8_t>(attempt));
   }
   void scheduleTimer(Time in, std::uint64_t token) override {
-    out->record(kSleep, number);
+    out->record(kScheduleTimer, number);
     out->put(static_cast<std::uint32_t>(in.count()));
     out->put(token);
   }
   void startHealthCheck(EndpointId m) override {
-    out->record(kAskLoad, number);
+    out->record(kStartHealthCheck, number);
     out->node(m);
   }
   void subscribe() override {
-    out->record(kKeepInformed, number);
+    out->record(kSubscribe, number);
     out->put(std::uint8_t{1});
   }
-  void die(const std::string& why) {
-    dead = true;
+  void terminate(const std::string& why) {
+    terminated = true;
     balancer.reset();
-    out->record(kDie, number);
+    out->record(kInstanceFailed, number);
     out->text(why);
   }
 };
@@ -330,15 +339,15 @@
   Writer out;
   Reader in(batch, size, offset);
   const Time now(static_cast<std::int64_t>(in.get<std::uint64_t>("clock")));
-  while (in.left()) {
+  while (in.remaining()) {
     const auto code = in.get<std::uint8_t>("record code");
     const auto length = in.get<std::uint32_t>("record length");
-    const std::uint64_t where = in.where();
-    Reader r(in.skip(length, "record"), length, where);
+    const std::uint64_t recordOffset = in.offset();
+    Reader r(in.skip(length, "record"), length, recordOffset);
     if (code == kDefineList) {
       const auto ref = r.get<std::uint32_t>("list number");
       const auto n = r.get<std::uint32_t>("list length");
-      if (r.left() / kEntryBytes < n) throw Malformed("list is cut short", r.where());
+      if (r.remaining() / kListEntryBytes < n) throw Malformed("list is truncated", r.offset());
       std::vector<ListedEndpoint> items(n);
       for (ListedEndpoint& m : items) {
         m.id = r.node();
@@ -354,52 +363,53 @@
       lists_[ref] = std::move(items);
       continue;
     }
-    if (code < kReportBack || code > kStop) continue;  // a later version's record
+    if (code < kAttemptEnded || code > kStopInstance) continue;  // a record of a later version
     const auto number = r.get<std::uint16_t>("instance");
-    if (code == kProvision) {
+    if (code == kCreateInstance) {
       const auto seed = r.get<std::uint64_t>("seed");
       const auto n = r.get<std::uint32_t>("settings length");
       const auto* text = reinterpret_cast<const char*>(r.skip(n, "settings"));
-      auto fresh = std::make_unique<Instance>();
-      fresh->number = number;
-      fresh->out = &out;
+      auto created = std::make_unique<Instance>();
+      created->number = number;
+      created->out = &out;
       try {
-        fresh->balancer = std::make_unique<Balancer>(parseSettings(std::string(text, n)), seed, *fresh);
+        created->balancer = std::make_unique<Balancer>(parseSettings(std::string(text, n)), seed, *created);
       } catch (const std::exception& e) {
-        fresh->die(e.what());
+        created->terminate(e.what());
       }
-      instances_[number] = std::move(fresh);
+      instances_[number] = std::move(created);
       continue;
     }
     const auto it = instances_.find(number);
-    Instance* const inst = it == instances_.end() || it->second->dead ? nullptr : it->second.get();
+    Instance* const inst = it == instances_.end() || it->second->terminated ? nullptr : it->second.get();
     if (inst) inst->out = &out;
-    const auto tell = [&](auto&& event) {  // an exception in the decisions ends that instance, and it alone
+    // An exception thrown by a Balancer terminates its instance only.
+    const auto deliver = [&](auto&& event) {
       if (!inst) return;
       try {
         event(*inst->balancer);
       } catch (const std::exception& e) {
-        inst->die(e.what());
+        inst->terminate(e.what());
       }
     };
     switch (code) {
-      case kStop:
+      case kStopInstance:
         instances_.erase(number);
         break;
-      case kFleet: {
+      case kEndpointsListed: {
         const auto kind = r.get<std::uint8_t>("list kind");
         r.get<std::uint64_t>("list version");
         const auto ref = r.get<std::uint32_t>("list number");
         if (kind > 3) break;
         static const std::vector<ListedEndpoint> none;
         const auto list = lists_.find(ref);
-        if (kind != 3 && list == lists_.end()) throw Malformed("list number without a list", where);
-        tell([&](Balancer& b) {
+        if (kind != 3 && list == lists_.end()) throw Malformed("unknown list number", recordOffset);
+        deliver([&](Balancer& b) {
           b.endpointsListed(now, static_cast<ListKind>(kind), kind == 3 ? none : list->second);
         });
         break;
       }
-      case kOrder: {
+      case kRequest: {
         Request q;
         q.id = r.get<std::uint32_t>("request");
         r.get<std::uint8_t>("bits");
@@ -408,14 +418,14 @@
         q.sessionTokenAgeMs = r.get<float>("token");
         q.deadline = Time(static_cast<std::int64_t>(r.get<std::uint64_t>("deadline")));
         const float group = r.get<float>("group");
-        if (!(group >= 0 && group < 65536)) throw Malformed("group out of range", where);
+        if (!(group >= 0 && group < 65536)) throw Malformed("group out of range", recordOffset);
         q.group = static_cast<GroupId>(group);
         q.classIndex = r.get<std::uint16_t>("class");
         r.get<std::uint32_t>("effort");
-        tell([&](Balancer& b) { b.request(now, q); });
+        deliver([&](Balancer& b) { b.request(now, q); });
         break;
       }
-      case kReportBack: {
+      case kAttemptEnded: {
         AttemptOutcome o;
         o.request = r.get<std::uint32_t>("request");
         o.attempt = r.get<std::uint8_t>("attempt");
@@ -425,38 +435,39 @@
         o.clientAnswered = r.get<std::uint8_t>("closed") != 0;
         o.replicationStatus = r.get<std::uint32_t>("note");
         o.report = r.report();
-        o.result = result.value_or(AttemptResult::Error);  // an ending of a later version proves nothing
-        tell([&](Balancer& b) { b.attemptEnded(now, o); });
+        // A result of a later protocol version: the request may have run.
+        o.result = result.value_or(AttemptResult::Error);
+        deliver([&](Balancer& b) { b.attemptEnded(now, o); });
         break;
       }
-      case kGone: {
+      case kClientDisconnected: {
         const auto id = r.get<std::uint32_t>("request");
-        tell([&](Balancer& b) { b.clientDisconnected(now, id); });
+        deliver([&](Balancer& b) { b.clientDisconnected(now, id); });
         break;
       }
-      case kBell: {
+      case kTimerFired: {
         const auto token = r.get<std::uint64_t>("token");
-        tell([&](Balancer& b) { b.timerFired(now, token); });
+        deliver([&](Balancer& b) { b.timerFired(now, token); });
         break;
       }
-      case kHealth: {
+      case kHealthCheckEnded: {
         HealthCheckResult p;
         p.endpoint = r.node();
         p.latency = Time(r.get<std::uint32_t>("latency"));
         p.ok = r.get<std::uint16_t>("outcome") == 0;
         p.report = r.report();
-        tell([&](Balancer& b) { b.healthCheckEnded(now, p); });
+        deliver([&](Balancer& b) { b.healthCheckEnded(now, p); });
         break;
       }
       default:
-        break;  // streams and peers' messages: nothing here asks for them
+        break;  // streams and messages of peers are not used
     }
   }
   return out.finish();
 }
 
 namespace {
-// Reads n bytes; gives how many came before the input ended.
+// Reads n bytes. Returns fewer only if the input ended or a read failed.
 std::size_t readAll(int fd, std::uint8_t* to, std::size_t n) {
   std::size_t got = 0;
   while (got < n) {
@@ -481,7 +492,8 @@
       if (got < sizeof head) throw Malformed("input ends inside a frame's length", offset + got);
       std::uint32_t size = 0;
       std::memcpy(&size, head, sizeof size);
-      if (size < 8 || size > kLongestFrame) throw Malformed("frame length " + std::to_string(size), offset);
+      if (size < 8 || size > kMaxFrameBytes)
+        throw Malformed("invalid frame length " + std::to_string(size), offset);
       offset += sizeof head;
       batch.resize(size);
       const std::size_t have = readAll(in, batch.data(), size);
--- a/src/simulator/protocol.hpp
+++ b/src/simulator/protocol.hpp
@@ -1,4 +1,5 @@
-// Framing and translation of the simulator's wire: bytes to events, actions to bytes. Decides nothing.
+// Framing and translation of the wire protocol of the simulator: bytes to events, actions to bytes.
+// Contains no decision logic.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +13,26 @@
 
 namespace sablespur::simulator {
 
-// A frame that cannot be read; `at` counts bytes from the start of the input.
+// Thrown for a frame that cannot be parsed; `at` is the byte offset from the start of the input.
 struct Malformed : std::runtime_error {
   Malformed(const std::string& what, std::uint64_t at)
       : std::runtime_error(what + " at byte " + std::to_string(at)) {}
 };
-// A setting that is missing or unreadable.
+// Thrown for a setting that is missing or invalid.
 struct BadSetting : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-balancer::Settings parseSettings(const std::string& facts);  // throws BadSetting with the key and the value
+// Parses `key=value` lines. Throws BadSetting with the key and the value.
+balancer::Settings parseSettings(const std::string& text);
 
-// One process: any number of instances, each with a Balancer of its own.
+// Runs any number of simulated proxies (instances) in one process, each with its own Balancer.
 class Host {
  public:
   Host();
   ~Host();
-  // Takes a batch without its length field, gives the reply with its header. `offset`: of the batch's first
-  // byte.
+  // Handles a batch, passed without its length field, and returns the reply including its header.
+  // `offset` is the position of the first byte of the batch in the input. Throws Malformed.
   std::vector<std::uint8_t> handle(const std::uint8_t* batch, std::size_t size, std::uint64_t offset);
 
  private:
@@ -39,7 +41,8 @@
   std::map<std::uint32_t, std::vector<balancer::ListedEndpoint>> lists_;
 };
 
-// Reads batches until the input ends. 0: it ended between frames; 1: it was malformed (one line on stderr).
+// Handles batches until the input ends. Returns 0 if it ended between frames. Returns 1 if it was
+// malformed or a reply could not be written, with one line on stderr.
 int run(int in, int out);
 
 }  // namespace sablespur::simulator
