--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -194,7 +194,7 @@
 void Balancer::setPositionEpoch(Time epoch) { context_->settings.positionEpoch = epoch; }
 
 // Instants taken from this proxy's own clock (roles, arrivals of strong reads) do not change.
-void Balancer::instantsMoved(Time now, Time by) {
+void Balancer::referenceClockMoved(Time now, Time by) {
   Context& context = *context_;
   context.now = now;
   for (auto& [id, endpoint] : context.endpoints) {
--- a/src/balancer/balancer.hpp
+++ b/src/balancer/balancer.hpp
@@ -113,7 +113,7 @@
   // Shifts the stored instants that come from other machines' clocks after the caller's estimate of
   // those clocks has changed. They lie `by` later on the caller's clock than was assumed; earlier
   // if it is negative.
-  void instantsMoved(Time now, Time by);
+  void referenceClockMoved(Time now, Time by);
 
  private:
   std::unique_ptr<Context> context_;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -169,7 +169,7 @@
   logEvent(LogLevel::Warning, "reference_clock_moved",
            {{"by_ms", std::chrono::duration_cast<milliseconds>(*movedBy).count()},
             {"offset_ms", std::chrono::duration_cast<milliseconds>(offset).count()}});
-  balancer_->instantsMoved(now_, -*movedBy);
+  balancer_->referenceClockMoved(now_, -*movedBy);
   const auto corrected = startTimes_.reassess(now_, offset, config_.settings.warmUpPeriod);
   if (!corrected.empty()) balancer_->endpointsListed(now_, balancer::ListKind::Delta, corrected);
 }
