--- a/src/balancer/attempt_outcome.cpp
+++ b/src/balancer/attempt_outcome.cpp
@@ -142,7 +142,8 @@
 }
 
 // Returns whether a retry after this outcome takes nothing from the retry budget: the attempt cost
-// the endpoint no work, its answer was too stale, or this proxy cancelled it.
+// the endpoint no work, its answer was too stale, or this proxy cancelled it. A retry after any
+// other outcome has to be covered by the budget.
 bool isRetryFree(const Context& context, const PendingRequest& pending, const Attempt& attempt,
                  AttemptResult result) {
   const bool costsNothing = result == AttemptResult::TooStale || result == AttemptResult::StaleAnswer ||
--- a/src/balancer/health_checks.cpp
+++ b/src/balancer/health_checks.cpp
@@ -87,8 +87,8 @@
     startHealthCheck(context, endpoint);
 }
 
-bool checksNeededBeforeChoice(Context& context, const PendingRequest& pending,
-                              const std::vector<Endpoint*>& candidates) {
+bool checkCandidatesIfNeeded(Context& context, const PendingRequest& pending,
+                             const std::vector<Endpoint*>& candidates) {
   if (!context.canHealthCheck() || pending.healthChecksAwaited) return false;
   // No replica can prove a position that is fresh enough for a strong read.
   if (context.classOf(pending).requirement == Requirement::Strong) return false;
@@ -104,7 +104,7 @@
   return checkFirstCandidates(context, pending, candidates, excluded);
 }
 
-bool primaryCheckNeeded(Context& context, const PendingRequest& pending, Endpoint& choice) {
+bool checkPrimaryIfNeeded(Context& context, const PendingRequest& pending, Endpoint& choice) {
   if (!context.canHealthCheck()) return false;
   if (context.settings.laggingReplicaPolicy != LaggingReplicaPolicy::Serve) return false;
   const Time required = requiredPosition(context, pending);
--- a/src/balancer/health_checks.hpp
+++ b/src/balancer/health_checks.hpp
@@ -20,12 +20,12 @@
 // Called before a choice among `candidates`, which are sorted by last use. Checks those about which
 // too little is known. Returns whether the request should wait for the replies, at most once per
 // attempt.
-bool checksNeededBeforeChoice(Context&, const PendingRequest&, const std::vector<Endpoint*>& candidates);
+bool checkCandidatesIfNeeded(Context&, const PendingRequest&, const std::vector<Endpoint*>& candidates);
 
 // Called before a read is sent to `choice`. Checks the endpoint if only its role as primary makes
 // its data fresh enough and the evidence of that role is so old that another endpoint may have
 // taken over. Returns whether the read should wait for the reply.
-bool primaryCheckNeeded(Context&, const PendingRequest&, Endpoint& choice);
+bool checkPrimaryIfNeeded(Context&, const PendingRequest&, Endpoint& choice);
 
 // Returns how long a request waits for the replies.
 Time healthCheckWait(const Context&, const PendingRequest&);
--- a/src/balancer/latency_statistics.cpp
+++ b/src/balancer/latency_statistics.cpp
@@ -5,7 +5,7 @@
 namespace sablespur::balancer {
 namespace {
 
-constexpr std::size_t kWindowSize = 20;  // samples per endpoint, as in the paper
+constexpr std::size_t kWindowSize = 20;  // samples per window of an endpoint, as in the paper
 constexpr std::size_t kCommonWindowSize = 2 * kWindowSize;
 constexpr double kLatencyEwmaWeight = 0.05;  // weight of a new latency in the moving average
 constexpr double kLowLatencyRiseWeight = kLatencyEwmaWeight / 10;  // the low latency rises slowly
--- a/src/balancer/outlier_detection.hpp
+++ b/src/balancer/outlier_detection.hpp
@@ -8,8 +8,8 @@
 
 enum class EjectionCause { NoAnswer, Errors };
 
-// Returns whether the endpoint may be sent requests: it is neither ejected nor overdue with the
-// reply to a health check.
+// Returns whether the endpoint may be sent requests: it is not ejected, has no trial attempt in
+// flight, and is not overdue with the reply to a health check.
 bool isHealthy(const Context&, const Endpoint&);
 
 // Ejects the endpoint for a period that doubles with each consecutive ejection.
--- a/src/balancer/request_dispatch.cpp
+++ b/src/balancer/request_dispatch.cpp
@@ -35,10 +35,11 @@
   context.work.waitingGroups.insert(pending.request.group);
 }
 
-// Returns true if the request now waits for health checks of its candidates.
-bool waitedForHealthChecks(Context& context, PendingRequest& pending,
-                           const std::vector<Endpoint*>& candidates) {
-  if (!checksNeededBeforeChoice(context, pending, candidates)) return false;
+// Starts health checks of the candidates where needed. Returns whether the request now waits for
+// them.
+bool waitForHealthChecksIfNeeded(Context& context, PendingRequest& pending,
+                                 const std::vector<Endpoint*>& candidates) {
+  if (!checkCandidatesIfNeeded(context, pending, candidates)) return false;
   pending.healthChecksAwaited = true;
   waitForEndpoint(context, pending, healthCheckWait(context, pending));
   return true;
@@ -95,7 +96,7 @@
 // Sends the read to `choice`. If the choice relies on its role as primary and that evidence is old,
 // waits for a health check of the endpoint first.
 void sendOnceConfirmed(Context& context, PendingRequest& pending, Endpoint& choice) {
-  if (!primaryCheckNeeded(context, pending, choice)) return send(context, pending, choice);
+  if (!checkPrimaryIfNeeded(context, pending, choice)) return send(context, pending, choice);
   const Time limit = healthCheckWait(context, pending);
   pending.awaitedChoice = AwaitedChoice{choice.listed.id, context.now + limit};
   waitForEndpoint(context, pending, limit);
@@ -104,7 +105,7 @@
 // Continues a read with the endpoint it chose before it waited for a health check. Returns false if
 // the read has to choose again. The first choice is kept where possible because a new one would
 // draw again from the slow-start budgets of endpoints that are warming up.
-bool advancedAwaitedChoice(Context& context, PendingRequest& pending) {
+bool continueAwaitedChoice(Context& context, PendingRequest& pending) {
   if (!pending.awaitedChoice) return false;
   Endpoint* const choice = context.findEndpoint(pending.awaitedChoice->endpoint);
   const Time left = pending.awaitedChoice->until - context.now;
@@ -122,9 +123,9 @@
 }
 
 void advanceRead(Context& context, PendingRequest& pending) {
-  if (advancedAwaitedChoice(context, pending)) return;
+  if (continueAwaitedChoice(context, pending)) return;
   const std::vector<Endpoint*> candidates = readCandidates(context, pending);
-  if (waitedForHealthChecks(context, pending, candidates)) return;
+  if (waitForHealthChecksIfNeeded(context, pending, candidates)) return;
   std::vector<ReplicaChoice> set = selectReadSet(context, pending, candidates);
   if (set.empty() && !pending.tried.empty()) {  // all candidates were tried: start another round
     pending.tried.clear();
@@ -152,7 +153,7 @@
   const bool answers = isHealthy(context, primary) || primary.health.answersWithErrors;
   if (!answers || !mayAttempt(context, pending, primary) || !slowStartAdmits(context, primary, pending))
     return waitForEndpoint(context, pending);
-  if (waitedForHealthChecks(context, pending, {&primary})) return;
+  if (waitForHealthChecksIfNeeded(context, pending, {&primary})) return;
   if (isWorthSending(context, pending, primary)) return send(context, pending, primary);
   finishUnserved(context, pending);
 }
--- a/src/balancer/silence_detection.cpp
+++ b/src/balancer/silence_detection.cpp
@@ -12,7 +12,7 @@
 
 // Returns whether the attempt counts as lost. For a silent endpoint it also ejects the endpoint or
 // starts a health check.
-bool isLost(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
+bool detectLostAttempt(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
   const Time due = attempt.sentAt + silenceThreshold(context, attempt.classIndex);
   if (endpoint.contact.lastAnswer >= attempt.sentAt || context.now < due) return false;
   Health& health = endpoint.health;
@@ -48,7 +48,7 @@
 
 void detectSilence(Context& context, Endpoint& endpoint) {
   for (const InFlightAttempt& attempt : std::vector<InFlightAttempt>(endpoint.inFlight)) {
-    if (isLost(context, endpoint, attempt)) cancelIfReplaceable(context, attempt);
+    if (detectLostAttempt(context, endpoint, attempt)) cancelIfReplaceable(context, attempt);
   }
 }
 
