--- a/tests/store_model_test.cpp
+++ b/tests/store_model_test.cpp
@@ -175,7 +175,7 @@
     s.queue.push_back(BeginKeyedRequest{{id(k), "key", "order", 3, ticks(kWindow)}});
     return s;
   }
-  // As Balancer::mayTake has it.
+  // As Balancer::mayAttempt has it.
   bool maySend(const State& s, const Request& q) const {
     if (q.sends >= kAttempts) return false;
     int since = q.firstRan;
