--- a/src/balancer/silence_detection.cpp
+++ b/src/balancer/silence_detection.cpp
@@ -10,8 +10,9 @@
 namespace sablespur::balancer {
 namespace {
 
-// Ejects the endpoint or starts a health check. Returns whether the attempt is to be given up now.
-bool isLost(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
+// Returns whether the attempt counts as lost. For a silent endpoint it also ejects the endpoint or
+// starts a health check.
+bool detectLostAttempt(Context& context, Endpoint& endpoint, const InFlightAttempt& attempt) {
   const Time due = attempt.sentAt + silenceThreshold(context, attempt.classIndex);
   if (endpoint.contact.lastAnswer >= attempt.sentAt || context.now < due) return false;
   Health& health = endpoint.health;
@@ -27,7 +28,7 @@
   return isEjected || answersChecks;
 }
 
-// Cancels the attempt if another one may follow, and there is an endpoint for it.
+// Cancels the attempt if the request may be repeated and another endpoint is available.
 void cancelIfReplaceable(Context& context, const InFlightAttempt& attempt) {
   const auto found = context.requests.find(attempt.request);
   if (found == context.requests.end()) return;
@@ -47,7 +48,7 @@
 
 void detectSilence(Context& context, Endpoint& endpoint) {
   for (const InFlightAttempt& attempt : std::vector<InFlightAttempt>(endpoint.inFlight)) {
-    if (isLost(context, endpoint, attempt)) cancelIfReplaceable(context, attempt);
+    if (detectLostAttempt(context, endpoint, attempt)) cancelIfReplaceable(context, attempt);
   }
 }
 
