--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -1,9 +1,9 @@
 // Reads and writes after another server has become the primary of their group.
 //
-// Found by the fault soak (seed 5): a proxy that had not heard of its primary for longer than a read's bound
-// took it for fresh all the same. It had hung, another server had taken over, and its answer said so itself
-// (role replica, a position over 5 s old); the client was given it. Measured apart from that: answers up to
-// 11 s old, and readers and writers that were refused for ever after.
+// Regression tests (fault soak, seed 5): a proxy without a report of its primary for longer than the
+// staleness bound of a read still treated that primary as fresh. The server had hung and another one had
+// taken over; its answer showed this (role replica, a position over 5 s old) but was delivered. In other runs
+// answers were up to 11 s stale, and reads and writes were rejected forever after a takeover.
 #include <chrono>
 
 #include "scenario.hpp"
@@ -15,7 +15,7 @@
 
 constexpr auto kLongerThanTheBound = 400ms;
 
-Setting withoutProbes() {
+Setting settingWithoutProbes() {
   Setting setting;
   setting.reports = "silent";
   setting.probing = false;
@@ -23,7 +23,7 @@
   return setting;
 }
 
-// Server 1 is known as primary by its answer to a write.
+// The proxy learns that server 1 is the primary from its answer to a write.
 constexpr const char* kServerOneIsPrimary = R"(
   s1 serves one
   s2 serves two
@@ -33,12 +33,12 @@
   c1 expect row one
 )";
 
-// A read of its primary's answer says that it is a replica, with old data.
-TEST(Takeover, AnAnswerThatShowsItsAgeIsNotDelivered) {
-  for (const char* const tells : {"all", "role"}) {
-    SCOPED_TRACE(tells);
-    Scenario t(withoutProbes());
-    t.run(std::string("s1 tells ") + tells + "\n" + kServerOneIsPrimary);
+// The answer of the supposed primary shows that the server is a replica, with or without a stale position.
+TEST(Takeover, AnAnswerThatShowsItsDataToBeStaleIsNotDelivered) {
+  for (const char* const reported : {"all", "role"}) {
+    SCOPED_TRACE(reported);
+    Scenario t(settingWithoutProbes());
+    t.run(std::string("s1 tells ") + reported + "\n" + kServerOneIsPrimary);
     t.run("s2 becomes primary\ns1 stands 0");
     t.serveFor(kLongerThanTheBound);
     t.run(R"(
@@ -49,9 +49,9 @@
   }
 }
 
-// The other server that has the data is asked within the same request.
-TEST(Takeover, AReadWhoseAnswerIsWithheldGoesToAServerThatIsFresh) {
-  Setting setting = withoutProbes();
+// The same request is retried on the other server, which has fresh data.
+TEST(Takeover, AReadWithAStaleAnswerIsRetriedOnAFreshServer) {
+  Setting setting = settingWithoutProbes();
   setting.boundMs = 1000;
   Scenario t(setting);
   t.run(kServerOneIsPrimary);
@@ -65,17 +65,17 @@
   )");
 }
 
-Setting withProbes() {
+Setting settingWithProbes() {
   Setting setting;
   setting.boundMs = 1000;
   return setting;
 }
 constexpr auto kLongerThanTheBoundWithProbes = 1200ms;
 
-// The soak's seed 5: all replicas were too old, and the read went to a server that had been the primary over
-// 5 s before, though a check tells what it is now.
-TEST(Takeover, APrimaryOfLongAgoIsAskedBeforeAReadGoesThere) {
-  Scenario t(withProbes());
+// Regression test (fault soak, seed 5): all replicas were too stale, and the read went to a server that had
+// been the primary over 5 s before, although a health check would have shown its present role.
+TEST(Takeover, AnOldPrimaryRoleIsCheckedBeforeARead) {
+  Scenario t(settingWithProbes());
   t.run(kServerOneIsPrimary);
   t.run("s1 expect served 1\ns2 stands 5000");
   t.serveFor(kLongerThanTheBoundWithProbes);
@@ -89,9 +89,9 @@
   )");
 }
 
-// The takeover ends while a read waits, and no other request comes that would ask anybody.
-TEST(Takeover, AReadThatWaitsIsServedOnceTheNewPrimaryIsUp) {
-  Scenario t(withProbes());
+// The takeover ends while a read waits, and no other request starts a health check.
+TEST(Takeover, AWaitingReadIsServedOnceTheNewPrimaryIsUp) {
+  Scenario t(settingWithProbes());
   t.run(kServerOneIsPrimary);
   t.run("s2 stands 5000");
   t.serveFor(kLongerThanTheBoundWithProbes);
@@ -107,9 +107,9 @@
   )");
 }
 
-// The common case: the primary is what it was.
-TEST(Takeover, AQuietProxyReadsFromItsPrimaryAsBefore) {
-  Scenario t(withProbes());
+// The common case: the primary has not changed.
+TEST(Takeover, AnIdleProxyStillReadsFromItsPrimary) {
+  Scenario t(settingWithProbes());
   t.run(kServerOneIsPrimary);
   t.run("s1 expect served 1\ns2 stands 5000");
   t.serveFor(kLongerThanTheBoundWithProbes);
@@ -119,10 +119,10 @@
   )");
 }
 
-// Known to fail (KNOWN-RED.txt): without probes nothing that the rules allow tells readers alone of a new
-// primary.
+// Known to fail (KNOWN-RED.txt): without health checks and writes, no message that the rules allow shows the
+// new primary.
 TEST(Takeover, ReadersAloneAreServedAgainWithoutProbes) {
-  Scenario t(withoutProbes());
+  Scenario t(settingWithoutProbes());
   t.run(kServerOneIsPrimary);
   t.run("s2 becomes primary\ns1 stands 0");
   t.serveFor(kLongerThanTheBound);
@@ -137,11 +137,12 @@
   )");
 }
 
-// A write that is turned away as at no primary was sent there eight times within a millisecond, and refused.
-TEST(Takeover, AWriteIsNotSentAgainToTheServerThatTurnedItAway) {
+// Regression test: a write that a former primary rejected was sent there eight times within a millisecond and
+// then rejected.
+TEST(Takeover, AWriteIsNotRetriedAtTheServerThatRejectedIt) {
   for (const bool probing : {true, false}) {
     SCOPED_TRACE(probing);
-    Scenario t(probing ? Setting() : withoutProbes());
+    Scenario t(probing ? Setting() : settingWithoutProbes());
     t.run(kServerOneIsPrimary);
     t.run(R"(
       s1 tells nothing
@@ -152,9 +153,9 @@
   }
 }
 
-// While no server was primary a write tried each of them in vain. After that no write went out any more.
-TEST(Takeover, WritesAreTriedAgainAfterNoServerWasThePrimary) {
-  Scenario t(withoutProbes());
+// Regression test: after a write had tried every server while none was the primary, no later write was sent.
+TEST(Takeover, WritesAreTriedAgainAfterAPeriodWithoutAPrimary) {
+  Scenario t(settingWithoutProbes());
   t.run(kServerOneIsPrimary);
   t.run(R"(
     s1 becomes replica
