--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -51,8 +51,8 @@
   s.classes[kWrite].lateWeight = 0.5;  // otherwise the wait ends at the latency objective
   return s;
 }
-// Regression test (simulator scenario join+vast): a fifth of the servers' work went to reads whose answers
-// had no value any more.
+// Regression test (simulator scenario join+vast): a fifth of the servers' work went to reads whose
+// answers had no value any more.
 TEST(FinalAnswer, AnAttemptTimesOutWhenItsAnswerHasNoValueLeft) {
   BalancerFixture t(settingsWithLateWriteValue());
   t.reportAsPrimary(1);
@@ -99,8 +99,8 @@
     t.endAttempt(id, AttemptResult::Timeout);
   }
 }
-// Regression test: a request that waited for a server was answered only at the next housekeeping tick, after
-// its client's deadline.
+// Regression test: a request that waited for a server was answered only at the next housekeeping
+// tick, after its client's deadline.
 TEST(FinalAnswer, AWaitingRequestIsRejectedByItsOwnTimer) {
   BalancerFixture t;
   const std::size_t before = t.out.actions("timer").size();
@@ -112,8 +112,8 @@
   EXPECT_EQ(t.out.actions("reject", id).size(), 1u);
   EXPECT_LE(t.now - asked, t.s.classes[kBounded].deadline);
 }
-// A rejection after half of the deadline, without any attempt, costs a third of the request's value: the
-// client could have retried in the meantime.
+// A rejection after half of the deadline, without any attempt, costs a third of the request's
+// value: the client could have retried in the meantime.
 TEST(FinalAnswer, AnUnsentWriteIsRejectedWithinHalfItsDeadline) {
   BalancerFixture t(settingsWithLateWriteValue());
   for (EndpointId m = 1; m <= 3; ++m)
@@ -167,7 +167,8 @@
   EXPECT_EQ(t.lastEndpoint(id), 1u);
   t.endAttempt(id, AttemptResult::Ok, (60000 - 50) * 4 + 2);
   t.advance(420);
-  EXPECT_EQ(t.lastEndpoint(t.request(kBounded)), 1u);  // 470 ms old; by the first report it would be 520 ms
+  // The position is 470 ms old; by the first report it would be 520 ms.
+  EXPECT_EQ(t.lastEndpoint(t.request(kBounded)), 1u);
 }
 
 TEST(FinalAnswer, ADisconnectedClientGetsNoFinalAnswer) {
@@ -367,9 +368,9 @@
     t.endAttempt(id, AttemptResult::Ok, 2);
   }
 }
-// Every second answer of servers 1 and 2 becomes late while the group's answers are mostly in time. Their
-// success probability falls below the target, so the primary, which has no samples of its own, becomes a
-// candidate and is the best one.
+// Every second answer of servers 1 and 2 becomes late while the group's answers are mostly in time.
+// Their success probability falls below the target, so the primary, which has no samples of its
+// own, becomes a candidate and is the best one.
 TEST(Selection, ThePrimaryJoinsWhenReplicasFallShort) {
   BalancerFixture t;
   t.reportAsPrimary(3);
@@ -381,8 +382,8 @@
   }
   EXPECT_EQ(t.lastEndpoint(id), 3u);
 }
-// Regression test (simulator scenario izmir-glaze): long reads rotated over all replicas and made each of
-// them stale.
+// Regression test (simulator scenario izmir-glaze): long reads rotated over all replicas and made
+// each of them stale.
 TEST(Selection, ReadsOfAnyDataPreferStaleReplicas) {
   BalancerFixture t;
   t.report(1, 10);
@@ -397,7 +398,8 @@
   EXPECT_NE(t.lastEndpoint(t.request(kBounded)), 2u);
 }
 // ---- health ----------------------------------------------------------------------------------------------
-// A hung server still ranks first by its earlier latency samples; its missing answers are the only evidence.
+// A hung server still ranks first by its earlier latency samples; its missing answers are the only
+// evidence.
 TEST(Health, AHungServerIsEjectedAndItsReadsAreRetriedElsewhere) {
   BalancerFixture t;
   for (int k = 0; k < 30; ++k) {
@@ -410,8 +412,8 @@
   t.run(110);
   ASSERT_EQ(t.out.actions("probe").size(), 1u) << "a health check tells a hung server from a lost answer";
   EXPECT_TRUE(t.out.actions("cancel", unanswered).empty());
-  // The health check is not answered either. Waiting for its timeout lost reads (scenario ankara-schools,
-  // big-2).
+  // The health check is not answered either. Waiting for its timeout lost reads (scenario
+  // ankara-schools, big-2).
   t.run(60);
   ASSERT_EQ(t.out.actions("cancel", unanswered).size(), 1u);
   EXPECT_EQ(t.sends(unanswered).size(), 1u) << "no second attempt before the outcome of the first";
@@ -425,8 +427,8 @@
     t.endAttempt(id, AttemptResult::Ok, 2);
   }
 }
-// Regression test (incident if8264e): connections of all servers were reset at random; each reset ejected a
-// server until all requests were rejected.
+// Regression test (incident if8264e): connections of all servers were reset at random; each reset
+// ejected a server until all requests were rejected.
 TEST(Health, ASingleResetDoesNotEjectAServer) {
   BalancerFixture t(settings(), 1);
   t.endAttempt(t.request(kAny), AttemptResult::Ok, 2);
@@ -444,8 +446,8 @@
   t.endAttempt(id, AttemptResult::ConnectFailed);
   EXPECT_EQ(t.sends(t.request(kAny)).size(), 0u);
 }
-// Regression test (scenario muscat-guides): open and new connections were reset at random, and servers were
-// ejected in turn, each for a single reset.
+// Regression test (scenario muscat-guides): open and new connections were reset at random, and
+// servers were ejected in turn, each for a single reset.
 TEST(Health, ConnectionFailuresStartAHealthCheckThatDecidesTheEjection) {
   for (const bool answers : {true, false}) {
     BalancerFixture t(settings(), 1);
@@ -479,8 +481,8 @@
     if (k == 2) t.report(1, 0);  // the health check that three failures in a row start
   }
 }
-// Regression test (incident if8264e): failures that do not depend on load counted as late answers, and
-// requests to healthy servers were rejected.
+// Regression test (incident if8264e): failures that do not depend on load counted as late answers,
+// and requests to healthy servers were rejected.
 TEST(LoadShedding, FailuresUnrelatedToLoadCauseNoRejections) {
   BalancerFixture t(settings(), 1);
   for (int k = 0; k < 40; ++k) {
@@ -640,8 +642,8 @@
   EXPECT_FALSE(t.rejectedOrFailed(old));
 }
 
-// A retry waits for its connection until the deduplication window of the first attempt has passed: sending it
-// then could run the request twice.
+// A retry waits for its connection until the deduplication window of the first attempt has passed:
+// sending it then could run the request twice.
 TEST(Retries, ARetryIsNotSentAfterTheDeduplicationWindow) {
   BalancerFixture t;
   const RequestId id = t.request(kKeyedGroup);
@@ -684,8 +686,8 @@
   }
   EXPECT_EQ(used, (std::set<EndpointId>{2, 3}));
 }
-// Regression test (scenarios izmir-glaze-later, ankara-schools-later): hundreds of proxies, each sending one
-// request at a time to a server that had just started, overloaded it together.
+// Regression test (scenarios izmir-glaze-later, ankara-schools-later): hundreds of proxies, each
+// sending one request at a time to a server that had just started, overloaded it together.
 TEST(SlowStart, ManyProxiesTogetherSendAServerItsShare) {
   int cold = 0, warm = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -700,13 +702,14 @@
       t.endAttempt(id, AttemptResult::Ok, 2);
     }
   }
-  // A cold server has at least a fifth of the capacity of a warm one and is overloaded at twice that load. It
-  // warms up by serving requests, so it must get more than a third of its minimum capacity.
+  // A cold server has at least a fifth of the capacity of a warm one and is overloaded at twice
+  // that load. It warms up by serving requests, so it must get more than a third of its minimum
+  // capacity.
   EXPECT_GT(cold, 0.2 * warm / 2 / 3);
   EXPECT_LE(cold, 2 * 0.2 * warm / 2);
 }
-// The load of warm servers may be far below their capacity. A cold server that completes its requests shows
-// its own capacity and gets more of them; a cold server that rejects them does not.
+// The load of warm servers may be far below their capacity. A cold server that completes its
+// requests shows its own capacity and gets more of them; a cold server that rejects them does not.
 TEST(SlowStart, AServerThatCompletesItsRequestsGetsMore) {
   int sent[2] = {0, 0};
   for (const bool completes : {false, true})
@@ -724,9 +727,9 @@
     }
   EXPECT_GT(sent[1], 3 * sent[0] / 2);
 }
-// Regression test: a proxy with few requests never used its only server, because its share of a cold server's
-// budget was less than one request (DNS-SD lists restarted servers without their start time). The rule grants
-// each server three requests beyond its share.
+// Regression test: a proxy with few requests never used its only server, because its share of a
+// cold server's budget was less than one request (DNS-SD lists restarted servers without their
+// start time). The rule grants each server three requests beyond its share.
 TEST(SlowStart, LowTrafficProxiesStillUseAColdServer) {
   Settings s = settings();
   s.proxyCount = 3;
@@ -737,13 +740,14 @@
     t.b.endpointsListed(t.now, ListKind::Full, {BalancerFixture::entry(1, Lifecycle::Ready, t.now)});
     sent[0] += !t.sends(t.request(kAny)).empty();
     for (int k = 0; k < 40; ++k)
-      sent[1] += !t.sends(t.request(kAny)).empty();  // simultaneous requests are limited to the share
+      // Simultaneous requests are limited to the share.
+      sent[1] += !t.sends(t.request(kAny)).empty();
   }
   EXPECT_GE(sent[0], 45);
   EXPECT_LE(sent[1], 50 * 40 / 2);
 }
-// Regression test (scenario upgrade+hand): writes at the primary were charged to the budgets of cold
-// replicas, which then got no reads at all.
+// Regression test (scenario upgrade+hand): writes at the primary were charged to the budgets of
+// cold replicas, which then got no reads at all.
 TEST(SlowStart, WritesToThePrimaryDoNotUseTheBudgetOfAReplica) {
   int reads = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -763,8 +767,8 @@
   }
   EXPECT_GT(reads, 20);
 }
-// Without a warm server there is no measure of a server's capacity: the present demand is taken as the peak
-// demand, one and a half times the capacity of the group.
+// Without a warm server there is no measure of a server's capacity: the present demand is taken as
+// the peak demand, one and a half times the capacity of the group.
 TEST(SlowStart, WithoutAWarmServerDemandIsTakenAsThePeak) {
   BalancerFixture t;
   t.b.endpointsListed(t.now, ListKind::Full, {BalancerFixture::entry(1, Lifecycle::Ready, t.now)});
@@ -796,8 +800,8 @@
   EXPECT_GT(sent[0], 0);
   EXPECT_LE(sent[0] + sent[1], 2 * 0.24 * 100 / 1.5) << "0.2 of its capacity at the start, 0.24 after 0.5 s";
 }
-// A proxy has to act on a list change within 6 s, even after failed calls: the backoff stays short however
-// many calls have failed and however long the configured poll deadline is.
+// A proxy has to act on a list change within 6 s, even after failed calls: the backoff stays short
+// however many calls have failed and however long the configured poll deadline is.
 TEST(Discovery, PausesAfterFailedCallsStayShort) {
   Settings s = settings();
   s.discoveryMode = DiscoveryMode::Subscribe;
@@ -816,8 +820,8 @@
   // Leaves time for an unanswered call before and a queued call after, 2.5 s each.
   EXPECT_LE(longest, milliseconds(6000 - 2 * 2500));
 }
-// Regression test (scenario istanbul-main-later, big-2): all proxies started with the same server, which got
-// 12 times the mean load.
+// Regression test (scenario istanbul-main-later, big-2): all proxies started with the same server,
+// which got 12 times the mean load.
 TEST(Selection, ProxiesStartAtDifferentServers) {
   std::set<EndpointId> first;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -827,8 +831,8 @@
   EXPECT_EQ(first.size(), 3u);
 }
 
-// Regression test (scenario istanbul-main-later, big-2): hundreds of proxies, each with unused retry budget,
-// kept up an overload with their retries.
+// Regression test (scenario istanbul-main-later, big-2): hundreds of proxies, each with unused
+// retry budget, kept up an overload with their retries.
 TEST(Retries, UnusedRetryBudgetDecays) {
   BalancerFixture t;
   for (int k = 0; k < 60; ++k) {
@@ -850,8 +854,8 @@
   EXPECT_GE(retried, 1);
   EXPECT_LE(retried, 1 + failed / 5);
 }
-// Regression test (incident i4914d4): proxies that searched for the primary overloaded cold replicas with
-// misplaced writes.
+// Regression test (incident i4914d4): proxies that searched for the primary overloaded cold
+// replicas with misplaced writes.
 TEST(SlowStart, MisplacedWritesCountAgainstTheBudgetOfAServer) {
   int cold = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -864,8 +868,8 @@
 }
 
 // ---- health checks before a send -----------------------------------------------------------------------
-// Regression test (scenario istanbul-main-later): a proxy with few requests per second never had a proven
-// position.
+// Regression test (scenario istanbul-main-later): a proxy with few requests per second never had a
+// proven position.
 TEST(CheckBeforeSend, AReadWaitsForTheFirstSufficientReport) {
   BalancerFixture t;
   t.reportAsPrimary(1);
@@ -905,8 +909,8 @@
   report(2, 1);
   EXPECT_EQ(t.lastEndpoint(id), 2u);
 }
-// Regression test (scenario istanbul-main-later): answers were lost, and servers that still answered health
-// checks were ejected in turn.
+// Regression test (scenario istanbul-main-later): answers were lost, and servers that still
+// answered health checks were ejected in turn.
 TEST(Health, AnAnsweredHealthCheckPreventsEjectionForALostAnswer) {
   BalancerFixture t;
   for (int k = 0; k < 30; ++k) {
@@ -930,8 +934,8 @@
   }
   EXPECT_EQ(used.count(server), 1u) << "the server stays in use";
 }
-// Regression test (scenario muscat-guides, lag and fast_errors together): reads were rejected because the
-// primary was full, while a replica with fresh data failed only some of its requests.
+// Regression test (scenario muscat-guides, lag and fast_errors together): reads were rejected
+// because the primary was full, while a replica with fresh data failed only some of its requests.
 TEST(Health, AReadThatAFullPrimaryCannotTakeGoesToAPartlyFailingReplica) {
   BalancerFixture t(settings(), 2);
   t.reportAsPrimary(1);
@@ -976,8 +980,8 @@
   t.advance(20000);
   EXPECT_TRUE(t.b.removeExpiredEndpoints(t.now).empty()) << "the endpoint is listed again";
 }
-// Regression test (scenario muscat-guides, fast_errors on a primary): three immediate errors made all writes
-// wait for up to 8 s although the primary answered half of its requests.
+// Regression test (scenario muscat-guides, fast_errors on a primary): three immediate errors made
+// all writes wait for up to 8 s although the primary answered half of its requests.
 TEST(Health, APartlyFailingPrimaryStillGetsWrites) {
   BalancerFixture t;
   t.reportAsPrimary(1);
@@ -1005,13 +1009,15 @@
   const RequestId id = t.request(kBounded);
   for (int k = 0; k < 5; ++k) {
     ASSERT_EQ(t.sends(id).size(), static_cast<std::size_t>(k + 1));
-    t.endAttempt(id, AttemptResult::Error, t.replicationStatus(0, 1));  // immediate: uses no retry budget
+    // An immediate failure uses no retry budget.
+    t.endAttempt(id, AttemptResult::Error, t.replicationStatus(0, 1));
   }
   t.endAttempt(id, AttemptResult::Ok, t.replicationStatus(0, 1));
   EXPECT_FALSE(t.rejectedOrFailed(id));
 }
-// Regression test (scenario muscat-guides, lagging replicas): two lagging replicas got no sends, so they
-// stayed next in turn and were the only ones checked, while the positions of all others became too old.
+// Regression test (scenario muscat-guides, lagging replicas): two lagging replicas got no sends, so
+// they stayed next in turn and were the only ones checked, while the positions of all others became
+// too old.
 TEST(CheckBeforeSend, LaggingReplicasDoNotKeepOthersFromBeingChecked) {
   BalancerFixture t(settings(), 5);
   t.reportAsPrimary(1);
@@ -1083,8 +1089,8 @@
 }
 
 // ---- load shedding -------------------------------------------------------------------------------------
-// Regression test (incidents ife0563, i404a82, ieb4c96): queues so long that every answer was late sustained
-// themselves.
+// Regression test (incidents ife0563, i404a82, ieb4c96): queues so long that every answer was late
+// sustained themselves.
 TEST(LoadShedding, RequestsThatWouldBeLateAreRejected) {
   BalancerFixture t;
   std::vector<RequestId> all;
@@ -1099,8 +1105,8 @@
   EXPECT_LT(rejected, 195);
 }
 
-// Regression test (incident i1a9b26): some attempts were never answered, and each counted as load for
-// seconds.
+// Regression test (incident i1a9b26): some attempts were never answered, and each counted as load
+// for seconds.
 TEST(LoadShedding, LostAttemptsDoNotCountAsLoad) {
   Settings s = settings();
   s.cancelAllowed = false;
--- a/tests/consistency_test.cpp
+++ b/tests/consistency_test.cpp
@@ -1,5 +1,5 @@
-// Detection of stale answers: an answer whose own replication status shows data older than its class allows
-// is withheld from the client.
+// Detection of stale answers: an answer whose own replication status shows data older than its
+// class allows is withheld from the client.
 #include "harness.hpp"
 
 namespace sablespur::balancer::test {
@@ -15,8 +15,8 @@
   return s;
 }
 
-// Server 1 has answered a write as primary; for 600 ms, longer than the staleness bound of 500 ms, there has
-// been no further report of it.
+// Server 1 has answered a write as primary; for 600 ms, longer than the staleness bound of 500 ms,
+// there has been no further report of it.
 struct IdleProxy : BalancerFixture {
   explicit IdleProxy(const Settings& s = withoutHealthChecks()) : BalancerFixture(s) {
     const RequestId write = request(kWrite);
@@ -25,8 +25,8 @@
   }
 };
 
-// Regression test (fault soak, seed 5): an answer that showed data 5.1 s old, with a bound of 5 s, was
-// delivered.
+// Regression test (fault soak, seed 5): an answer that showed data 5.1 s old, with a bound of 5 s,
+// was delivered.
 TEST(StaleAnswer, FromAFormerPrimaryIsWithheld) {
   IdleProxy t;
   const RequestId read = t.request(kBounded);
@@ -52,9 +52,9 @@
   t.advance(5);
   EXPECT_FALSE(t.receiveAnswer(read, t.replicationStatus(-1000, kReplicaRole)));
 }
-// A server reports its position when it answers, after it has read the data, and may have caught up in
-// between (TakeoverProperty, seed 3433: data 3.6 s old with a fresh position). The position proves the data
-// of the next attempt only.
+// A server reports its position when it answers, after it has read the data, and may have caught up
+// in between (TakeoverProperty, seed 3433: data 3.6 s old with a fresh position). The position
+// proves the data of the next attempt only.
 TEST(StaleAnswer, ThePositionInAnAnswerProvesOnlyTheNextAttempt) {
   IdleProxy t;
   const RequestId read = t.request(kBounded);
@@ -113,7 +113,8 @@
   EXPECT_TRUE(t.sends(t.request(kBounded)).empty()) << "600 ms exceed the bound";
 }
 
-// For an attempt that waited for its connection, staleness is measured at the time of the actual send.
+// For an attempt that waited for its connection, staleness is measured at the time of the actual
+// send.
 TEST(StaleAnswer, StalenessIsMeasuredAtTheSend) {
   IdleProxy t;
   const RequestId read = t.request(kBounded);
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -1,6 +1,6 @@
-// Scalability of the Balancer, the engine and the endpoint list parser: CPU time and memory at 120, 800 and
-// 3,200 endpoints. Asserts growth, not absolute times; each figure is the minimum of several repeats, so that
-// other load on the machine matters little.
+// Scalability of the Balancer, the engine and the endpoint list parser: CPU time and memory at 120,
+// 800 and 3,200 endpoints. Asserts growth, not absolute times; each figure is the minimum of
+// several repeats, so that other load on the machine matters little.
 #include <malloc.h>
 #include <time.h>
 
@@ -16,7 +16,8 @@
 #include <vector>
 
 #if defined(__SANITIZE_ADDRESS__)
-extern "C" std::size_t __sanitizer_get_current_allocated_bytes();  // some compilers do not ship its header
+// Declared here since some compilers do not ship the header.
+extern "C" std::size_t __sanitizer_get_current_allocated_bytes();
 #endif
 
 #include "discovery/endpoint_list.hpp"
@@ -30,7 +31,8 @@
 constexpr int kEndpoints[] = {120, 800, 3200};
 constexpr int kGroupSize = 6;
 constexpr int kRepeats = 5;
-constexpr double kMaxGrowth = 3;  // of the cost of a request, change or endpoint, relative to 120 endpoints
+// Limit of the cost of a request, change or endpoint, relative to 120 endpoints.
+constexpr double kMaxGrowth = 3;
 
 double cpuMicroseconds() {
   timespec t{};
@@ -59,7 +61,8 @@
   return minimum;
 }
 
-// Measures the cost of one unit of work at each number of endpoints; fails if the cost grows with them.
+// Measures the cost of one unit of work at each number of endpoints; fails if the cost grows with
+// them.
 void expectConstantCost(const char* what, const std::function<double(int endpoints)>& microsecondsEach) {
   double first = 0;
   for (const int endpoints : kEndpoints) {
--- a/tests/decision_digest_test.cpp
+++ b/tests/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// Compares the digest of each test's decisions with tests/data/decision-digests.txt, in a listener that is
-// active in every run of this program. If UPDATE_DECISION_DIGESTS is set, a full run that passes rewrites the
-// file instead (see CONTRIBUTING.md).
+// Compares the digest of each test's decisions with tests/data/decision-digests.txt, in a listener
+// that is active in every run of this program. If UPDATE_DECISION_DIGESTS is set, a full run that
+// passes rewrites the file instead (see CONTRIBUTING.md).
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/decision_log.cpp
+++ b/tests/decision_log.cpp
@@ -15,7 +15,8 @@
 namespace {
 
 constexpr std::size_t kDigestDigits = 16;
-// If set, the lines of each test are also written to a file in this folder, to compare them by hand.
+// If set, the lines of each test are also written to a file in this folder, to compare them by
+// hand.
 constexpr const char* kTextFolderVariable = "DECISION_LOG_FOLDER";
 
 std::int64_t thousandths(double value) { return std::llround(value * 1000); }
--- a/tests/decision_log.hpp
+++ b/tests/decision_log.hpp
@@ -1,10 +1,12 @@
-// Records the events that a test passes to its Balancers and the resulting actions as lines of text, and
-// computes a digest of these lines. Balancer tests use a RecordingBalancer in place of a Balancer. The
-// digests of all tests are kept in tests/data/decision-digests.txt, so that any changed decision is detected.
+// Records the events that a test passes to its Balancers and the resulting actions as lines of
+// text, and computes a digest of these lines. Balancer tests use a RecordingBalancer in place of a
+// Balancer. The digests of all tests are kept in tests/data/decision-digests.txt, so that any
+// changed decision is detected.
 //
-// A line consists of the number of the Balancer within its test, one word for the event or action, and
-// integers: enumerators by value, times in microseconds, other numbers in thousandths (rounded). Type names,
-// addresses and messages are not included, so renaming them leaves the digests unchanged.
+// A line consists of the number of the Balancer within its test, one word for the event or action,
+// and integers: enumerators by value, times in microseconds, other numbers in thousandths
+// (rounded). Type names, addresses and messages are not included, so renaming them leaves the
+// digests unchanged.
 #pragma once
 
 #include <cstdint>
@@ -42,10 +44,11 @@
 
 // Digests by full test name. The file has one line per test: NAME DIGEST.
 using DecisionDigests = std::map<std::string, std::string>;
-DecisionDigests parseDecisionDigests(const std::string& text);  // throws std::runtime_error if malformed
+// Throws std::runtime_error if a line is malformed.
+DecisionDigests parseDecisionDigests(const std::string& text);
 std::string formatDecisionDigests(const DecisionDigests&);
-// Returns a message if the recorded digest of a finished test differs from the expected one, otherwise an
-// empty string.
+// Returns a message if the recorded digest of a finished test differs from the expected one,
+// otherwise an empty string.
 std::string compareDecisionDigest(const DecisionDigests& expected, const std::string& testName,
                                   const std::optional<std::string>& recorded);
 
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,5 +1,5 @@
-// Example of the Balancer interface: an endpoint list, a write and a bounded read with a failed attempt.
-// Prints the decisions of the Balancer.
+// Example of the Balancer interface: an endpoint list, a write and a bounded read with a failed
+// attempt. Prints the decisions of the Balancer.
 #include <cstdio>
 
 #include "balancer/balancer.hpp"
@@ -41,7 +41,8 @@
   s.classes[1].idempotency = Idempotency::NonIdempotent;
   s.classes[1].latencyObjective = milliseconds(500);
   s.classes[1].deadline = seconds(3);
-  s.laggingReplicaPolicy = LaggingReplicaPolicy::Reject;  // servers reject reads if their data are too old
+  // Servers reject reads for which their data are too old.
+  s.laggingReplicaPolicy = LaggingReplicaPolicy::Reject;
   s.positionsInAnswers = true;
   s.maxAttempts = 4;
   Printer out;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// A hundred Balancers in front of one group, in simulated time: checks the combined effect of the decisions
-// that each Balancer makes on its own.
+// A hundred Balancers in front of one group, in simulated time: checks the combined effect of the
+// decisions that each Balancer makes on its own.
 #include <deque>
 #include <functional>
 #include <map>
@@ -15,7 +15,8 @@
 
 constexpr int kProxies = 100;
 constexpr double kServiceTimeMs = 50;
-// Work of a server for a connection handshake; in deployments 2.2 to 7.4 ms, against 45 to 78 ms for a read.
+// Work of a server for a connection handshake; in deployments 2.2 to 7.4 ms, against 45 to 78 ms
+// for a read.
 constexpr double kHandshakeMs = 5;
 
 Settings fleetSettings() {
@@ -47,8 +48,9 @@
   return s;
 }
 
-// Proxies, servers and the network between them, driven by one event queue. A server serves three requests at
-// a time in order of arrival and drops queued requests that were cancelled or timed out.
+// Proxies, servers and the network between them, driven by one event queue. A server serves three
+// requests at a time in order of arrival and drops queued requests that were cancelled or timed
+// out.
 class Fleet {
  public:
   struct Server {
@@ -57,8 +59,9 @@
     double startCapacity = 1;  // relative to the full capacity, which is reached after 18 s
     std::deque<std::pair<int, std::pair<RequestId, int>>> queue;
     int busy = 0, received = 0, probes = 0, handshakes = 0;
-    std::set<int> connected;                   // proxies with a connection
-    std::deque<std::pair<Time, double>> work;  // time of arrival and work in ms, within the overload window
+    std::set<int> connected;  // proxies with a connection
+    // Times of arrival and work in ms, within the overload window.
+    std::deque<std::pair<Time, double>> work;
     double worstLoad = 0;  // the most work within a window, relative to the capacity in it
   };
   explicit Fleet(std::uint64_t seed, int serverCount = 7) : s(fleetSettings()), random_(seed) {
@@ -296,9 +299,10 @@
   }
 }
 
-// Regression test (scenario herd+mass with the full fleet): all warm replicas of a group drained, and the one
-// that had just started got nearly all reads of 300 proxies, plus a handshake from each. Each proxy limited
-// it to a share of the demand of the group instead of a share of the capacity of the server.
+// Regression test (scenario herd+mass with the full fleet): all warm replicas of a group drained,
+// and the one that had just started got nearly all reads of 300 proxies, plus a handshake from
+// each. Each proxy limited it to a share of the demand of the group instead of a share of the
+// capacity of the server.
 TEST(LargeFleet, AColdServerThatIsTheOnlyReplicaLeftIsNotOverloaded) {
   for (const std::uint64_t seed : {11u, 12u, 13u}) {
     Fleet f(seed);
@@ -310,7 +314,8 @@
     const Fleet::Server& cold = f.servers[12];
     EXPECT_LT(cold.worstLoad, 2.2) << "seed " << seed << ": overloaded by " << cold.received
                                    << " requests and " << cold.handshakes << " handshakes";
-    // Its capacity is at least 0.21 of 60 requests per second and rises to 0.5 in 6 s; a fifth of it is used.
+    // Its capacity is at least 0.21 of 60 requests per second and rises to 0.5 in 6 s; a fifth of
+    // it is used.
     EXPECT_GT(cold.received, 0.2 * 6 * 60 * (0.21 + 0.5) / 2)
         << "seed " << seed << ": too few requests to warm up";
   }
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,5 @@
-// Helpers of the Balancer tests: a sink that records actions, default settings and a fixture with one group.
+// Helpers of the Balancer tests: a sink that records actions, default settings and a fixture with
+// one group.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +15,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-// Every Balancer of these tests records its decisions for the digests in tests/data/decision-digests.txt.
+// Every Balancer of these tests records its decisions for the digests in
+// tests/data/decision-digests.txt.
 using Balancer = RecordingBalancer;
 
 struct Action {
@@ -158,8 +160,8 @@
     o.replicationStatus = status;
     b.attemptEnded(now, o);
   }
-  // Answers the latest attempt of the request. Like the proxy, withholds an answer that shows that its data
-  // are stale. Returns whether the client gets the answer.
+  // Answers the latest attempt of the request. Like the proxy, withholds an answer that shows that
+  // its data are stale. Returns whether the client gets the answer.
   bool receiveAnswer(RequestId id, std::uint32_t status) {
     const auto all = sends(id);
     AttemptOutcome o;
@@ -182,8 +184,8 @@
                 primary ? 1.0f : 0.0f};
     b.healthCheckEnded(now, p);
   }
-  // The replication status of an answer: a position `agoMs` before now, in ms, and a role (1 primary, 2
-  // replica).
+  // The replication status of an answer: a position `agoMs` before now, in ms, and a role (1
+  // primary, 2 replica).
   std::uint32_t replicationStatus(int agoMs, int role) const {
     return static_cast<std::uint32_t>((now - s.positionEpoch - milliseconds(agoMs)) / milliseconds(1)) * 4 +
            static_cast<std::uint32_t>(role);
--- a/tests/primary_check_test.cpp
+++ b/tests/primary_check_test.cpp
@@ -1,5 +1,5 @@
-// The check of an old primary role: before a read goes to a server only because it was once reported as the
-// primary, a health check confirms the role.
+// The check of an old primary role: before a read goes to a server only because it was once
+// reported as the primary, a health check confirms the role.
 #include "harness.hpp"
 
 namespace sablespur::balancer::test {
@@ -7,7 +7,8 @@
 
 enum : int { kPrimaryRole = 1, kReplicaRole = 2 };
 
-// Server 1 was reported as primary 1.2 s ago; the data of the others are older than the bound of 500 ms.
+// Server 1 was reported as primary 1.2 s ago; the data of the others are older than the bound of
+// 500 ms.
 struct LaggingGroup : BalancerFixture {
   RequestId read = 0;
 
@@ -25,8 +26,8 @@
   }
 };
 
-// Regression test (fault soak, seed 5): the read went to a server that had hung and had been the primary over
-// 5 s before.
+// Regression test (fault soak, seed 5): the read went to a server that had hung and had been the
+// primary over 5 s before.
 TEST(PrimaryCheck, AReadWaitsForTheReportOfAPrimaryKnownFromLongAgo) {
   LaggingGroup t;
   EXPECT_TRUE(t.sends(t.read).empty());
@@ -44,8 +45,8 @@
   t.report(1, 100, false);
   EXPECT_EQ(t.lastEndpoint(t.read), 1u);
 }
-// Without a reply the server still counts as the primary. If its answer turns out to be stale, it is
-// withheld.
+// Without a reply the server still counts as the primary. If its answer turns out to be stale, it
+// is withheld.
 TEST(PrimaryCheck, WithoutAReplyTheReadIsSentAfterATimeout) {
   LaggingGroup t;
   t.run(20);
@@ -106,8 +107,8 @@
   for (const Action& probe : t.out.actions("probe")) EXPECT_NE(probe.endpoint, 1u);
 }
 
-// Regression test: a single read waited until its deadline after two replicas had been checked once, although
-// there was a new primary.
+// Regression test: a single read waited until its deadline after two replicas had been checked
+// once, although there was a new primary.
 TEST(PrimaryCheck, ServersAreCheckedAgainWhileAReadWaitsForFreshData) {
   Settings longDeadline = settings();
   longDeadline.classes[kBounded].latencyObjective = seconds(5);
@@ -134,8 +135,8 @@
   t.report(probes.back().endpoint, 10, true);
   EXPECT_EQ(t.lastEndpoint(read), probes.back().endpoint);
 }
-// 300 proxies that each checked six servers four times a second lowered the score of a simulated day with a
-// network partition by 0.04.
+// 300 proxies that each checked six servers four times a second lowered the score of a simulated
+// day with a network partition by 0.04.
 TEST(PrimaryCheck, WithGossipWaitingReadsCheckServersInTurn) {
   Settings longDeadline = settings();
   longDeadline.classes[kBounded].latencyObjective = seconds(5);
--- a/tests/primary_discovery_test.cpp
+++ b/tests/primary_discovery_test.cpp
@@ -33,8 +33,8 @@
     t.endAttempt(write, AttemptResult::TooStale, kReplicaRole, static_cast<int>(ended));
 }
 
-// Regression test: without health checks, no write was sent after one unsuccessful round over all servers;
-// every later write was rejected.
+// Regression test: without health checks, no write was sent after one unsuccessful round over all
+// servers; every later write was rejected.
 TEST(PrimaryDiscovery, AWriteTriesTheServersAgainAfterAnUnsuccessfulRound) {
   BalancerFixture t(withoutHealthChecks());
   std::size_t ended = 0;
@@ -47,8 +47,8 @@
   EXPECT_EQ(t.lastEndpoint(t.request(kWrite)), t.lastEndpoint(write));
 }
 
-// Many proxies see the same takeover: each limits its rate of rounds, and jitter spreads the rounds of
-// different proxies.
+// Many proxies see the same takeover: each limits its rate of rounds, and jitter spreads the rounds
+// of different proxies.
 TEST(PrimaryDiscovery, UnsuccessfulRoundsAreRateLimitedAndJittered) {
   constexpr int kProxies = 20;
   constexpr int kWritesInTurn = 3;
--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -1,5 +1,5 @@
-// Long pseudo-random sequences of legal but adverse events, each from a fixed seed, and the invariants that
-// must hold in all of them.
+// Long pseudo-random sequences of legal but adverse events, each from a fixed seed, and the
+// invariants that must hold in all of them.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -98,7 +98,8 @@
     }
   };
   for (int step = 0; step < 4000; ++step) {
-    t.now += step % 997 == 0 ? Time(seconds(7)) : Time(milliseconds(pick(8)));  // the clock may jump ahead
+    // The clock may jump ahead.
+    t.now += step % 997 == 0 ? Time(seconds(7)) : Time(milliseconds(pick(8)));
     while (!timers.empty() && timers.begin()->first <= t.now) {
       const std::uint64_t token = timers.begin()->second;
       timers.erase(timers.begin());
@@ -212,8 +213,8 @@
           if (answered) {
             o.replicationStatus = primary ? 1 : 2;
             wasPrimary[o.endpoint] = primary;
-            // A primary has all commits, and positions never regress: at the send it had all commits until
-            // then.
+            // A primary has all commits, and positions never regress: at the send it had all
+            // commits until then.
             if (primary) proven[o.endpoint] = std::max(proven[o.endpoint], k.attempts[n].sentAt);
             if (s.classes[static_cast<std::size_t>(k.cls)].requirement == Requirement::Write &&
                 result == AttemptResult::Ok) {
@@ -227,7 +228,8 @@
           t.b.attemptEnded(t.now, o);
           checkActions();
           if (HasFatalFailure()) return;
-          for (std::size_t x = 0; x < k.attempts.size(); ++x) {  // the parallel attempts are cancelled
+          // The parallel attempts are cancelled.
+          for (std::size_t x = 0; x < k.attempts.size(); ++x) {
             if (!k.attempts[x].open || result != AttemptResult::Ok) continue;
             k.attempts[x].open = false;
             o.attempt = static_cast<int>(x);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,6 +1,6 @@
-// Many Balancers in front of servers that have just started, in simulated time. Counts the requests that all
-// of them together send to one server within the overload window of the rule. Traffic is uneven and bursty,
-// and the Balancers exchange no information.
+// Many Balancers in front of servers that have just started, in simulated time. Counts the requests
+// that all of them together send to one server within the overload window of the rule. Traffic is
+// uneven and bursty, and the Balancers exchange no information.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -17,7 +17,8 @@
 
 struct FleetOptions {
   int proxies = 20;
-  double startBudget = 35;  // N: requests that a server may get in an overload window right after its start
+  // N: the requests that a server may get in an overload window right after its start.
+  double startBudget = 35;
   int groups = 2, serversPerGroup = 5;
   double load = 0.6;         // relative to the capacity of the groups
   double writeShare = 0.07;  // of the requests
@@ -292,7 +293,8 @@
 std::vector<Case> cases(int proxies) {
   std::vector<Case> all;
   for (const double budget : {2.0, 10.0, 35.0, 100.0}) {
-    // Many proxies with a large budget, or with the smallest one, take long to simulate and cover no more.
+    // Many proxies with a large budget, or with the smallest one, take long to simulate and cover
+    // no more.
     if ((budget > 35 && (proxies > 20 || proxies == 1)) || (budget < 10 && proxies > 30)) continue;
     FleetOptions p;
     p.proxies = proxies;
@@ -339,7 +341,8 @@
   for (int k = 0; k < 3; ++k) f.run(1.5, k % 2 ? 1.5 : 1);
 }
 
-// The limit of the rule, without a further margin: N + 2 sqrt(N) + 2 requests from all proxies together.
+// The limit of the rule, without a further margin: N + 2 sqrt(N) + 2 requests from all proxies
+// together.
 class SlowStartFleet : public testing::TestWithParam<int> {};
 TEST_P(SlowStartFleet, NoColdServerIsOverloadedByAllProxiesTogether) {
   std::uint64_t seed = 0;
@@ -370,7 +373,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Proxies, SlowStartFleet, testing::Values(1, 3, 20, 30, 300, 350, 900));
 
-// A cold server also gets enough requests to use its capacity, and a cold primary most of the writes.
+// A cold server also gets enough requests to use its capacity, and a cold primary most of the
+// writes.
 TEST(SlowStart, AColdServerIsUsedAndWritesSucceed) {
   for (const int proxies : {3, 20, 300})
     for (const bool primaries : {false, true}) {
@@ -387,7 +391,8 @@
           << proxies << " proxies, primaries " << primaries;
       for (const auto& [id, x] : f.servers)
         if (x.started != Time(0) && !primaries) {
-          // Its capacity is at least 0.21 to 0.6 of 44 requests per second over 6 s; a fifth of it is used.
+          // Its capacity is at least 0.21 to 0.6 of 44 requests per second over 6 s; a fifth of it
+          // is used.
           EXPECT_GT(x.arrived, 0.2 * 6 * 44 * 0.4) << proxies << " proxies, server " << id;
         }
     }
--- a/tests/takeover_property_test.cpp
+++ b/tests/takeover_property_test.cpp
@@ -1,6 +1,6 @@
-// Property test: one Balancer meets random takeovers, hangs, replication lag, idle periods and lost answers
-// in simulated time. No read may be answered from data older than its class allows, and reads have to be
-// served again soon after a takeover.
+// Property test: one Balancer meets random takeovers, hangs, replication lag, idle periods and lost
+// answers in simulated time. No read may be answered from data older than its class allows, and
+// reads have to be served again soon after a takeover.
 #include <algorithm>
 #include <array>
 #include <cstdlib>
@@ -23,8 +23,8 @@
 constexpr Time kServiceTime = milliseconds(8);
 constexpr Time kReplicationDelay = milliseconds(5);
 constexpr Time kDuration = seconds(20);
-// Reads may be rejected for this long after a takeover, and writes for longer, since only one write at a time
-// looks for the primary.
+// Reads may be rejected for this long after a takeover, and writes for longer, since only one write
+// at a time looks for the primary.
 constexpr Time kReadRecovery = seconds(2);
 constexpr Time kWriteRecovery = seconds(4);
 
@@ -147,8 +147,8 @@
     if (id == primary_) return now_;
     return server.stoppedAt.value_or(now_ - kReplicationDelay);
   }
-  // Takes the primary down: replication stops until another server takes over, and the former primary may
-  // hang for a while.
+  // Takes the primary down: replication stops until another server takes over, and the former
+  // primary may hang for a while.
   void scheduleTakeover(Time when) {
     at(when, [this] {
       const EndpointId former = primary_;
@@ -244,13 +244,15 @@
     }
   }
 
-  // True if a healthy primary has been up long enough to serve the request well within its deadline.
+  // True if a healthy primary has been up long enough to serve the request well within its
+  // deadline.
   bool couldHaveBeenServed(const Pending& pending) const {
     if (primary_ == 0 || options_.lostPercent > 0 || pending.reachedHungServer) return false;
-    // A server that hung stays ejected for up to 8 s; writes wait that long if it becomes the primary.
+    // A server that hung stays ejected for up to 8 s; writes wait that long if it becomes the
+    // primary.
     if (pending.isWrite) return !options_.hangs && pending.arrivedAt >= primarySince_ + kWriteRecovery;
-    // A read that arrived before the takeover may have used up its deadline. Without health checks only a
-    // write finds the primary.
+    // A read that arrived before the takeover may have used up its deadline. Without health checks
+    // only a write finds the primary.
     const std::optional<Time> since =
         options_.healthChecks ? std::optional<Time>(primarySince_) : writtenSince_;
     return since && pending.arrivedAt >= *since + kReadRecovery;
@@ -294,7 +296,8 @@
   RequestId lastId_ = 0;
   std::priority_queue<Event> events_;
   std::uint64_t sequence_ = 0;
-  sablespur::balancer::Balancer balancer_;  // not a RecordingBalancer: property tests have no digest
+  // Not a RecordingBalancer: property tests have no digest.
+  sablespur::balancer::Balancer balancer_;
 };
 
 // Set TAKEOVER_SEEDS, for example to 10000, to run more seeds.
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -1,9 +1,10 @@
 // Reads and writes after another server has become the primary of their group.
 //
-// Regression tests (fault soak, seed 5): a proxy without a report of its primary for longer than the
-// staleness bound of a read still treated that primary as fresh. The server had hung and another one had
-// taken over; its answer showed this (role replica, a position over 5 s old) but was delivered. In other runs
-// answers were up to 11 s stale, and reads and writes were rejected forever after a takeover.
+// Regression tests (fault soak, seed 5): a proxy without a report of its primary for longer than
+// the staleness bound of a read still treated that primary as fresh. The server had hung and
+// another one had taken over; its answer showed this (role replica, a position over 5 s old) but
+// was delivered. In other runs answers were up to 11 s stale, and reads and writes were rejected
+// forever after a takeover.
 #include <chrono>
 
 #include "scenario.hpp"
@@ -33,7 +34,8 @@
   c1 expect row one
 )";
 
-// The answer of the supposed primary shows that the server is a replica, with or without a stale position.
+// The answer of the supposed primary shows that the server is a replica, with or without a stale
+// position.
 TEST(Takeover, AnAnswerThatShowsItsDataToBeStaleIsNotDelivered) {
   for (const char* const reported : {"all", "role"}) {
     SCOPED_TRACE(reported);
@@ -72,8 +74,9 @@
 }
 constexpr auto kLongerThanTheBoundWithProbes = 1200ms;
 
-// Regression test (fault soak, seed 5): all replicas were too stale, and the read went to a server that had
-// been the primary over 5 s before, although a health check would have shown its present role.
+// Regression test (fault soak, seed 5): all replicas were too stale, and the read went to a server
+// that had been the primary over 5 s before, although a health check would have shown its present
+// role.
 TEST(Takeover, AnOldPrimaryRoleIsCheckedBeforeARead) {
   Scenario t(settingWithProbes());
   t.run(kServerOneIsPrimary);
@@ -119,8 +122,8 @@
   )");
 }
 
-// Known to fail (KNOWN-RED.txt): without health checks and writes, no message that the rules allow shows the
-// new primary.
+// Known to fail (KNOWN-RED.txt): without health checks and writes, no message that the rules allow
+// shows the new primary.
 TEST(Takeover, ReadersAloneAreServedAgainWithoutProbes) {
   Scenario t(settingWithoutProbes());
   t.run(kServerOneIsPrimary);
@@ -137,8 +140,8 @@
   )");
 }
 
-// Regression test: a write that a former primary rejected was sent there eight times within a millisecond and
-// then rejected.
+// Regression test: a write that a former primary rejected was sent there eight times within a
+// millisecond and then rejected.
 TEST(Takeover, AWriteIsNotRetriedAtTheServerThatRejectedIt) {
   for (const bool probing : {true, false}) {
     SCOPED_TRACE(probing);
@@ -153,7 +156,8 @@
   }
 }
 
-// Regression test: after a write had tried every server while none was the primary, no later write was sent.
+// Regression test: after a write had tried every server while none was the primary, no later write
+// was sent.
 TEST(Takeover, WritesAreTriedAgainAfterAPeriodWithoutAPrimary) {
   Scenario t(settingWithoutProbes());
   t.run(kServerOneIsPrimary);
