--- a/src/discovery/call_schedule.cpp
+++ b/src/discovery/call_schedule.cpp
@@ -8,10 +8,10 @@
 constexpr std::uint64_t kBackoffSalt = 1;
 constexpr std::uint64_t kSpacingSalt = 2;
 constexpr std::uint64_t kPauseSalt = 3;
-constexpr double kBackoffJitter = 0.5;  // a backoff is 0.5 to 1.5 of its value
+constexpr double kBackoffJitter = 0.5;  // a backoff is multiplied by 0.5 to 1.5
 constexpr double kSpacingJitter = 0.1;
-constexpr std::size_t kMaxCallsInTime = 3;  // that are made while the list is not overdue yet
-constexpr double kAnswerMargin = 1.1;       // of the time that answers have taken
+constexpr std::size_t kMaxCallsInTime = 3;  // outstanding calls while the list is not overdue
+constexpr double kAnswerMargin = 1.1;       // multiplies the longest answer time observed
 
 }  // namespace
 
@@ -25,7 +25,7 @@
       return "watch silent";
     case CallReason::ListOverdue:
       return "list overdue";
-    case CallReason::Moved:
+    case CallReason::AddressChanged:
       return "registry moved";
   }
   return "";
@@ -39,27 +39,27 @@
       return "silent";
     case CloseReason::Unanswered:
       return "unanswered";
-    case CloseReason::MakesRoom:
+    case CloseReason::Evicted:
       return "makes room";
   }
   return "";
 }
 
-// ---- what happened --------------------------------------------------------------------------------------
+// ---- events ---------------------------------------------------------------------------------------------
 void CallSchedule::start(Time now) {
   if (started_) return;
   started_ = true;
   unconfirmedSince_ = now;
-  notBefore_ = now;
+  earliestOpening_ = now;
 }
 
-void CallSchedule::moved(Time now) {
+void CallSchedule::addressChanged(Time now) {
   hasCalled_ = false;
-  hasMoved_ = true;
+  addressChanged_ = true;
   unconfirmedSince_ = now;
-  notBefore_ = now;
+  earliestOpening_ = now;
   backoff_ = kMinBackoff;
-  for (Call& call : calls_) call.isElsewhere = true;
+  for (Call& call : calls_) call.isAtFormerAddress = true;
 }
 
 void CallSchedule::opened(Time now, CallId id) {
@@ -84,12 +84,12 @@
   if (call->phase == Phase::Waiting) recordAnswerTime(now, *call);
   call->phase = Phase::Following;
   call->progressAt = now;
-  if (call->isElsewhere) return;
+  if (call->isAtFormerAddress) return;
   if (call->isOutdated) return;
-  if (isFirst) winner_ = id;
+  if (isFirst) newlyFollowed_ = id;
   unconfirmedSince_ = now;
   confirmedAt_ = now;
-  answeredSince_ = false;
+  answeredSinceConfirmation_ = false;
   backoff_ = kMinBackoff;
 }
 
@@ -98,24 +98,25 @@
   if (!call) return;
   call->phase = Phase::Following;
   call->progressAt = now;
-  if (call->isElsewhere || call->isOutdated) return;
+  if (call->isAtFormerAddress || call->isOutdated) return;
   call->isOutdated = true;
-  notBefore_ = now + nextBackoff();
+  earliestOpening_ = now + nextBackoff();
 }
 
-// A service that asks for a longer pause gets it as far as the deadline of the list allows.
+// Honours Retry-After as far as the deadline of the list allows.
 void CallSchedule::ended(Time now, CallId id, const Ending& ending) {
   const auto found =
       std::find_if(calls_.begin(), calls_.end(), [id](const Call& call) { return call.id == id; });
   if (found == calls_.end()) return;
   const Call call = *found;
   calls_.erase(found);
-  if (call.isElsewhere) return;
+  if (call.isAtFormerAddress) return;
   if (ending.isAnswered && call.phase == Phase::Waiting) recordAnswerTime(now, call);
-  answeredSince_ = answeredSince_ || ending.isAnswered;
+  answeredSinceConfirmation_ = answeredSinceConfirmation_ || ending.isAnswered;
   for (Call& other : calls_)
-    other.isOvertaken = other.isOvertaken || (ending.isAnswered && other.openedAt < call.openedAt);
-  // A call that has waited has spared the registry others meanwhile.
+    other.isPresumedLost = other.isPresumedLost || (ending.isAnswered && other.openedAt < call.openedAt);
+  // The time that the failed call was open counts towards the backoff: while it waited, it spared
+  // the registry other calls.
   const Time shortest = jittered(kMinPause, kBackoffJitter, kPauseSalt, failures_);
   const Time sinceOpening = call.phase == Phase::Following ? Time(0) : now - call.openedAt;
   Time pause = std::max(shortest, nextBackoff() - sinceOpening);
@@ -124,7 +125,7 @@
     const Time longest = untilSecondCall > Time(0) ? untilSecondCall : kLateCallSpacing;
     pause = std::max(pause, std::min(*ending.retryAfter, longest));
   }
-  notBefore_ = now + pause;
+  earliestOpening_ = now + pause;
 }
 
 void CallSchedule::closed(CallId id) {
@@ -132,15 +133,15 @@
                calls_.end());
 }
 
-// ---- what is to be done ---------------------------------------------------------------------------------
+// ---- decisions ------------------------------------------------------------------------------------------
 CallSchedule::Decision CallSchedule::decide(Time now) {
   Decision decision;
   if (!started_) return decision;
   closeSuperseded(decision);
-  closeHopeless(now, decision);
+  closeTimedOut(now, decision);
   if (now < nextOpening()) return decision;
   decision.open = reasonToOpen();
-  if (calls_.size() >= kMaxCalls) close(decision, leastUsefulIndex(), CloseReason::MakesRoom);
+  if (calls_.size() >= kMaxCalls) close(decision, leastUsefulIndex(), CloseReason::Evicted);
   return decision;
 }
 
@@ -149,9 +150,9 @@
   Time next = nextOpening();
   for (const Call& call : calls_) {
     if (call.phase == Phase::Receiving) next = std::min(next, call.progressAt + kResponseSilence);
-    if (call.phase == Phase::Waiting) next = std::min(next, call.openedAt + kPatience);
+    if (call.phase == Phase::Waiting) next = std::min(next, call.openedAt + kAnswerTimeout);
   }
-  return winner_ ? Time(0) : next;
+  return newlyFollowed_ ? Time(0) : next;
 }
 
 std::optional<CallSchedule::CallId> CallSchedule::leastUsefulCall() const {
@@ -171,24 +172,24 @@
 }
 
 void CallSchedule::closeSuperseded(Decision& decision) {
-  if (!winner_) return;
+  if (!newlyFollowed_) return;
   for (std::size_t index = calls_.size(); index-- > 0;)
-    if (calls_[index].id != *winner_) close(decision, index, CloseReason::Superseded);
-  winner_.reset();
+    if (calls_[index].id != *newlyFollowed_) close(decision, index, CloseReason::Superseded);
+  newlyFollowed_.reset();
 }
 
-void CallSchedule::closeHopeless(Time now, Decision& decision) {
+void CallSchedule::closeTimedOut(Time now, Decision& decision) {
   for (std::size_t index = calls_.size(); index-- > 0;) {
     const Call& call = calls_[index];
     if (call.phase == Phase::Receiving && now >= call.progressAt + kResponseSilence)
       close(decision, index, CloseReason::Silent);
-    else if (call.phase == Phase::Waiting && now >= call.openedAt + kPatience)
+    else if (call.phase == Phase::Waiting && now >= call.openedAt + kAnswerTimeout)
       close(decision, index, CloseReason::Unanswered);
   }
 }
 
 bool CallSchedule::mayAnswer(const Call& call) const {
-  return !call.isElsewhere && !call.isOvertaken && call.phase != Phase::Following;
+  return !call.isAtFormerAddress && !call.isPresumedLost && call.phase != Phase::Following;
 }
 
 std::size_t CallSchedule::callsThatMayAnswer() const {
@@ -196,10 +197,10 @@
       std::count_if(calls_.begin(), calls_.end(), [this](const Call& call) { return mayAnswer(call); }));
 }
 
-// The watch that keeps the list up to date, silent or not.
+// Returns the watch that the list comes from, even if it is silent; null if there is none.
 const CallSchedule::Call* CallSchedule::followedCall() const {
   for (const Call& call : calls_)
-    if (call.phase == Phase::Following && !call.isElsewhere && !call.isOutdated) return &call;
+    if (call.phase == Phase::Following && !call.isAtFormerAddress && !call.isOutdated) return &call;
   return nullptr;
 }
 
@@ -207,40 +208,42 @@
   const Call* const followed = followedCall();
   const Time silentAt = followed ? followed->progressAt + kWatchSilence : Time(0);
   const std::size_t outstanding = callsThatMayAnswer();
-  return std::max({notBefore_, silentAt, outstanding > 0 ? nextFurtherOpening(outstanding) : Time(0)});
+  return std::max({earliestOpening_, silentAt, outstanding > 0 ? nextFurtherOpening(outstanding) : Time(0)});
 }
 
-// A further call beside the outstanding ones, which are not given up.
+// Returns when another call may be opened in parallel with the outstanding ones, which stay open.
 CallSchedule::Time CallSchedule::nextFurtherOpening(std::size_t outstanding) const {
   const bool isSecond = outstanding == 1;
   const Time byAge = isSecond ? std::max(unconfirmedSince_ + kSecondCallAge, lastOpenedAt_ + answerWait())
                               : std::max(unconfirmedSince_ + kThirdCallAge, lastOpenedAt_ + kCallSpacing);
-  const bool seemsLost = isSecond || (outstanding < kMaxCallsInTime && !answeredSince_);
-  if (seemsLost && byAge < unconfirmedSince_ + kLastCallAge) return byAge;
+  const bool isProbablyLost = isSecond || (outstanding < kMaxCallsInTime && !answeredSinceConfirmation_);
+  if (isProbablyLost && byAge < unconfirmedSince_ + kLastCallAge) return byAge;
   return lastOpenedAt_ + jittered(kLateCallSpacing, kSpacingJitter, kSpacingSalt, openings_);
 }
 
-// Silent watches, calls that seem to be lost and former addresses first; then the second oldest of the
-// outstanding calls, as the oldest is the next in the registry's queue.
+// Prefers, in this order:
+// - a silent watch or a call that is presumed lost,
+// - a call to a former address,
+// - the second oldest outstanding call, since the oldest is the next in the registry's queue.
 std::size_t CallSchedule::leastUsefulIndex() const {
-  std::optional<std::size_t> elsewhere;
+  std::optional<std::size_t> atFormerAddress;
   std::optional<std::size_t> silent;
   std::vector<std::size_t> outstanding;
   for (std::size_t index = 0; index < calls_.size(); ++index) {
     if (mayAnswer(calls_[index]))
       outstanding.push_back(index);
-    else if (calls_[index].isElsewhere)
-      elsewhere = elsewhere.value_or(index);
+    else if (calls_[index].isAtFormerAddress)
+      atFormerAddress = atFormerAddress.value_or(index);
     else
       silent = silent.value_or(index);
   }
   if (silent) return *silent;
-  if (elsewhere) return *elsewhere;
+  if (atFormerAddress) return *atFormerAddress;
   return outstanding.size() > 1 ? outstanding[1] : outstanding.front();
 }
 
 CallReason CallSchedule::reasonToOpen() const {
-  if (!hasCalled_) return hasMoved_ ? CallReason::Moved : CallReason::FirstCall;
+  if (!hasCalled_) return addressChanged_ ? CallReason::AddressChanged : CallReason::FirstCall;
   if (callsThatMayAnswer() > 0) return CallReason::ListOverdue;
   const Call* const followed = followedCall();
   return followed && followed->progressAt >= lastOpenedAt_ ? CallReason::WatchSilent : CallReason::Retry;
@@ -261,7 +264,7 @@
   return backoff;
 }
 
-// Between (1 - share) and (1 + share) of the span.
+// Multiplies the span by a factor between (1 - share) and (1 + share).
 CallSchedule::Time CallSchedule::jittered(Time span, double share, std::uint64_t salt,
                                           std::uint64_t count) const {
   const double factor = 1 - share + 2 * share * random_.fraction(salt, count);
--- a/src/discovery/call_schedule.hpp
+++ b/src/discovery/call_schedule.hpp
@@ -1,10 +1,11 @@
-// When the registry is called, and which calls stay open, so that the list of servers is confirmed in time
-// whatever one call does. Pure: no I/O, no clock.
+// Decides when the registry is called and which calls stay open, so that the endpoint list is
+// confirmed in time even if a single call is slow, fails or is lost. Pure: no I/O, no clock.
 //
-// The deadline belongs to the list, not to a call: what the registry has to tell counts as told 6 s after a
-// watch has fallen silent, so the list's age decides when a further call is made. A call that is only slow
-// stays open, since the registry works through its calls one at a time, and whoever gives up its place and
-// asks again waits longer and makes all others wait. kMaxCalls bounds what one proxy has open.
+// The deadline applies to the list, not to a call: a proxy is expected to know any change that the
+// registry holds 6 s after its watch stopped delivering, so the age of the list decides when
+// another call is made. A slow call stays open: the registry serves its calls one at a time, so
+// closing a call and calling again loses the place in its queue and lengthens the queue for all
+// proxies. kMaxCalls limits the open calls of one proxy.
 #pragma once
 
 #include <chrono>
@@ -20,19 +21,19 @@
 // Why a call is made.
 enum class CallReason {
   FirstCall,
-  Retry,        // the last one has ended
-  WatchSilent,  // the watch brings nothing any more
-  ListOverdue,  // a call is out, and the list grows too old to wait for it alone
-  Moved         // the registry is at another address now
+  Retry,          // the previous call has ended
+  WatchSilent,    // the watch has stopped delivering lists and empty lines
+  ListOverdue,    // a call is outstanding, but the list is too old to wait for it alone
+  AddressChanged  // the address of the registry has changed
 };
 const char* toString(CallReason);
 
 // Why the schedule wants a call closed.
 enum class CloseReason {
-  Superseded,  // another call has brought the list
-  Silent,      // its response has begun and does not go on
-  Unanswered,  // nothing has come for very long
-  MakesRoom    // for a further call
+  Superseded,  // another call has delivered a list
+  Silent,      // its response began, then stalled for kResponseSilence
+  Unanswered,  // no response within kAnswerTimeout
+  Evicted      // closed to stay within kMaxCalls or to free a descriptor
 };
 const char* toString(CloseReason);
 
@@ -41,32 +42,37 @@
   using Time = std::chrono::microseconds;
   using CallId = std::uint64_t;
 
-  // An idle watch brings an empty line every 2 s. One that has brought nothing for so long counts as silent.
+  // A watch that has delivered nothing for this time counts as silent. An idle watch delivers an
+  // empty line every 2 s.
   static constexpr Time kWatchSilence = std::chrono::milliseconds(2400);
-  // Ages of the list at which a second and a third call are made beside one that is out. The second is early
-  // enough to be repeated before the 6 s are over.
+  // Ages of the list at which a second and a third call are made in parallel with an outstanding
+  // one. The second call is early enough to be repeated within the 6 s.
   static constexpr Time kSecondCallAge = std::chrono::milliseconds(4000);
   static constexpr Time kThirdCallAge = std::chrono::milliseconds(5200);
-  // How long one call is waited for before a second one is made: a crowded registry turns calls away after 2
-  // s, and further calls would only add to its crowd. Longer where it has been seen to take longer.
+  // Minimum wait for one call before a second one is made: an overloaded registry rejects calls
+  // after 2 s, and further calls would only add to its load. The wait grows with the answer times
+  // observed.
   static constexpr Time kMinAnswerWait = std::chrono::milliseconds(2100);
-  // Between the second and the third, where the registry has answered nothing: two calls seem to be lost.
+  // Time between the second and the third call if the registry has not answered at all: both calls
+  // are then probably lost.
   static constexpr Time kCallSpacing = std::chrono::milliseconds(1200);
-  // The same once that is over: the registry cannot be reached, or is crowded. Below 6 s, so that it is
-  // asked within 6 s of its return.
+  // Time between further calls once the list is overdue: the registry is unreachable or overloaded.
+  // Below 6 s, so that it is called within 6 s of its recovery.
   static constexpr Time kLateCallSpacing = std::chrono::milliseconds(3500);
-  // A call that is made at this age of the list may still be in time, as the grace is added to the 6 s.
+  // Latest age of the list at which another call may still confirm it in time: the grace period is
+  // added to the 6 s.
   static constexpr Time kLastCallAge = std::chrono::milliseconds(6400);
-  // A response that has begun to bring a list, and then brings nothing for so long, will not end.
+  // A response that has begun but then delivers nothing for this time is treated as stalled.
   static constexpr Time kResponseSilence = std::chrono::milliseconds(3000);
-  // A call that has brought nothing keeps its place in the registry's queue for so long.
-  static constexpr Time kPatience = std::chrono::seconds(60);
-  // From the opening of a call that has failed to that of the next one.
+  // A call without any response stays open for this time, which preserves its place in the
+  // registry's queue.
+  static constexpr Time kAnswerTimeout = std::chrono::seconds(60);
+  // Backoff, measured from the opening of a failed call to the opening of the next one.
   static constexpr Time kMinBackoff = std::chrono::milliseconds(200);
   static constexpr Time kMaxBackoff = std::chrono::milliseconds(600);
-  // At least so long after the end of the one that has failed.
+  // Minimum time between the end of a failed call and the opening of the next one.
   static constexpr Time kMinPause = std::chrono::milliseconds(100);
-  // Open at once, a silent watch and one at a former address included.
+  // Maximum number of open calls, including silent watches and calls to a former address.
   static constexpr std::size_t kMaxCalls = 4;
 
   struct Closing {
@@ -74,60 +80,62 @@
     CloseReason reason;
   };
   struct Decision {
-    std::vector<Closing> close;  // first
-    std::optional<CallReason> open;
+    std::vector<Closing> close;      // to be closed before a call is opened
+    std::optional<CallReason> open;  // `std::nullopt` when no call is to be opened
   };
 
   explicit CallSchedule(std::uint64_t seed) : random_(seed) {}
 
-  // The list is to be followed from now on. Without effect after the first time.
+  // Starts following the list. Further calls have no effect.
   void start(Time now);
-  // The registry is at another address. A watch that works goes on until a call there has brought a list.
-  void moved(Time now);
+  // The address of the registry has changed. Calls to the former address stay open until a call to
+  // the new one has delivered a list.
+  void addressChanged(Time now);
 
-  // What happened to calls; ids that are not open are ignored.
+  // Events of calls. Ids of calls that are not open are ignored.
   void opened(Time now, CallId);
-  void progressed(Time now, CallId);  // bytes came that are part of a response with a list
-  void confirmed(Time now, CallId);   // a list came whole, or the line that says that nothing has changed
-  void outdated(Time now, CallId);    // its list was older than what is known
-  // What a call that has ended had brought.
+  void progressed(Time now, CallId);  // received bytes of a response that contains a list
+  void confirmed(Time now, CallId);   // received a complete list, or the empty line for "unchanged"
+  void outdated(Time now, CallId);    // received a list older than the known one
+  // What a call received before it ended.
   struct Ending {
-    bool isAnswered = false;  // a response, with whatever status
+    bool isAnswered = false;  // a response, with any status
     std::optional<Time> retryAfter;
   };
   void ended(Time now, CallId, const Ending&);
-  void closed(CallId);  // by the caller, for want of a descriptor
+  void closed(CallId);  // closed by the user of the schedule, to free a descriptor
 
-  // What is to be done now; to be asked until nothing is opened. What it closes, it has forgotten.
+  // Returns what to do now. To be repeated until it opens no call. The calls to be closed are no
+  // longer tracked by the schedule.
   Decision decide(Time now);
-  // When decide() will have something to do if nothing happens before; empty before start().
+  // Returns when decide() is next due if no event happens before; `std::nullopt` before start().
   std::optional<Time> nextDeadline() const;
 
-  // When the list was last known to be up to date; empty before the first time.
+  // Returns when the list was last known to be up to date; `std::nullopt` if never.
   std::optional<Time> confirmedAt() const { return confirmedAt_; }
   std::size_t openCalls() const { return calls_.size(); }
-  // A call to make room for another: of use where there is no descriptor left.
+  // Returns the call to close if a new call needs its descriptor; `std::nullopt` if none is open.
   std::optional<CallId> leastUsefulCall() const;
 
  private:
   enum class Phase {
-    Waiting,    // nothing has come
-    Receiving,  // a response has begun, its first list has not ended
-    Following   // a list has come
+    Waiting,    // no response yet
+    Receiving,  // the response has begun, its first list is incomplete
+    Following   // a complete list has been received
   };
   struct Call {
     CallId id = 0;
     Time openedAt{};
-    Time progressAt{};  // when it last brought something that counts
+    Time progressAt{};  // when it last received part of a list, or an empty line
     Phase phase = Phase::Waiting;
     bool isOutdated = false;
-    bool isElsewhere = false;  // at a former address
-    bool isOvertaken = false;  // a later call has been answered before it: it seems to be lost
+    bool isAtFormerAddress = false;
+    bool isPresumedLost = false;  // a call opened later was answered first
   };
 
   Call* find(CallId);
   void close(Decision&, std::size_t index, CloseReason);
-  void closeHopeless(Time now, Decision&);
+  void closeTimedOut(Time now, Decision&);
   void closeSuperseded(Decision&);
   bool mayAnswer(const Call&) const;
   std::size_t callsThatMayAnswer() const;
@@ -142,18 +150,18 @@
   Time jittered(Time, double share, std::uint64_t salt, std::uint64_t count) const;
 
   const balancer::LocalHash random_;
-  std::vector<Call> calls_;  // in the order of their opening
+  std::vector<Call> calls_;  // ordered by opening time
   bool started_ = false;
-  bool hasCalled_ = false;  // at this address
-  bool hasMoved_ = false;
-  std::optional<CallId> winner_;  // has just brought its first list
-  Time unconfirmedSince_{};       // the list's last confirmation, or the start, or the move
+  bool hasCalled_ = false;  // at the present address
+  bool addressChanged_ = false;
+  std::optional<CallId> newlyFollowed_;  // received its first list; supersedes the others
+  Time unconfirmedSince_{};              // last confirmation, start() or addressChanged()
   std::optional<Time> confirmedAt_;
-  Time notBefore_{};  // after a failure
+  Time earliestOpening_{};  // backoff after a failure
   Time lastOpenedAt_{};
   Time backoff_ = kMinBackoff;
-  Time longestAnswer_{};        // that a call has waited for; at most kLateCallSpacing
-  bool answeredSince_ = false;  // the registry has turned a call away since the list was last confirmed
+  Time longestAnswer_{};                    // longest observed; at most kLateCallSpacing
+  bool answeredSinceConfirmation_ = false;  // a call ended with a response since then
   std::uint64_t openings_ = 0;
   std::uint64_t failures_ = 0;
 };
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -13,11 +13,11 @@
 }
 
 bool EndpointListStream::feed(std::string_view bytes, std::vector<std::string>& complete) {
-  constexpr std::size_t kLongest = 4 << 20;
-  std::size_t taken = 0;  // bytes up to here are in text_, or belong to no list
-  const auto take = [&](std::size_t end) {
-    list_.append(bytes.substr(taken, end - taken));
-    taken = end;
+  constexpr std::size_t kMaxListBytes = 4 << 20;
+  std::size_t consumed = 0;  // bytes before this index are in list_ or outside any list
+  const auto appendUntil = [&](std::size_t end) {
+    list_.append(bytes.substr(consumed, end - consumed));
+    consumed = end;
   };
   for (std::size_t k = 0; k < bytes.size(); ++k) {
     const char c = bytes[k];
@@ -27,9 +27,9 @@
       emptyLines_ += c == '\n';
       if (isBlank) continue;
       if (c != '{') return false;
-      taken = k;
+      consumed = k;
     }
-    if (list_.size() + (k - taken) >= kLongest) return false;
+    if (list_.size() + (k - consumed) >= kMaxListBytes) return false;
     if (inString_) {
       inString_ = c != '"' || afterBackslash_;
       afterBackslash_ = c == '\\' && !afterBackslash_;
@@ -38,23 +38,23 @@
     inString_ = c == '"';
     depth_ += (c == '{' || c == '[') - (c == '}' || c == ']');
     if (depth_ > 0) continue;
-    take(k + 1);
+    appendUntil(k + 1);
     complete.push_back(std::move(list_));
     list_.clear();
   }
-  if (depth_ > 0) take(bytes.size());
+  if (depth_ > 0) appendUntil(bytes.size());
   return true;
 }
 
 Address parseAddress(std::string_view text, const std::string& key) {
   const auto address = Address::parse(text);
-  if (!address) throw BadInput("key " + key + ": '" + std::string(text) + "' is no address with a port");
+  if (!address) throw BadInput("key " + key + ": '" + std::string(text) + "' is not an address with a port");
   return *address;
 }
 
 namespace {
 
-// The key's text is put together only for an error.
+// Builds the full key only for an error.
 Address readAddress(std::string_view text, const std::string& path) {
   const auto address = Address::parse(text);
   return address ? *address : parseAddress(text, path + "hostPort");
@@ -72,20 +72,20 @@
     i.state = Lifecycle::Gone;
   else
     throw BadInput("key " + path + "lifecycle: unknown value '" + std::string(state) + "'");
-  // Of one that has left, the rest may be missing.
+  // The other fields may be missing for an endpoint that has left.
   const bool gone = i.state == Lifecycle::Gone;
-  const auto has = [&](const char* key) { return !gone || e[key].error() == simdjson::SUCCESS; };
-  if (has("hostPort")) i.address = readAddress(jsonField<std::string_view>(e, "hostPort", path), path);
-  if (has("zone")) i.zone = std::string(jsonField<std::string_view>(e, "zone", path));
+  const auto shouldRead = [&](const char* key) { return !gone || e[key].error() == simdjson::SUCCESS; };
+  if (shouldRead("hostPort")) i.address = readAddress(jsonField<std::string_view>(e, "hostPort", path), path);
+  if (shouldRead("zone")) i.zone = std::string(jsonField<std::string_view>(e, "zone", path));
   std::string_view kind;
   if (e["machineType"].get(kind) == simdjson::SUCCESS) i.kind = std::string(kind);
-  if (has("cell")) {
+  if (shouldRead("cell")) {
     const auto cell = jsonField<std::int64_t>(e, "cell", path);
     if (cell < 0 || cell > 65535) throw BadInput("key " + path + "cell: out of range");
     i.group = static_cast<balancer::GroupId>(cell);
   }
-  if (has("weight")) i.weight = jsonField<double>(e, "weight", path);
-  if (has("startedAtMs")) i.startedMs = jsonField<std::int64_t>(e, "startedAtMs", path);
+  if (shouldRead("weight")) i.weight = jsonField<double>(e, "weight", path);
+  if (shouldRead("startedAtMs")) i.startedMs = jsonField<std::int64_t>(e, "startedAtMs", path);
   if (i.startedMs < 0) throw BadInput("key " + path + "startedAtMs: negative");
   return i;
 }
@@ -100,12 +100,12 @@
   list.reset = jsonField<bool>(object, "reset", path);
   const auto instances = jsonField<simdjson::dom::array>(object, "instances", path);
   list.instances.reserve(instances.size());
-  std::string place = path + "instances[";
-  const std::size_t prefix = place.size();
+  std::string elementPath = path + "instances[";
+  const std::size_t prefix = elementPath.size();
   for (const element e : instances) {
-    place.resize(prefix);
-    place.append(std::to_string(list.instances.size())).append("].");
-    list.instances.push_back(readInstance(e, place));
+    elementPath.resize(prefix);
+    elementPath.append(std::to_string(list.instances.size())).append("].");
+    list.instances.push_back(readInstance(e, elementPath));
   }
   return list;
 }
--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// A withdrawn name whose penalty has decayed to this is forgotten.
+// A withdrawn name is removed once its penalty has decayed below this.
 constexpr double kNegligiblePenalty = 0.02;
 
-// How long an older list cannot bring back one that has left, and how many of them are remembered.
+// How long tombstones prevent older lists from bringing an endpoint back, and their maximum number.
 constexpr EndpointTable::Time kTombstoneRetention = std::chrono::minutes(10);
 constexpr std::size_t kMaxTombstones = 8192;
 
@@ -50,8 +50,8 @@
 }
 
 void EndpointTable::recordWithdrawal(Entry& entry, Time now) {
-  // RFC 2439 section 4.2: a ceiling, from which the penalty decays to reuseThreshold within maxSuppression.
-  // Else hours of flapping would exclude a server for hours.
+  // Ceiling of RFC 2439, section 4.2: the penalty decays from it to reuseThreshold within
+  // maxSuppression. Without it, hours of flapping would exclude a server for hours.
   const double ceiling = policy_.reuseThreshold * std::exp2(halfLives(policy_.maxSuppression, policy_));
   entry.flaps.penalty = std::min(currentPenalty(entry, now) + 1, std::max(ceiling, 1.0));
   entry.flaps.penaltyUpdatedAt = now;
@@ -63,7 +63,7 @@
 
 void EndpointTable::recordList(Time now) {
   hasList_ = true;
-  expired_ = false;
+  listExpired_ = false;
   lastUpdate_ = now;
   failingSince_.reset();
 }
@@ -77,7 +77,7 @@
 
   std::set<std::string_view> listed;
   for (const DiscoveredEndpoint& endpoint : all) listed.insert(endpoint.name);
-  // Starts of the servers whose names are withdrawn, by what a renamed server keeps.
+  // Start times of withdrawn servers by address and group, which a renamed server retains.
   std::map<std::pair<std::string, balancer::GroupId>, std::int64_t> withdrawnStarts;
   for (auto& [name, entry] : entries_) {
     if (!entry.present || listed.count(name) > 0) continue;
@@ -88,11 +88,12 @@
     Entry& entry = entries_[endpoint.name];
     if (!entry.present) {
       recordAppearance(entry, now, first);
-      // Renamed. Else a fleet would count as cold because its zone was published anew.
+      // A renamed server retains its start time. Otherwise all servers would count as cold after
+      // their DNS zone was republished under new names.
       const auto renamed = withdrawnStarts.find({endpoint.address.text(), endpoint.group});
       if (renamed != withdrawnStarts.end()) entry.inferredStartMs = renamed->second;
     } else if (entry.endpoint.address != endpoint.address || entry.endpoint.group != endpoint.group) {
-      entry.presenceChangedAt = now;  // another server under the old name
+      entry.presenceChangedAt = now;  // a different server under the same name
       entry.inferredStartMs = first ? 0 : unixMs(now);
     }
     entry.endpoint = std::move(endpoint);
@@ -120,7 +121,7 @@
   recordList(now);
   fromRegistry_ = true;
   removeOldTombstones(now);
-  if (list.generation >= newestGeneration_ || startsAnotherHistory(list)) {
+  if (list.generation >= newestGeneration_ || isAfterGenerationRestart(list)) {
     newestGeneration_ = list.generation;
     newestListAt_ = now;
   }
@@ -132,7 +133,7 @@
     const auto known = entries_.find(endpoint.name);
     if (endpoint.state == Lifecycle::Gone) {
       if (known == entries_.end()) continue;
-      recordLeft(now, endpoint.name, known->second, list.generation);
+      addTombstone(now, endpoint.name, known->second, list.generation);
       entries_.erase(known);
       continue;
     }
@@ -151,8 +152,10 @@
   registryUpdates_.push_back(std::move(list));
 }
 
-// Whether a list with a lower generation than the newest one cannot be an earlier list of the same registry.
-bool EndpointTable::startsAnotherHistory(const EndpointList& list) const {
+// Returns whether a list with a lower generation than the newest one cannot be an earlier list of
+// the same registry, so that the registry must have restarted its generations: an endpoint has a
+// later start time, one that started long ago is absent, or no endpoint would be left ready.
+bool EndpointTable::isAfterGenerationRestart(const EndpointList& list) const {
   std::set<std::string_view> listed;
   bool hasReady = false;
   for (const DiscoveredEndpoint& endpoint : list.instances) {
@@ -171,48 +174,51 @@
     const bool isLacking = listed.count(name) == 0;
     if (isLacking && entry.endpoint.startedMs == 0) return true;
     hadReady = hadReady || isReady;
-    hasReady = hasReady || (isReady && isLacking && !entry.missedByOlderList);
+    hasReady = hasReady || (isReady && isLacking && !entry.absentFromOlderList);
   }
   return hadReady && !hasReady;
 }
 
-// Whether an older list tells of an earlier life of this endpoint: of one that has left since, or of the
-// process before the one that runs.
+// Returns whether an older list describes an earlier state of this endpoint: one that has left
+// since, or the process before the one that runs now.
 bool EndpointTable::contradictsNewerList(const DiscoveredEndpoint& endpoint, std::uint64_t generation) const {
   const bool isGone = endpoint.state == Lifecycle::Gone;
   const auto tombstone = tombstones_.find(endpoint.name);
   if (tombstone != tombstones_.end() && generation < tombstone->second.generation)
     return !isGone && endpoint.startedMs <= tombstone->second.startedMs;
   const auto known = entries_.find(endpoint.name);
-  if (known == entries_.end()) return !isGone && hasLeftSince(endpoint, generation);
+  if (known == entries_.end()) return !isGone && hasLeftBeforeNewestList(endpoint, generation);
   if (generation >= known->second.generation) return false;
-  // One that has left may come without its start.
-  const bool tellsStart = !isGone || endpoint.startedMs > 0;
-  return tellsStart && endpoint.startedMs < known->second.endpoint.startedMs;
+  // The start time may be missing for an endpoint that has left.
+  const bool hasStart = !isGone || endpoint.startedMs > 0;
+  return hasStart && endpoint.startedMs < known->second.endpoint.startedMs;
 }
 
-// The newest list lacks it; only one that has started after that list came may be new all the same.
-bool EndpointTable::hasLeftSince(const DiscoveredEndpoint& unknown, std::uint64_t generation) const {
+// An endpoint of an older list that the newest list lacks has left, unless it started after the
+// newest list was received.
+bool EndpointTable::hasLeftBeforeNewestList(const DiscoveredEndpoint& unknown,
+                                            std::uint64_t generation) const {
   return generation < newestGeneration_ && unknown.startedMs <= unixMs(newestListAt_);
 }
 
-// In a whole list the newer knowledge stands in the place of what contradicts it.
+// Removes endpoints that contradict newer knowledge. In a whole list, known endpoints are replaced
+// by their newer state instead, so that they do not count as withdrawn.
 void EndpointTable::dropContradictions(EndpointList& list) const {
-  std::vector<DiscoveredEndpoint> kept;
-  kept.reserve(list.instances.size());
+  std::vector<DiscoveredEndpoint> retained;
+  retained.reserve(list.instances.size());
   for (DiscoveredEndpoint& endpoint : list.instances) {
     if (!contradictsNewerList(endpoint, list.generation)) {
-      kept.push_back(std::move(endpoint));
+      retained.push_back(std::move(endpoint));
       continue;
     }
     const auto known = entries_.find(endpoint.name);
-    if (list.reset && known != entries_.end()) kept.push_back(known->second.endpoint);
+    if (list.reset && known != entries_.end()) retained.push_back(known->second.endpoint);
   }
-  list.instances = std::move(kept);
+  list.instances = std::move(retained);
 }
 
-// A list may be older than what is known, as after a change of address or an outage of discovery. An endpoint
-// that has begun to drain does not become ready by it, unless it has started anew.
+// An older list, as received after a change of address or an outage of discovery, does not make a
+// draining endpoint ready unless the endpoint has been restarted.
 void EndpointTable::keepDraining(EndpointList& list) const {
   for (DiscoveredEndpoint& endpoint : list.instances) {
     const auto known = entries_.find(endpoint.name);
@@ -224,7 +230,8 @@
   }
 }
 
-// An older list may lack one that has come since: it stays, once, if it did not start long ago.
+// Removes endpoints that a whole list lacks. One that may have started after an older list was made
+// is retained the first time and a whole list is requested; the second list without it removes it.
 void EndpointTable::removeUnlisted(Time now, EndpointList& list) {
   wantsWholeList_ = false;
   std::set<std::string> listed;
@@ -233,23 +240,23 @@
     Entry& entry = at->second;
     const bool isListed = listed.count(at->first) > 0;
     const bool mayBeNewer = entry.generation > list.generation && entry.endpoint.startedMs > 0;
-    if (!isListed && mayBeNewer && !entry.missedByOlderList) {
-      entry.missedByOlderList = true;
+    if (!isListed && mayBeNewer && !entry.absentFromOlderList) {
+      entry.absentFromOlderList = true;
       wantsWholeList_ = true;
       list.instances.push_back(entry.endpoint);
     } else if (!isListed) {
-      recordLeft(now, at->first, entry, list.generation);
+      addTombstone(now, at->first, entry, list.generation);
       at = entries_.erase(at);
       continue;
     } else {
-      entry.missedByOlderList = false;
+      entry.absentFromOlderList = false;
     }
     ++at;
   }
 }
 
-void EndpointTable::recordLeft(Time now, const std::string& name, const Entry& entry,
-                               std::uint64_t generation) {
+void EndpointTable::addTombstone(Time now, const std::string& name, const Entry& entry,
+                                 std::uint64_t generation) {
   if (tombstones_.size() >= kMaxTombstones) {
     const auto oldest =
         std::min_element(tombstones_.begin(), tombstones_.end(),
@@ -282,12 +289,13 @@
   for (const auto& [name, entry] : entries_)
     if (entry.present && entry.flaps.suppressedUntil) consider(*entry.flaps.suppressedUntil);
   const auto expiry = listExpiry();
-  if (expiry && !expired_) consider(*expiry);
+  if (expiry && !listExpired_) consider(*expiry);
   return earliest;
 }
 
-// Clamped once and then kept: clamped to the present each time, the same start would be a new one each time.
-std::int64_t EndpointTable::startNoLaterThan(Entry& entry, Time now) {
+// Replaces a start time in the future by the present. The replacement is stored: if it were
+// computed for each list, the same start time would be published as a new start each time.
+std::int64_t EndpointTable::clampStart(Entry& entry, Time now) {
   const std::int64_t reported = entry.endpoint.startedMs;
   if (entry.clampedStart && entry.clampedStart->reportedMs == reported)
     return entry.clampedStart->publishedMs;
@@ -306,11 +314,11 @@
   const auto deadline = nextDeadline();
   if (!changed_ && !(deadline && *deadline <= now)) return std::nullopt;
   const auto expiry = listExpiry();
-  if (expiry && now >= *expiry) expired_ = true;
+  if (expiry && now >= *expiry) listExpired_ = true;
   changed_ = false;
 
   const std::vector<NamedEntry> order = entriesBySeniority();
-  exclude(order, now);
+  updateExclusions(order, now);
   EndpointList list;
   for (const auto& [name, entry] : order) publish(*name, *entry, now, list.instances);
   if (list.instances.empty() && !publishWholeList_) return std::nullopt;
@@ -320,8 +328,8 @@
   return list;
 }
 
-// Which name comes first at an address: those that the engine has, then the one that is there longest, by
-// name among equals.
+// Orders entries by their claim to an address: published ones first, then by how long they have
+// been present, then by name.
 std::vector<EndpointTable::NamedEntry> EndpointTable::entriesBySeniority() {
   std::vector<NamedEntry> order;
   order.reserve(entries_.size());
@@ -333,15 +341,15 @@
   return order;
 }
 
-// Settles for each entry whether it may be published.
-void EndpointTable::exclude(const std::vector<NamedEntry>& order, Time now) const {
+// Sets or clears the exclusion reason of each entry.
+void EndpointTable::updateExclusions(const std::vector<NamedEntry>& order, Time now) const {
   std::set<std::string> takenAddresses;
   for (const auto& [name, entry] : order) {
     entry->exclusionReason = nullptr;
     auto& suppressedUntil = entry->flaps.suppressedUntil;
     if (suppressedUntil && now >= *suppressedUntil) suppressedUntil.reset();
     if (!entry->present) continue;
-    if (expired_)
+    if (listExpired_)
       entry->exclusionReason = "the list is too old";
     else if (suppressedUntil)
       entry->exclusionReason = "it flaps";
@@ -350,23 +358,23 @@
   }
 }
 
-// Appends what the engine has to be given of this entry: that it has gone, that it is there, or both.
+// Appends the changes of this entry for the engine: its removal, its new state, or both.
 void EndpointTable::publish(const std::string& name, Entry& entry, Time now,
                             std::vector<DiscoveredEndpoint>& changes) {
-  const bool wanted = entry.present && !entry.exclusionReason;
+  const bool shouldPublish = entry.present && !entry.exclusionReason;
   DiscoveredEndpoint endpoint = entry.endpoint;
-  endpoint.startedMs = endpoint.startedMs > 0 ? startNoLaterThan(entry, now) : entry.inferredStartMs;
-  // A published name stands for one server: with another address or group it is another server, under a name
-  // of its own.
-  const bool otherServer =
+  endpoint.startedMs = endpoint.startedMs > 0 ? clampStart(entry, now) : entry.inferredStartMs;
+  // A published name identifies one server. An entry whose address or group has changed is a
+  // different server and is published under a new name.
+  const bool isDifferentServer =
       !entry.lastPublished.name.empty() &&
       (endpoint.address != entry.lastPublished.address || endpoint.group != entry.lastPublished.group);
-  if (entry.published && (!wanted || otherServer)) {
+  if (entry.published && (!shouldPublish || isDifferentServer)) {
     changes.push_back(asGone(entry.lastPublished));
     entry.published = false;
   }
-  if (!wanted) return;
-  if (otherServer) ++entry.incarnation;
+  if (!shouldPublish) return;
+  if (isDifferentServer) ++entry.incarnation;
   endpoint.name = entry.incarnation > 1 ? name + "#" + std::to_string(entry.incarnation) : name;
   if (entry.published && endpoint == entry.lastPublished) return;
   entry.lastPublished = endpoint;
@@ -378,7 +386,7 @@
   return !entry.present && !entry.published && currentPenalty(entry, now) < kNegligiblePenalty;
 }
 
-// Bounds the table where a source names its endpoints anew again and again.
+// Bounds the size of the table when a source keeps renaming its endpoints.
 void EndpointTable::removeExpired(Time now) {
   for (auto entry = entries_.begin(); entry != entries_.end();)
     entry = isExpired(entry->second, now) ? entries_.erase(entry) : std::next(entry);
--- a/src/discovery/endpoint_table.hpp
+++ b/src/discovery/endpoint_table.hpp
@@ -1,29 +1,39 @@
-// Which data servers there are, and since when. Every discovery source feeds this table: the HTTP registry
-// sends a whole list or changes, with generations; DNS-SD gives all that it finds, each time. The engine is
-// fed from it. Pure: no I/O, no clock.
+// The table of known data servers with their state and start times, fed by every discovery source:
+// the HTTP registry sends whole lists or changes, with generations; DNS-SD provides a whole
+// snapshot each time. The table yields the updates for the engine. Pure: no I/O, no clock.
 //
-// - A withdrawal is published in the same call that brings it. Only a return may be delayed.
-// - Flap damping after RFC 2439: each withdrawal of a name adds a penalty of 1, which halves every
-// `halfLife`.
-//   A name that returns while its penalty is at `suppressThreshold` or above is left out until the penalty
-//   has fallen to `reuseThreshold`, and for `maxSuppression` at most.
-// - An endpoint that appears after the first whole list, and whose source gives no start, has started when it
-//   appeared; the balancer then warms it up. Those of the first list started long ago.
-// - An address that appears under a new name while its old name is withdrawn by the same list is the same
-//   server, and keeps its start.
-// - Of two names at one address the one that was there first is published, the other left out until that one
-// is
-//   withdrawn.
-// - A list with a lower generation than the known one takes nothing back: what has left or begun to drain
-// stays
-//   so until it starts anew or a newer list has it. Whom such a whole list lacks is gone if it started long
-//   ago; one that may have come since stays until a second whole list lacks it, which generation() asks for.
-//   One that the known list lacks has left since, unless it started after that list came.
-// - A registry that has lost its generations and counts from 1 again is told apart from an old answer by what
-// an
-//   earlier list of the same history cannot hold: a later start, or the lack of one that started long ago.
-//   Its lists then count as new, also where nothing ready would be left otherwise.
-// - Failures withdraw nothing until the list is older than `maxListAge`.
+// Withdrawals are published by the call that reports them; only the return of an endpoint can be
+// delayed.
+//
+// Rules for snapshots, which have no generations (applySnapshot()):
+// - Flap damping after RFC 2439: each withdrawal of a name adds 1 to its penalty, which halves
+//   every `halfLife`. A name that returns with a penalty of at least `suppressThreshold` is
+//   excluded until the penalty has decayed to `reuseThreshold`, but for no longer than
+//   `maxSuppression`.
+// - Inferred start: an endpoint that first appears after the first snapshot, without a start time
+//   from its source, counts as started when it appeared, so the balancer warms it up. Endpoints of
+//   the first snapshot count as started long ago.
+// - Renamed server: if one snapshot withdraws a name and adds another name at the same address,
+//   both are the same server, and the start time is retained.
+// - Duplicate address: of two names at one address, the one that was there first is published. The
+//   other is excluded until the first is withdrawn.
+// - List expiry: failures of the source withdraw nothing until the list is older than `maxListAge`.
+//   Then all endpoints are withdrawn until the next snapshot.
+//
+// Rules for registry lists, which have generations (applyUpdate()). An older list is one whose
+// generation is below that of the knowledge it is compared with:
+// - Older state: an older list does not bring back an endpoint that has left (see Tombstone), nor
+//   make a draining one ready, unless the endpoint has a later start time. A newer list can do
+//   both.
+// - Endpoint absent from an older whole list: removed if it started long ago. Otherwise it may have
+//   started after that list was made, so it stays until a second whole list lacks it as well;
+//   generation() requests that list.
+// - Unknown endpoint in an older list: ignored, as it has left by the time of the newest list,
+//   unless it started after the newest list was received.
+// - Generation restart: a registry that has lost its generations counts from 1 again. Its lists are
+//   told apart from old ones by content that no earlier list can have: a later start time, or the
+//   absence of an endpoint that started long ago. Such lists count as new, as does a whole list
+//   that would otherwise leave no endpoint ready.
 #pragma once
 
 #include <chrono>
@@ -46,7 +56,7 @@
   double reuseThreshold = 0.75;
   Time halfLife = std::chrono::seconds(15);
   Time maxSuppression = std::chrono::seconds(60);
-  Time maxListAge{};  // 0: the last list is used for ever
+  Time maxListAge{};  // 0: the list never expires
 };
 
 class EndpointTable {
@@ -54,45 +64,48 @@
   using Time = std::chrono::microseconds;
   explicit EndpointTable(const EndpointTablePolicy& policy = {}) : policy_(policy) {}
 
-  // All endpoints that a source without generations has. `first`: what is new in it has not just started, as
-  // after a change of domain; the very first list is always taken so.
+  // Applies all endpoints of a source without generations. `first`: endpoints that are new in it
+  // have not just started, for example after a change of domain; always assumed of the very first
+  // list.
   void applySnapshot(Time now, std::vector<DiscoveredEndpoint> all, bool first = false);
-  // The list of the settings, which the engine has already.
+  // Initializes the table with the known list of the settings. Publishes nothing: the engine
+  // already has that list.
   void adoptKnown(Time now, const EndpointList&);
-  // A list of a source with generations. Such a source counts returns and starts itself: no damping, no
-  // inferred starts.
+  // Applies a list of a source with generations. Such a source tracks returns and start times
+  // itself, so neither flap damping nor inferred starts apply.
   void applyUpdate(Time now, EndpointList);
   void recordFailure(Time now, std::string why);
 
-  // What the engine has to be given now, one list a call until there is none. To be called after each of the
-  // above and when nextDeadline() is due.
+  // Returns the next update for the engine; `std::nullopt` when there is none. To be called until
+  // then, after each of the functions above and when nextDeadline() is due.
   std::optional<EndpointList> nextUpdate(Time now);
-  // When something has to be published though no source reports anything.
+  // Returns when an update becomes due without a report from a source; `std::nullopt` when none
+  // does.
   std::optional<Time> nextDeadline() const;
 
-  // The generation after which changes are to be asked for; 0: a whole list is wanted.
+  // Returns the generation after which changes are to be requested; 0 requests a whole list.
   std::uint64_t generation() const { return wantsWholeList_ ? 0 : generation_; }
-  // Of the last list.
+  // Returns the generation of the last list.
   std::uint64_t lastGeneration() const { return generation_; }
   void setPolicy(const EndpointTablePolicy& policy) { policy_ = policy; }
 
-  // For `sablespur members`.
+  // The state shown by `sablespur members`.
   struct Row {
     DiscoveredEndpoint endpoint;
-    std::string exclusionReason;  // why it is not published; empty: it is
+    std::string exclusionReason;  // why it is not published; empty if it is
     double penalty = 0;
     unsigned withdrawals = 0;
   };
   struct View {
-    std::vector<Row> rows;             // by name
-    std::optional<Time> lastUpdate;    // when a source last reported anything
-    std::optional<Time> failingSince;  // nothing but failures since then
+    std::vector<Row> rows;             // sorted by name
+    std::optional<Time> lastUpdate;    // when a source last delivered a list
+    std::optional<Time> failingSince;  // first failure since then
     std::string lastError;             // empty unless failing
   };
   View view(Time now) const;
 
  private:
-  // A start that lay in the future when it came, and the time that was published in its place.
+  // A start time that was in the future when it was received, and the time published in its place.
   struct ClampedStart {
     std::int64_t reportedMs = 0;
     std::int64_t publishedMs = 0;
@@ -104,60 +117,68 @@
     std::optional<Time> suppressedUntil;
   };
   struct Entry {
-    DiscoveredEndpoint endpoint;  // as the source has it
-    bool present = false;         // in the source's list
+    DiscoveredEndpoint endpoint;  // as reported by the source
+    bool present = false;         // whether the source lists it
     Time presenceChangedAt{};
-    std::int64_t inferredStartMs = 0;  // used where the source gives none
+    std::int64_t inferredStartMs = 0;  // used if the source gives no start time
     std::optional<ClampedStart> clampedStart;
     FlapHistory flaps;
-    bool published = false;            // the engine has it
-    DiscoveredEndpoint lastPublished;  // as the engine has or last had it
-    unsigned incarnation = 1;          // above 1: part of the published name
+    bool published = false;            // whether the engine has it
+    DiscoveredEndpoint lastPublished;  // as last published to the engine
+    unsigned incarnation = 1;          // part of the published name if above 1
     const char* exclusionReason = nullptr;
-    std::uint64_t generation = 0;  // of the list that told the state, from a registry
-    bool missedByOlderList = false;
+    std::uint64_t generation = 0;      // of the registry's list that the state comes from
+    bool absentFromOlderList = false;  // an older whole list lacked it; the next one removes it
   };
-  // One that has left, as a registry told it.
+  // Remembers an endpoint that has left a registry's list, so that older lists cannot bring it
+  // back.
   struct Tombstone {
-    std::uint64_t generation = 0;
-    std::int64_t startedMs = 0;
+    std::uint64_t generation = 0;  // of the newest knowledge of the endpoint
+    std::int64_t startedMs = 0;    // of the process that has left
     Time leftAt{};
   };
   using NamedEntry = std::pair<const std::string*, Entry*>;
 
   void recordList(Time now);
   double currentPenalty(const Entry&, Time now) const;
+  // Rules "Inferred start" and "Flap damping".
   void recordAppearance(Entry&, Time now, bool first);
   void recordWithdrawal(Entry&, Time now);
   void removeExpired(Time now);
   bool isExpired(const Entry&, Time now) const;
-  bool startsAnotherHistory(const EndpointList&) const;
+  // Rule "Generation restart".
+  bool isAfterGenerationRestart(const EndpointList&) const;
+  // Rule "Older state".
   bool contradictsNewerList(const DiscoveredEndpoint&, std::uint64_t generation) const;
-  bool hasLeftSince(const DiscoveredEndpoint& unknown, std::uint64_t generation) const;
+  // Rule "Unknown endpoint in an older list".
+  bool hasLeftBeforeNewestList(const DiscoveredEndpoint& unknown, std::uint64_t generation) const;
   void dropContradictions(EndpointList&) const;
+  // Rule "Older state".
   void keepDraining(EndpointList&) const;
+  // Rule "Endpoint absent from an older whole list".
   void removeUnlisted(Time now, EndpointList&);
-  void recordLeft(Time now, const std::string& name, const Entry&, std::uint64_t generation);
+  void addTombstone(Time now, const std::string& name, const Entry&, std::uint64_t generation);
   void removeOldTombstones(Time now);
   std::optional<Time> listExpiry() const;
+  // Rule "Duplicate address": the first of the returned entries at an address is published.
   std::vector<NamedEntry> entriesBySeniority();
-  void exclude(const std::vector<NamedEntry>&, Time now) const;
+  void updateExclusions(const std::vector<NamedEntry>&, Time now) const;
   static void publish(const std::string& name, Entry&, Time now, std::vector<DiscoveredEndpoint>& changes);
-  static std::int64_t startNoLaterThan(Entry&, Time now);
+  static std::int64_t clampStart(Entry&, Time now);
 
   EndpointTablePolicy policy_;
   std::map<std::string, Entry> entries_;
   std::map<std::string, Tombstone> tombstones_;  // by name
-  std::uint64_t generation_ = 0;
-  std::uint64_t newestGeneration_ = 0;  // of the registry's history so far
-  Time newestListAt_{};                 // when that came
-  bool wantsWholeList_ = false;
-  bool hasList_ = false;                      // a first whole list has come
-  bool fromRegistry_ = false;                 // the last list came with a generation
-  std::deque<EndpointList> registryUpdates_;  // passed on as they came
-  bool changed_ = false;                      // a snapshot has come since the last nextUpdate
-  bool publishWholeList_ = false;             // the next update is a whole list
-  bool expired_ = false;                      // the list is older than maxListAge
+  std::uint64_t generation_ = 0;                 // of the last list
+  std::uint64_t newestGeneration_ = 0;           // highest since the last generation restart
+  Time newestListAt_{};                          // when the list of newestGeneration_ was received
+  bool wantsWholeList_ = false;                  // generation() requests a whole list
+  bool hasList_ = false;                         // a first list was received
+  bool fromRegistry_ = false;                    // the last list came with a generation
+  std::deque<EndpointList> registryUpdates_;     // for nextUpdate(), in the order received
+  bool changed_ = false;                         // a snapshot was applied since nextUpdate()
+  bool publishWholeList_ = false;                // the next update is a whole list
+  bool listExpired_ = false;                     // the list is older than maxListAge
   std::optional<Time> lastUpdate_;
   std::optional<Time> failingSince_;
   std::string lastError_;
--- a/src/discovery/json.hpp
+++ b/src/discovery/json.hpp
@@ -9,7 +9,7 @@
 
 namespace sablespur {
 
-// Throws BadInput naming the key (after `path`) where the field is missing or of another type.
+// Returns the field. Throws BadInput naming `path` + `key` if it is missing or has another type.
 template <typename T>
 T jsonField(const simdjson::dom::element& of, const char* key, const std::string& path) {
   T value;
@@ -19,7 +19,8 @@
   return value;
 }
 
-// A list from its parsed JSON form; `path` is its place in error messages. Throws BadInput naming the key.
+// Reads a list from its parsed JSON form. `path` is the prefix of the keys in error messages.
+// Throws BadInput naming the key.
 EndpointList readEndpointList(const simdjson::dom::element& object, const std::string& path);
 
 }  // namespace sablespur
--- a/src/discovery/registry/call.cpp
+++ b/src/discovery/registry/call.cpp
@@ -18,7 +18,8 @@
       socket_(socket),
       connection_(bufferevent_socket_new(base, socket, 0)) {}
 
-// The descriptor is closed here and now: whoever reserves it for the next call has to find it free.
+// Closes the descriptor immediately instead of when libevent frees the connection: the watch
+// reserves the freed descriptor for the next call.
 RegistryCall::~RegistryCall() {
   bufferevent_setfd(connection_.get(), -1);
   connection_.reset();
@@ -31,7 +32,7 @@
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
   if (socket_ < 0 ||
       bufferevent_socket_connect(connection_.get(), address_.data(), static_cast<int>(address_.size())) != 0)
-    return end("no connection");
+    return end("connect failed");
   bufferevent_setcb(
       connection_.get(), [](bufferevent*, void* self) { static_cast<RegistryCall*>(self)->read(); }, nullptr,
       [](bufferevent*, short what, void* self) {
@@ -55,7 +56,7 @@
 
 void RegistryCall::feed(Report& report) {
   evbuffer* const in = bufferevent_get_input(connection_.get());
-  const bool begun = response_.status() == kOk;
+  const bool hadBegun = response_.status() == kOk;
   std::string body;
   evbuffer_iovec part;
   while (evbuffer_peek(in, -1, nullptr, &part, 1) > 0) {
@@ -72,26 +73,26 @@
     report.retryAfter = response_.retryAfter();
     return;
   }
-  report.listGrew = !begun && response_.status() == kOk;
+  report.listGrew = !hadBegun && response_.status() == kOk;
   parse(body, report);
   if (!report.ending && response_.complete()) report.ending = "watch ended";
 }
 
-// Bytes that trickle in and amount to nothing are no sign of life.
+// Whitespace alone does not count as progress of a list.
 void RegistryCall::parse(const std::string& body, Report& report) {
   const std::size_t before = stream_.significantBytes();
   const std::size_t linesBefore = stream_.emptyLines();
   std::vector<std::string> texts;
   const bool isWellFormed = stream_.feed(body, texts);
   report.listGrew = report.listGrew || stream_.significantBytes() > before;
-  report.isIdle = stream_.emptyLines() > linesBefore && !stream_.isInList();
+  report.hasEmptyLine = stream_.emptyLines() > linesBefore && !stream_.isInList();
   try {
     for (const std::string& text : texts) report.lists.push_back(parseEndpointList(text));
   } catch (const BadInput& error) {
     report.ending = error.what();
   }
   lists_ += report.lists.size();
-  if (!report.ending && !isWellFormed) report.ending = "something that is no list, or too long";
+  if (!report.ending && !isWellFormed) report.ending = "malformed or overlong list";
 }
 
 }  // namespace sablespur
--- a/src/discovery/registry/call.hpp
+++ b/src/discovery/registry/call.hpp
@@ -17,30 +17,31 @@
 
 class RegistryCall {
  public:
-  // What has come since the last report.
+  // What was received since the last report.
   struct Report {
     std::vector<EndpointList> lists;
-    bool listGrew = false;              // the response began, or bytes came that are part of a list
-    bool isIdle = false;                // an empty line came: nothing has changed
-    std::optional<std::string> ending;  // why the call is over; empty while it goes on
-    bool isAnswered = false;            // a response has begun, with whatever status
+    bool listGrew = false;              // the response began, or bytes of a list were received
+    bool hasEmptyLine = false;          // received the empty line for "unchanged"
+    std::optional<std::string> ending;  // why the call ended; `std::nullopt` while it is open
+    bool isAnswered = false;            // a response has begun, with any status
     std::optional<std::chrono::seconds> retryAfter;
   };
-  // Receives the reports. The call may be destroyed in it.
+  // Receives the reports. May destroy the call while handling one.
   class Owner {
    public:
     virtual ~Owner() = default;
     virtual void reported(RegistryCall&, Report&) = 0;
   };
 
-  // Takes the socket, which may be -1: the call then ends at once with the next report. The owner outlives
-  // it.
+  // Takes ownership of the socket. If it is -1, start() reports the end of the call. The owner must
+  // outlive the call.
   RegistryCall(event_base*, Owner&, std::uint64_t id, int socket, const Address&, std::uint64_t after);
   ~RegistryCall();
   RegistryCall(const RegistryCall&) = delete;
   RegistryCall& operator=(const RegistryCall&) = delete;
 
-  // Sends the request for a watch of changes after the generation. May report an end at once.
+  // Connects and requests a watch of the changes after the generation. May report the end of the
+  // call before it returns.
   void start();
 
   std::uint64_t id() const { return id_; }
--- a/src/discovery/registry/watch.cpp
+++ b/src/discovery/registry/watch.cpp
@@ -12,7 +12,8 @@
       address_(address),
       schedule_(seed),
       timer_(event_new(
-          base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<RegistryWatch*>(self)->act(); },
+          base, -1, 0,
+          [](evutil_socket_t, short, void* self) { static_cast<RegistryWatch*>(self)->runSchedule(); },
           this)) {}
 
 RegistryWatch::~RegistryWatch() = default;
@@ -20,33 +21,33 @@
 void RegistryWatch::watch(std::uint64_t after) {
   if (!hasList_) initialGeneration_ = after;
   schedule_.start(clock_.now());
-  act();
+  runSchedule();
 }
 
 void RegistryWatch::changeAddress(const Address& address) {
   if (address == address_) return;
   address_ = address;
-  schedule_.moved(clock_.now());
-  act();
+  schedule_.addressChanged(clock_.now());
+  runSchedule();
 }
 
 RegistryWatch::View RegistryWatch::view() const {
   View view;
-  view.generation = generationToAskFrom();
+  view.generation = generationToRequestAfter();
   if (const auto confirmedAt = schedule_.confirmedAt()) view.confirmedAgo = clock_.now() - *confirmedAt;
   view.openCalls = calls_.size();
-  view.calls = lastCall_;
+  view.calls = lastCallId_;
   view.failures = failures_;
   view.lastEnding = lastEnding_;
   return view;
 }
 
-std::uint64_t RegistryWatch::generationToAskFrom() const {
+std::uint64_t RegistryWatch::generationToRequestAfter() const {
   return hasList_ ? consumer_.generation() : initialGeneration_;
 }
 
-// Carries out what is due, and wakes up when something will be.
-void RegistryWatch::act() {
+// Executes the decisions that are due and sets the timer for the next ones.
+void RegistryWatch::runSchedule() {
   for (;;) {
     const CallSchedule::Decision decision = schedule_.decide(clock_.now());
     for (const CallSchedule::Closing& closing : decision.close) close(closing.call, toString(closing.reason));
@@ -57,8 +58,8 @@
 }
 
 void RegistryWatch::open(CallReason reason) {
-  const CallId id = ++lastCall_;
-  const std::uint64_t after = generationToAskFrom();
+  const CallId id = ++lastCallId_;
+  const std::uint64_t after = generationToRequestAfter();
   const bool isFurther = reason == CallReason::WatchSilent || reason == CallReason::ListOverdue;
   logEvent(isFurther ? LogLevel::Warning : LogLevel::Debug, "discovery_call_opened",
            {{"call", id}, {"why", toString(reason)}, {"after", after}, {"open_calls", calls_.size() + 1}});
@@ -70,11 +71,11 @@
   const Clock::Time now = clock_.now();
   calls_[id] = OpenCall{std::move(call), now};
   schedule_.opened(now, id);
-  started.start();  // may end and destroy it
+  started.start();  // may end and destroy the call
 }
 
-// Where no descriptor is left, the call that is of least use makes way. One is reserved for the time in which
-// none is open.
+// If no descriptor is left, closes the least useful call to free one. While no call is open, a
+// descriptor is reserved instead.
 int RegistryWatch::openSocket() {
   const int family = address_.v6() ? AF_INET6 : AF_INET;
   reserve_.release();
@@ -82,7 +83,7 @@
   const auto leastUseful = schedule_.leastUsefulCall();
   if (socket >= 0 || !leastUseful) return socket;
   schedule_.closed(*leastUseful);
-  close(*leastUseful, toString(CloseReason::MakesRoom));
+  close(*leastUseful, toString(CloseReason::Evicted));
   reserve_.release();
   return systemCalls().socket(family);
 }
@@ -111,8 +112,8 @@
   const CallId id = call.id();
   const Clock::Time now = clock_.now();
   if (report.listGrew) schedule_.progressed(now, id);
-  for (EndpointList& list : report.lists) take(id, std::move(list));
-  if (report.lists.empty() && report.isIdle) schedule_.confirmed(now, id);
+  for (EndpointList& list : report.lists) applyList(id, std::move(list));
+  if (report.lists.empty() && report.hasEmptyLine) schedule_.confirmed(now, id);
   if (report.ending) {
     const std::string why = std::move(*report.ending);
     recordEnding(call, why, LogLevel::Warning);
@@ -122,11 +123,11 @@
     schedule_.ended(now, id, {report.isAnswered, report.retryAfter});
     consumer_.discoveryFailed(why);
   }
-  act();
+  runSchedule();
 }
 
-void RegistryWatch::take(CallId id, EndpointList list) {
-  const bool isOlder = list.generation < generationToAskFrom();
+void RegistryWatch::applyList(CallId id, EndpointList list) {
+  const bool isOlder = list.generation < generationToRequestAfter();
   hasList_ = true;
   consumer_.endpointsListed(std::move(list));
   if (isOlder)
--- a/src/discovery/registry/watch.hpp
+++ b/src/discovery/registry/watch.hpp
@@ -1,4 +1,5 @@
-// Follows the HTTP registry: carries out what CallSchedule decides, and gives on the lists that come.
+// Follows the HTTP registry: executes the decisions of CallSchedule and passes the received lists
+// to their consumer.
 #pragma once
 
 #include <map>
@@ -17,23 +18,25 @@
 
 class RegistryWatch final : public DiscoverySource, private RegistryCall::Owner {
  public:
-  // What `status` tells.
+  // The state shown by `sablespur status`.
   struct View {
     std::uint64_t generation = 0;
-    std::optional<Clock::Time> confirmedAgo;  // empty: never yet
+    std::optional<Clock::Time> confirmedAgo;  // `std::nullopt` if never confirmed
     std::size_t openCalls = 0;
     std::uint64_t calls = 0;     // made so far
-    std::uint64_t failures = 0;  // calls that have ended without being replaced
-    std::string lastEnding;      // why the last call ended or was closed; empty: none has
+    std::uint64_t failures = 0;  // calls that ended without being closed by the proxy
+    std::string lastEnding;      // why the last call ended or was closed; empty if none has
   };
 
-  // The clock and the consumer have to outlive it. The seed spreads the calls of the fleet's proxies.
+  // The clock and the consumer must outlive the watch. The seed varies the jitter, so that the
+  // proxies of a fleet do not call at the same time.
   RegistryWatch(event_base*, const Clock&, EndpointListConsumer&, const Address&, std::uint64_t seed);
   ~RegistryWatch() override;
-  // Follows the list from the consumer's generation on. It goes on by itself: without effect if it does so
-  // already.
+  // Starts following the list after generation `after`. Has no effect once started: calls are then
+  // renewed without further requests.
   void watch(std::uint64_t after) override;
-  // Continues there. The watch at the former address stays until a list has come from the new one.
+  // Continues at the new address. The watch at the former address stays open until the new one has
+  // delivered a list.
   void changeAddress(const Address&);
   View view() const;
 
@@ -41,31 +44,31 @@
   using CallId = CallSchedule::CallId;
 
   void reported(RegistryCall&, RegistryCall::Report&) override;
-  void take(CallId, EndpointList);
-  void act();
+  void applyList(CallId, EndpointList);
+  void runSchedule();
   void open(CallReason);
   int openSocket();
   void close(CallId, const char* why);
   void recordEnding(const RegistryCall&, const std::string& why, LogLevel);
-  std::uint64_t generationToAskFrom() const;
+  std::uint64_t generationToRequestAfter() const;
 
   event_base* const base_;
   const Clock& clock_;
   EndpointListConsumer& consumer_;
   Address address_;
   CallSchedule schedule_;
-  std::uint64_t initialGeneration_ = 0;  // of the list that was known before the first call
-  bool hasList_ = false;                 // a call has brought one
+  std::uint64_t initialGeneration_ = 0;  // of the list known before the first call
+  bool hasList_ = false;                 // a call has delivered a list
   struct OpenCall {
     std::unique_ptr<RegistryCall> call;
     Clock::Time openedAt{};
   };
   std::map<CallId, OpenCall> calls_;
-  CallId lastCall_ = 0;
+  CallId lastCallId_ = 0;
   std::uint64_t failures_ = 0;
   std::string lastEnding_;
-  Event timer_;                 // when the schedule has something to do
-  ReservedDescriptor reserve_;  // held while no call is open, so that the next one finds a descriptor
+  Event timer_;                 // expires at schedule_.nextDeadline()
+  ReservedDescriptor reserve_;  // descriptor for the next call, held while none is open
 };
 
 }  // namespace sablespur
--- a/tests/call_schedule_test.cpp
+++ b/tests/call_schedule_test.cpp
@@ -1,5 +1,5 @@
-// When the registry is called, in simulated time: one proxy before calls that are slow, fail or are lost, and
-// fleets before a registry that works through its calls one at a time.
+// Tests of CallSchedule in simulated time: one proxy with slow, failing and lost calls, and fleets
+// that call a registry which serves its calls one at a time.
 #include "discovery/call_schedule.hpp"
 
 #include <gtest/gtest.h>
@@ -18,19 +18,18 @@
 using CallId = CallSchedule::CallId;
 
 constexpr Time kStep = 10ms;
-// A change counts as told 6 s after the silence; the grace is 1 s, and the rule leaves 50 ms of slack. A
-// process may be held up for 0.15 s.
-constexpr Time kLine = 7050ms;
-constexpr Time kHoldUp = 150ms;
+// Latest confirmation of the list: 6 s after the last line of a silent watch, 1 s of grace and
+// 50 ms of tolerance. A process may be delayed by kProcessDelay.
+constexpr Time kTimeLimit = 7050ms;
+constexpr Time kProcessDelay = 150ms;
 
-// What becomes of one call.
-struct Fate {
+// The outcome of one call.
+struct CallOutcome {
   enum class Kind { List, Failure, Silence } kind = Kind::List;
   Time after{};
 };
 
-// One proxy whose watch has brought its last line at 0 and is silent from then on. Returns when the list is
-// confirmed again, by calls that end as `fates` say; later ones are answered at once.
+// One proxy whose watch delivers its last line at 0 and is silent from then on.
 struct SilentWatch {
   explicit SilentWatch(std::uint64_t seed) : schedule(seed) {
     schedule.start(0ms);
@@ -40,23 +39,25 @@
     schedule.decide(0ms);
   }
 
-  Time confirmedAgain(const std::vector<Fate>& fates, Time until = 60s) {
-    std::map<CallId, std::pair<Time, Fate>> out;
+  // Returns when the list is confirmed again, with calls that end as given by `callOutcomes`; any
+  // further call is answered at once.
+  Time confirmedAgain(const std::vector<CallOutcome>& callOutcomes, Time until = 60s) {
+    std::map<CallId, std::pair<Time, CallOutcome>> outstanding;
     for (Time now = kStep; now < until; now += kStep) {
-      for (auto at = out.begin(); at != out.end();) {
-        const auto [opened, fate] = at->second;
-        const bool isDue = fate.kind != Fate::Kind::Silence && now >= opened + fate.after;
-        if (isDue && fate.kind == Fate::Kind::List) return now;
+      for (auto at = outstanding.begin(); at != outstanding.end();) {
+        const auto [opened, outcome] = at->second;
+        const bool isDue = outcome.kind != CallOutcome::Kind::Silence && now >= opened + outcome.after;
+        if (isDue && outcome.kind == CallOutcome::Kind::List) return now;
         if (isDue) schedule.ended(now, at->first, {true, std::nullopt});
-        at = isDue ? out.erase(at) : std::next(at);
+        at = isDue ? outstanding.erase(at) : std::next(at);
       }
       const CallSchedule::Decision decision = schedule.decide(now);
-      for (const auto& closing : decision.close) out.erase(closing.call);
+      for (const auto& closing : decision.close) outstanding.erase(closing.call);
       mostOpen = std::max(mostOpen, schedule.openCalls());
       if (!decision.open) continue;
       const std::size_t index = calls++;
       schedule.opened(now, ++last);
-      out[last] = {now, index < fates.size() ? fates[index] : Fate{}};
+      outstanding[last] = {now, index < callOutcomes.size() ? callOutcomes[index] : CallOutcome{}};
     }
     return until;
   }
@@ -67,13 +68,13 @@
   std::size_t mostOpen = 0;
 };
 
-constexpr Fate answeredAfter(Time time) { return {Fate::Kind::List, time}; }
-constexpr Fate failedAfter(Time time) { return {Fate::Kind::Failure, time}; }
-constexpr Fate neverAnswered() { return {Fate::Kind::Silence, 0ms}; }
+constexpr CallOutcome answeredAfter(Time time) { return {CallOutcome::Kind::List, time}; }
+constexpr CallOutcome failedAfter(Time time) { return {CallOutcome::Kind::Failure, time}; }
+constexpr CallOutcome neverAnswered() { return {CallOutcome::Kind::Silence, 0ms}; }
 
-// The silence begins right after a line, when it takes longest to be noticed.
-TEST(CallSchedule, ConfirmsTheListInTimeWhateverOneCallDoes) {
-  const std::vector<std::pair<std::string, std::vector<Fate>>> rows{
+// The watch falls silent right after a line, so that detecting it takes longest.
+TEST(CallSchedule, ConfirmsTheListInTimeDespiteSlowFailedOrLostCalls) {
+  const std::vector<std::pair<std::string, std::vector<CallOutcome>>> rows{
       {"at once", {answeredAfter(0ms)}},
       {"after 2.2 s", {answeredAfter(2200ms), neverAnswered(), neverAnswered()}},
       {"after 2.8 s", {answeredAfter(2800ms), answeredAfter(2800ms), answeredAfter(2800ms)}},
@@ -83,55 +84,57 @@
       {"two lost", {neverAnswered(), neverAnswered(), answeredAfter(0ms)}},
       {"one lost, one slow", {neverAnswered(), answeredAfter(2300ms)}},
   };
-  for (const auto& [name, fates] : rows) {
+  for (const auto& [name, callOutcomes] : rows) {
     SCOPED_TRACE(name);
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       SilentWatch watch(seed);
-      EXPECT_LE(watch.confirmedAgain(fates), kLine - kHoldUp) << "seed " << seed;
+      EXPECT_LE(watch.confirmedAgain(callOutcomes), kTimeLimit - kProcessDelay) << "seed " << seed;
     }
   }
 }
 
-// 2.4 s until the silence is noticed and 5 s for the answer: the line cannot be held, but the list comes.
-TEST(CallSchedule, ACallThatTakesTooLongForTheLineIsTakenAllTheSame) {
+// 2.4 s until the silence is detected and 5 s for the answer exceed the time limit, but the list is
+// still accepted.
+TEST(CallSchedule, AnswerBeyondTheTimeLimitIsStillAccepted) {
   SilentWatch watch(1);
   EXPECT_EQ(watch.confirmedAgain({answeredAfter(5s), answeredAfter(5s), answeredAfter(5s)}), 7400ms);
   EXPECT_LE(watch.mostOpen, CallSchedule::kMaxCalls);
 }
 
-// Random delays, failures and losses, as many as leave time for one answer: what the sum of all may take.
-TEST(CallSchedule, RandomFailuresTogetherStayWithinTheLine) {
-  const char* const given = std::getenv("CALL_SCHEDULE_SEEDS");
-  const std::uint64_t seeds = given ? std::strtoull(given, nullptr, 10) : 200;
-  constexpr Time kLongestAnswer[] = {4400ms, 2300ms, 800ms};  // by the number of calls that fail
+// Random delays, failures and losses that leave enough time for one answer: their sum must stay
+// within the time limit.
+TEST(CallSchedule, RandomFailuresStayWithinTheTimeLimit) {
+  const char* const seedsText = std::getenv("CALL_SCHEDULE_SEEDS");
+  const std::uint64_t seeds = seedsText ? std::strtoull(seedsText, nullptr, 10) : 200;
+  constexpr Time kLongestAnswer[] = {4400ms, 2300ms, 800ms};  // by number of failing calls
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     std::mt19937_64 random(seed);
     const auto below = [&random](Time time) {
       return Time(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(time.count() + 1)));
     };
     const std::size_t failures = random() % 3;
-    std::vector<Fate> fates;
+    std::vector<CallOutcome> callOutcomes;
     for (std::size_t k = 0; k < failures; ++k)
-      fates.push_back(random() % 2 ? neverAnswered() : failedAfter(below(1400ms)));
-    for (int k = 0; k < 4; ++k) fates.push_back(answeredAfter(below(kLongestAnswer[failures])));
+      callOutcomes.push_back(random() % 2 ? neverAnswered() : failedAfter(below(1400ms)));
+    for (int k = 0; k < 4; ++k) callOutcomes.push_back(answeredAfter(below(kLongestAnswer[failures])));
     SilentWatch watch(seed);
-    ASSERT_LE(watch.confirmedAgain(fates), kLine - kHoldUp) << "seed " << seed;
+    ASSERT_LE(watch.confirmedAgain(callOutcomes), kTimeLimit - kProcessDelay) << "seed " << seed;
     ASSERT_LE(watch.mostOpen, CallSchedule::kMaxCalls) << "seed " << seed;
   }
 }
 
-// For as long as nothing can be reached, a further call is made often enough to find the registry within 6 s
-// of its return, and no more often.
-TEST(CallSchedule, AsksOnWhileNothingIsAnsweredAndAtABoundedRate) {
+// While the registry is unreachable, calls are made often enough to find it within 6 s of its
+// recovery, and not more often.
+TEST(CallSchedule, KeepsCallingAtABoundedRateWhileNothingIsAnswered) {
   SilentWatch watch(3);
-  const std::vector<Fate> lost(1000, neverAnswered());
+  const std::vector<CallOutcome> lost(1000, neverAnswered());
   EXPECT_EQ(watch.confirmedAgain(lost, 120s), 120s);
   EXPECT_GE(watch.calls, 30u);
   EXPECT_LE(watch.calls, 40u);
   EXPECT_LE(watch.mostOpen, CallSchedule::kMaxCalls);
 }
 
-TEST(CallSchedule, WaitsAsLongAsItIsToldWhereTheDeadlineAllowsIt) {
+TEST(CallSchedule, HonoursRetryAfterUpToTheDeadlineOfTheList) {
   const auto openedAgainAfter = [](Time confirmedAgo, std::optional<Time> retryAfter) {
     SilentWatch watch(1);
     watch.schedule.decide(2400ms);
@@ -145,7 +148,7 @@
   EXPECT_EQ(openedAgainAfter(20s, 60s), CallSchedule::kLateCallSpacing);
 }
 
-TEST(CallSchedule, AListThatGrowsIsWaitedForAndOneThatStopsIsNot) {
+TEST(CallSchedule, StalledListIsClosedAndAGrowingOneIsNot) {
   SilentWatch watch(1);
   CallSchedule& schedule = watch.schedule;
   schedule.decide(2400ms);
@@ -161,9 +164,9 @@
   EXPECT_TRUE(isClosed);
 }
 
-// A registry that turns calls away answers, if late: further calls would only join the crowd that makes it
-// late.
-TEST(CallSchedule, ACallIsWaitedForAsLongAsAnswersHaveTaken) {
+// A registry that rejects calls late is overloaded, and further calls would only add to its load:
+// the wait before a second call grows with the answer times observed.
+TEST(CallSchedule, WaitForASecondCallGrowsWithAnswerTimes) {
   SilentWatch watch(1);
   CallSchedule& schedule = watch.schedule;
   ASSERT_EQ(schedule.decide(2400ms).open, CallReason::WatchSilent);
@@ -174,31 +177,31 @@
   EXPECT_LE(again, 4600ms);
   ASSERT_EQ(schedule.decide(again).open, CallReason::Retry);
   schedule.opened(again, ++watch.last);
-  EXPECT_GE(*schedule.nextDeadline(), again + 2200ms) << "a tenth more than the answer took";
+  EXPECT_GE(*schedule.nextDeadline(), again + 2200ms) << "a tenth longer than the answer took";
 }
 
-TEST(CallSchedule, NoThirdCallIsMadeWhereTheRegistryHasAnswered) {
+TEST(CallSchedule, NoEarlyThirdCallIfTheRegistryHasAnswered) {
   SilentWatch unanswered(1);
-  SilentWatch turnedAway(1);
-  for (SilentWatch* const watch : {&unanswered, &turnedAway}) {
+  SilentWatch rejecting(1);
+  for (SilentWatch* const watch : {&unanswered, &rejecting}) {
     CallSchedule& schedule = watch->schedule;
     schedule.opened(2400ms, ++watch->last);
-    if (watch == &turnedAway) {
+    if (watch == &rejecting) {
       schedule.ended(2500ms, watch->last, {true, std::nullopt});
       schedule.opened(2600ms, ++watch->last);
     }
     schedule.opened(4800ms, ++watch->last);
   }
   EXPECT_EQ(*unanswered.schedule.nextDeadline(), 4800ms + CallSchedule::kCallSpacing);
-  EXPECT_GE(*turnedAway.schedule.nextDeadline(), 4800ms + CallSchedule::kLateCallSpacing * 9 / 10);
+  EXPECT_GE(*rejecting.schedule.nextDeadline(), 4800ms + CallSchedule::kLateCallSpacing * 9 / 10);
 }
 
-// The drains that the former address tells are followed until the new one has told a list.
-TEST(CallSchedule, AWatchAtAFormerAddressGoesOnUntilTheNewOneHasAnswered) {
+// Changes reported at the former address are applied until the new one has delivered a list.
+TEST(CallSchedule, WatchAtAFormerAddressStaysOpenUntilTheNewOneAnswers) {
   SilentWatch watch(1);
   CallSchedule& schedule = watch.schedule;
-  schedule.moved(1s);
-  EXPECT_EQ(schedule.decide(1s).open, CallReason::Moved);
+  schedule.addressChanged(1s);
+  EXPECT_EQ(schedule.decide(1s).open, CallReason::AddressChanged);
   schedule.opened(1s, ++watch.last);
   const CallId former = watch.last - 1;
   for (Time now = 1s; now < 7s; now += kStep)
@@ -210,7 +213,7 @@
   EXPECT_EQ(decision.close[0].reason, CloseReason::Superseded);
 }
 
-TEST(CallSchedule, AnOlderListIsFollowedUpByAnotherCall) {
+TEST(CallSchedule, OlderListIsFollowedByARetry) {
   CallSchedule schedule(1);
   schedule.start(0ms);
   schedule.opened(0ms, 1);
@@ -221,22 +224,23 @@
   EXPECT_EQ(schedule.decide(500ms).open, CallReason::Retry);
 }
 
-// A registry that works through its calls one at a time, first come, first served, and does not notice when a
-// caller has left. One that has waited for longer than `patience` is turned away, which costs nothing.
-class CrowdedFleet {
+// Proxies and a registry that serves its calls one at a time, first come, first served, and does
+// not detect that a caller has disconnected. Calls that have waited longer than `maxWait` are
+// rejected at no cost.
+class CallingFleet {
  public:
   struct Outcome {
-    Time slowest{};  // until every proxy had its list
+    Time slowest{};  // until every proxy has its list
     std::size_t calls = 0;
     std::size_t mostOpen = 0;  // at one proxy
   };
 
-  CrowdedFleet(std::size_t proxies, Time serviceTime, std::optional<Time> patience)
-      : serviceTime_(serviceTime), patience_(patience) {
+  CallingFleet(std::size_t proxies, Time serviceTime, std::optional<Time> maxWait)
+      : serviceTime_(serviceTime), maxWait_(maxWait) {
     for (std::size_t k = 0; k < proxies; ++k) {
       proxies_.push_back(std::make_unique<SilentWatch>(k + 1));
       const Time phase = 2000ms * static_cast<std::int64_t>(k) / static_cast<std::int64_t>(proxies);
-      starts_.push_back(phase);  // the last line of its watch came then; its clock counts from there
+      starts_.push_back(phase);  // last line of its watch; the zero of its clock
     }
   }
 
@@ -245,7 +249,7 @@
     std::size_t unconfirmed = proxies_.size();
     confirmed_.assign(proxies_.size(), false);
     for (Time now{}; now < until && unconfirmed > 0; now += kStep) {
-      turnAway(now);
+      rejectExpired(now);
       unconfirmed -= serve(now, outcome);
       for (std::size_t k = 0; k < proxies_.size(); ++k) call(now, k, outcome);
     }
@@ -261,8 +265,8 @@
   };
   Time local(std::size_t proxy, Time now) const { return std::max(now - starts_[proxy], Time(0)); }
 
-  void turnAway(Time now) {
-    while (patience_ && !queue_.empty() && now - queue_.front().at > *patience_) {
+  void rejectExpired(Time now) {
+    while (maxWait_ && !queue_.empty() && now - queue_.front().at > *maxWait_) {
       const Queued first = queue_.front();
       queue_.pop_front();
       proxies_[first.proxy]->schedule.ended(local(first.proxy, now), first.call, {true, std::nullopt});
@@ -295,7 +299,7 @@
   }
 
   const Time serviceTime_;
-  const std::optional<Time> patience_;
+  const std::optional<Time> maxWait_;
   std::vector<std::unique_ptr<SilentWatch>> proxies_;
   std::vector<Time> starts_;
   std::vector<bool> confirmed_;
@@ -305,35 +309,36 @@
 
 constexpr std::size_t kFleets[] = {6, 60, 350, 900};
 
-// All watches fall silent at once, and one round of calls keeps the registry busy for 2 s.
-TEST(CrowdedRegistry, AFleetThatCallsAtOnceIsServedInTimeWithOneCallEach) {
+// All watches fall silent at once, and one call of each proxy keeps the registry busy for 2 s.
+TEST(OverloadedRegistry, SimultaneousCallsOfAFleetAreServedInTimeWithOneCallEach) {
   for (const std::size_t proxies : kFleets) {
     SCOPED_TRACE(proxies);
-    CrowdedFleet fleet(proxies, Time(2s) / static_cast<std::int64_t>(proxies), std::nullopt);
-    const CrowdedFleet::Outcome outcome = fleet.run(60s);
-    EXPECT_LE(outcome.slowest, kLine - kHoldUp);
+    CallingFleet fleet(proxies, Time(2s) / static_cast<std::int64_t>(proxies), std::nullopt);
+    const CallingFleet::Outcome outcome = fleet.run(60s);
+    EXPECT_LE(outcome.slowest, kTimeLimit - kProcessDelay);
     EXPECT_LE(outcome.calls, proxies * 5 / 4);
   }
 }
 
-// A round of 10 s cannot be in time. Each proxy keeps its place, so the crowd ends when the round does, and
-// the calls that are made beside stay behind it.
-TEST(CrowdedRegistry, ASlowRegistryComesOutOfItsCrowd) {
+// One call of each proxy keeps the registry busy for 10 s, too long to be in time. Each proxy
+// retains its place in the queue, so the overload ends after these 10 s, and further calls queue up
+// behind them.
+TEST(OverloadedRegistry, SlowRegistryRecoversFromOverload) {
   for (const std::size_t proxies : kFleets) {
     SCOPED_TRACE(proxies);
-    CrowdedFleet fleet(proxies, Time(10s) / static_cast<std::int64_t>(proxies), std::nullopt);
-    const CrowdedFleet::Outcome outcome = fleet.run(120s);
+    CallingFleet fleet(proxies, Time(10s) / static_cast<std::int64_t>(proxies), std::nullopt);
+    const CallingFleet::Outcome outcome = fleet.run(120s);
     EXPECT_LE(outcome.slowest, 30s);
     EXPECT_LE(outcome.calls, proxies * 4);
   }
 }
 
-// The same where a call that has waited for 2 s is turned away: it comes again after a pause.
-TEST(CrowdedRegistry, AFleetThatIsTurnedAwayComesAgainAtABoundedRate) {
+// As above, but a call that has waited for 2 s is rejected and repeated after a pause.
+TEST(OverloadedRegistry, RejectedFleetRetriesAtABoundedRate) {
   for (const std::size_t proxies : kFleets) {
     SCOPED_TRACE(proxies);
-    CrowdedFleet fleet(proxies, Time(10s) / static_cast<std::int64_t>(proxies), 2s);
-    const CrowdedFleet::Outcome outcome = fleet.run(120s);
+    CallingFleet fleet(proxies, Time(10s) / static_cast<std::int64_t>(proxies), 2s);
+    const CallingFleet::Outcome outcome = fleet.run(120s);
     EXPECT_LE(outcome.slowest, 30s);
     EXPECT_LE(outcome.calls, proxies * 8);
     EXPECT_LE(outcome.mostOpen, 2u) << "the silent watch and one call";
--- a/tests/discovery_delay_test.cpp
+++ b/tests/discovery_delay_test.cpp
@@ -1,13 +1,13 @@
-// In a run with injected faults, proxies sent dozens of requests to servers that had been draining or removed
-// for longer than the grace. The registry had told the change, and the proxy was not there to hear it: it
-// gave up each call after 2.5 s, though the call was only slow, and the next one waited at the end of the
-// same queue. A list that came in pieces was given up in the same way, and a list that was older than the
-// known one brought a removed server back.
+// Guards against requests to servers that have been draining or removed for longer than the grace
+// period. Each failure came about because the proxy lost a change that the registry had reported:
+// - It closed a slow call after 2.5 s, and the next call waited at the end of the same queue. With
+//   a registry that answers each call after 2.8 s, it closed a call with `why=silent bytes=0
+//   lists=0` every 2.5 to 3.1 s and received no list; 533 requests in 5.5 s went to the drained
+//   server.
+// - It closed a call whose list arrived in pieces.
+// - It accepted a list older than the known one, which brought a removed server back.
 //
-// With a registry that answers each call after 2.8 s the log of the program as it was reads
-//   event=discovery_watch_closed why=silent after=5 out_ms=2500 bytes=0 lists=0
-// again and again, each 2.5 to 3.1 s, with nothing between; 533 requests in 5.5 s went to the drained server.
-// The tests hold the order of events and not their times; the times are those of CallSchedule's tests.
+// The tests check the order of events; the tests of CallSchedule check the times.
 #include <chrono>
 
 #include "scenario.hpp"
@@ -24,9 +24,9 @@
   c1 expect row v
 )";
 
-// The first watch falls silent, the call after it is slow: it is answered after the proxy has called once
-// more.
-TEST(DiscoveryDelay, ACallThatIsOnlySlowIsStillTaken) {
+// The first watch falls silent, and the next call is slow: it is answered after the proxy has made
+// a further call.
+TEST(DiscoveryDelay, ListOfASlowCallIsAccepted) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -39,8 +39,8 @@
   t.run("list send line " + t.list(2, "leaving", 6) + "\ns2 expect drained\n" + kReadGoesToThePrimary);
 }
 
-// The watch is silent, and the two calls after it are turned away.
-TEST(DiscoveryDelay, TheListIsTakenThatComesAfterTwoCallsWereTurnedAway) {
+// The watch is silent, and the next two calls are rejected.
+TEST(DiscoveryDelay, ListIsAcceptedAfterTwoRejectedCalls) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -57,8 +57,8 @@
   t.run("list send line " + t.list(2, "leaving", 6) + "\ns2 expect drained\n" + kReadGoesToThePrimary);
 }
 
-// The watch is silent, and nobody answers the two calls after it.
-TEST(DiscoveryDelay, TheListIsTakenThatComesAfterTwoCallsWereLost) {
+// The watch is silent, and the next two calls are never answered.
+TEST(DiscoveryDelay, ListIsAcceptedAfterTwoUnansweredCalls) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -69,8 +69,8 @@
   t.run("list send line " + t.list(2, "leaving", 6) + "\ns2 expect drained\n" + kReadGoesToThePrimary);
 }
 
-// Each byte makes the list longer, and all of them together take longer than a watch may be silent.
-TEST(DiscoveryDelay, AListThatGrowsSlowlyIsWaitedFor) {
+// The list arrives byte by byte, and takes longer as a whole than a watch may be silent.
+TEST(DiscoveryDelay, SlowlyArrivingListIsAccepted) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -83,10 +83,10 @@
         kReadGoesToThePrimary);
 }
 
-// Where lists are pushed, an agent on the proxy's machine has them, and the proxy has to ask it all the same.
-// The program as it was never did: on ten of fifteen days of 20 to 40 s, 123 to 1,549 requests went to
-// drained servers.
-TEST(DiscoveryDelay, AnAgentThatListsArePushedToIsWatched) {
+// Where lists are pushed, an agent on the proxy's machine receives them, and the proxy must still
+// watch the agent. When it did not, 123 to 1,549 requests went to drained servers in ten of fifteen
+// simulated days of 20 to 40 s.
+TEST(DiscoveryDelay, LocalAgentIsWatchedWhereListsArePushed) {
   Setting pushed;
   pushed.discovery = "automatic";
   Scenario t(pushed);
@@ -94,11 +94,12 @@
         kReadGoesToThePrimary);
 }
 
-// Where lists are pushed, what the agent has counts as told from the first moment of a process, and the list
-// of the settings may be older: a server that it names may have begun to drain long ago. A new process uses
-// it for less than the grace, and then waits for the agent's answer. (Where lists are asked for, the settings
-// say how long a list may be used; waiting there cost 0.05 of the score of a day on which many start anew.)
-TEST(DiscoveryDelay, ANewProcessUsesItsKnownListNoLongerThanTheGrace) {
+// Where lists are pushed, a new process is expected to know the agent's list from its start. The
+// known list of the settings may be older and name servers that began to drain long ago, so a new
+// process uses it for less than the grace period and then waits for the agent's answer. (Where
+// lists are polled, the settings limit how long a list may be used; waiting there as well cost 0.05
+// of the score of a simulated day with many restarts.)
+TEST(DiscoveryDelay, NewProcessUsesItsKnownListForLessThanTheGracePeriod) {
   Setting unanswered;
   unanswered.discovery = "automatic";
   unanswered.firstList = false;
@@ -110,8 +111,8 @@
   t.run("list answers\nlist send line " + t.list(2, "leaving", 6) + "\nc1 expect row primary");
 }
 
-// Where the call is turned away, nothing has been told: the known list is better than none.
-TEST(DiscoveryDelay, ANewProcessServesByItsKnownListWhileTheRegistryIsDown) {
+// If the call is rejected, the registry has reported nothing: the known list is better than none.
+TEST(DiscoveryDelay, NewProcessUsesItsKnownListWhileTheRegistryIsDown) {
   for (const char* const discovery : {"automatic", "subscribe"}) {
     SCOPED_TRACE(discovery);
     Setting unanswered;
@@ -127,8 +128,8 @@
   }
 }
 
-// The new address does not answer yet. What the former one tells meanwhile holds.
-TEST(DiscoveryDelay, AFormerAddressIsHeardUntilTheNewOneAnswers) {
+// While the new address does not answer, changes reported at the former address are applied.
+TEST(DiscoveryDelay, FormerAddressIsFollowedUntilTheNewOneAnswers) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -141,8 +142,8 @@
         "\nproxy expect log name=s-2 state=gone");
 }
 
-// Moved twice before the first address has answered: the last one counts.
-TEST(DiscoveryDelay, OfTwoMovesTheLastAddressIsFollowed) {
+// The address changes twice before the first new one has answered: the last one is followed.
+TEST(DiscoveryDelay, LastOfTwoNewAddressesIsFollowed) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -156,8 +157,9 @@
   t.run("list send line " + t.list(2, "leaving", 6) + "\ns2 expect drained\n" + kReadGoesToThePrimary);
 }
 
-// The process ends, its watch is silent, and a request is still out: the next one goes by the new list.
-TEST(DiscoveryDelay, ADrainIsFollowedWhileTheProcessEnds) {
+// The process is shutting down with a silent watch and an outstanding request: the next request is
+// routed by the new list.
+TEST(DiscoveryDelay, DrainIsAppliedDuringShutdown) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -180,9 +182,9 @@
   )");
 }
 
-// A registry that has lost its generations counts from 1 again. What it tells from then on is not taken for
-// old.
-TEST(DiscoveryDelay, ARegistryThatCountsFromOneAgainIsFollowed) {
+// A registry that has lost its generations counts from 1 again. Its changes from then on do not
+// count as old.
+TEST(DiscoveryDelay, RegistryIsFollowedAfterAGenerationRestart) {
   Scenario t;
   t.run("s2 wait idle 2\nlist close\nlist expect watch after=5\nlist send line " + t.wholeList(1) + R"(
     list expect watch after=1
@@ -191,8 +193,8 @@
         t.list(2, "leaving", 2) + "\ns2 expect drained\n" + kReadGoesToThePrimary);
 }
 
-// Bad input costs the call that it came on. The next one is taken.
-TEST(DiscoveryDelay, AListThatCannotBeReadCostsItsCallAlone) {
+// A malformed list ends its call. The list of the next call is accepted.
+TEST(DiscoveryDelay, MalformedListEndsOnlyItsCall) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -203,8 +205,8 @@
   t.run("list send line " + t.list(2, "leaving", 6) + "\ns2 expect drained\n" + kReadGoesToThePrimary);
 }
 
-// A registry that has just come back, or one of several, may know less than the proxy.
-TEST(DiscoveryDelay, AnOlderListDoesNotBringARemovedServerBack) {
+// A registry that has just recovered, or one of several, may have an older list than the proxy.
+TEST(DiscoveryDelay, OlderListDoesNotBringBackARemovedServer) {
   Scenario t;
   t.run("s1 serves primary\ns2 serves replica\ns2 wait idle 2\nlist send line " + t.list(2, "left", 6) + R"(
     s2 expect drained
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -1,11 +1,11 @@
-// Whole-program scenarios of clients and data servers of different generations; scenario.hpp tells the
-// language.
+// Whole-program scenarios of clients and data servers with different protocol versions.
+// scenario.hpp documents the steps.
 #include "scenario.hpp"
 
 namespace sablespur::test {
 namespace {
 
-Setting ini(const std::string& dataServers = "", const std::string& clients = "") {
+Setting iniSetting(const std::string& dataServers = "", const std::string& clients = "") {
   Setting s;
   s.ini = true;
   s.dataServers = dataServers;
@@ -13,8 +13,8 @@
   return s;
 }
 
-TEST(Generations, AVersion2DeskReadsAndWrites) {
-  Scenario t(ini());
+TEST(ProtocolVersions, Version2ClientReadsAndWrites) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 2.0
     o1 gets seen RKZ
@@ -34,8 +34,8 @@
     o1 gets seen IZ
   )");
 }
-TEST(Generations, Version2TellsEverythingInOneString) {
-  Scenario t(ini());
+TEST(ProtocolVersions, Version2ErrorsAreASingleString) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 2.0
     o1 gets in
@@ -49,9 +49,10 @@
     o1 gets error ERROR:
   )");
 }
-// Only 3.0 knows Parse; nothing says where it ends, so the desk is told and its connection ends.
-TEST(Generations, AVersion2DeskThatSendsWhatOnly3KnowsIsTold) {
-  Scenario t(ini());
+// Protocol 2.0 has no Parse message, and messages of 2.0 have no length to skip it by: the client
+// gets an error and its connection is closed.
+TEST(ProtocolVersions, Version2ClientThatSendsAVersion3MessageGetsAnError) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 2.0
     o1 gets in
@@ -65,8 +66,8 @@
     o2 gets closed
   )");
 }
-TEST(Generations, Version2IsTurnedDownWhereTheSettingsSaySo) {
-  Scenario t(ini("", "version_2 = no\n"));
+TEST(ProtocolVersions, Version2IsRejectedIfDisabled) {
+  Scenario t(iniSetting("", "version_2 = no\n"));
   t.run(R"(
     c1 send bytes 00 00 01 28 00 02 00 00
     c1 send bytes )" +
@@ -80,8 +81,8 @@
     c1 expect closed
   )");
 }
-TEST(Generations, MinorVersionsAreNegotiated) {
-  Scenario t(ini());
+TEST(ProtocolVersions, MinorVersionsAreNegotiated) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.0
     o1 gets seen RSSSSSSKZ
@@ -95,9 +96,10 @@
     o3 gets row v
   )");
 }
-// Error fields that came after 7.4 are for 3.2 alone; the stand-in of 3.0 reads what it gets all the same.
-TEST(Generations, AServersErrorsAreToldInTheClientsTerms) {
-  Scenario t(ini());
+// Error fields added after PostgreSQL 7.4 are sent to 3.2 clients only. The stand-in for a 3.0
+// client reads the error in either case.
+TEST(ProtocolVersions, ServerErrorsAreTranslatedForTheClient) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -106,7 +108,7 @@
     s2 send problem 42P01 missing
     o1 gets error 42P01 missing
   )");
-  Scenario hidden(ini("", "statement_errors = hidden\n"));
+  Scenario hidden(iniSetting("", "statement_errors = hidden\n"));
   hidden.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -118,8 +120,8 @@
 }
 
 // ---- extended queries ---------------------------------------------------------------------------------
-TEST(Generations, ExtendedQueriesBecomeSimpleOnes) {
-  Scenario t(ini());
+TEST(ProtocolVersions, ExtendedQueriesBecomeSimpleOnes) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -140,8 +142,8 @@
     o1 gets seen 12nIZ
   )");
 }
-TEST(Generations, AfterAnErrorEverythingIsPassedOverUntilSync) {
-  Scenario t(ini());
+TEST(ProtocolVersions, MessagesAfterAnErrorAreSkippedUntilSync) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.2
     o1 gets in
@@ -163,8 +165,8 @@
     o1 gets row v
   )");
 }
-TEST(Generations, PipelinedExtendedQueriesAreAnsweredInOrder) {
-  Scenario t(ini());
+TEST(ProtocolVersions, PipelinedExtendedQueriesAreAnsweredInOrder) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -184,8 +186,8 @@
     o1 gets row four
   )");
 }
-TEST(Generations, WhatIsNotSupportedIsNamedAndTheConnectionStaysInStep) {
-  Scenario t(ini());
+TEST(ProtocolVersions, UnsupportedMessagesGetErrorsAndTheConnectionStaysInSync) {
+  Scenario t(iniSetting());
   // Parse of "s" with one parameter, Describe of it, Sync; then Close of it and Sync.
   t.run(R"(
     o1 speaks 3.0
@@ -206,8 +208,8 @@
 }
 
 // ---- values and literals ------------------------------------------------------------------------------
-TEST(Generations, LiteralsAreRewrittenForAServerThatReadsThemOtherwise) {
-  Scenario t(ini());
+TEST(ProtocolVersions, LiteralsAreRewrittenForTheServersStringSyntax) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 2.0
     o1 gets in
@@ -236,9 +238,9 @@
     o1 gets row v
   )");
 }
-// The other way: who writes by today's rules, before a server of old.
-TEST(Generations, AServerOfOldGetsItsBackslashesDoubled) {
-  Scenario t(ini());
+// The reverse: a client with standard_conforming_strings=on in front of a server with it off.
+TEST(ProtocolVersions, BackslashesAreDoubledWithoutStandardConformingStrings) {
+  Scenario t(iniSetting());
   t.run(R"(
     s2 says standard_conforming_strings=off
     s2 close idle
@@ -251,9 +253,9 @@
     o1 gets row v
   )");
 }
-// 64 KiB of hex are 128 KiB in escape form.
-TEST(Generations, ALongValueGrowsWithinBounds) {
-  Scenario t(ini());
+// 64 KiB in hex form become 128 KiB in escape form.
+TEST(ProtocolVersions, LongValueGrowsInEscapeForm) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 2.0
     o1 gets in
@@ -268,9 +270,9 @@
           return zeros;
         }());
 }
-// Nothing of a broken value goes out, and there is one answer.
-TEST(Generations, ATranslationThatFailsMidwayIsOneError) {
-  Scenario t(ini());
+// No part of the result with a malformed value is sent; the only answer is an error.
+TEST(ProtocolVersions, FailedTranslationOfAResultIsASingleError) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 2.0
     o1 gets in
@@ -284,8 +286,8 @@
     o1 gets row v
   )");
 }
-TEST(Generations, AStatementWithoutItsTimeGoesOnAsItIs) {
-  Scenario t(ini());
+TEST(ProtocolVersions, StatementWithoutADeadlineIsForwardedUnchanged) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -295,9 +297,10 @@
     o1 gets row v
   )");
 }
-// With answers = value, rows or columns that no statement here asks for are spoilt.
-TEST(Generations, AnswersOfAnyShapeOnlyWhereTheyAreExpected) {
-  Scenario t(ini("answers = value\n"));
+// With answers = value, a result with more than one value counts as malformed, and the request is
+// retried.
+TEST(ProtocolVersions, MultiValueResultIsRetriedIfASingleValueIsExpected) {
+  Scenario t(iniSetting("answers = value\n"));
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -311,10 +314,10 @@
 }
 
 // ---- servers of another minor version -----------------------------------------------------------------
-TEST(Generations, AskedFor32AnOlderServerIsSpokenToIn30) {
+TEST(ProtocolVersions, FallsBackFromVersion32To30WithAnOlderServer) {
   for (const std::string speaks : {"3.2", "old", "fatal"}) {
     SCOPED_TRACE(speaks);
-    Setting s = ini("protocol = 3.2\n");
+    Setting s = iniSetting("protocol = 3.2\n");
     s.speaks = speaks;
     Scenario t(s);
     t.run(R"(
@@ -328,15 +331,15 @@
       s2 close idle
       s2 wait idle 2
       s2 expect minor )" +
-          std::string(speaks == "3.2" ? "2" : "0"));  // what it turned down is not asked for again
+          std::string(speaks == "3.2" ? "2" : "0"));  // a rejected version is not requested again
   }
 }
 
 // ---- cancels ------------------------------------------------------------------------------------------
-TEST(Generations, ACancelGivesTheRequestUpWithOneAnswer) {
+TEST(ProtocolVersions, CancelEndsTheRequestWithASingleError) {
   for (const std::string version : {"2.0", "3.0", "3.2"}) {
     SCOPED_TRACE(version);
-    Scenario t(ini());
+    Scenario t(iniSetting());
     t.run("o1 speaks " + version + R"(
       o1 gets in
       o1 asks SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -359,9 +362,9 @@
     )");
   }
 }
-// A key of 3.0's length is none in 3.2.
-TEST(Generations, ACancelOfAnotherVersionsLengthChangesNothing) {
-  Scenario t(ini());
+// A cancel key of the length used in 3.0 is invalid in 3.2.
+TEST(ProtocolVersions, CancelWithAKeyOfAnotherVersionsLengthIsIgnored) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.2
     o1 gets in
@@ -372,8 +375,8 @@
     o1 gets row v
   )");
 }
-TEST(Generations, ACancelReachesARequestThatWaitsForARetry) {
-  Scenario t(ini());
+TEST(ProtocolVersions, CancelEndsARequestThatIsBeingRetried) {
+  Scenario t(iniSetting());
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,4 +1,5 @@
-// The registry's watch in one process: what the scenarios of the whole program cannot force.
+// Tests of RegistryWatch within one process: exhaustion of file descriptors, which scenarios of the
+// whole program cannot force.
 #include "discovery/registry/watch.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-struct Taken : EndpointListConsumer {
+struct RecordingConsumer : EndpointListConsumer {
   std::vector<EndpointList> lists;
   int failures = 0;
   void endpointsListed(EndpointList l) override { lists.push_back(std::move(l)); }
@@ -27,14 +28,14 @@
 struct WatchTest : testing::Test {
   EventBase base{event_base_new()};
   Clock clock;
-  Taken taken;
+  RecordingConsumer consumer;
   int listener = -1;
   std::unique_ptr<RegistryWatch> watch;
-  rlimit before{};
-  std::vector<int> fill;
+  rlimit originalLimit{};
+  std::vector<int> descriptors;
 
   void SetUp() override {
-    getrlimit(RLIMIT_NOFILE, &before);
+    getrlimit(RLIMIT_NOFILE, &originalLimit);
     listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const Address any = *Address::parse("127.0.0.1:0");
     ASSERT_EQ(bind(listener, any.data(), any.size()), 0);
@@ -43,86 +44,88 @@
     socklen_t n = sizeof a;
     getsockname(listener, reinterpret_cast<sockaddr*>(&a), &n);
     watch = std::make_unique<RegistryWatch>(
-        base.get(), clock, taken, Address::fromSocket(reinterpret_cast<const sockaddr*>(&a)), kSeed);
+        base.get(), clock, consumer, Address::fromSocket(reinterpret_cast<const sockaddr*>(&a)), kSeed);
   }
   void TearDown() override {
-    empty();
-    setrlimit(RLIMIT_NOFILE, &before);
+    closeDescriptors();
+    setrlimit(RLIMIT_NOFILE, &originalLimit);
     close(listener);
   }
-  void empty() {
-    for (const int fd : fill) close(fd);
-    fill.clear();
+  void closeDescriptors() {
+    for (const int fd : descriptors) close(fd);
+    descriptors.clear();
   }
-  void fillTable() {
-    const rlimit less{std::min<rlim_t>(before.rlim_cur, 512), before.rlim_max};
-    setrlimit(RLIMIT_NOFILE, &less);
-    for (int fd; (fd = dup(listener)) >= 0;) fill.push_back(fd);
+  void exhaustDescriptors() {
+    const rlimit reducedLimit{std::min<rlim_t>(originalLimit.rlim_cur, 512), originalLimit.rlim_max};
+    setrlimit(RLIMIT_NOFILE, &reducedLimit);
+    for (int fd; (fd = dup(listener)) >= 0;) descriptors.push_back(fd);
     ASSERT_EQ(errno, EMFILE);
   }
-  void pass() { event_base_loop(base.get(), EVLOOP_NONBLOCK | EVLOOP_ONCE); }
+  void runLoopOnce() { event_base_loop(base.get(), EVLOOP_NONBLOCK | EVLOOP_ONCE); }
   template <typename Condition>
   bool until(Condition c) {
     const auto end = std::chrono::steady_clock::now() + 10s;
     bool is = false;
     while (!(is = c()) && std::chrono::steady_clock::now() < end) {
-      pass();
+      runLoopOnce();
       std::this_thread::sleep_for(1ms);
     }
     return is;
   }
 };
 
-// Clients fill the table while discovery is down, also in the pass in which the watch ends: the next call
-// goes out all the same.
-TEST_F(WatchTest, ItsDescriptorIsKeptFromOneCallToTheNext) {
+// Guards against a failed call for lack of a descriptor: clients use up all descriptors while
+// discovery is down, even in the event loop pass in which the watch ends. The next call must
+// still be made.
+TEST_F(WatchTest, DescriptorIsReservedBetweenCalls) {
   watch->watch(7);
   const int first = accept(listener, nullptr, nullptr);
   ASSERT_GE(first, 0);
-  fillTable();
+  exhaustDescriptors();
   close(first);
-  fillTable();
-  ASSERT_TRUE(until([&] { return taken.failures == 1; }));
-  fillTable();  // whatever the end of the watch has left
-  for (int k = 0; k < 3; ++k) pass();
-  fillTable();
+  exhaustDescriptors();
+  ASSERT_TRUE(until([&] { return consumer.failures == 1; }));
+  exhaustDescriptors();  // takes any descriptor that the end of the watch has freed
+  for (int k = 0; k < 3; ++k) runLoopOnce();
+  exhaustDescriptors();
   ASSERT_TRUE(until([&] { return watch->view().calls == 2; }));
-  for (int k = 0; k < 3; ++k) pass();
-  EXPECT_EQ(taken.failures, 1) << "no socket was to be had";
-  empty();
+  for (int k = 0; k < 3; ++k) runLoopOnce();
+  EXPECT_EQ(consumer.failures, 1) << "no descriptor for a socket";
+  closeDescriptors();
   const int second = accept(listener, nullptr, nullptr);
   ASSERT_GE(second, 0);
   char bytes[64]{};
   ASSERT_TRUE(until([&] { return recv(second, bytes, sizeof bytes - 1, MSG_DONTWAIT | MSG_PEEK) > 0; }));
   EXPECT_EQ(std::string(bytes).rfind("GET /registry/instances?watch=1&after=7", 0), 0u) << bytes;
-  // And it still reads what comes there.
+  // The response of the second call is read, though it gives no content length.
   const std::string answer =
-      "HTTP/1.1 200 OK\r\n\r\n{\"generation\":8,\n\"reset\":true,\n\"instances\":[]\n}";  // no length, no end
+      "HTTP/1.1 200 OK\r\n\r\n{\"generation\":8,\n\"reset\":true,\n\"instances\":[]\n}";
   ASSERT_EQ(send(second, answer.data(), answer.size(), MSG_NOSIGNAL), static_cast<ssize_t>(answer.size()));
-  ASSERT_TRUE(until([&] { return taken.lists.size() == 1; }));
-  EXPECT_EQ(taken.lists[0].generation, 8u);
-  // A reset amid the next list is no end of it.
+  ASSERT_TRUE(until([&] { return consumer.lists.size() == 1; }));
+  EXPECT_EQ(consumer.lists[0].generation, 8u);
+  // A connection reset within the next list does not complete that list.
   ASSERT_EQ(send(second, "{\"generation\":9", 15, MSG_NOSIGNAL), 15);
   const linger hard{1, 0};
   setsockopt(second, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
   close(second);
-  ASSERT_TRUE(until([&] { return taken.failures == 2; }));
-  EXPECT_EQ(taken.lists.size(), 1u);
+  ASSERT_TRUE(until([&] { return consumer.failures == 2; }));
+  EXPECT_EQ(consumer.lists.size(), 1u);
 }
 
-// The first call is silent and no descriptor is left: a further call takes the one of the first.
-TEST_F(WatchTest, AFurtherCallFindsADescriptorInAFullTable) {
+// The first call falls silent and no descriptor is left: the second call takes over that of the
+// first.
+TEST_F(WatchTest, SecondCallReusesTheDescriptorOfASilentOne) {
   watch->watch(7);
   const int first = accept(listener, nullptr, nullptr);
   ASSERT_GE(first, 0);
   const std::string answer = "HTTP/1.1 200 OK\r\n\r\n{\"generation\":8,\"reset\":true,\"instances\":[]}\n";
   ASSERT_EQ(send(first, answer.data(), answer.size(), MSG_NOSIGNAL), static_cast<ssize_t>(answer.size()));
-  ASSERT_TRUE(until([&] { return taken.lists.size() == 1; }));
-  fillTable();
+  ASSERT_TRUE(until([&] { return consumer.lists.size() == 1; }));
+  exhaustDescriptors();
   ASSERT_TRUE(until([&] { return watch->view().calls == 2; }));
-  ASSERT_EQ(watch->view().failures, 0u) << "no socket was to be had";
-  ASSERT_EQ(watch->view().openCalls, 1u) << "the silent one made room";
-  empty();
+  ASSERT_EQ(watch->view().failures, 0u) << "no descriptor for a socket";
+  ASSERT_EQ(watch->view().openCalls, 1u) << "the silent call was closed for its descriptor";
+  closeDescriptors();
   const int second = accept(listener, nullptr, nullptr);
   EXPECT_GE(second, 0);
   close(first);
