--- a/tests/membership_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -1,5 +1,7 @@
 // Tests of EndpointTable: immediate withdrawals, start times of returning endpoints, flap damping,
 // one server per address, and the generations of registry lists.
+#include "discovery/endpoint_table.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -7,8 +9,6 @@
 #include <map>
 #include <pcg_random.hpp>
 
-#include "discovery/endpoint_table.hpp"
-
 namespace sablespur {
 namespace {
 
