--- a/src/frontend/admission_controller.cpp
+++ b/src/frontend/admission_controller.cpp
@@ -16,13 +16,14 @@
 
 using admission::RejectionPeriod;
 
-// How often queued requests, connections beyond the limits and rejection periods are checked.
+// Interval at which overdue queued requests are rejected, idle connections beyond the limits are
+// evicted and rejection periods are updated.
 constexpr Time kSweepInterval = std::chrono::milliseconds(20);
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 struct RejectionSummary {
   std::uint64_t total = 0;
-  const char* mostFrequent = "none";  // reason
+  const char* mostFrequent = "none";  // reason with the highest count
 };
 
 RejectionSummary summarize(const admission::ConnectionAdmission::Counters& counters) {
@@ -115,7 +116,7 @@
   AdmissionView view() const override;
 
  private:
-  // Of one group.
+  // The rejection periods of one group.
   struct Rejections {
     RejectionPeriod connections;
     RejectionPeriod requests;
@@ -130,12 +131,14 @@
   RequestHandler& next_;
   std::shared_ptr<const admission::Settings> settings_;
   ClientAdmission clients_;
-  std::unique_ptr<RequestAdmission> requests_;  // null: requests are not limited
-  std::vector<Rejections> rejections_;          // by group
+  std::unique_ptr<RequestAdmission> requests_;  // null if requests are not limited
+  std::vector<Rejections> rejections_;          // indexed by group
   Event sweepTimer_;
 };
 
-// Whether the settings differ in what cannot change while the process runs.
+// Returns whether the new settings change something that only takes effect after a restart:
+// switching admission control off, switching request limiting on or off, or the kind of the request
+// limit.
 bool DefaultAdmissionController::needsRestart(
     const std::shared_ptr<const admission::Settings>& settings) const {
   if (!settings || settings->requests.has_value() != settings_->requests.has_value()) return true;
@@ -147,7 +150,7 @@
     logEvent(LogLevel::Warning, "config_restart_needed",
              {{"key", config.admission ? "[admission] requests" : "[admission] door"}});
   if (!config.admission) return;
-  // Groups are matched by name, so that their rejection periods go on.
+  // Groups are matched by name, so that a group keeps its rejection periods across a reload.
   const admission::ConnectionAdmission& connections = clients_.connections();
   const std::vector<admission::GroupLimits>& groups = config.admission->connections.groups;
   std::vector<Rejections> rejections(groups.size());
--- a/src/frontend/admission_controller.hpp
+++ b/src/frontend/admission_controller.hpp
@@ -1,9 +1,10 @@
-// Admission control between the frontends of all protocols and the engine: which connections are admitted,
-// which idle one is evicted, and which requests are forwarded when. The decisions are those of src/admission;
-// the controller supplies the time, addresses and outcomes, and carries them out.
+// Admission control between the frontends of all protocols and the engine. It decides which
+// connections are admitted, which idle connections are evicted, and when requests are forwarded.
+// The policies are those of src/admission; the controller feeds them the time, the addresses and
+// the outcomes, and carries out their decisions.
 //
-// A frontend without a controller admits every connection that the resource budget allows and forwards every
-// request.
+// A frontend without a controller admits every connection that the resource budget allows and
+// forwards every request at once.
 #pragma once
 
 #include <cstddef>
@@ -17,52 +18,55 @@
 
 namespace sablespur {
 
-// A client's connection, as the controller sees it. It has to report its end (connectionClosed) before it is
-// destroyed.
+// A client connection that is subject to admission control. It has to call
+// AdmissionController::connectionClosed before it is destroyed.
 class AdmittedConnection {
  public:
   virtual ~AdmittedConnection() = default;
-  // The connection is idle and has lost its permit: it has to close once its output has been sent. Never
-  // called from within a call of its own.
+  // Called on an idle connection whose permit has been withdrawn. The connection has to close once
+  // its output has been sent. Never called from within a call that this connection makes to the
+  // controller.
   virtual void evict() = 0;
 };
 
-// Held by a connection that is admitted, from its admission until it closes or is evicted.
+// Identifies an admitted connection, from its admission until it closes or is evicted.
 using PermitId = std::uint64_t;
 
 struct AdmissionDecision {
-  std::optional<PermitId> permit;  // none: rejected
-  const char* reason = "none";     // rejected: the limit that was reached
-  Time retryAfter{};               // rejected: spread over the clients that are rejected together
+  std::optional<PermitId> permit;  // std::nullopt if the connection is rejected
+  const char* reason = "none";     // the limit that was reached, if rejected
+  // If rejected; spread, so that clients that are rejected together do not return together.
+  Time retryAfter{};
 };
 
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
 
-  // Whether connections from this address begin with a PROXY header.
+  // Returns whether connections from this address start with a PROXY header.
   virtual bool expectsProxyHeader(const Address&) const = 0;
   virtual AdmissionDecision connectionArrived(AdmittedConnection&, const Address& from) = 0;
-  // The client has authenticated. One that was rejected by its address may be admitted by its name; one that
-  // holds a permit may move to another group.
+  // Called when the client has authenticated. A client that was rejected by its address may be
+  // admitted by its user name; a client with a permit may be moved to the group of its user.
   virtual AdmissionDecision userAuthenticated(AdmittedConnection&, std::optional<PermitId>,
                                               const Address& from, const std::string& user) = 0;
-  // Whether a user name can make a difference.
+  // Returns whether any user is assigned to a group, so that the user name can change the decision.
   virtual bool admitsByUser() const = 0;
-  // Connections that a frontend may hold without a permit.
+  // Returns how many connections without a permit a frontend may keep open.
   virtual std::size_t maxUnadmittedConnections() const = 0;
 
-  // Events of a connection; ignored without a permit.
+  // Events of a connection; ignored if it has no permit.
   virtual void connectionClosed(std::optional<PermitId>) = 0;
-  virtual void connectionBusy(std::optional<PermitId>) = 0;    // it has sent a request
-  virtual void connectionIdle(std::optional<PermitId>) = 0;    // it has its answer, or its greeting
-  virtual void connectionServed(std::optional<PermitId>) = 0;  // by an answer of a data server
+  virtual void connectionBusy(std::optional<PermitId>) = 0;    // has sent a request
+  virtual void connectionIdle(std::optional<PermitId>) = 0;    // is ready for the next request
+  virtual void connectionServed(std::optional<PermitId>) = 0;  // answered by a data server
 
-  // The process is out of descriptors: idle connections are evicted.
+  // Called when the process is out of file descriptors; evicts idle connections.
   virtual void onExhaustion() = 0;
 
-  // As RequestHandler::request and clientDisconnected, with ids of the controller's own. A rejection is
-  // delivered through ResponseHandler::rejected after this call has returned.
+  // Same contract as RequestHandler::request and RequestHandler::clientDisconnected, but the ids
+  // are assigned by the controller. A rejection is delivered through ResponseHandler::rejected
+  // after this call returns.
   virtual RequestId request(ResponseHandler&, balancer::Request, RequestMessage, std::optional<PermitId>) = 0;
   virtual void requestCancelled(RequestId) = 0;
 
@@ -70,7 +74,8 @@
   virtual AdmissionView view() const = 0;
 };
 
-// Forwards admitted requests to the RequestHandler. Null where the settings have admission control off.
+// Creates a controller that forwards admitted requests to the RequestHandler. Returns null if
+// admission control is switched off in the settings.
 std::unique_ptr<AdmissionController> createAdmissionController(event_base*, Engine&, RequestHandler&,
                                                                const Config&);
 
--- a/src/frontend/admission_view.hpp
+++ b/src/frontend/admission_view.hpp
@@ -1,4 +1,4 @@
-// What admission control reports for `sablespur status`.
+// State of admission control, as reported by `sablespur status`.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
     double weight = 1;
     std::size_t connections = 0;
     std::size_t idleConnections = 0;
-    std::size_t maxConnections = 0;  // 0: no limit of its own
+    std::size_t maxConnections = 0;  // 0 if the group has no limit
     std::size_t reserve = 0;
     std::size_t reserveRemaining = 0;
     std::uint64_t connectionsAdmitted = 0;
@@ -28,11 +28,13 @@
     std::uint64_t requestsAdmitted = 0;
     std::uint64_t requestsEnqueued = 0;
     std::map<std::string, std::uint64_t> requestsRejected;  // by reason
-    bool rejecting = false;                                 // connections or requests, at the moment
+    bool rejecting = false;  // whether a rejection period is active for connections or requests
   };
   struct Queue {
-    std::int64_t group = 0;  // of data servers; -1: the queue that the keys beyond the largest number share
-    bool primary = false;    // for requests that need the primary
+    // Replication group; -1 for the queue that is shared by all keys beyond the maximum number of
+    // queues.
+    std::int64_t group = 0;
+    bool primary = false;  // whether the queue is for requests that need the primary
     std::size_t limit = 0;
     std::size_t inFlight = 0;
     std::size_t queued = 0;
@@ -42,10 +44,10 @@
   std::size_t connections = 0;
   std::size_t maxConnections = 0;
   std::size_t maxUnadmittedConnections = 0;
-  std::size_t recentClients = 0;  // addresses on record
+  std::size_t recentClients = 0;  // client addresses on record
   std::vector<Group> groups;
   bool limitsRequests = false;
-  std::vector<Queue> queues;  // empty unless requests are limited
+  std::vector<Queue> queues;  // empty if requests are not limited
 };
 
 }  // namespace sablespur
--- a/src/frontend/client_admission.cpp
+++ b/src/frontend/client_admission.cpp
@@ -3,7 +3,7 @@
 namespace sablespur {
 namespace {
 
-// Idle connections that are evicted at once, at most.
+// Upper bounds on the idle connections evicted in one call.
 constexpr std::size_t kMaxEvictedPerSweep = 64;
 constexpr std::size_t kMaxEvictedOnExhaustion = 32;
 
@@ -56,7 +56,7 @@
   return decision;
 }
 
-// ConnectionAdmission has forgotten the connection already.
+// Evicts a connection that ConnectionAdmission has already removed from its own records.
 void ClientAdmission::evict(admission::ConnectionId id) {
   const auto it = holders_.find(id);
   if (it == holders_.end()) return;
--- a/src/frontend/client_admission.hpp
+++ b/src/frontend/client_admission.hpp
@@ -1,5 +1,5 @@
-// Client admission: issues permits to client connections and evicts idle ones, as ConnectionAdmission
-// decides.
+// Issues permits to client connections and evicts idle connections, as decided by
+// ConnectionAdmission.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,8 @@
 
 namespace sablespur {
 
-// The connections that hold a permit outlive it: each reports its end with remove().
+// Keeps a pointer to each connection that holds a permit, until the permit is withdrawn by eviction
+// or remove() is called. remove() has to be called before the connection is destroyed.
 class ClientAdmission {
  public:
   explicit ClientAdmission(std::shared_ptr<const admission::Settings>);
@@ -28,9 +29,11 @@
   void markIdle(Time now, PermitId permit) { connections_.markIdle(now, permit); }
   void recordResponse(Time now, PermitId);
 
-  // The process is out of descriptors: lowers the connection limit and evicts idle connections.
+  // Called when the process is out of file descriptors. Lowers the connection limit and evicts idle
+  // connections.
   void onExhaustion(Time now);
-  // Raises a lowered connection limit step by step and evicts idle connections beyond the limits.
+  // Called periodically. Gradually raises a lowered connection limit again and evicts idle
+  // connections beyond the limits.
   void sweep(Time now);
   void reload(std::shared_ptr<const admission::Settings>);
 
@@ -38,6 +41,7 @@
   std::size_t recentClientCount() const { return recentClients_.size(); }
 
  private:
+  // The connection that holds a permit.
   struct Holder {
     AdmittedConnection* connection;
     admission::IpAddress address;
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -16,14 +16,16 @@
 namespace sablespur {
 namespace {
 
-// Told to a client that connects when there is no descriptor left.
+// Retry-After sent to a client that connects when no file descriptor is left.
 constexpr Time kRetryAfterExhaustion = std::chrono::milliseconds(500);
 constexpr Time kSweepInterval = std::chrono::milliseconds(100);
-// A fifth of the 0.1 s after a client's end from which on nothing may begin for it.
+// From 0.1 s after a client has disconnected no attempt may be started for it; the poll interval is
+// a fifth of that.
 constexpr Time kDisconnectPollInterval = std::chrono::milliseconds(20);
 constexpr Time kRejectionLogInterval = std::chrono::seconds(1);
-// So many clients that have sent half a message are spared by eviction; more than that is a flood.
-constexpr std::size_t kMaxSparedPartialMessages = 8;
+// Clients with an incomplete message are not evicted unless there are more of them than this, which
+// counts as a flood.
+constexpr std::size_t kPartialMessageFloodThreshold = 8;
 constexpr std::size_t kProcessNumberLength = 4;
 constexpr std::uint32_t kProcessNumberMask = 0x7fffffff;  // process numbers are positive
 
@@ -90,7 +92,7 @@
     requestHandler_.clientDisconnected(id);
 }
 
-// Both the process number and the secret are random.
+// Generates a cancel key of which both the process number and the secret are random.
 postgres::Key Clients::newKey(Session& session, std::size_t secretLength) {
   for (;;) {
     const std::string bytes = randomBytes(kProcessNumberLength + secretLength);
@@ -111,10 +113,11 @@
 void Clients::onAccepted(evutil_socket_t fd, const sockaddr* from) {
   const Address address = Address::fromSocket(from);
   const bool awaitProxyHeader = services_.admission && services_.admission->expectsProxyHeader(address);
-  SessionOwner& owner = *this;  // a private base, which make_unique() cannot convert to
+  SessionOwner& owner = *this;  // make_unique() cannot convert to a private base
   auto session = std::make_unique<Session>(owner, fd, address, awaitProxyHeader);
   if (services_.admission && !awaitProxyHeader) session->requestAdmission();
-  // Only so many are held without a permit, to get their error in the version that they speak.
+  // A session without a permit is kept open until its startup shows which protocol version the
+  // error has to be written in. The number of these sessions is limited.
   if (services_.admission && unadmitted_.size() > services_.admission->maxUnadmittedConnections() &&
       !evictUnadmitted())
     return rejectConnection(fd, session->retryAfter());
@@ -122,9 +125,10 @@
   sessions_.emplace(key, std::move(session));
 }
 
-// In version 3, whatever the client speaks: there is no descriptor to hold the connection until it says so.
+// The error is written in protocol version 3, whichever version the client uses: there is no
+// descriptor to keep the connection open until its startup message shows the version.
 void Clients::rejectConnection(evutil_socket_t fd, Time retryAfter) {
-  translation::ErrorReport error = problem("FATAL", "53300", "too many connections");
+  translation::ErrorReport error = makeErrorReport("FATAL", "53300", "too many connections");
   error.retryAfterMs = retryAfterMs(retryAfter);
   const std::string message = kVersion30.errorResponse(error);
   // The connection ends here whether or not the error can be sent.
@@ -133,8 +137,10 @@
   cancelFromStartup(fd);
 }
 
-// Reads what has arrived: a close on unread input would reset the connection, and the error would be lost. A
-// CancelRequest needs no admission: without it the request would go on for nobody.
+// Reads the input that has arrived, because closing a socket with unread input resets the
+// connection and the error would be lost. A CancelRequest among it is carried out without
+// admission, since the request would otherwise keep running although its client no longer wants the
+// answer.
 void Clients::cancelFromStartup(evutil_socket_t fd) {
   char startup[1024];
   constexpr auto kSize = static_cast<ssize_t>(sizeof startup);
@@ -146,8 +152,9 @@
   while (length == kSize) length = recv(fd, startup, sizeof startup, MSG_DONTWAIT);
 }
 
-// Without room connections wait in the listener's backlog. An AdmissionController takes every connection, if
-// only to reject it: it keeps to limits of its own.
+// Returns whether to accept another connection; otherwise it stays in the listener's backlog. With
+// an AdmissionController every connection is accepted, because the controller has its own limits
+// and sends an error to the connections that it rejects.
 bool Clients::hasRoom() {
   return services_.admission || services_.budget.hasRoom(DescriptorHolder::Clients) || evictOne();
 }
@@ -167,13 +174,16 @@
   return session != nullptr;
 }
 
-// The session of the highest priority, among these the one that was active longest ago. One whose input may
-// hold a request is never chosen: the request would be lost. Half a message is no request, but its rest may
-// be on the way, so the first few clients with one are spared too.
+// Returns the session with the highest eviction priority, and among equals the one whose last
+// activity is the longest ago.
+//  - Unless it is closing, a session whose input may hold a request is never chosen, because the
+//    request would be lost.
+//  - A session with an incomplete message is chosen only if there are more than
+//    kPartialMessageFloodThreshold of them, because the rest of the message may be on its way.
 Session* Clients::findEvictable() {
   const Time now = services_.engine.now();
   EvictionCandidate best;
-  EvictionCandidate bestPartial;  // among those with half a message
+  EvictionCandidate bestPartial;  // among the sessions with an incomplete message
   std::size_t partialMessages = 0;
   for (const auto& [session, owned] : sessions_) {
     const EvictionCandidate candidate{session, session->evictionPriority(now), session->lastActive()};
@@ -184,27 +194,29 @@
     EvictionCandidate& chosen = partial ? bestPartial : best;
     if (candidate.outranks(chosen) && (closing || !session->mayHoldRequest())) chosen = candidate;
   }
-  const bool flood = partialMessages > kMaxSparedPartialMessages;
+  const bool flood = partialMessages > kPartialMessageFloodThreshold;
   return flood && bestPartial.outranks(best) ? bestPartial.session : best.session;
 }
 
-// Whoever has been told its error, or has been silent since it connected, makes way for one that may have
-// something to say: a CancelRequest, or a startup that shows its version.
+// Chooses the session whose last activity is the longest ago among those that have been sent their
+// error or have not sent a startup message. The new connection that takes its place may still send
+// a CancelRequest, or a startup message that shows its protocol version.
 bool Clients::evictUnadmitted() {
   const Time now = services_.engine.now();
-  Session* longest = nullptr;
+  Session* longestSilent = nullptr;
   for (Session* const session : unadmitted_) {
-    if (longest && session->lastActive() >= longest->lastActive()) continue;
-    if (session->mayLeaveUnadmitted(now)) longest = session;
+    if (longestSilent && session->lastActive() >= longestSilent->lastActive()) continue;
+    if (session->canEvictUnadmitted(now)) longestSilent = session;
   }
-  if (!longest) return false;
-  if (!longest->closing()) rejectConnection(longest->socket(), longest->retryAfter());
-  sessions_.erase(longest);
+  if (!longestSilent) return false;
+  if (!longestSilent->closing()) rejectConnection(longestSilent->socket(), longestSilent->retryAfter());
+  sessions_.erase(longestSilent);
   return true;
 }
 
-// Clients that send one request and keep their connections would use up the descriptors on their side: beyond
-// the configured number the longest idle one is closed for each that sends its first request.
+// Clients that send one request and then keep their connection open could use up the descriptors
+// reserved for clients. Once more clients than the configured number have sent a request, the one
+// that has been idle the longest is closed for each further client that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
   ++activeSessions_;
   if (activeSessions_ <= services_.config.askingClients || services_.admission) return;
@@ -236,11 +248,12 @@
   rejectionsSinceLog_ = 0;
 }
 
-// ---- the clients' end ---------------------------------------------------------------------------------
+// ---- disconnects --------------------------------------------------------------------------------------
 
-// libevent reports a reset as readable and writable, whatever was asked for (epoll.c, EPOLLERR): a callback
-// for EV_CLOSED alone is not called, and the system reports the reset again at once, so the loop would spin.
-// Sockets that are not read are therefore in no event, and are polled.
+// While a session is not being read, its socket is polled instead of being registered with libevent
+// for EV_CLOSED. libevent reports a reset as readable and writable, whatever was requested
+// (epoll.c, EPOLLERR), so a callback for EV_CLOSED alone is not called; epoll reports the reset
+// again at once and the event loop would spin.
 void Clients::watchForDisconnect(Session& session, bool on) {
   const bool changed = on ? pausedReads_.insert(&session).second : pausedReads_.erase(&session) > 0;
   if (!changed) return;
@@ -299,7 +312,7 @@
   startTimer(exitTimer_.get(), times.exit);
 }
 
-// Copied, since what is done with a session may destroy it.
+// Returns a copy, so that callers may destroy sessions while they iterate over it.
 std::vector<Session*> Clients::allSessions() const {
   std::vector<Session*> all;
   all.reserve(sessions_.size());
--- a/src/frontend/postgres/clients.hpp
+++ b/src/frontend/postgres/clients.hpp
@@ -1,4 +1,5 @@
-// The PostgreSQL client connections: listener, eviction, cancel keys, idle sweep and graceful shutdown.
+// The PostgreSQL client connections: listener, eviction, cancel keys, idle sweep and graceful
+// shutdown.
 #pragma once
 
 #include <cstddef>
@@ -22,20 +23,21 @@
 // Owns the sessions. All references have to outlive it.
 class Clients final : private SessionOwner {
  public:
-  // Listens at once. `admission` may be null. Throws std::runtime_error where it cannot listen.
+  // Starts listening. `admission` may be null. Throws std::runtime_error if it cannot listen.
   Clients(event_base*, Engine&, RequestHandler&, WorkerPool&, ResourceBudget&, ReservedDescriptor&,
           AdmissionController* admission, const Config&);
   ~Clients() override;
 
-  // Graceful shutdown: serves on while new connections may still come, then closes connections between
-  // requests and finishes the requests that were read, in time for the earliest SIGKILL (shutdown.hpp).
-  // `done` is called once no connection is left, or at the latest when the exit is due.
+  // Starts the graceful shutdown: keeps serving while new connections may still arrive, then closes
+  // idle connections and finishes the requests that were read, before the earliest possible SIGKILL
+  // (see shutdown.hpp). `done` is called once no connection is left, at the latest at
+  // ShutdownTimes::exit.
   void drain(std::function<void()> done);
   bool draining() const { return phase_ != ShutdownPhase::Serving; }
   int port() const;
-  // The process is out of descriptors: an idle client is evicted.
+  // Called when the process is out of file descriptors; evicts idle clients.
   void onExhaustion();
-  // The users of logins from now on; ignored unless there were users before.
+  // Replaces the users that may log in; ignored if there were none before.
   void setUsers(std::shared_ptr<const auth::Users>);
 
  private:
@@ -58,15 +60,16 @@
   void cancelRequest(RequestId) override;
 
   void onAccepted(evutil_socket_t, const sockaddr*);
-  // Writes an error without reading the startup; the descriptor stays the caller's.
+  // Sends an error without waiting for the startup message. The caller keeps ownership of the
+  // descriptor.
   void rejectConnection(evutil_socket_t, Time retryAfter);
   void cancelFromStartup(evutil_socket_t);
 
   bool hasRoom();
   bool evictOne();
-  // Closes one of the sessions without a permit that needs its connection no longer.
+  // Closes one of the sessions without a permit; returns false if none may be closed.
   bool evictUnadmitted();
-  Session* findEvictable();  // null: none
+  Session* findEvictable();  // null if no session may be evicted
   void sweepIdle();
   void detectDisconnects();
 
@@ -78,8 +81,8 @@
   RequestHandler& requestHandler_;
   std::shared_ptr<const auth::Users> users_;
 
-  std::size_t activeSessions_ = 0;      // that have sent a request
-  std::unique_ptr<Acceptor> acceptor_;  // null once it no longer listens
+  std::size_t activeSessions_ = 0;      // number of sessions that have sent a request
+  std::unique_ptr<Acceptor> acceptor_;  // null once listening has stopped
   Event stopListeningTimer_;
   Event answerDeadlineTimer_;
   Event exitTimer_;
@@ -90,13 +93,13 @@
   std::optional<Time> rejectionLoggedAt_;
 
   ShutdownPhase phase_ = ShutdownPhase::Serving;
-  Time answerBy_ = Time::max();  // set by a shutdown
+  Time answerBy_ = Time::max();  // set by drain()
   std::function<void()> done_;
 
-  std::unordered_set<std::string> openRequestNames_;  // the clients' names of the requests in flight
-  std::unordered_map<std::uint32_t, Session*> keys_;  // by the process number of the cancel key
-  std::unordered_set<Session*> pausedReads_;          // sessions that are not read for now
-  std::unordered_set<Session*> unadmitted_;           // without a permit of the AdmissionController
+  std::unordered_set<std::string> openRequestNames_;  // client-assigned ids of open requests
+  std::unordered_map<std::uint32_t, Session*> keys_;  // by process number of the cancel key
+  std::unordered_set<Session*> pausedReads_;          // sessions with reading disabled
+  std::unordered_set<Session*> unadmitted_;           // sessions without a permit
   std::unordered_map<Session*, std::unique_ptr<Session>> sessions_;
 };
 
--- a/src/frontend/postgres/input_timestamps.cpp
+++ b/src/frontend/postgres/input_timestamps.cpp
@@ -5,9 +5,10 @@
 namespace sablespur {
 namespace {
 
-// Bytes received within this time share one span, with the time of the first.
+// Bytes received within this time share one span, which has the receive time of its first byte.
 constexpr InputTimestamps::Time kSpanLength = std::chrono::milliseconds(5);
-// Against input that trickles in: beyond this number of spans the last one grows.
+// Bounds the memory for input that arrives in tiny pieces: at this number of spans the last one is
+// extended.
 constexpr std::size_t kMaxSpans = 256;
 
 }  // namespace
--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -51,7 +51,7 @@
   }
 
  private:
-  // What the authenticator is to be given of a message; none: the message is malformed.
+  // Extracts the authenticator's input from a message; std::nullopt if the message is malformed.
   std::optional<std::string_view> parseResponse(std::string_view message) const {
     if (authenticator_.method() != auth::Method::Scram)
       return version2_ ? std::optional(message) : postgres::parsePassword(message);
@@ -79,7 +79,7 @@
   bool exchangeStarted_ = false;
 };
 
-// Printable, without a comma (RFC 5802, section 5.1).
+// Returns a random nonce of printable characters without a comma (RFC 5802, section 5.1).
 std::string newNonce() { return auth::toBase64(randomBytes(kNonceBytes)); }
 
 }  // namespace
--- a/src/frontend/postgres/login.hpp
+++ b/src/frontend/postgres/login.hpp
@@ -1,5 +1,5 @@
-// The login of a client by password: which message asks for it and what its response leads to, in the
-// client's protocol version.
+// Password login of a client: the request for the password and the handling of the responses, in
+// the client's protocol version.
 #pragma once
 
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 namespace sablespur {
 
-// One login attempt, as an exchange of messages. The caller sends and receives them.
+// The state of one login attempt. The caller sends and receives the messages.
 class Login {
  public:
   enum class Step {
-    Continue,  // a further response is due
+    Continue,  // another response of the client is expected
     Accept,
     Reject,
-    DeriveKey  // keyDerivation() has to run, on another thread; its result goes to onKeyDerived()
+    DeriveKey  // run keyDerivation() on another thread and pass its result to onKeyDerived()
   };
   struct StepResult {
     Step step;
@@ -27,20 +27,20 @@
   };
 
   virtual ~Login() = default;
-  // The message that asks for the password.
+  // Returns the message that asks for the password.
   virtual std::string initialRequest() = 0;
-  // The body of a 'p' message; in version 2.0 the password alone.
+  // Handles the body of a 'p' message or, in protocol version 2.0, the bare password.
   virtual StepResult onResponse(std::string_view message) = 0;
-  // A function of its own copies, which may outlive this object.
+  // Returns a function that owns copies of its inputs and may outlive this object.
   virtual std::function<std::string()> keyDerivation() const = 0;
   virtual StepResult onKeyDerived(const std::string& result) = 0;
 };
 
-// Of a client's message during the login, in bytes.
+// Maximum size of the body of a client's message during the login, in bytes.
 constexpr std::size_t kMaxLoginMessage = 4096;
 
-// Null, and `why` set, if no method is allowed by the settings, possible for this user and known to this
-// protocol version.
+// Returns null and sets `why` if there is no login method that the settings allow, that the user's
+// stored credentials support and that exists in this protocol version.
 std::unique_ptr<Login> createLogin(const Config&, const auth::Users&, const std::string& user, bool version2,
                                    std::string& why);
 
--- a/src/frontend/postgres/prepared_statements.cpp
+++ b/src/frontend/postgres/prepared_statements.cpp
@@ -10,9 +10,9 @@
 namespace sablespur {
 namespace {
 
-// Limits the memory of a client that never closes what it prepares.
-constexpr std::size_t kMaxNames = 256;  // of statements, and of portals
-constexpr std::size_t kMaxColumnsSize = 8192;
+// Limits on the memory used by a client that never closes its prepared statements and portals.
+constexpr std::size_t kMaxNames = 256;         // of statements, and as many of portals
+constexpr std::size_t kMaxColumnsSize = 8192;  // bytes of a stored RowDescription
 
 constexpr std::int16_t kBinaryFormat = 1;
 
@@ -37,17 +37,18 @@
 
 bool isResultFormat(std::int16_t format) { return format == 0 || format == kBinaryFormat; }
 
-// One format stands for all columns; a column without one is sent as text.
+// A single format applies to all columns; a column without a format is sent as text.
 bool isBinary(const std::vector<std::int16_t>& formats, std::size_t column) {
   if (formats.size() == 1) return formats[0] == kBinaryFormat;
   return column < formats.size() && formats[column] == kBinaryFormat;
 }
 
-// The RowDescription with this body, in the formats that the client wants.
-std::string rowDescription(const std::string& body, const translation::ResultFormat& wanted) {
+// Builds a RowDescription from the body of a stored one, with the formats that the client
+// requested.
+std::string rowDescription(const std::string& body, const translation::ResultFormat& format) {
   std::vector<translation::Column> columns;
   if (!postgres::readColumns(body, columns)) return postgres::noData();
-  for (std::size_t k = 0; k < columns.size(); ++k) columns[k].binary = isBinary(wanted.columnFormats, k);
+  for (std::size_t k = 0; k < columns.size(); ++k) columns[k].binary = isBinary(format.columnFormats, k);
   return postgres::Codec(0).columns(columns);
 }
 
@@ -131,7 +132,8 @@
   return target->portal ? describePortal(target->name) : describeStatement(target->name);
 }
 
-// The columns are known once the portal has been executed, and are sent with that answer.
+// Defers the reply: the columns are known only once the portal has been executed, and are sent with
+// that answer.
 Reply PreparedStatements::describePortal(std::string_view name) {
   const auto portal = portals_.find(name);
   if (portal == portals_.end()) return noSuchPortal(name);
@@ -148,7 +150,7 @@
                    "Describe of a statement that has not run here is not supported; describe its portal");
   std::vector<std::uint32_t> types = statement.parameterTypes;
   types.resize(statement.parameterCount);
-  std::replace(types.begin(), types.end(), std::uint32_t{0}, translation::kText);  // 0: not specified
+  std::replace(types.begin(), types.end(), std::uint32_t{0}, translation::kText);  // 0: unspecified
   const std::string columns =
       statement.columns.empty() ? postgres::noData() : rowDescription(statement.columns, {});
   return success(postgres::parameterDescription(types) + columns);
@@ -196,12 +198,12 @@
   execution->maxRows = static_cast<std::size_t>(message->maxRows);
   portal.describePending = false;
   portal.executed = true;
-  lastPortal_ = std::string(message->portal);
+  lastExecutedPortal_ = std::string(message->portal);
   return {};
 }
 
 void PreparedStatements::onExecuted(std::string_view columns, bool suspended) {
-  const auto portal = portals_.find(lastPortal_);
+  const auto portal = portals_.find(lastExecutedPortal_);
   if (portal == portals_.end()) return;
   portal->second.suspended = suspended;
   const auto found = statements_.find(portal->second.statementName);
--- a/src/frontend/postgres/prepared_statements.hpp
+++ b/src/frontend/postgres/prepared_statements.hpp
@@ -1,7 +1,9 @@
-// The prepared statements and portals of one client (PostgreSQL's documentation, "Extended Query").
+// The prepared statements and portals of one client (see "Extended Query" in the PostgreSQL
+// documentation).
 //
-// Data servers are sent simple queries only, so a portal holds its statement with the parameters put in as
-// literals. Pure: no I/O; Session passes the messages in and sends the replies.
+// Data servers are sent simple queries only, so a portal holds the text of its statement with the
+// parameters substituted as literals. Pure (no I/O): Session passes the messages in and sends the
+// replies.
 #pragma once
 
 #include <cstddef>
@@ -20,44 +22,45 @@
 
 class PreparedStatements {
  public:
-  // The reply to a message: messages for the client, or an error, after which all is skipped until Sync.
+  // The reply to a message: either messages for the client or an error. After an error the client's
+  // messages are skipped until Sync.
   struct Reply {
     std::string messages;
-    const char* errorCode = nullptr;  // null: no error
+    const char* errorCode = nullptr;  // SQLSTATE; null if there is no error
     std::string errorText;
   };
-  // The request that an Execute makes.
+  // The request to run for an Execute.
   struct Execution {
-    std::string statement;  // empty: there is nothing to run
+    std::string statement;  // empty if there is nothing to run
     translation::ResultFormat resultFormat;
-    bool sendRowDescription = false;  // a Describe of the portal is still to be answered
-    std::size_t maxRows = 0;          // 0: all
+    bool sendRowDescription = false;  // whether a Describe of the portal is unanswered
+    std::size_t maxRows = 0;          // 0: no limit
   };
 
-  // One function for each message; they take its body. `backslashes`: a backslash in a literal is an escape
-  // character (standard_conforming_strings is off).
+  // Each function handles the message of its name and takes its body. `backslashes` means that a
+  // backslash in a literal is an escape character (standard_conforming_strings is off).
   Reply parse(std::string_view body, bool backslashes);
   Reply bind(std::string_view body, bool backslashes, std::size_t maxStatementSize);
   Reply describe(std::string_view body);
   Reply close(std::string_view body);
   // Sets `execution` unless the reply is an error.
   Reply execute(std::string_view body, std::optional<Execution>& execution);
-  Reply sync();   // ends all portals
-  Reply flush();  // answers each Describe of a portal that no Execute has answered
-  // The last Execute has its answer. `columns`: the body of its RowDescription; empty: it had none.
-  // `suspended`: it stopped at its row limit.
+  Reply sync();   // closes all portals
+  Reply flush();  // answers each Describe of a portal that is still unanswered
+  // Called when the last Execute has been answered. `columns` is the body of its RowDescription,
+  // empty if it had none; `suspended` means that it stopped at its row limit.
   void onExecuted(std::string_view columns, bool suspended);
-  // A simple query ends the unnamed statement and portal.
+  // Called for a simple query, which closes the unnamed statement and portal.
   void onSimpleQuery();
 
-  std::size_t bytes() const { return bytes_; }  // held for this client
+  std::size_t bytes() const { return bytes_; }  // memory held for this client
 
  private:
   struct Statement {
     std::string text;
     std::vector<std::uint32_t> parameterTypes;
     std::size_t parameterCount = 0;
-    std::string columns;  // the body of its last RowDescription; empty: none
+    std::string columns;  // body of its last RowDescription; empty if it had none
     bool executed = false;
   };
   struct Portal {
@@ -78,7 +81,7 @@
 
   Statements statements_;
   Portals portals_;
-  std::string lastPortal_;  // executed last
+  std::string lastExecutedPortal_;
   std::size_t bytes_ = 0;
 };
 
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -11,16 +11,18 @@
 namespace sablespur {
 namespace {
 
-// A new client has so long to send its first bytes, however many others come.
+// Time in which a new client is not evicted although it has sent nothing, however many others
+// connect.
 constexpr Time kNewClientGrace = std::chrono::milliseconds(25);
 constexpr Time kNewClientGraceInDrain = std::chrono::milliseconds(100);
-// Before a close, input is read and discarded for so long: closing on unread input would reset the
-// connection, and the client would not see the error.
+// Time for which input is read and discarded before the socket is closed. Closing a socket with
+// unread input resets the connection, and the client would not see the error.
 constexpr Time kLingerTime = std::chrono::milliseconds(500);
 constexpr std::size_t kMaxLingerBytes = 1 << 20;
-// The rest of a message that was begun earlier may still be on its way through the system.
-constexpr Time kRestOfMessageTime = std::chrono::milliseconds(500);
-// No further request is taken while the client has so much output to read.
+// Minimum time left for the rest of an incomplete message once its beginning has been looked at;
+// the rest may already be in the socket's receive buffer.
+constexpr Time kMinRestOfMessageTime = std::chrono::milliseconds(500);
+// No further request is processed while the client has this many bytes of unsent output.
 constexpr std::size_t kMaxUnsentOutput = 16 << 10;
 constexpr const char* kInvalidPassword = "28P01";
 
@@ -72,7 +74,7 @@
 void Session::evict() {
   client_.permit.reset();
   owner_.setUnadmitted(*this, true);
-  beginDrain();  // a request may have just arrived
+  beginDrain();  // not beginClose(): a request may have just arrived
 }
 
 EvictionPriority Session::evictionPriority(Time now) {
@@ -85,7 +87,7 @@
   return idle() && flushed ? EvictionPriority::Idle : EvictionPriority::Never;
 }
 
-bool Session::mayLeaveUnadmitted(Time now) {
+bool Session::canEvictUnadmitted(Time now) {
   if (now - lastActive_ < kNewClientGrace || hasUnreadInput()) return false;
   if (closeState_ == CloseState::Lingering) return evbuffer_get_length(output()) == 0;
   return !closing() && protocol_.version == ProtocolVersion::Unknown;
@@ -101,7 +103,7 @@
   if (closing()) return;
   closeState_ = CloseState::Closing;
   setReading(true);
-  if (evbuffer_get_length(output()) == 0) shutdownSending();  // else onFlushed() does
+  if (evbuffer_get_length(output()) == 0) shutdownSending();  // otherwise called by onFlushed()
 }
 
 void Session::startDraining() {
@@ -111,9 +113,11 @@
 void Session::beginDrain() {
   startDraining();
   if (request_.id || extended_.awaitingSync || closing() || evbuffer_get_length(output()) > 0) return;
-  // One that has only just connected has had no time to send anything; checkIdleTimeout() closes it later.
+  // A client that has only just connected may not have had time to send its first request;
+  // checkIdleTimeout() closes it later.
   if (!firstRequestReceived_ && services_.engine.now() - lastActive_ < kNewClientGraceInDrain) return;
-  // A request that crosses the close and is not read is repeated by its client; one that has arrived is not.
+  // A client repeats a request that was still on its way when the connection was closed, but not
+  // one that had already arrived, so input that has arrived is processed first.
   const bool hasInput = pastAnswerDeadline() ? evbuffer_get_length(input()) > 0 : hasUnreadInput();
   if (hasInput)
     scheduleRead();
@@ -130,7 +134,8 @@
   failed();
 }
 
-// A close on unread bytes would reset the connection, and output on its way would be lost.
+// Closes the connection for sending only. Closing the socket with unread input would reset the
+// connection, and output that the client has not received yet would be lost.
 void Session::shutdownSending() {
   closeState_ = CloseState::Lingering;
   lastActive_ = services_.engine.now();
@@ -153,19 +158,20 @@
   if (inputState_.discarded > kMaxLingerBytes) owner_.onSessionClosed(*this);
 }
 
-// A fatal error closes the connection: the rest of its input cannot be interpreted. Otherwise nothing more is
-// taken before the next idle sweep, so that a client that repeats its error at full speed does not keep the
-// loop from the others.
+// Answers with an error. After a fatal error the rest of the input cannot be interpreted, so the
+// connection is closed. After any other error no further message is processed until the next idle
+// sweep, so that a client that repeats its error at full speed does not starve the other clients of
+// the event loop.
 void Session::reject(const char* code, std::string_view text, bool fatal) {
-  writeError(problem(fatal ? "FATAL" : "ERROR", code, text));
-  // A failed login is logged by itself.
+  writeError(makeErrorReport(fatal ? "FATAL" : "ERROR", code, text));
+  // A failed login has its own log event (login_failed).
   if (std::string_view(code) != kInvalidPassword) owner_.logRejection(code, text, client_.address);
   inputState_.paused = true;
   if (!fatal) return finishRequest();
   startLingeringClose();
 }
 
-// ---- timeouts and the client's end --------------------------------------------------------------------
+// ---- timeouts and disconnects -------------------------------------------------------------------------
 
 evutil_socket_t Session::socket() const { return bufferevent_getfd(bev_.get()); }
 
@@ -176,7 +182,7 @@
 
 bool Session::hasUnreadInput() { return evbuffer_get_length(input()) > 0 || hasSocketInput(); }
 
-// While a key is derived the input waits, whatever it holds.
+// While a key is being derived, input is not processed, so it may hold complete messages.
 bool Session::hasPartialMessage() {
   return inputState_.partialMessageSince && !startup_.passwordWork && evbuffer_get_length(input()) > 0;
 }
@@ -186,15 +192,15 @@
 }
 
 bool Session::clientDisconnected() const {
-  pollfd asked{socket(), POLLRDHUP, 0};
-  return poll(&asked, 1, 0) > 0;
+  pollfd descriptor{socket(), POLLRDHUP, 0};
+  return poll(&descriptor, 1, 0) > 0;
 }
 
 bool Session::checkIdleTimeout(Time now) {
   if (inputState_.paused && !closing() && evbuffer_get_length(input()) > 0) scheduleRead();
   inputState_.paused = false;
   const bool flushed = evbuffer_get_length(output()) == 0;
-  // A client that does not read its last output is closed by the write timeout.
+  // If the client does not read its last output, the write timeout closes the session.
   if (closeState_ == CloseState::Lingering && flushed) return now - lastActive_ < kLingerTime;
   if (request_.id || closing() || !flushed) return true;
   if (draining() && !extended_.awaitingSync && now - lastActive_ >= kNewClientGraceInDrain &&
@@ -211,7 +217,8 @@
   reject("08P01", "a message that was begun and not finished in time", true);
 }
 
-// While reading is off libevent does not report the client's end; Clients polls for it then.
+// While reading is disabled libevent does not report that the client has disconnected, so the owner
+// polls the socket.
 void Session::setReading(bool on) {
   if (on == inputState_.reading) return;
   inputState_.reading = on;
@@ -225,7 +232,7 @@
 
 void Session::onFlushed() {
   if (closing()) return shutdownSending();
-  onReadable();  // what was left while the client did not read its answers
+  onReadable();  // processes the input that was left while too much output was unsent
   if (draining()) beginDrain();
 }
 
@@ -244,7 +251,8 @@
   bufferevent_trigger(bev_.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-// After an answer. What is pipelined behind it comes next, but not within this call: the turn is not over.
+// Called after an answer. The next pipelined request is processed in a later callback of the event
+// loop rather than within this call, because the current callback has not returned yet.
 void Session::resumeOrDrain() {
   if (evbuffer_get_length(input()) > 0 || pastAnswerDeadline())
     scheduleRead();
@@ -252,7 +260,8 @@
     beginDrain();
 }
 
-// Processes one message; false if it is not complete, or no further one may be taken.
+// Processes one message. Returns false if the message is incomplete or no further message may be
+// processed.
 bool Session::readMessage() {
   if (startup_.awaitingProxyHeader) return readProxyHeader();
   if (protocol_.version == ProtocolVersion::Unknown) return readStartup();
@@ -270,16 +279,17 @@
   if (closing()) return;
   const std::size_t left = evbuffer_get_length(input());
   if (pastAnswerDeadline()) return rejectRemainder(left);
-  // libevent calls back again and again while the input stands at its high watermark, so reading is off
-  // there.
+  // libevent keeps calling back while the input is at its high watermark, so reading is disabled
+  // until it is below.
   const bool belowWatermark = left < std::max(kReadAhead, inputState_.messageReservation);
   if (!inputState_.partialMessageSince && left > 0)
     inputState_.partialMessageSince = belowWatermark ? partialMessageStart() : services_.engine.now();
   setReading(belowWatermark);
 }
 
-// Input that is left when nothing more is read is no complete message, unless the session waits for something
-// else.
+// Ends the session once the answer deadline of a shutdown has passed. Remaining input is an
+// incomplete message, unless the session still waits for an answer, for the idle sweep or for the
+// client to read its output.
 void Session::rejectRemainder(std::size_t length) {
   setReading(false);
   if (request_.id || inputState_.paused || evbuffer_get_length(output()) >= kMaxUnsentOutput) return;
@@ -289,21 +299,22 @@
     beginClose();
 }
 
-// When the message at the input's front was begun, possibly behind a request that was being processed; what
-// of it is still in the system has kRestOfMessageTime to be read.
+// Returns when the first byte of the message at the front of the input was received, which may have
+// been while an earlier request was being processed. The result is limited so that at least
+// kMinRestOfMessageTime remains for reading the rest from the socket.
 Time Session::partialMessageStart() const {
-  const Time allowed = std::max(services_.config.halfMessage - kRestOfMessageTime, Time(0));
+  const Time allowed = std::max(services_.config.halfMessage - kMinRestOfMessageTime, Time(0));
   return std::max(inputState_.timestamps.receivedAt(1), services_.engine.now() - allowed);
 }
 
-std::string_view Session::pull(std::size_t length) {
+std::string_view Session::peekInput(std::size_t length) {
   const unsigned char* const bytes = evbuffer_pullup(input(), static_cast<ev_ssize_t>(length));
   return {reinterpret_cast<const char*>(bytes), length};
 }
 
 // ---- memory -------------------------------------------------------------------------------------------
 
-// Held from the head of a long message to its answer.
+// The reservation is held from the header of a long message until its answer.
 bool Session::reserveMessage(std::size_t length) {
   if (length <= kReadAhead || inputState_.messageReservation > 0) return true;
   if (!services_.budget.reserveBytes(length)) return false;
@@ -320,9 +331,9 @@
 }
 
 bool Session::reservePrepared(std::size_t bytes) {
-  const std::size_t held = extended_.reservation;
-  if (bytes > held && !services_.budget.reserveBytes(bytes - held)) return false;
-  if (bytes < held) services_.budget.releaseBytes(held - bytes);
+  const std::size_t reserved = extended_.reservation;
+  if (bytes > reserved && !services_.budget.reserveBytes(bytes - reserved)) return false;
+  if (bytes < reserved) services_.budget.releaseBytes(reserved - bytes);
   extended_.reservation = bytes;
   return true;
 }
--- a/src/frontend/postgres/session.hpp
+++ b/src/frontend/postgres/session.hpp
@@ -1,9 +1,11 @@
-// One client connection: its startup in the protocol version it speaks, its requests one at a time, and their
-// answers in order.
+// One client connection: handles the startup in the client's protocol version, then processes one
+// request at a time and answers them in order.
 //
-// session.cpp has the connection: reading, draining, closing, idle timeouts. The rest is in
-// session_handshake.cpp (from the PROXY header to the end of the login), session_messages.cpp (framing) and
-// session_requests.cpp (from a statement to its answer).
+// The implementation is split into
+//  - session.cpp: the connection (reading, draining, closing, idle timeouts);
+//  - session_handshake.cpp: from the PROXY header to the end of the login;
+//  - session_messages.cpp: message framing and the extended protocol;
+//  - session_requests.cpp: from a statement to its answer.
 #pragma once
 
 #include <cstddef>
@@ -32,33 +34,35 @@
 
 namespace sablespur {
 
-// How readily a client is disconnected to make room for a new one; higher goes first.
+// Order in which clients are disconnected to make room for new ones; the highest value is evicted
+// first.
 enum class EvictionPriority {
-  Never,      // it has a request, or output to read
+  Never,      // has pending input, a request or unsent output, or has only just connected
   Idle,       // between two requests
-  NeverUsed,  // it has had time for its first request and has not sent one
-  Closing     // its output has been sent
+  NeverUsed,  // had enough time to send its first request, but has not sent one
+  Closing     // lingering, with all output sent
 };
 
 // Requests pipelined behind the current one wait in the input buffer, which is bounded.
 class Session final : public ResponseHandler, public AdmittedConnection {
  public:
-  // Takes over the descriptor. `awaitProxyHeader`: the connection comes from a trusted proxy, whose PROXY
-  // header names the client.
+  // Takes ownership of the descriptor. `awaitProxyHeader` means that the connection comes from a
+  // trusted proxy and starts with a PROXY header that contains the client's address.
   Session(SessionOwner& owner, evutil_socket_t fd, const Address& from, bool awaitProxyHeader);
   ~Session() override;
 
-  // Asks the AdmissionController for a permit. A rejected client gets an error once its startup shows which
-  // version it speaks.
+  // Requests a permit from the AdmissionController. A rejected client gets its error once its
+  // startup message shows the protocol version in which to write it.
   void requestAdmission();
-  // Told to a rejected client.
+  // Retry-After for the error of a rejected client.
   Time retryAfter() const { return client_.retryAfter; }
   void evict() override;
 
   void served(Answer) override;
   void rejected(Time retryAfter) override;
   void failed() override;
-  // A CancelRequest bore this session's key: the current request is cancelled, with an error as its answer.
+  // Handles a CancelRequest with this session's key: cancels the current request and answers it
+  // with an error.
   void onCancelRequest();
 
   const postgres::Key& key() const { return protocol_.cancelKey; }
@@ -67,84 +71,89 @@
   EvictionPriority evictionPriority(Time now);
   Time lastActive() const { return lastActive_; }
   bool closing() const { return closeState_ >= CloseState::Closing; }
-  // Without a permit: whether it has had its error for a while, or has said nothing for as long.
-  bool mayLeaveUnadmitted(Time now);
+  // For a session without a permit: returns whether it may be closed. For at least kNewClientGrace
+  // it must have lingered after its error was sent, or sent no startup message; and there must be
+  // no unread input.
+  bool canEvictUnadmitted(Time now);
 
-  // Closes gracefully: takes nothing more, shuts the connection down for sending once the output has been
-  // sent, and discards input until the client closes too or a timeout passes.
+  // Closes gracefully: processes no further input, shuts the connection down for sending once the
+  // output has been sent, and discards input until the client closes its end or a timeout passes.
   void beginClose();
-  // The same between two requests, for the shutdown: what has been received until then is answered first.
+  // Closes gracefully once all requests that have been received are answered. Used by the shutdown
+  // and by evict().
   void beginDrain();
-  // The shutdown's time for answers is over: the current request fails, what else was read is answered, and
-  // nothing more is read.
+  // Called when the answer deadline of the shutdown has passed: the current request fails, further
+  // requests that were already read are answered, and nothing more is read.
   void failOutstanding();
 
-  // Whether there is input that has not been processed, here or in the socket.
+  // Returns whether there is unprocessed input in the input buffer or the socket.
   bool hasUnreadInput();
-  // Whether the input is the beginning of a message and no more.
+  // Returns whether the input buffer holds nothing but an incomplete message.
   bool hasPartialMessage();
-  // Whether there may be a request that has not been looked at yet, here or in the socket.
+  // Returns whether the input buffer or the socket may hold a request that has not been parsed yet.
   bool mayHoldRequest();
-  // Whether the client has closed its end, whatever it sent before.
+  // Returns whether the client has closed its end, even if there is still unread input.
   bool clientDisconnected() const;
-  // False: the client is silent for too long and is to be closed by onIdleTimeout(). Silent clients are owed
-  // an end within 3 s.
+  // Returns false if the client has been silent for too long and the caller has to call
+  // onIdleTimeout(). Silent clients have to be disconnected within 3 s.
   bool checkIdleTimeout(Time now);
-  // Closes; with an error first, if a message was begun and not finished. May destroy the session.
+  // Closes the session, with an error if its input holds an incomplete message. May destroy the
+  // session.
   void onIdleTimeout();
 
  private:
-  enum class ProtocolVersion { Unknown, Version2, Version3 };  // Unknown: before the startup message
+  // Unknown: before the startup message.
+  enum class ProtocolVersion { Unknown, Version2, Version3 };
   enum class CloseState {
     Open,
-    Draining,  // closes once it has answered what has been received
-    Closing,   // the output is still to be sent
-    Lingering  // input is discarded until the client closes
+    Draining,  // closes once all received requests have been answered
+    Closing,   // shuts down for sending once the output has been sent
+    Lingering  // discards input until the client closes its end
   };
-  // Who the client is, and whether it is admitted.
+  // The client's address and its admission.
   struct Client {
-    Address address;  // as the connection or a PROXY header tells it
+    Address address;  // of the socket, or from the PROXY header
     std::optional<PermitId> permit;
-    Time retryAfter{};  // of a rejection
+    Time retryAfter{};  // if rejected
   };
-  // Until the login has succeeded.
+  // State that is used until the login has succeeded.
   struct Startup {
     bool awaitingProxyHeader = false;
     std::string user;
-    std::unique_ptr<Login> login;  // null: none is going on
-    WorkerPool::Ticket passwordWork;
+    std::unique_ptr<Login> login;     // null if no login is in progress
+    WorkerPool::Ticket passwordWork;  // set while a key is being derived
   };
-  // What the startup has settled.
+  // Protocol version and settings, as negotiated during the startup.
   struct Protocol {
     ProtocolVersion version = ProtocolVersion::Unknown;
     const translation::ClientCodec* codec = nullptr;
     postgres::Key cancelKey;
     translation::SessionSettings settings;
-    // `settings`, where they differ from what data servers assume; else null.
+    // Copy of `settings` if they differ from what data servers assume, otherwise null.
     std::shared_ptr<const translation::SessionSettings> sharedSettings;
   };
   struct ExtendedProtocol {
-    std::unique_ptr<PreparedStatements> prepared;  // from the first message of the extended protocol on
-    std::size_t reservation = 0;                   // bytes in the budget, for `prepared`
+    std::unique_ptr<PreparedStatements> prepared;  // null until the first extended message
+    std::size_t reservation = 0;                   // bytes of the budget reserved for `prepared`
     bool skippingUntilSync = false;                // after an error
     bool awaitingSync = false;
   };
   struct InputState {
-    bool reading = true;                 // EV_READ is enabled; else the owner polls for the client's end
-    bool paused = false;                 // until the next idle sweep, after an error of the client
-    std::size_t messageReservation = 0;  // bytes in the budget, for the message at the input's front
-    std::size_t discarded = 0;           // bytes, while lingering
+    bool reading = true;                 // if false, the owner polls for disconnects
+    bool paused = false;                 // after a client's error, until the next idle sweep
+    std::size_t messageReservation = 0;  // bytes of the budget reserved for the current message
+    std::size_t discarded = 0;           // bytes discarded while lingering
     InputTimestamps timestamps;
-    Time messageReceivedAt{};  // the last byte of the message that is processed
-    std::optional<Time> partialMessageSince;
+    Time messageReceivedAt{};                 // time of the last byte of the current message
+    std::optional<Time> partialMessageSince;  // set while the input holds an incomplete message
   };
-  // The request that the client waits for, and how its answer has to look.
+  // The request in progress and the form of its answer.
   struct CurrentRequest {
     std::optional<RequestId> id;  // of the engine or the AdmissionController
-    std::string name;             // the client's own id of it, reserved with the owner
-    bool extended = false;        // it comes from an Execute
+    std::string name;             // the id assigned by the client, reserved with the owner
+    bool extended = false;        // sent by an Execute message
     bool sendRowDescription = true;
-    std::size_t maxRows = 0;  // 0: all
+    std::size_t maxRows = 0;  // 0: no limit
     translation::ResultFormat format;
   };
 
@@ -152,7 +161,7 @@
   evbuffer* input() { return bufferevent_get_input(bev_.get()); }
   evbuffer* output() { return bufferevent_get_output(bev_.get()); }
   bool hasSocketInput() const;
-  std::string_view pull(std::size_t length);  // the first bytes of the input, made contiguous
+  std::string_view peekInput(std::size_t length);  // the first bytes of the input, made contiguous
   bool idle();
   bool draining() const { return closeState_ == CloseState::Draining; }
   void startDraining();
@@ -174,14 +183,14 @@
   void discardInput();
   void shutdownSending();
 
-  // Memory: a message longer than what is read ahead, and the prepared statements, are reserved in the
-  // resource budget. False: there is no room.
+  // Memory for messages longer than kReadAhead and for prepared statements is reserved in the
+  // resource budget. The reserve functions return false if the budget is exhausted.
   bool reserveMessage(std::size_t length);
   void releaseMessage();
   bool reservePrepared(std::size_t bytes);
 
-  // ---- session_handshake.cpp; the read functions return false to wait for more input or because the session
-  // closes
+  // ---- session_handshake.cpp
+  // The read functions return false if more input is needed or the session is closing.
   bool readProxyHeader();
   bool rejectTls();
   bool readStartup();
@@ -190,7 +199,8 @@
   bool applyStartupSettings(const postgres::Startup&);
   bool startVersion2(std::string_view packet);
   void authenticate(const std::string& user);
-  // Whether the client holds a permit, by its address or by its name; else it gets its error.
+  // Returns whether the client has a permit, granted by its address or by its user name. Otherwise
+  // sends the error and closes.
   bool ensureAdmitted();
   bool readLogin();
   std::optional<std::string> readPasswordV2();
@@ -211,15 +221,15 @@
   void writeReply(const PreparedStatements::Reply&);
 
   // ---- session_requests.cpp
-  void submitStatement(Buffer statement);  // with its NUL
+  void submitStatement(Buffer statement);  // including its terminating NUL
   void answerEmptyStatement();
-  bool handleSet(std::string_view statement);  // a SET is answered here; false: it is none
+  bool handleSet(std::string_view statement);  // answers a SET locally; false if it is no SET
   void submitRequest(const postgres::Comment&, std::size_t tailOffset, Buffer statement);
   balancer::Request makeRequest(const postgres::Comment&, std::size_t classIndex, evbuffer* statement) const;
   RequestMessage makeMessage(const postgres::Comment&, std::size_t tailOffset, Buffer statement) const;
   void writeAnswer(Answer);
   void translateAnswer(const Answer&, std::string_view messages, const std::string& columns);
-  void finishRequest();  // its answer or error is written
+  void finishRequest();  // called once its answer or error has been written
   void writeError(const translation::ErrorReport&);
   void releaseRequestName();
 
@@ -235,7 +245,9 @@
   InputState inputState_;
   bool firstRequestReceived_ = false;
   CloseState closeState_ = CloseState::Open;
-  Time lastActive_{};  // connected, greeted, or given its last answer
+  // When the session was opened, completed its startup, finished its last request or began to
+  // linger.
+  Time lastActive_{};
 };
 
 }  // namespace sablespur
--- a/src/frontend/postgres/session_common.hpp
+++ b/src/frontend/postgres/session_common.hpp
@@ -1,4 +1,5 @@
-// What the parts of Session share: the codecs of the protocol versions, errors, and the read-ahead.
+// Definitions shared by the source files of Session: codecs of the protocol versions, error
+// construction and the read-ahead limit.
 #pragma once
 
 #include <cstddef>
@@ -18,18 +19,19 @@
 inline const postgres::Codec kVersion32(2);
 inline const postgres2::Codec kVersion20;
 
-// Bytes read of a client before it is known what is coming.
+// Maximum number of bytes that are buffered before the type and length of a message are known.
 constexpr std::size_t kReadAhead = 16 << 10;
 
-inline translation::ErrorReport problem(const char* severity, const char* code, std::string_view text) {
-  translation::ErrorReport p;
-  p.severity = severity;
-  p.code = code;
-  p.text = std::string(text);
-  return p;
+inline translation::ErrorReport makeErrorReport(const char* severity, const char* code,
+                                                std::string_view text) {
+  translation::ErrorReport report;
+  report.severity = severity;
+  report.code = code;
+  report.text = std::string(text);
+  return report;
 }
 
-// Retry-After as errors tell it: milliseconds, rounded up; none for a time of zero.
+// Converts a Retry-After to milliseconds for an error, rounded up; std::nullopt if it is zero.
 inline std::optional<std::uint32_t> retryAfterMs(Clock::Time retryAfter) {
   const auto ms = (retryAfter.count() + 999) / 1000;
   if (ms <= 0) return std::nullopt;
--- a/src/frontend/postgres/session_handshake.cpp
+++ b/src/frontend/postgres/session_handshake.cpp
@@ -1,4 +1,4 @@
-// The handshake of a session: PROXY header, startup message in any version, login.
+// The handshake of a session: PROXY header, startup message in any protocol version, login.
 #include <algorithm>
 #include <cstring>
 
@@ -12,8 +12,8 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kMaxLoggedUserName = 63;  // bytes, as PostgreSQL's identifiers (NAMEDATALEN)
-constexpr std::size_t kStartupHead = 8;         // length and code
+constexpr std::size_t kMaxLoggedUserName = 63;  // bytes, as in PostgreSQL (NAMEDATALEN)
+constexpr std::size_t kStartupHeaderSize = 8;   // length and code
 // A TLS record of type handshake, major version 3 (RFC 8446, section 5.1).
 constexpr std::string_view kTlsHandshake("\x16\x03", 2);
 // The alert handshake_failure, fatal (RFC 8446, section 6).
@@ -24,7 +24,7 @@
 bool Session::readProxyHeader() {
   const std::size_t available = std::min(evbuffer_get_length(input()), proxy_protocol::kMaxVersion2Size);
   if (available == 0) return false;
-  const proxy_protocol::Header header = proxy_protocol::parse(pull(available));
+  const proxy_protocol::Header header = proxy_protocol::parse(peekInput(available));
   if (header.malformed) {
     reject("08P01", "expected a PROXY header", true);
     return false;
@@ -38,7 +38,8 @@
   return true;
 }
 
-// A TLS client that connects without asking first waits for a handshake and reads no ErrorResponse.
+// Handles a client that starts a TLS handshake without sending SSLRequest first. It would not
+// understand an ErrorResponse, so it gets a TLS alert.
 bool Session::rejectTls() {
   char head[kTlsHandshake.size()];
   if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
@@ -50,7 +51,7 @@
 
 bool Session::readStartup() {
   if (rejectTls()) return false;
-  char head[kStartupHead];
+  char head[kStartupHeaderSize];
   if (evbuffer_copyout(input(), head, sizeof head) < static_cast<ev_ssize_t>(sizeof head)) return false;
   const std::uint32_t length = postgres::readInt32(head);
   const std::uint32_t code = postgres::readInt32(head + 4);
@@ -64,14 +65,15 @@
     append(output(), "N");
     return true;
   }
-  const std::string packet(pull(length));
+  const std::string packet(peekInput(length));
   evbuffer_drain(input(), length);
   return dispatchStartup(code, packet);
 }
 
 bool Session::dispatchStartup(std::uint32_t code, std::string_view packet) {
   if (code == postgres::kCancelRequest) {
-    // The same in every version but for the key's length. There is no answer, whether the key fits or not.
+    // Same format in every protocol version except for the length of the key. No response is sent,
+    // whether the key matches or not.
     if (const auto key = postgres::parseCancel(packet)) owner_.cancel(*key);
     beginClose();
     return false;
@@ -87,7 +89,8 @@
   return false;
 }
 
-// Settings that are not known here change nothing, so only known ones can be wrong.
+// Applies the known settings and ignores all others. Returns false if a value was invalid and the
+// startup has been rejected.
 bool Session::applyStartupSettings(const postgres::Startup& startup) {
   for (const auto& [name, value] : startup.settings) {
     const bool known =
@@ -123,7 +126,8 @@
 bool Session::startVersion2(std::string_view packet) {
   protocol_.codec = &kVersion20;
   const auto startup = postgres2::parseStartup(packet);
-  // Servers of that time knew no standard_conforming_strings and no hexadecimal bytea.
+  // Servers of the time of protocol 2.0 had neither standard_conforming_strings nor hexadecimal
+  // bytea.
   protocol_.settings.backslashes = true;
   protocol_.settings.bytea = translation::ByteaForm::Escape;
   const auto error = startup ? translation::applyOptions(protocol_.settings, startup->options) : std::nullopt;
@@ -138,7 +142,8 @@
 
 void Session::authenticate(const std::string& user) {
   const bool password = wantsPassword(services_.config);
-  // A client that was rejected by its address may still be admitted by its name, once that is proved.
+  // A client that was rejected by its address may still be admitted by its user name after the
+  // login.
   const bool mayBeAdmittedLater = password && services_.admission && services_.admission->admitsByUser();
   if (services_.admission && !client_.permit && !mayBeAdmittedLater && !ensureAdmitted()) return;
   if (!password) return completeStartup();
@@ -160,7 +165,8 @@
     owner_.setUnadmitted(*this, !client_.permit);
   }
   if (client_.permit) return true;
-  translation::ErrorReport error = problem("FATAL", "53300", "too many connections of this client's group");
+  translation::ErrorReport error =
+      makeErrorReport("FATAL", "53300", "too many connections of this client's group");
   error.retryAfterMs = retryAfterMs(client_.retryAfter).value_or(1);
   writeError(error);
   startLingeringClose();
@@ -171,7 +177,7 @@
   const std::size_t available = std::min(evbuffer_get_length(input()), postgres2::kMaxPassword);
   std::size_t length = 0;
   bool malformed = false;
-  const auto password = postgres2::parsePassword(pull(available), length, malformed);
+  const auto password = postgres2::parsePassword(peekInput(available), length, malformed);
   if (malformed) {
     reject("08P01", "malformed password packet", true);
     return std::nullopt;
@@ -193,12 +199,12 @@
   }
   const std::size_t length = sizeof bytes + head->bodySize;
   if (evbuffer_get_length(input()) < length) return std::nullopt;
-  std::string body(pull(length).substr(sizeof bytes));
+  std::string body(peekInput(length).substr(sizeof bytes));
   evbuffer_drain(input(), length);
   return body;
 }
 
-// A password, or a SCRAM message.
+// Reads a password or a SCRAM message.
 bool Session::readLogin() {
   if (startup_.passwordWork) return false;
   const auto response = protocol_.version == ProtocolVersion::Version2 ? readPasswordV2() : readPasswordV3();
@@ -217,11 +223,12 @@
       if (ensureAdmitted()) completeStartup();
       return;
     case Login::Step::DeriveKey:
-      // Costs milliseconds, so it runs on a worker thread; the ticket cancels the callback.
+      // Takes milliseconds, so it runs on a worker thread. Destroying the ticket cancels the
+      // callback.
       startup_.passwordWork =
           services_.workers.run(startup_.login->keyDerivation(), [this](const std::string& derived) {
             startup_.passwordWork.reset();
-            inputState_.partialMessageSince.reset();  // what waits behind is looked at next
+            inputState_.partialMessageSince.reset();  // recomputed for the next message
             applyLoginStep(startup_.login->onKeyDerived(derived));
             if (!closing()) scheduleRead();
           });
--- a/src/frontend/postgres/session_messages.cpp
+++ b/src/frontend/postgres/session_messages.cpp
@@ -1,4 +1,5 @@
-// The messages of a session after its startup: framing in version 3 and 2, the extended protocol.
+// The messages of a session after its startup: framing in protocol versions 3 and 2, extended
+// protocol.
 #include <algorithm>
 
 #include "frontend/postgres/session.hpp"
@@ -9,7 +10,7 @@
 namespace sablespur {
 namespace {
 
-// RequestMessage types that are accepted: Query, Terminate, and those of the extended protocol.
+// Accepted message types: Query, Terminate and, in kExtendedTypes, those of the extended protocol.
 constexpr std::string_view kSimpleTypes = "QX";
 constexpr std::string_view kExtendedTypes = "QXPBDECSH";
 
@@ -58,7 +59,7 @@
     return false;
   }
   if (head->type != 'Q') {
-    handleExtended(head->type, pull(length).substr(sizeof bytes));
+    handleExtended(head->type, peekInput(length).substr(sizeof bytes));
     return !closing();
   }
   evbuffer_drain(input(), sizeof bytes);
@@ -77,7 +78,7 @@
   submitStatement(std::move(statement));
 }
 
-// Messages of version 2 do not tell their length: a query ends at its NUL.
+// Messages of protocol version 2 have no length field: a query ends at its NUL.
 bool Session::readMessageV2() {
   const std::size_t available = evbuffer_get_length(input());
   if (available == 0) return false;
@@ -94,7 +95,7 @@
     reject("08P01", type == 'F' ? "function calls are not supported here" : text, true);
     return false;
   }
-  const auto end = evbuffer_search(input(), "", 1, nullptr);  // the first NUL
+  const auto end = evbuffer_search(input(), "", 1, nullptr);  // finds the first NUL
   if (end.pos < 0) {
     if (available >= postgres2::kMaxQuery)
       reject("08P01", "a query that does not end", true);
@@ -103,7 +104,8 @@
     return false;
   }
   markFirstRequest();
-  const auto length = static_cast<std::size_t>(end.pos);  // of the text and its NUL, without the type
+  // Length of the text and its NUL, without the type byte.
+  const auto length = static_cast<std::size_t>(end.pos);
   inputState_.messageReceivedAt = inputState_.timestamps.receivedAt(length + 1);
   evbuffer_drain(input(), 1);
   Buffer statement = newBuffer();
@@ -115,12 +117,12 @@
 void Session::writeReply(const PreparedStatements::Reply& reply) {
   append(output(), reply.messages);
   if (!reply.errorCode) return;
-  request_.extended = true;  // so that what follows is skipped until Sync
-  writeError(problem("ERROR", reply.errorCode, reply.errorText));
+  request_.extended = true;  // makes writeError() skip further messages until Sync
+  writeError(makeErrorReport("ERROR", reply.errorCode, reply.errorText));
   request_.extended = false;
 }
 
-// Removes the message from the input.
+// Handles a message of the extended protocol and removes it from the input.
 void Session::handleExtended(char type, std::string_view body) {
   const std::size_t length = postgres::kHeaderSize + body.size();
   if (!extended_.prepared) extended_.prepared = std::make_unique<PreparedStatements>();
@@ -137,7 +139,8 @@
   if (type == 'S') resumeOrDrain();
 }
 
-// Set: an Execute whose statement is to be run.
+// Applies a message to the prepared statements and portals. Returns the request to run if the
+// message is a successful Execute.
 std::optional<PreparedStatements::Execution> Session::applyExtended(char type, std::string_view body) {
   const bool backslashes = protocol_.settings.backslashes;
   std::optional<PreparedStatements::Execution> execution;
--- a/src/frontend/postgres/session_owner.hpp
+++ b/src/frontend/postgres/session_owner.hpp
@@ -1,4 +1,5 @@
-// What a session needs of its owner: the parts of the process that it uses, and what sessions share.
+// The interface of a session to its owner: services of the process, state shared by all sessions,
+// and notifications.
 #pragma once
 
 #include <cstddef>
@@ -18,58 +19,62 @@
 
 class Session;
 
-// The parts of the process that sessions use; all outlive them.
+// The parts of the process that sessions use. All of them outlive the sessions.
 struct SessionServices {
   event_base* base;
   Engine& engine;
   WorkerPool& workers;
   ResourceBudget& budget;
-  AdmissionController* admission;  // null: every connection and request is admitted
+  AdmissionController* admission;  // null if every connection and request is admitted
   const Config& config;
 };
 
-// The steps of a graceful shutdown, in their order.
+// The phases of a graceful shutdown, in order.
 enum class ShutdownPhase {
-  Serving,            // no shutdown
-  StillAccepting,     // new connections may still come
-  ClosingIdle,        // connections between two requests are closed
-  AnswerDeadlinePast  // nothing more is read
+  Serving,            // no shutdown in progress
+  StillAccepting,     // new connections may still arrive
+  ClosingIdle,        // the listener is closed, and connections are closed between two requests
+  AnswerDeadlinePast  // outstanding requests have failed, and nothing more is read
 };
 
-// Implemented by Clients. None of the calls but onSessionClosed destroys the caller.
+// Implemented by Clients. Only onSessionClosed destroys the calling session.
 class SessionOwner {
  public:
   virtual ~SessionOwner() = default;
 
   virtual const SessionServices& services() const = 0;
-  // The users that may log in; null: no login is wanted.
+  // Returns the users that may log in; null if no login is required.
   virtual std::shared_ptr<const auth::Users> users() const = 0;
   virtual ShutdownPhase shutdownPhase() const = 0;
-  virtual Time latestDeadline() const = 0;  // in a shutdown no request gets a later one
+  // Returns the upper limit of request deadlines; only a shutdown sets one.
+  virtual Time latestDeadline() const = 0;
 
-  // The session has closed, and is destroyed by this call.
+  // Called when the connection is closed; destroys the session.
   virtual void onSessionClosed(Session&) = 0;
-  // Called by the destructor: the owner forgets all that it holds of the session.
+  // Called by the session's destructor; removes everything that the owner has recorded for the
+  // session.
   virtual void onSessionDestroyed(Session&) = 0;
-  // Before the session's first request; may close another session.
+  // Called before the session's first request; may close another session.
   virtual void onFirstRequest(const Session&) = 0;
-  // Whether the session lacks a permit of the AdmissionController.
+  // Records whether the session is without a permit of the AdmissionController.
   virtual void setUnadmitted(Session&, bool) = 0;
-  // Starts or stops the polling for the end of a session that is not read.
+  // Starts or stops polling for the client's disconnect, for a session with reading disabled.
   virtual void watchForDisconnect(Session&, bool on) = 0;
-  // Logs an error of a client; at most one line per interval, the others are counted.
+  // Logs an error of a client. At most one line is logged per interval; it contains the number of
+  // errors since the previous line.
   virtual void logRejection(const char* code, std::string_view why, const Address& from) = 0;
 
-  // An unguessable cancel key, valid until the session is destroyed.
+  // Returns an unguessable cancel key, which is valid until the session is destroyed.
   virtual postgres::Key newKey(Session&, std::size_t secretLength) = 0;
-  // Executes a CancelRequest; a wrong key changes nothing.
+  // Executes a CancelRequest; has no effect if the key is wrong.
   virtual void cancel(const postgres::Key&) = 0;
 
-  // Data servers tell requests apart by the id that the client gave, so only one open request may bear it.
-  // False: another one does.
+  // Reserves the id that the client assigned to a request. Data servers distinguish requests by
+  // this id, so only one open request may have it. Returns false if it is already in use.
   virtual bool reserveRequestName(const std::string&) = 0;
   virtual void releaseRequestName(const std::string&) = 0;
-  // To the AdmissionController where there is one, else directly to the engine.
+  // Passes the request to the AdmissionController if there is one, otherwise directly to the
+  // RequestHandler.
   virtual RequestId request(ResponseHandler&, const balancer::Request&, RequestMessage,
                             std::optional<PermitId>) = 0;
   virtual void cancelRequest(RequestId) = 0;
--- a/src/frontend/postgres/session_requests.cpp
+++ b/src/frontend/postgres/session_requests.cpp
@@ -1,4 +1,5 @@
-// The requests of a session: from a statement to the engine, and from the answer to the client.
+// The requests of a session: submitting statements to the engine and writing the answers to the
+// client.
 #include <algorithm>
 
 #include "frontend/postgres/session.hpp"
@@ -10,12 +11,15 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kMaxTail = 512;   // bytes at a statement's end that hold its comment
-constexpr std::size_t kMaxStart = 256;  // bytes at a statement's start that hold the quoted key
+// Bytes at the end of a statement that are searched for its comment.
+constexpr std::size_t kCommentSearchLength = 512;
+// Bytes at the start of a statement that are searched for the quoted key.
+constexpr std::size_t kKeySearchLength = 256;
 constexpr std::size_t kMaxSetLength = 1024;
 constexpr std::uint32_t kMaxClientDeadlineMs = 3600 * 1000;
-constexpr float kMinSessionTokenAgeMs = 0.001f;  // zero stands for no token
-// A translated answer may be twice as long as the original, and longer by this, which matters for short ones.
+constexpr float kMinSessionTokenAgeMs = 0.001f;  // zero means no token
+// A translated answer may be up to twice as long as the original plus this allowance, which matters
+// for short answers.
 constexpr std::size_t kTranslationAllowance = 64 << 10;
 
 // FNV-1a, 64 bits.
@@ -33,7 +37,8 @@
   return {reinterpret_cast<const char*>(evbuffer_pullup(buffer, -1)), length};
 }
 
-// The body of the RowDescription at an answer's front; empty if there is none. `drain` removes the message.
+// Returns the body of the RowDescription at the front of an answer; empty if there is none. `drain`
+// means that the message is removed from the answer.
 std::string takeRowDescription(evbuffer* answer, bool drain) {
   char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(answer, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return {};
@@ -52,13 +57,14 @@
 
 void Session::submitStatement(Buffer statement) {
   const std::size_t length = evbuffer_get_length(statement.get());
-  char tail[kMaxTail];
-  const std::size_t tailLength = std::min(length, kMaxTail);
+  char tail[kCommentSearchLength];
+  const std::size_t tailLength = std::min(length, kCommentSearchLength);
   const std::size_t tailOffset = length - tailLength;
   evbuffer_ptr from{};
   evbuffer_ptr_set(statement.get(), &from, tailOffset, EVBUFFER_PTR_SET);
   evbuffer_copyout_from(statement.get(), &from, tail, tailLength);
-  // A data server closes the connection on what it cannot read: the only NUL has to be the last byte.
+  // The only NUL has to be the last byte: a data server closes the connection if it cannot parse a
+  // message.
   const auto firstNul = evbuffer_search(statement.get(), "", 1, nullptr).pos;
   if (tailLength == 0 || firstNul != static_cast<ev_ssize_t>(length) - 1)
     return reject("08P01", "a query's end is not where its length says", true);
@@ -95,8 +101,8 @@
 }
 
 void Session::submitRequest(const postgres::Comment& comment, std::size_t tailOffset, Buffer statement) {
-  // The client may have sent its request and left before it was accepted or read; libevent reports the end
-  // only after the bytes before it.
+  // The client may have disconnected before its connection was accepted or its request was read.
+  // libevent reports the disconnect only after the input that precedes it.
   if (clientDisconnected()) return startLingeringClose();
   std::string name(comment.id);
   if (!owner_.reserveRequestName(name)) return reject("42710", "this id is that of an open request", false);
@@ -122,7 +128,8 @@
   balancer::Request request;
   request.classIndex = static_cast<int>(classIndex);
   request.group = comment.cluster;
-  // The client's time runs from its last byte, also while the request waits behind others here.
+  // The deadline counts from when the last byte of the request was received, so it includes the
+  // time that the request waited behind others in the input buffer.
   Time allowed = services_.config.settings.classes[classIndex].deadline;
   if (comment.timeLeftLength > 0)
     allowed = std::chrono::milliseconds(std::min(comment.timeLeftMs, kMaxClientDeadlineMs));
@@ -133,14 +140,14 @@
     request.sessionTokenAgeMs = std::max(kMinSessionTokenAgeMs, ageMs);
   }
   if (!services_.config.sessions) return request;
-  char start[kMaxStart];
+  char start[kKeySearchLength];
   const auto length = std::max<ev_ssize_t>(evbuffer_copyout(statement, start, sizeof start), 0);
   const std::string_view key = postgres::parseKey({start, static_cast<std::size_t>(length)});
-  if (!key.empty()) request.session = std::max<std::uint64_t>(hashOf(key), 1);  // 0 stands for no session
+  if (!key.empty()) request.session = std::max<std::uint64_t>(hashOf(key), 1);  // 0: no session
   return request;
 }
 
-// The statement is cut in two where the digits of the client's deadline stand, so that each attempt tells the
+// Splits the statement at the digits of the client's deadline, so that each attempt can insert the
 // time that is left.
 RequestMessage Session::makeMessage(const postgres::Comment& comment, std::size_t tailOffset,
                                     Buffer statement) const {
@@ -168,7 +175,8 @@
 
 void Session::rejected(Time retryAfter) {
   request_.id.reset();
-  translation::ErrorReport error = problem("ERROR", "53300", "no data server can take this request now");
+  translation::ErrorReport error =
+      makeErrorReport("ERROR", "53300", "no data server can take this request now");
   error.retryAfterMs = retryAfterMs(retryAfter);
   writeError(error);
   finishRequest();
@@ -176,15 +184,15 @@
 
 void Session::failed() {
   request_.id.reset();
-  writeError(problem("ERROR", "40003", "the request may have run; its outcome is unknown"));
+  writeError(makeErrorReport("ERROR", "40003", "the request may have run; its outcome is unknown"));
   finishRequest();
 }
 
 void Session::onCancelRequest() {
-  if (!request_.id) return;  // it has been answered
+  if (!request_.id) return;  // already answered
   owner_.cancelRequest(*request_.id);
   request_.id.reset();
-  writeError(problem("ERROR", "57014", "canceling statement due to user request"));
+  writeError(makeErrorReport("ERROR", "57014", "canceling statement due to user request"));
   finishRequest();
 }
 
@@ -199,7 +207,7 @@
   const bool fromVersion3 = answer.reader == &postgres::reader();
   const bool sameForm = protocol_.version == ProtocolVersion::Version3 && fromVersion3 &&
                         request_.format.plain() && request_.maxRows == 0;
-  // Where client and data server speak the same form the buffers are moved without being read.
+  // If the client takes the data server's format, the buffers are moved without being parsed.
   if (!request_.extended && sameForm) {
     evbuffer_add_buffer(output(), messages);
     return;
@@ -221,7 +229,7 @@
   if (!answer.reader->read(messages, conversion)) {
     const std::string failure = conversion.failure().empty() ? "a malformed answer" : conversion.failure();
     logEvent(LogLevel::Warning, "answer_not_translated", {{"failure", failure}});
-    return writeError(problem("ERROR", "22P03", "the answer cannot be told: " + failure));
+    return writeError(makeErrorReport("ERROR", "22P03", "the answer cannot be told: " + failure));
   }
   std::string translated = conversion.take();
   if (translated.size() > kReadAhead)
@@ -237,11 +245,11 @@
   releaseRequestName();
   releaseMessage();
   lastActive_ = services_.engine.now();
-  inputState_.partialMessageSince.reset();  // what waits behind is looked at next
+  inputState_.partialMessageSince.reset();  // recomputed for the next message
   if (!request_.extended) append(output(), protocol_.codec->ready());
   request_ = {};
   if (protocol_.settings.bytea) request_.format.bytea = protocol_.settings.bytea;
-  // Within a batch it is not idle yet: Sync and ReadyForQuery are still to come.
+  // Within a batch of extended messages the connection is not idle before Sync and ReadyForQuery.
   if (services_.admission && !extended_.awaitingSync) services_.admission->connectionIdle(client_.permit);
   resumeOrDrain();
 }
--- a/src/frontend/request_admission.cpp
+++ b/src/frontend/request_admission.cpp
@@ -8,13 +8,14 @@
 using admission::RequestDecision;
 using admission::ResolvedRequest;
 
-// A request that failed so shortly before its deadline has run out of time.
+// A request that fails within this time before its deadline counts as timed out.
 constexpr Time kDeadlineTolerance = std::chrono::milliseconds(20);
 constexpr float kMicrosecondsPerMillisecond = 1e3f;
 
 }  // namespace
 
-// A request between its frontend and the engine. The engine's answer reaches the queues before the frontend.
+// A request that was submitted by a frontend and has no outcome yet. The outcome is reported to the
+// queues before it is passed on to the frontend.
 class RequestAdmission::PendingRequest final : public ResponseHandler {
  public:
   PendingRequest(RequestAdmission& owner, RequestId id, ResponseHandler& client,
@@ -26,7 +27,7 @@
         message_(std::move(message)),
         arrivedAt_(owner.engine_.now()) {}
 
-  // finish() destroys this object, so the client is taken first.
+  // finish() destroys this object, so the reference to the client is copied first.
   void served(Answer answer) override {
     ResponseHandler& client = client_;
     owner_.finish(*this, Outcome::Served);
@@ -45,7 +46,8 @@
 
   void forward(RequestHandler& next) {
     forwardedAt_ = owner_.engine_.now();
-    // The age of the session's last commit counts from now on.
+    // The engine takes the session token's age as of the time of forwarding, so the time spent in
+    // the queue is added.
     if (request_.sessionTokenAgeMs > 0)
       request_.sessionTokenAgeMs +=
           static_cast<float>((forwardedAt_ - arrivedAt_).count()) / kMicrosecondsPerMillisecond;
@@ -56,7 +58,7 @@
   ResponseHandler& client() const { return client_; }
   Time deadline() const { return request_.deadline; }
   Time forwardedAt() const { return forwardedAt_; }
-  std::optional<RequestId> engineId() const { return engineId_; }  // once it has been forwarded
+  std::optional<RequestId> engineId() const { return engineId_; }  // set once forwarded
 
  private:
   RequestAdmission& owner_;
@@ -111,14 +113,16 @@
   return classes_[static_cast<std::size_t>(request.classIndex)];
 }
 
-// A queued request has to be answered within its latency objective. Later its answer may still have some
-// value, but it would then take a slot that another request could have used on time.
+// Returns until when a request may wait in its queue: for its latency objective, but not beyond its
+// deadline. An answer after the latency objective may still have some value, but the request would
+// take a slot that another request could have used on time.
 Time RequestAdmission::queueDeadline(const balancer::Request& request) const {
   const Time now = engine_.now();
   return now + std::min(classOf(request).latencyObjective, request.deadline - now);
 }
 
-// One queue for each group of data servers, and another for what needs the group's primary.
+// Each replication group has two queues: one for requests that any of its data servers can serve,
+// and one for requests that need the primary.
 admission::QueueKey RequestAdmission::queueOf(const balancer::Request& request) const {
   const balancer::Requirement requirement = classOf(request).requirement;
   const bool primary =
@@ -158,8 +162,9 @@
 void RequestAdmission::finish(const PendingRequest& request, Outcome outcome) {
   const Time now = engine_.now();
   const Time latency = now - request.forwardedAt();
-  // Rejections by the balancer, and failures before the time was up, say something of one data server or
-  // role: a limit that shrank for them would reject requests that others can serve.
+  // Only served and timed-out requests update the concurrency limit. Rejections by the balancer and
+  // failures before the deadline concern one data server or role; lowering the limit for them would
+  // reject requests that other data servers can serve.
   const bool timedOut = outcome == Outcome::Failed && now + kDeadlineTolerance >= request.deadline();
   const RequestId id = request.id();
   requests_.erase(id);
@@ -172,7 +177,7 @@
   rejections.swap(rejections_);
   for (const auto& [id, retryAfter] : rejections) {
     const auto it = requests_.find(id);
-    if (it == requests_.end()) continue;  // its client has left
+    if (it == requests_.end()) continue;  // cancelled since
     ResponseHandler& client = it->second->client();
     requests_.erase(it);
     client.rejected(retryAfter);
--- a/src/frontend/request_admission.hpp
+++ b/src/frontend/request_admission.hpp
@@ -1,4 +1,4 @@
-// Request admission: holds requests back in front of the engine, as RequestQueues decides.
+// Queues, forwards or rejects requests in front of the engine, as decided by RequestQueues.
 #pragma once
 
 #include <cstddef>
@@ -22,10 +22,10 @@
                    const admission::RequestLimiterSettings&);
   ~RequestAdmission();
 
-  // `group`: of the client. A rejection is delivered after this call has returned.
+  // `group` is the admission group of the client. A rejection is delivered after this call returns.
   RequestId submit(ResponseHandler&, balancer::Request, RequestMessage, std::size_t group);
-  void cancel(RequestId);  // its client has left
-  // Rejects what has been queued for too long.
+  void cancel(RequestId);  // the client has disconnected or cancelled the request
+  // Rejects the requests that have been queued for too long.
   void sweep();
   void reload(const admission::RequestLimiterSettings& settings) { queues_.reload(settings); }
 
@@ -50,7 +50,7 @@
   const std::vector<balancer::ClassSettings> classes_;
   admission::RequestQueues queues_;
   std::unordered_map<RequestId, std::unique_ptr<PendingRequest>> requests_;
-  std::vector<std::pair<RequestId, Time>> rejections_;  // to be delivered, with their Retry-After
+  std::vector<std::pair<RequestId, Time>> rejections_;  // undelivered, with their Retry-After
   RequestId lastId_ = 0;
   Event deliverRejections_;
 };
