--- a/src/frontend/postgres/shutdown.hpp
+++ b/src/frontend/postgres/shutdown.hpp
@@ -13,8 +13,8 @@
 constexpr Clock::Time kMaxDeadlineCounted = std::chrono::seconds(3);
 // When the listener closes; new connections may arrive for 0.4 s after SIGTERM.
 constexpr Clock::Time kStopAccepting = std::chrono::milliseconds(500);
-// Margin between the answer deadline and the earliest SIGKILL: the process may be stalled for 0.15
-// s, and the answer still has to be written to the socket.
+// Margin between the answer deadline and the earliest SIGKILL: the process may be stalled for
+// 0.15 s, and the answer still has to be written to the socket.
 constexpr Clock::Time kKillMargin = std::chrono::milliseconds(200);
 // Time for clients to read their answers after the answer deadline, if no SIGKILL arrives.
 constexpr Clock::Time kFlushAnswers = std::chrono::seconds(1);
