--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -90,7 +90,7 @@
 Config Proxy::readSettings(const SettingsSource& settings) {
   std::optional<Config> config;
   const auto read = [&] { config = settings(); };
-  if (!reservedDescriptor_.lend(read)) read();
+  if (!reservedDescriptor_.callWhileReleased(read)) read();
   return *std::move(config);
 }
 
--- a/src/engine/acceptor.cpp
+++ b/src/engine/acceptor.cpp
@@ -143,7 +143,7 @@
 void Acceptor::rejectConnections() {
   for (int count = 0; count < kRejectBurst; ++count) {
     bool rejected = false;
-    reservedDescriptor_.lend([&] {
+    reservedDescriptor_.callWhileReleased([&] {
       const FileDescriptor connection(systemCalls().accept(socket_.get(), nullptr, nullptr));
       if (!connection) return;
       rejected = true;
--- a/src/engine/system_calls.cpp
+++ b/src/engine/system_calls.cpp
@@ -125,7 +125,7 @@
   if (!held()) descriptor_.reset(open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
-bool ReservedDescriptor::lend(const std::function<void()>& use) {
+bool ReservedDescriptor::callWhileReleased(const std::function<void()>& use) {
   if (!held()) return false;
   release();
   struct Reacquire {
--- a/src/engine/system_calls.hpp
+++ b/src/engine/system_calls.hpp
@@ -83,7 +83,7 @@
   ReservedDescriptor& operator=(const ReservedDescriptor&) = delete;
   // Calls `use` while the descriptor is released; `use` has to close what it opens. False: it was not held,
   // and `use` has not been called.
-  bool lend(const std::function<void()>& use);
+  bool callWhileReleased(const std::function<void()>& use);
   bool held() const { return static_cast<bool>(descriptor_); }
   // No effect if it is held; may fail, see held().
   void reacquire();
