--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -73,7 +73,7 @@
   const std::unique_ptr<ConfiguredDiscovery> source =
       createDiscoverySource(base.get(), clock, updater, config);
   if (config.source == Source::Fixed) {
-    updater.found(config.known.instances, true);
+    updater.snapshotReceived(config.known.instances, true);
   } else {
     source->watch(0);
     runFor(base.get(), options.waitSeconds);
--- a/src/discovery/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -75,7 +75,7 @@
   logNewFaults();
   const bool first = !hasPublished_;
   hasPublished_ = true;
-  updater_.found(directory_->instances(), first);
+  updater_.snapshotReceived(directory_->instances(), first);
 }
 
 void DnsSdDiscovery::logNewFaults() {
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -44,7 +44,7 @@
           [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->deliverDueLists(); },
           this)) {}
 
-void EndpointUpdater::found(std::vector<DiscoveredEndpoint> all, bool first) {
+void EndpointUpdater::snapshotReceived(std::vector<DiscoveredEndpoint> all, bool first) {
   table_.applySnapshot(clock_.now(), std::move(all), first);
   deliverDueLists();
 }
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -22,7 +22,7 @@
   // The list of the settings, which the consumer has already.
   void adoptKnown(const EndpointList& known) { table_.adoptKnown(clock_.now(), known); }
   // From a source that gives the whole list each time; see EndpointTable::found.
-  void found(std::vector<DiscoveredEndpoint>, bool first);
+  void snapshotReceived(std::vector<DiscoveredEndpoint>, bool first);
   // From a source whose lists have generations.
   void endpointsListed(EndpointList) override;
   void discoveryFailed(const std::string& why) override;
