--- a/src/engine/acceptor.cpp
+++ b/src/engine/acceptor.cpp
@@ -14,9 +14,13 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr int kBurst = 32;        // in one pass of the loop, so that requests in flight are not held up
-constexpr int kRejectBurst = 16;  // the same, on the reserved descriptor
-constexpr Clock::Time kRecoveredAfter = std::chrono::seconds(1);  // without a failure
+// Connections accepted per event loop iteration: bounded so that requests in flight are not
+// delayed.
+constexpr int kMaxAcceptsPerIteration = 32;
+// The same bound for connections that are rejected on the reserved descriptor.
+constexpr int kMaxRejectsPerIteration = 16;
+// Time without a failure after which accept(2) counts as recovered.
+constexpr Clock::Time kRecoveredAfter = std::chrono::seconds(1);
 constexpr std::chrono::microseconds kMinPause = std::chrono::milliseconds(20);
 constexpr std::chrono::microseconds kMaxPause = std::chrono::seconds(1);
 
@@ -47,8 +51,9 @@
   return Address::fromSocket(reinterpret_cast<const sockaddr*>(&address)).port();
 }
 
-// Attaches a filter that selects the second socket of the reuseport group, that of the process that started
-// later (SO_ATTACH_REUSEPORT_CBPF, socket(7)). Without a second one the system selects by its hash.
+// Attaches a filter (SO_ATTACH_REUSEPORT_CBPF, socket(7)) that selects the second socket of the
+// reuseport group, which belongs to the process that started later. If the group has no second
+// socket, the kernel selects by hash.
 void Acceptor::handOverListener() const {
   sock_filter second{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog program{1, &second};
@@ -63,7 +68,7 @@
       continue;
     }
     const SocketFault fault = classify(SocketCall::Accept, errno);
-    if (fault == SocketFault::Transient) continue;  // an error of one connection; others may wait behind it
+    if (fault == SocketFault::Transient) continue;  // error of one connection only
     if (fault == SocketFault::OwnResource) rejectConnections();
     return;
   }
@@ -81,7 +86,7 @@
 
 void Acceptor::acceptBurst() {
   bool accepted = false;
-  for (int count = 0; count < kBurst; ++count) {
+  for (int count = 0; count < kMaxAcceptsPerIteration; ++count) {
     if (!handler_.hasRoom()) return pause(kMinPause);
     const auto connection = acceptOne();
     if (!connection) {
@@ -92,7 +97,7 @@
     recordSuccess();
     handler_.accepted(connection->fd, connection->peerAddress());
   }
-  // An error that persists takes no connection off the queue, so the listener stays readable: without a pause
+  // A persistent error leaves the backlog as it is, so the listener stays readable: without a pause
   // the loop would spin.
   if (accepted) return;
   backoff_ = kMinPause;
@@ -139,9 +144,10 @@
   lastFailureAt_ = clock_.now();
 }
 
-// Without this, clients would wait in the backlog with no answer until their deadline.
+// Accepts and rejects pending connections on the reserved descriptor. Otherwise these clients would
+// wait in the backlog until their deadline.
 void Acceptor::rejectConnections() {
-  for (int count = 0; count < kRejectBurst; ++count) {
+  for (int count = 0; count < kMaxRejectsPerIteration; ++count) {
     bool rejected = false;
     reservedDescriptor_.callWhileReleased([&] {
       const FileDescriptor connection(systemCalls().accept(socket_.get(), nullptr, nullptr));
--- a/src/engine/acceptor.hpp
+++ b/src/engine/acceptor.hpp
@@ -1,10 +1,12 @@
-// A listening socket that accepts a bounded number of connections in a pass of the loop and handles each
-// error of accept(2).
+// A listening socket that accepts a bounded number of connections per event loop iteration.
 //
-// A connection that is gone already (ECONNABORTED and the network errors of accept(2)): the next one is
-// accepted; after a whole burst of such errors there is a pause. No descriptor (EMFILE, ENFILE): the handler
-// is asked to close idle connections; meanwhile new ones are accepted on the reserved descriptor, rejected
-// and closed. No memory (ENOBUFS, ENOMEM): exponential backoff up to a second.
+// Errors of accept(2):
+// - ECONNABORTED and network errors (the connection was closed before it was accepted): the next
+//   connection is accepted. If every call of an iteration fails like this, the listener pauses.
+// - EMFILE, ENFILE (no descriptor): the handler is asked to close idle connections. Until
+//   descriptors are free, new connections are accepted on the reserved descriptor, rejected and
+//   closed.
+// - ENOBUFS, ENOMEM (no memory): exponential backoff up to one second.
 #pragma once
 
 #include <sys/socket.h>
@@ -25,13 +27,14 @@
 class Acceptor {
  public:
   struct ConnectionHandler {
-    std::function<void(evutil_socket_t, const sockaddr*)> accepted;  // takes over the descriptor
-    std::function<bool()> hasRoom;                // asked before each accept; false: a pause
-    std::function<void()> onExhaustion;           // out of descriptors: close what is idle
+    std::function<void(evutil_socket_t, const sockaddr*)> accepted;  // owns the descriptor
+    std::function<bool()> hasRoom;                // called before each accept; false: pause
+    std::function<void()> onExhaustion;           // no descriptors left: close idle connections
     std::function<void(evutil_socket_t)> reject;  // writes an error; the caller closes
   };
-  // `share`: another process of the same proxy may listen at the same address (SO_REUSEPORT). Throws
-  // std::runtime_error if it cannot listen. What is passed by reference has to outlive the Acceptor.
+  // `share`: another process of the same proxy may listen at the same address (SO_REUSEPORT).
+  // Throws std::runtime_error if the socket cannot listen. All arguments passed by reference must
+  // outlive the Acceptor.
   Acceptor(event_base*, const Clock&, const Address&, ResourceBudget&, ReservedDescriptor&, ConnectionHandler,
            bool share = false);
   ~Acceptor();
@@ -40,14 +43,14 @@
 
   // Ends a pause early.
   void resume();
-  // Before shutdown: closing a listener resets the connections in its backlog. handOverListener() makes the
-  // system give new connections to the process that started later, if there is one; drainBacklog() accepts
-  // those that are here already.
+  // Both are called before shutdown, because closing a listener resets the connections in its
+  // backlog. handOverListener() makes the kernel pass new connections to the process that started
+  // later, if there is one; drainBacklog() accepts the connections that are already in the backlog.
   void handOverListener() const;
   void drainBacklog();
-  // The port that it listens at, also where the address left the choice to the system.
+  // Returns the listening port, also if the address has port 0 and the system chose one.
   int port() const;
-  // The length of the pause after the last failure; 0: none since.
+  // Returns the length of the pause after the last failure; 0 after a successful accept.
   std::chrono::microseconds backoff() const { return backoff_; }
 
  private:
@@ -58,10 +61,10 @@
   };
 
   void acceptBurst();
-  // Nothing, with errno set, if accept(2) failed.
+  // Returns std::nullopt, with errno set, if accept(2) fails.
   std::optional<AcceptedConnection> acceptOne();
   void recordSuccess();
-  // True: the next connection may be tried at once.
+  // Returns true if the next accept may follow at once.
   bool handleAcceptError(int error);
   void recordExhaustion(ResourceExhaustion, int error);
   void pause(std::chrono::microseconds);
@@ -72,7 +75,7 @@
   ReservedDescriptor& reservedDescriptor_;
   const ConnectionHandler handler_;
   FileDescriptor socket_;
-  bool exhausted_ = false;  // the last failure was for want of descriptors or memory
+  bool exhausted_ = false;  // descriptors or memory have run out; reset when accept(2) recovers
   Clock::Time lastFailureAt_{};
   std::chrono::microseconds backoff_{};
   Event readable_;
--- a/src/engine/clock.hpp
+++ b/src/engine/clock.hpp
@@ -1,4 +1,4 @@
-// The process's clock, and the seam by which tests set it.
+// The process's clock, and the time source that tests replace.
 #pragma once
 
 #include <chrono>
@@ -8,8 +8,8 @@
 
 namespace sablespur {
 
-// Where time comes from; tests put their own in. `wall` is the system's idea of Unix time and may be stepped;
-// `steady` never goes back.
+// Source of time, replaceable by tests. `wall` is the system clock in Unix time and may be stepped;
+// `steady` is monotonic.
 struct ClockSource {
   using Time = std::chrono::microseconds;
   std::function<Time()> wall = [] {
@@ -20,9 +20,10 @@
   };
 };
 
-// The wall clock at the start, advanced by the monotonic clock: it never goes back, and no step of the wall
-// clock moves it. Spans (deadlines, windows, waits) are differences of its instants. Whoever needs Unix time
-// as other machines tell it adds the offset of a ReferenceClock. Microseconds.
+// The wall clock's time at construction, advanced by the monotonic clock: now() never decreases,
+// and steps of the wall clock do not affect it. Durations (deadlines, windows, waits) are
+// differences of now(). To get the Unix time of other machines, add the offset of a ReferenceClock.
+// Unit: microseconds.
 class Clock {
  public:
   using Time = std::chrono::microseconds;
@@ -30,19 +31,20 @@
       : source_(std::move(source)), wall_(source_.wall()), start_(source_.steady()) {}
   Time now() const { return wall_ + (source_.steady() - start_); }
 
-  // How far the wall clock is ahead of now(). Nothing if the process was held up between reading the two.
+  // Returns how far the wall clock is ahead of now(); std::nullopt if the process was stalled
+  // between the two readings.
   std::optional<Time> wallOffset() const {
-    constexpr Time kHeldUp = std::chrono::milliseconds(1);
+    constexpr Time kMaxReadDelay = std::chrono::milliseconds(1);
     const Time before = now();
     const Time wall = source_.wall();
-    if (now() - before > kHeldUp) return std::nullopt;
+    if (now() - before > kMaxReadDelay) return std::nullopt;
     return wall - before;
   }
 
  private:
   ClockSource source_;
-  Time wall_;   // at the start
-  Time start_;  // on the monotonic clock
+  Time wall_;   // wall clock at construction
+  Time start_;  // monotonic clock at construction
 };
 
 }  // namespace sablespur
--- a/src/engine/endpoint_registry.hpp
+++ b/src/engine/endpoint_registry.hpp
@@ -1,4 +1,4 @@
-// The identity of endpoints, and what the engine keeps for each. Pure: no I/O, no clock.
+// Assigns ids to endpoints and stores the engine's state of each. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 
 namespace sablespur {
 
-// Ids are never reused, because late events may still carry the id of a removed endpoint.
+// Maps endpoint names and gossip tags to ids. Ids are never reused, because late events may still
+// carry the id of a removed endpoint.
 class EndpointRegistry {
  public:
   using EndpointId = balancer::EndpointId;
@@ -19,8 +20,8 @@
   struct Endpoint {
     std::string name;
     std::uint64_t gossipTag = 0;
-    bool ready = false;                           // by the endpoint list
-    std::optional<balancer::Time> notReadySince;  // empty while it is ready
+    bool ready = false;                           // listed as ready
+    std::optional<balancer::Time> notReadySince;  // std::nullopt while ready
     std::optional<balancer::Time> healthCheckSentAt;
 
     void setReady(bool isReady, balancer::Time now) {
@@ -32,30 +33,33 @@
     }
   };
 
-  // The endpoint's id; assigns one if the name is new.
+  // Returns the endpoint's id; assigns one if the name is new.
   EndpointId add(const std::string& name);
-  // Forgets the endpoint. Its name still counts as listed before.
+  // Removes the endpoint; wasListed() still returns true for its name.
   void remove(EndpointId);
 
-  // Null where the id is not registered. Valid until the next add() or remove().
+  // Returns null if the id is not registered. The pointer is valid until the next add() or
+  // remove().
   Endpoint* find(EndpointId);
   const Endpoint* find(EndpointId) const;
   std::optional<EndpointId> findByName(const std::string& name) const;
-  // Nothing also where two endpoints share the tag.
+  // Returns std::nullopt if no endpoint or more than one endpoint has the tag.
   std::optional<EndpointId> findByTag(std::uint64_t tag) const;
-  // Empty where the id is not registered.
+  // Returns an empty string if the id is not registered.
   std::string name(EndpointId) const;
   const std::unordered_map<std::string, EndpointId>& idsByName() const { return idsByName_; }
   bool everHadEndpoints() const { return lastId_ != 0; }
 
-  // Names that the endpoint list has ever had, up to a bound: only these may be suspended.
+  // Names that the endpoint list has ever contained, up to a limit. Only these endpoints may be
+  // suspended.
   void recordListed(const std::string& name);
   bool wasListed(const std::string& name) const { return listedNames_.count(name) > 0; }
 
  private:
   std::unordered_map<EndpointId, Endpoint> endpoints_;
   std::unordered_map<std::string, EndpointId> idsByName_;
-  std::unordered_map<std::uint64_t, std::optional<EndpointId>> idsByTag_;  // nothing: two endpoints share it
+  // std::nullopt: the tag is shared by two endpoints.
+  std::unordered_map<std::uint64_t, std::optional<EndpointId>> idsByTag_;
   std::unordered_set<std::string> listedNames_;
   EndpointId lastId_ = 0;
 };
--- a/src/engine/endpoint_start_times.cpp
+++ b/src/engine/endpoint_start_times.cpp
@@ -6,9 +6,11 @@
 namespace sablespur {
 namespace {
 
-constexpr Time kMinCorrection = std::chrono::seconds(1);  // less is not worth another list event
+// Smaller corrections are not worth another list event.
+constexpr Time kMinCorrection = std::chrono::seconds(1);
 
-// Within (0, now]: 0 means an unknown start to the balancer, and no endpoint starts in the future.
+// Converts a time stamp to this process's clock. The result is in (0, now]: to the balancer 0 means
+// an unknown start, and no endpoint starts in the future.
 Time fromStamp(std::chrono::milliseconds stamp, Time now, Time clockOffset) {
   return std::clamp<Time>(stamp - clockOffset, Time(1), now);
 }
--- a/src/engine/endpoint_start_times.hpp
+++ b/src/engine/endpoint_start_times.hpp
@@ -1,5 +1,5 @@
-// When each endpoint started, on this process's clock; its slow start counts from there. Pure: no I/O, no
-// clock.
+// Tracks when each endpoint started, on this process's clock. Slow start counts from that time.
+// Pure: no I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -16,15 +16,18 @@
  public:
   using EndpointId = balancer::EndpointId;
 
-  // The start of an endpoint that the list names with the time stamp `stamp` (Unix time). A start first seen
-  // now counts as recent whatever its stamp says; in the initial lists it may be long ago, which only the
-  // stamp can tell. `clockOffset` is that of the reference clock. Nothing: no start is known.
+  // Returns the start time of an endpoint that is listed with the time stamp `stamp` (Unix time),
+  // or std::nullopt if the list gives no stamp. A new stamp in the initial lists is converted with
+  // `clockOffset` (the offset of the reference clock), as the endpoint may have started long ago.
+  // In any later list a new stamp means that the endpoint has just started: the result is `now`,
+  // whatever the stamp's value.
   std::optional<Time> startOf(EndpointId, std::optional<std::chrono::milliseconds> stamp, bool inInitialLists,
                               Time now, Time clockOffset);
-  // The entry that the balancer was given for an endpoint, to be given again by reassess().
+  // Stores the entry that the balancer has received for an endpoint; reassess() returns a corrected
+  // copy.
   void recordListed(const balancer::ListedEndpoint&);
-  // After the reference clock has moved: the ready endpoints that turn out to have started later than
-  // assumed and are still warming up, with their new start.
+  // Recomputes the start times after the reference clock has moved. Returns the ready endpoints
+  // that started later than assumed and are still warming up, with their new start.
   std::vector<balancer::ListedEndpoint> reassess(Time now, Time clockOffset, Time warmUpPeriod);
   void remove(EndpointId id) { starts_.erase(id); }
 
--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -63,8 +63,8 @@
   deliverDueLists();
 }
 
-// How old the list had grown tells whether a change came late, and the two generations whether the source
-// went back.
+// The age of the previous list shows whether a change arrived late; the two generations show
+// whether the source went back to an older list.
 void EndpointUpdater::logReceived(const EndpointList& list) const {
   const auto now = clock_.now();
   const auto lastUpdate = table_.view(now).lastUpdate;
--- a/src/engine/endpoint_updater.hpp
+++ b/src/engine/endpoint_updater.hpp
@@ -1,7 +1,8 @@
-// Passes the endpoint list from a discovery source through the EndpointTable to its consumer, the engine.
+// Passes endpoint lists from a discovery source through the EndpointTable to the consumer (the
+// engine).
 //
-// The table is pure; this class gives it the time, wakes it when a change falls due (flap damping), and logs
-// each change that the consumer receives.
+// The table has no clock or timer of its own: this class passes it the time, sets a timer for
+// changes that flap damping delays, and logs each change that the consumer receives.
 #pragma once
 
 #include <optional>
@@ -16,14 +17,14 @@
 
 class EndpointUpdater final : public EndpointListConsumer {
  public:
-  // The clock and the consumer have to outlive it.
+  // The clock and the consumer must outlive the EndpointUpdater.
   EndpointUpdater(event_base*, const Clock&, EndpointListConsumer&, const EndpointTablePolicy&);
 
-  // The list of the settings, which the consumer has already.
+  // Sets the known list of the settings, which the consumer has already received.
   void adoptKnown(const EndpointList& known) { table_.adoptKnown(clock_.now(), known); }
-  // From a source that gives the whole list each time; see EndpointTable::found.
+  // Called by a source that delivers the whole list each time; see EndpointTable::applySnapshot.
   void snapshotReceived(std::vector<DiscoveredEndpoint>, bool first);
-  // From a source whose lists have generations.
+  // Called by a source whose lists have generations.
   void endpointsListed(EndpointList) override;
   void discoveryFailed(const std::string& why) override;
   std::uint64_t generation() const override { return table_.generation(); }
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -10,14 +10,15 @@
 namespace sablespur {
 namespace {
 
-// Positions older than this when the epoch is set count as unknown.
+// The epoch is set this far before the current time; older positions count as unknown.
 constexpr Time kPositionHistory = std::chrono::minutes(1);
-// The epoch moves on after so long: at two hours an f32 of seconds still tells half a millisecond apart, and
-// 4 x milliseconds fill a u32 only after twelve days.
+// Age at which the epoch is advanced. At two hours a 32-bit float of seconds still resolves half a
+// millisecond; 4 x milliseconds would overflow 32 bits only after twelve days.
 constexpr Time kPositionEpochLifetime = std::chrono::hours(2);
 constexpr Time kExpiryInterval = std::chrono::seconds(1);
 
-// Positions are whole milliseconds of Unix time; so is their epoch, lest rounding make data look newer.
+// Positions are whole milliseconds of Unix time. Their epoch is, too, so that rounding cannot make
+// data look newer.
 Time wholeMilliseconds(Time time) { return std::chrono::duration_cast<std::chrono::milliseconds>(time); }
 
 }  // namespace
@@ -37,8 +38,8 @@
 Engine::~Engine() = default;
 
 void Engine::start(Backend& backend, DiscoverySource& discovery) {
-  neighbours_.backend = &backend;
-  neighbours_.discovery = &discovery;
+  collaborators_.backend = &backend;
+  collaborators_.discovery = &discovery;
   events_.emplace_back(engine_event::EndpointsListed{config_.known});
 }
 
@@ -119,7 +120,7 @@
 }
 
 void Engine::performActions() {
-  if (neighbours_.replication) actions_.emplace_back([this] { neighbours_.replication->flush(); });
+  if (collaborators_.replication) actions_.emplace_back([this] { collaborators_.replication->flush(); });
   std::vector<std::function<void()>> actions;
   actions.swap(actions_);
   for (const auto& action : actions) action();
@@ -132,7 +133,8 @@
     event_del(wakeup_.get());
 }
 
-// Endpoints that are replaced come back under new names, so the tables would grow without bound.
+// Endpoints are replaced by new ones with new names; without removal the tables would grow without
+// bound.
 void Engine::removeExpired(Time now) {
   now_ = std::max(now_, now);
   lastExpiryAt_ = now_;
@@ -140,7 +142,7 @@
     endpoints_.remove(id);
     startTimes_.remove(id);
     reference_.forget(id);
-    actions_.emplace_back([this, id] { neighbours_.backend->removeEndpoint(id); });
+    actions_.emplace_back([this, id] { collaborators_.backend->removeEndpoint(id); });
   }
 }
 
@@ -150,7 +152,7 @@
   applyClockOffset();
 }
 
-// Only answers of a primary bound the time of other machines; a replica's position may lag.
+// Only answers of a primary bound the time of other machines, because a replica's position may lag.
 void Engine::observeAnswer(EndpointId endpoint, const cluster::GossipUpdate& status,
                            std::optional<Time> sentAt) {
   if (status.role == cluster::GossipRole::Primary && status.positionMs > 0 && sentAt) {
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -1,4 +1,5 @@
-// The event loop's turn: gathers events, hands them to the balancer, and carries out what it decides.
+// Connects the balancer to the event loop: queues events, passes them to the balancer in turns, and
+// executes the balancer's decisions.
 #pragma once
 
 #include <functional>
@@ -21,66 +22,70 @@
 
 namespace sablespur {
 
-// Owns the balancer, its timers and the identity of endpoints. Calls from outside only queue an event; the
-// next turn hands it to the balancer. As the balancer's ActionSink it only records actions, so the balancer
-// is never entered from within one of its own calls; the actions are carried out at the end of the turn.
+// Owns the balancer, its timers and the endpoint registry.
+//
+// Calls from outside only queue an event; runTurn() passes the queued events to the balancer. As
+// the balancer's ActionSink the engine only records actions and executes them at the end of the
+// turn, so that the balancer is never called from within one of its own calls.
 class Engine final : public RequestHandler, public EndpointListConsumer, balancer::ActionSink {
  public:
-  // The settings have to outlive it.
+  // The Config must outlive the Engine.
   Engine(event_base*, const Config&, ClockSource = {});
   ~Engine() override;
-  // Null: none. An observer has to outlive the last turn.
-  void setAttemptObserver(AttemptObserver* observer) { neighbours_.attempts = observer; }
-  void setReplicationObserver(ReplicationObserver* observer) { neighbours_.replication = observer; }
-  // Queues the endpoint list of the settings. Both have to outlive the last turn.
+  // Null: no observer. An observer must outlive the last turn.
+  void setAttemptObserver(AttemptObserver* observer) { collaborators_.attempts = observer; }
+  void setReplicationObserver(ReplicationObserver* observer) { collaborators_.replication = observer; }
+  // Queues the known list of the settings. Both arguments must outlive the last turn.
   void start(Backend&, DiscoverySource&);
 
   RequestId request(ResponseHandler&, balancer::Request, RequestMessage) override;
   void clientDisconnected(RequestId) override;
-  // A new connection is ready for an attempt; answered by Backend::continueAttempt.
+  // Reports that a new connection is ready for an attempt; answered by Backend::continueAttempt.
   void connectionReady(RequestId, int attempt);
   void attemptEnded(RequestId, int attempt, EndpointId, AttemptEnd);
   // `report` holds the values of the configured report fields; positions in Unix seconds.
   void healthCheckEnded(EndpointId, bool healthy, const std::vector<double>& report);
-  // From another proxy. Updates of endpoints that this proxy does not know are ignored.
+  // Queues an update from another proxy. Updates of unknown endpoints are ignored.
   void gossipReceived(const cluster::GossipUpdate&);
   void endpointsListed(EndpointList) override;
   void discoveryFailed(const std::string& why) override;
   std::uint64_t generation() const override { return list_.generation; }
 
-  // Suspends or restores an endpoint in the next turn. False: the endpoint list has never named it.
+  // Suspends or restores an endpoint in the next turn. Returns false if the endpoint was never
+  // listed.
   bool suspend(const std::string& name, bool suspended);
-  // Before the start: a suspension that an earlier process of this proxy has recorded.
+  // Called before start() for each suspension that an earlier process of this proxy has recorded.
   void restoreSuspension(const std::string& name);
   // Replaces the balancer's settings in the next turn.
   void updateSettings(const balancer::Settings&);
 
-  // Empty for an endpoint that is not known (any more).
+  // Returns an empty string if the endpoint is unknown or has been removed.
   std::string endpointName(EndpointId id) const { return endpoints_.name(id); }
-  // Requests that went to an endpoint listed as draining or gone for over half of the grace.
+  // Number of requests sent to an endpoint that had been listed as draining or gone for more than
+  // half of the drain grace period.
   std::uint64_t sendsToDraining() const { return sendsToDraining_; }
-  // Answers that were not given to their clients, as they showed that their data were too old.
+  // Number of answers withheld from clients because their replication position showed stale data.
   std::uint64_t staleAnswersWithheld() const { return staleAnswersWithheld_; }
   bool hasPendingEvents() const { return !events_.empty(); }
   void runTurn();
-  // Forgets endpoints that are gone and have nothing in flight; runTurn() does so once a second.
+  // Removes endpoints that are gone and have nothing in flight; runTurn() calls this once a second.
   void removeExpired(Time now);
 
   Time now() const { return clock_.now(); }
   const Clock& clock() const { return clock_; }
-  // Unix time by the reference clock, for comparison with instants of other machines; spans are measured
-  // with now().
+  // Unix time by the reference clock, for comparison with time stamps of other machines. Durations
+  // are measured with now().
   Time unixNow() const { return clock_.now() + reference_.offset(); }
-  // Unix time of other machines less now().
+  // The reference clock's Unix time minus now().
   Time clockOffset() const { return reference_.offset(); }
 
  private:
-  // What the engine calls; set before the first turn.
-  struct Neighbours {
+  // The objects that the engine calls; set before the first turn.
+  struct Collaborators {
     Backend* backend = nullptr;
     DiscoverySource* discovery = nullptr;
-    AttemptObserver* attempts = nullptr;         // null: none
-    ReplicationObserver* replication = nullptr;  // null: none
+    AttemptObserver* attempts = nullptr;         // null: no observer
+    ReplicationObserver* replication = nullptr;  // null: no observer
   };
   struct InFlightAttempt {
     EndpointId endpoint;
@@ -90,13 +95,13 @@
     ResponseHandler* handler = nullptr;  // null: the client has disconnected
     std::shared_ptr<const RequestMessage> message;
     int classIndex = 0;
-    std::vector<InFlightAttempt> attempts;  // by number; ended ones stay
+    std::vector<InFlightAttempt> attempts;  // indexed by attempt number; ended attempts stay
     const InFlightAttempt& attempt(int number) const { return attempts[static_cast<std::size_t>(number)]; }
   };
-  // The endpoint list as it was last received.
+  // State of the endpoint list last received.
   struct ListState {
     std::uint64_t generation = 0;
-    int applied = 0;  // lists so far
+    int applied = 0;  // number of lists applied
   };
 
   // The steps of a turn.
@@ -118,10 +123,11 @@
   void handle(engine_event::SuspensionChanged&);
   void handle(engine_event::SettingsUpdated&);
 
-  // Counts and logs a request that goes to an endpoint that has been draining for long.
+  // Counts and logs a request that is sent to an endpoint after half of its drain grace period.
   void recordSend(RequestId, EndpointId, const char* reason);
 
-  // Answers: what the client is sent, what other proxies and the reference clock learn.
+  // Processing of answers: the response to the client, and updates to other proxies and the
+  // reference clock.
   balancer::AttemptOutcome outcomeOf(const engine_event::AttemptEnded&) const;
   void withholdStaleAnswer(EndpointId, AttemptEnd&);
   void respond(const PendingRequest&, AttemptEnd&);
@@ -147,17 +153,17 @@
   void subscribe() override;
 
   const Config& config_;
-  Neighbours neighbours_;
+  Collaborators collaborators_;
 
   Clock clock_;
   ReferenceTime reference_;
-  Time now_;             // of this turn
-  Time positionEpoch_;   // the balancer counts positions from here, on clock_
-  Time lastExpiryAt_{};  // of removeExpired()
+  Time now_;             // time of the current turn
+  Time positionEpoch_;   // zero point of the balancer's positions, on clock_
+  Time lastExpiryAt_{};  // last call of removeExpired()
 
   std::vector<engine_event::QueuedEvent> events_;
-  std::vector<cluster::GossipUpdate> gossip_;   // since the last turn; keeps its storage
-  std::vector<std::function<void()>> actions_;  // in the order in which they take effect
+  std::vector<cluster::GossipUpdate> gossip_;   // since the last turn; storage is reused
+  std::vector<std::function<void()>> actions_;  // in order of execution
   std::unordered_map<RequestId, PendingRequest> requests_;
   RequestId lastRequest_ = 0;
   std::uint64_t sendsToDraining_ = 0;
@@ -169,7 +175,7 @@
   ListState list_;
 
   TimerQueue timers_;
-  Event wakeup_;  // ends the loop's wait when the first timer is due
+  Event wakeup_;  // wakes the event loop when the first timer is due
   std::unique_ptr<balancer::Balancer> balancer_;
 };
 
--- a/src/engine/engine_actions.cpp
+++ b/src/engine/engine_actions.cpp
@@ -1,4 +1,4 @@
-// The engine as the balancer's ActionSink: decisions are recorded here and carried out at the end of the
+// The engine as the balancer's ActionSink: records each decision, to be executed at the end of the
 // turn.
 #include "engine/engine.hpp"
 #include "engine/engine_trace.hpp"
@@ -7,15 +7,15 @@
 
 void Engine::send(RequestId id, EndpointId endpoint, Time until) {
   const auto it = requests_.find(id);
-  if (it == requests_.end()) return;  // answered already
+  if (it == requests_.end()) return;  // already answered
   PendingRequest& request = it->second;
   const int attempt = static_cast<int>(request.attempts.size());
   request.attempts.push_back({endpoint, now_});
   trace::attemptSent(id, attempt, endpoints_, endpoint);
   recordSend(id, endpoint, attempt == 0 ? "first_attempt" : "retry");
   actions_.emplace_back([this, id, attempt, endpoint, until, message = request.message] {
-    if (neighbours_.attempts) neighbours_.attempts->attemptSent(id, attempt, endpointName(endpoint));
-    neighbours_.backend->send(id, attempt, endpoint, until, message);
+    if (collaborators_.attempts) collaborators_.attempts->attemptSent(id, attempt, endpointName(endpoint));
+    collaborators_.backend->send(id, attempt, endpoint, until, message);
   });
 }
 
@@ -38,7 +38,7 @@
 }
 
 void Engine::cancel(RequestId id, int attempt) {
-  actions_.emplace_back([this, id, attempt] { neighbours_.backend->cancel(id, attempt); });
+  actions_.emplace_back([this, id, attempt] { collaborators_.backend->cancel(id, attempt); });
 }
 
 void Engine::scheduleTimer(Time in, std::uint64_t token) { timers_.schedule(now_ + in, token); }
@@ -46,11 +46,11 @@
 void Engine::startHealthCheck(EndpointId endpoint) {
   trace::healthCheckSent(endpoints_, endpoint);
   if (auto* const registered = endpoints_.find(endpoint)) registered->healthCheckSentAt = now_;
-  actions_.emplace_back([this, endpoint] { neighbours_.backend->startHealthCheck(endpoint); });
+  actions_.emplace_back([this, endpoint] { collaborators_.backend->startHealthCheck(endpoint); });
 }
 
 void Engine::subscribe() {
-  actions_.emplace_back([this] { neighbours_.discovery->watch(list_.generation); });
+  actions_.emplace_back([this] { collaborators_.discovery->watch(list_.generation); });
 }
 
 }  // namespace sablespur
--- a/src/engine/engine_events.cpp
+++ b/src/engine/engine_events.cpp
@@ -1,4 +1,4 @@
-// The engine's handlers of queued events: each hands one event to the balancer.
+// The engine's handlers of queued events. Each passes one event to the balancer.
 #include <algorithm>
 #include <chrono>
 #include <memory>
@@ -18,7 +18,8 @@
 namespace {
 
 constexpr float kMinTokenAgeMs = 0.001f;  // 0 would mean that the session has written nothing
-// The list of the settings and the first from discovery: endpoints in them need not be new.
+// The known list of the settings and the first list from discovery: their endpoints may have
+// started long ago.
 constexpr int kInitialLists = 2;
 
 std::optional<std::chrono::milliseconds> startStampOf(const DiscoveredEndpoint& endpoint) {
@@ -47,15 +48,15 @@
 
 void Engine::handle(engine_event::ConnectionReady& event) {
   const auto it = requests_.find(event.request);
-  const bool fit = it != requests_.end() &&
-                   balancer_->maySendNow(now_, event.request, it->second.attempt(event.attempt).endpoint);
-  if (fit) recordSend(event.request, it->second.attempt(event.attempt).endpoint, "connection_ready");
-  actions_.emplace_back([this, id = event.request, attempt = event.attempt, fit] {
-    neighbours_.backend->continueAttempt(id, attempt, fit);
+  const bool maySend = it != requests_.end() &&
+                       balancer_->maySendNow(now_, event.request, it->second.attempt(event.attempt).endpoint);
+  if (maySend) recordSend(event.request, it->second.attempt(event.attempt).endpoint, "connection_ready");
+  actions_.emplace_back([this, id = event.request, attempt = event.attempt, maySend] {
+    collaborators_.backend->continueAttempt(id, attempt, maySend);
   });
 }
 
-// A server that was listed as draining for half of the grace should have got its last request by now.
+// A server should receive no more requests once half of its drain grace period has passed.
 void Engine::recordSend(RequestId id, EndpointId to, const char* reason) {
   const auto* const endpoint = endpoints_.find(to);
   const bool ready = !endpoint || !endpoint->notReadySince;
@@ -84,7 +85,7 @@
     outcome.result = end.result;
   }
   trace::attemptEnded(event.request, event.attempt, endpoints_, event.endpoint, end);
-  if (neighbours_.attempts) neighbours_.attempts->attemptEnded(event.request, event.attempt, end);
+  if (collaborators_.attempts) collaborators_.attempts->attemptEnded(event.request, event.attempt, end);
   outcome.clientAnswered = !pending || outcome.result == AttemptResult::Ok || end.invalidStatement;
   if (pending && outcome.clientAnswered) {
     respond(it->second, end);
@@ -98,7 +99,8 @@
   outcome.request = event.request;
   outcome.attempt = event.attempt;
   outcome.endpoint = event.endpoint;
-  // An invalid statement is the client's fault: it is not retried, nor held against the endpoint.
+  // An invalid statement is the client's fault: it is neither retried nor counted as a failure of
+  // the endpoint.
   outcome.result = event.end.invalidStatement ? AttemptResult::Cancelled : event.end.result;
   outcome.replicationStatus = replicationStatusWord(positionEpochUnix(), event.end);
   return outcome;
@@ -124,17 +126,18 @@
     actions_.emplace_back([handler] { handler->failed(); });
     return;
   }
-  // std::function has to be copyable, and an answer is not.
+  // std::function requires a copyable callable, and Answer is not copyable.
   actions_.emplace_back([handler, answer = std::make_shared<Answer>(std::move(end.answer))] {
     handler->served(std::move(*answer));
   });
 }
 
-// A response with a position is shared with the other proxies; its latency too, if it was complete.
+// Shares the replication status of a response with the other proxies if it contains a position, and
+// its latency if the response is complete.
 void Engine::shareStatus(const engine_event::AttemptEnded& event) {
   const auto* const endpoint = endpoints_.find(event.endpoint);
   const bool inFuture = event.end.positionMs > (now_ + reference_.offset()).count() / 1000;
-  if (!neighbours_.replication || event.end.positionMs <= 0 || inFuture || !endpoint) return;
+  if (!collaborators_.replication || event.end.positionMs <= 0 || inFuture || !endpoint) return;
   GossipUpdate update = replicationStatusOf(event.end);
   update.endpointTag = endpoint->gossipTag;
   const auto it = requests_.find(event.request);
@@ -142,7 +145,7 @@
     update.classIndex = it->second.classIndex;
     update.latencyUs = (now_ - it->second.attempt(event.attempt).sentAt).count();
   }
-  neighbours_.replication->statusObserved(update);
+  collaborators_.replication->statusObserved(update);
 }
 
 void Engine::handle(engine_event::HealthCheckEnded& event) {
@@ -161,10 +164,10 @@
 
 void Engine::shareStatus(const engine_event::HealthCheckEnded& event) {
   const auto* const endpoint = endpoints_.find(event.endpoint);
-  if (!neighbours_.replication || !event.healthy || !endpoint) return;
+  if (!collaborators_.replication || !event.healthy || !endpoint) return;
   GossipUpdate update = replicationStatusOf(event.healthy, event.report, config_.settings.reportFields);
   update.endpointTag = endpoint->gossipTag;
-  if (update.positionMs > 0) neighbours_.replication->statusObserved(update);
+  if (update.positionMs > 0) collaborators_.replication->statusObserved(update);
 }
 
 void Engine::handle(engine_event::GossipReceived&) {
@@ -185,11 +188,12 @@
   const auto id = endpoints_.findByName(event.name);
   if (!id) return;
   balancer_->suspend(now_, *id, event.suspended);
-  // A restored endpoint is warming up again, as in the balancer.
+  // A restored endpoint warms up again, as in the balancer.
   const bool ready = !event.suspended && endpoints_.find(*id)->ready;
   const Time warmAt = now_ + config_.settings.warmUpPeriod;
-  actions_.emplace_back(
-      [this, id = *id, ready, warmAt] { neighbours_.backend->endpointListed(id, Address(), ready, warmAt); });
+  actions_.emplace_back([this, id = *id, ready, warmAt] {
+    collaborators_.backend->endpointListed(id, Address(), ready, warmAt);
+  });
 }
 
 void Engine::handle(engine_event::SettingsUpdated& event) {
@@ -202,7 +206,7 @@
 }
 
 void Engine::handle(engine_event::EndpointsListed& event) {
-  const bool cached = list_.applied == 0;  // that of the settings, which start() has queued
+  const bool cached = list_.applied == 0;  // the known list, which start() has queued
   const ListKind received = event.list.reset ? ListKind::Full : ListKind::Delta;
   list_.generation = event.list.generation;
   applyList(cached ? ListKind::Cached : received, event.list);
@@ -220,7 +224,8 @@
   balancer_->endpointsListed(now_, kind, listed);
 }
 
-// The balancer's entry for an endpoint; the tables here and the backend follow it.
+// Updates the registry, the start times and the backend for a listed endpoint; returns the
+// balancer's entry.
 balancer::ListedEndpoint Engine::listEndpoint(const DiscoveredEndpoint& discovered, bool inInitialLists) {
   const bool ready = discovered.state == Lifecycle::Ready;
   const auto started = startStampOf(discovered);
@@ -237,11 +242,11 @@
   endpoints_.find(listed.id)->setReady(ready, now_);
   endpoints_.recordListed(discovered.name);
   const Time warmAt = listed.started > Time(0) ? listed.started + config_.settings.warmUpPeriod : Time(0);
-  neighbours_.backend->endpointListed(listed.id, discovered.address, ready && !listed.suspended, warmAt);
+  collaborators_.backend->endpointListed(listed.id, discovered.address, ready && !listed.suspended, warmAt);
   return listed;
 }
 
-// The number of zones for one that the settings do not name.
+// Returns the number of zones for a zone that the settings do not contain.
 int Engine::zoneIndex(const std::string& zone) const {
   const auto it = std::find(config_.zones.begin(), config_.zones.end(), zone);
   return static_cast<int>(it - config_.zones.begin());
@@ -253,7 +258,7 @@
   for (const auto& [name, id] : endpoints_.idsByName()) {
     if (listedIds.count(id) > 0) continue;
     endpoints_.find(id)->setReady(false, now_);
-    neighbours_.backend->endpointListed(id, Address(), false, Time(0));
+    collaborators_.backend->endpointListed(id, Address(), false, Time(0));
   }
 }
 
--- a/src/engine/engine_trace.hpp
+++ b/src/engine/engine_trace.hpp
@@ -1,5 +1,5 @@
-// The trace lines of requests, attempts and health checks. Each call writes nothing, and looks up no name,
-// unless tracing is on.
+// Writes trace log lines for requests, attempts and health checks. If tracing is off, the functions
+// return before they look up any name.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 void attemptSent(RequestId, int attempt, const EndpointRegistry&, EndpointId);
 void attemptEnded(RequestId, int attempt, const EndpointRegistry&, EndpointId, const AttemptEnd&);
 void healthCheckSent(const EndpointRegistry&, EndpointId);
-// `status`: the role and position in its report.
+// `status`: the role and position from the health check's report.
 void healthCheckEnded(const EndpointRegistry&, EndpointId, bool ok, const cluster::GossipUpdate& status);
 
 }  // namespace sablespur::trace
--- a/src/engine/event.hpp
+++ b/src/engine/event.hpp
@@ -1,4 +1,5 @@
-// libevent's objects, each with one owner that frees it; no callback outlives its owner.
+// Owning smart pointers for libevent objects. An object is freed with its owner, so that no
+// callback runs after the owner is destroyed.
 #pragma once
 
 #include <event2/buffer.h>
@@ -32,15 +33,15 @@
 inline Buffer newBuffer() { return Buffer(evbuffer_new()); }
 inline void append(evbuffer* to, std::string_view bytes) { evbuffer_add(to, bytes.data(), bytes.size()); }
 
-// The same without a copy, for what is long.
+// Appends without copying; for long strings.
 inline void appendByReference(evbuffer* to, std::string&& bytes) {
   auto owned = std::make_unique<std::string>(std::move(bytes));
   const auto release = [](const void*, std::size_t, void* text) { delete static_cast<std::string*>(text); };
   const bool added = evbuffer_add_reference(to, owned->data(), owned->size(), release, owned.get()) == 0;
-  if (added) static_cast<void>(owned.release());  // the buffer's from here on
+  if (added) static_cast<void>(owned.release());  // now owned by the buffer
 }
 
-// (Re)starts a timer; what is due already fires in the next pass of the loop.
+// Starts or restarts a timer. If `in` is not positive, it fires in the next event loop iteration.
 inline void startTimer(event* timer, std::chrono::microseconds in) {
   using std::chrono::seconds;
   const auto wait = std::max(in, std::chrono::microseconds(0));
--- a/src/engine/file_calls.hpp
+++ b/src/engine/file_calls.hpp
@@ -1,5 +1,5 @@
-// System calls on files, replaceable by tests, and loops that complete a transfer over interrupted and short
-// calls. See also SystemCalls and DatagramCalls.
+// System calls on files, replaceable by tests, and functions that repeat interrupted and short
+// calls until the transfer is complete. See also SystemCalls and DatagramCalls.
 #pragma once
 
 #include <sys/types.h>
@@ -19,7 +19,7 @@
   int (*fsync)(int) = ::fsync;
   int (*fdatasync)(int) = ::fdatasync;
 };
-// Replaced by tests alone, before any thread uses it.
+// Replaced only by tests, before any thread uses it.
 inline FileCalls& fileCalls() {
   static FileCalls calls;
   return calls;
@@ -27,7 +27,7 @@
 
 namespace detail {
 
-// `writeOnce(bytes)` is one write(2) or pwrite(2) of as many of `bytes` as it will take.
+// `writeOnce(bytes)` makes one write(2) or pwrite(2) call and returns its result.
 template <typename WriteOnce>
 bool repeatWrite(std::string_view bytes, WriteOnce writeOnce) {
   while (!bytes.empty()) {
@@ -50,8 +50,8 @@
 
 }  // namespace detail
 
-// Each returns false, or -1, with errno set if the call fails. An interrupted call is repeated, and a short
-// one continued.
+// On failure these functions return false or -1, with errno set. They repeat interrupted calls and
+// continue short ones.
 inline bool writeFully(int file, std::string_view bytes) {
   return detail::repeatWrite(
       bytes, [file](std::string_view rest) { return fileCalls().write(file, rest.data(), rest.size()); });
--- a/src/engine/file_descriptor.hpp
+++ b/src/engine/file_descriptor.hpp
@@ -8,11 +8,13 @@
 
 namespace sablespur {
 
-// Closing keeps errno, so that a function may return after a failed call and let its caller read the reason.
+// Closing preserves errno, so that a function may return after a failed call and its caller can
+// still read the error.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  // Takes over `fd`; a negative one, as a failed system call returns it, makes an empty object.
+  // Takes ownership of `fd`. A negative value, as returned by a failed system call, makes an empty
+  // object.
   explicit FileDescriptor(int fd) : fd_(fd) {}
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(other.release()) {}
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
@@ -25,7 +27,7 @@
 
   explicit operator bool() const { return fd_ >= 0; }
   int get() const { return fd_; }
-  // Gives the descriptor up without closing it.
+  // Releases ownership without closing the descriptor.
   int release() { return std::exchange(fd_, kNone); }
   void reset(int fd = kNone) {
     const int old = std::exchange(fd_, fd);
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -1,7 +1,7 @@
-// The interfaces between the engine and its neighbours: frontends, backends, discovery and observers.
+// The interfaces between the engine and frontends, backends, discovery and observers.
 //
-// None of them knows a wire protocol: a request and an answer are bytes, read only by the codecs at the ends.
-// All calls are made in the loop's thread.
+// The interfaces are independent of wire protocols: requests and answers are bytes that only the
+// codecs of frontends and backends parse. All calls are made on the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -24,46 +24,47 @@
 using balancer::EndpointId;
 using balancer::RequestId;
 
-// A request in the form in which it is forwarded. The backend writes the remaining time in milliseconds
-// between `before` and `after`.
+// A request as it is forwarded. The backend writes the remaining time, in milliseconds, between
+// `before` and `after`.
 struct RequestMessage {
   Buffer before;
   Buffer after;
   // The client's session settings; null: the defaults.
   std::shared_ptr<const translation::SessionSettings> from;
-  std::string id;      // the client's name for the request; may be empty
-  std::string key;     // idempotency key; empty: none
+  std::string id;      // request id chosen by the client; may be empty
+  std::string key;     // idempotency key; may be empty
   Time clockOffset{};  // Engine::clockOffset() when the age of the session token was computed
 };
 
-// An endpoint's response, complete and unread; the engine only passes it on.
+// An endpoint's complete response, not yet parsed. The engine only forwards it.
 struct Answer {
   Buffer messages;
   const translation::AnswerReader* reader = nullptr;  // parses `messages`; outlives the answer
-  bool problem = false;                               // a single error, caused by the statement itself
+  bool problem = false;                               // one error, caused by the statement
 };
 
-// Receives the outcome of one request: exactly one call, unless RequestHandler::clientDisconnected came
-// first.
+// Receives the outcome of one request. Exactly one member function is called, exactly once, unless
+// RequestHandler::clientDisconnected is called first.
 class ResponseHandler {
  public:
   virtual ~ResponseHandler() = default;
   virtual void served(Answer) = 0;
-  virtual void rejected(Time retryAfter) = 0;  // shed with no effect; 0: no Retry-After
-  virtual void failed() = 0;                   // whether it took effect is unknown
+  virtual void rejected(Time retryAfter) = 0;  // rejected without effect; 0: no Retry-After
+  virtual void failed() = 0;                   // the request may or may not have taken effect
 };
 
-// Accepts requests: the engine, or a stage in front of it. Each handler assigns ids of its own.
+// Accepts requests. Implemented by the engine and by the stages in front of it; each assigns its
+// own ids.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  // Assigns and returns the request's id. The response handler is called after this call has returned, and
-  // has to live until then or until clientDisconnected.
+  // Returns the id assigned to the request. The response handler is called after this function has
+  // returned, and must live until that call or until clientDisconnected().
   virtual RequestId request(ResponseHandler&, balancer::Request, RequestMessage) = 0;
   virtual void clientDisconnected(RequestId) = 0;
 };
 
-// The role in which an endpoint has answered.
+// The replication role that an endpoint reported in an answer.
 enum class Role { Unknown, Primary, Replica };
 
 // How an attempt ended.
@@ -72,10 +73,11 @@
   Role role = Role::Unknown;
   std::int64_t positionMs = 0;    // replication position in Unix time; 0: unknown
   bool invalidStatement = false;  // the endpoint rejected the statement as malformed
-  Answer answer;                  // with AttemptResult::Ok; with invalidStatement the error, if there is one
+  Answer answer;                  // for AttemptResult::Ok; the error, if any, for invalidStatement
 };
 
-// Follows the attempts of each request. Called within a turn, before the consequences are carried out.
+// Observes the attempts of each request. Called during a turn, before the resulting actions are
+// executed.
 class AttemptObserver {
  public:
   virtual ~AttemptObserver() = default;
@@ -83,8 +85,8 @@
   virtual void attemptEnded(RequestId, int attempt, const AttemptEnd&) = 0;
 };
 
-// Follows the replication status that responses and health checks show. Called within a turn; flush() ends
-// the turn.
+// Observes the replication status reported in responses and health checks. Called during a turn;
+// flush() is called once at its end.
 class ReplicationObserver {
  public:
   virtual ~ReplicationObserver() = default;
@@ -92,30 +94,32 @@
   virtual void flush() = 0;
 };
 
-// Connections to the endpoints. Each send() leads to one Engine::attemptEnded and each startHealthCheck() to
-// one Engine::healthCheckEnded, both after the call has returned.
+// Manages the connections to the endpoints. Each send() is followed by exactly one
+// Engine::attemptEnded, each startHealthCheck() by exactly one Engine::healthCheckEnded, both after
+// the call has returned.
 class Backend {
  public:
   virtual ~Backend() = default;
-  // warmAt: end of the slow start; until then connections of all proxies together are limited. 0: no slow
-  // start.
+  // `warmAt`: end of the slow start, until which the connections of all proxies together are
+  // limited; 0: no slow start.
   virtual void endpointListed(EndpointId, const Address&, bool ready, Time warmAt) = 0;
   virtual void send(RequestId, int attempt, EndpointId, Time until,
                     std::shared_ptr<const RequestMessage>) = 0;
-  // Answers Engine::connectionReady: whether the attempt may still be sent.
-  virtual void continueAttempt(RequestId, int attempt, bool fit) = 0;
+  // Called in response to Engine::connectionReady. `maySend`: the attempt may still be sent.
+  virtual void continueAttempt(RequestId, int attempt, bool maySend) = 0;
   virtual void cancel(RequestId, int attempt) = 0;
   virtual void startHealthCheck(EndpointId) = 0;
-  // No attempt is in flight there, and none will follow.
+  // Called when the endpoint has no attempt in flight; no further attempts will follow.
   virtual void removeEndpoint(EndpointId) = 0;
 };
 
-// Where the endpoint list comes from. A watch leads to any number of Engine::endpointsListed calls, or to one
-// Engine::discoveryFailed.
+// Source of the endpoint list. A watch results in any number of Engine::endpointsListed calls, or
+// in one Engine::discoveryFailed call.
 class DiscoverySource {
  public:
   virtual ~DiscoverySource() = default;
-  virtual void watch(std::uint64_t after) = 0;  // changes after this generation of the list
+  // Watches for changes after the generation `after` of the list.
+  virtual void watch(std::uint64_t after) = 0;
 };
 
 }  // namespace sablespur
--- a/src/engine/listening_socket.hpp
+++ b/src/engine/listening_socket.hpp
@@ -1,4 +1,4 @@
-// Opens TCP sockets that listen.
+// Opens listening TCP sockets.
 #pragma once
 
 #include "engine/file_descriptor.hpp"
@@ -9,8 +9,8 @@
 // Whether another process may listen at the same address (SO_REUSEPORT).
 enum class PortSharing { Exclusive, Shared };
 
-// A non-blocking socket that listens at `address`. Throws std::runtime_error, which names the settings key of
-// the address, if it cannot listen.
+// Returns a non-blocking socket that listens at `address`. On failure throws std::runtime_error
+// with the settings key of the address in its message.
 FileDescriptor openListeningSocket(const Address& address, int backlog, PortSharing, const char* settingsKey);
 
 }  // namespace sablespur
--- a/src/engine/queued_event.hpp
+++ b/src/engine/queued_event.hpp
@@ -1,4 +1,4 @@
-// The events that wait for the engine's next turn, one type for each entry point of Engine.
+// The events queued for the engine's next turn, one type for each entry point of Engine.
 #pragma once
 
 #include <string>
@@ -36,7 +36,7 @@
   EndpointList list;
 };
 struct DiscoveryFailed {};
-// The updates themselves wait in a vector of the engine that keeps its storage.
+// The updates themselves are stored in Engine::gossip_, whose storage is reused.
 struct GossipReceived {};
 struct SuspensionChanged {
   std::string name;
--- a/src/engine/reference_clock.cpp
+++ b/src/engine/reference_clock.cpp
@@ -8,100 +8,107 @@
 
 using Time = ReferenceClock::Time;
 
-constexpr Time kJitter = std::chrono::milliseconds(5);    // between two readings; less is no step
-constexpr Time kSkew = std::chrono::milliseconds(50);     // clocks that are kept in step differ by less
-constexpr Time kOldestPresent = std::chrono::seconds(1);  // a quiet primary's last commit may be so old
-constexpr Time kLongestRoundTrip = std::chrono::milliseconds(250);  // a longer one bounds nothing closely
-// A wall clock is ahead only if the primary's position has kept step with time for so long: one that stands
-// still, as of a primary that was cut off, is an old one.
-constexpr Time kSteadyFor = std::chrono::seconds(1);
+// Differences between two readings below this are not a step of the wall clock.
+constexpr Time kReadingJitter = std::chrono::milliseconds(5);
+// Synchronized clocks differ by less than this.
+constexpr Time kMaxClockSkew = std::chrono::milliseconds(50);
+// The last commit of an idle primary may be this old.
+constexpr Time kMaxIdlePositionAge = std::chrono::seconds(1);
+// Answers with a longer round trip are ignored: their bounds are too wide.
+constexpr Time kMaxRoundTrip = std::chrono::milliseconds(250);
+// The wall clock counts as ahead only if the primary's position has advanced with time for at least
+// this long. A position that does not advance, as of a primary cut off from the network, is merely
+// old.
+constexpr Time kMinStablePeriod = std::chrono::seconds(1);
 
 }  // namespace
 
-void ReferenceClock::readWall(Time wallOffset) {
-  if (std::chrono::abs(wallOffset - wallOffset_) < kJitter) return;
+void ReferenceClock::updateWallOffset(Time wallOffset) {
+  if (std::chrono::abs(wallOffset - wallOffset_) < kReadingJitter) return;
   wallOffset_ = wallOffset;
-  votes_ = {};
+  statusCounts_ = {};
   for (auto& [server, sample] : samples_) {
-    sample.verdict = judgeWallClock(sample);
-    addVote(sample);
+    sample.status = assessWallClock(sample);
+    countSample(sample);
   }
   updateOffset();
 }
 
 void ReferenceClock::primaryAnswered(ServerId server, Time position, Time sent, Time received) {
-  if (received - sent > kLongestRoundTrip) return;
+  if (received - sent > kMaxRoundTrip) return;
   const auto [it, added] = samples_.try_emplace(server);
   Sample& sample = it->second;
-  if (!added) removeVote(sample);
+  if (!added) uncountSample(sample);
   sample.minOffset = position - received;
   sample.maxOffset = position - sent;
-  if (added || std::chrono::abs(sample.minOffset - sample.steadyOffset) > kLongestRoundTrip) {
-    sample.steadyOffset = sample.minOffset;
-    sample.steadySince = received;
+  if (added || std::chrono::abs(sample.minOffset - sample.stableOffset) > kMaxRoundTrip) {
+    sample.stableOffset = sample.minOffset;
+    sample.stableSince = received;
   }
-  sample.steady = received - sample.steadySince >= kSteadyFor;
-  sample.verdict = judgeWallClock(sample);
-  addVote(sample);
+  sample.stable = received - sample.stableSince >= kMinStablePeriod;
+  sample.status = assessWallClock(sample);
+  countSample(sample);
   updateOffset();
 }
 
 void ReferenceClock::forget(ServerId server) {
   const auto it = samples_.find(server);
   if (it == samples_.end()) return;
-  removeVote(it->second);
+  uncountSample(it->second);
   samples_.erase(it);
 }
 
-ReferenceClock::WallVerdict ReferenceClock::judgeWallClock(const Sample& sample) const {
-  if (sample.minOffset > wallOffset_ + kSkew) return WallVerdict::Behind;
-  if (sample.maxOffset >= wallOffset_ - kOldestPresent) return WallVerdict::Confirmed;
-  return sample.steady ? WallVerdict::Ahead : WallVerdict::Undecided;
+ReferenceClock::WallClockStatus ReferenceClock::assessWallClock(const Sample& sample) const {
+  if (sample.minOffset > wallOffset_ + kMaxClockSkew) return WallClockStatus::Behind;
+  if (sample.maxOffset >= wallOffset_ - kMaxIdlePositionAge) return WallClockStatus::Confirmed;
+  return sample.stable ? WallClockStatus::Ahead : WallClockStatus::Undecided;
 }
 
-std::size_t* ReferenceClock::votesFor(WallVerdict verdict) {
-  switch (verdict) {
-    case WallVerdict::Behind:
-      return &votes_.behind;
-    case WallVerdict::Ahead:
-      return &votes_.ahead;
-    case WallVerdict::Confirmed:
-      return &votes_.confirmed;
-    case WallVerdict::Undecided:
+std::size_t* ReferenceClock::counterOf(WallClockStatus status) {
+  switch (status) {
+    case WallClockStatus::Behind:
+      return &statusCounts_.behind;
+    case WallClockStatus::Ahead:
+      return &statusCounts_.ahead;
+    case WallClockStatus::Confirmed:
+      return &statusCounts_.confirmed;
+    case WallClockStatus::Undecided:
       break;
   }
   return nullptr;
 }
 
-void ReferenceClock::addVote(const Sample& sample) {
-  if (std::size_t* const votes = votesFor(sample.verdict)) ++*votes;
+void ReferenceClock::countSample(const Sample& sample) {
+  if (std::size_t* const counter = counterOf(sample.status)) ++*counter;
 }
 
-void ReferenceClock::removeVote(const Sample& sample) {
-  if (std::size_t* const votes = votesFor(sample.verdict)) --*votes;
+void ReferenceClock::uncountSample(const Sample& sample) {
+  if (std::size_t* const counter = counterOf(sample.status)) --*counter;
 }
 
 void ReferenceClock::updateOffset() {
-  if (isMajority(votes_.behind)) return followPrimaries(WallVerdict::Behind);
-  if (isMajority(votes_.ahead)) return followPrimaries(WallVerdict::Ahead);
-  // A step back needs the consent of most primaries.
-  if (wallOffset_ < offset_ && !isMajority(votes_.confirmed)) return;
+  if (isMajority(statusCounts_.behind)) return followPrimaries(WallClockStatus::Behind);
+  if (isMajority(statusCounts_.ahead)) return followPrimaries(WallClockStatus::Ahead);
+  // A step back is followed only if most primaries confirm it.
+  if (wallOffset_ < offset_ && !isMajority(statusCounts_.confirmed)) return;
   offset_ = wallOffset_;
-  byPrimaries_ = false;
+  offsetFromPrimaries_ = false;
 }
 
-void ReferenceClock::followPrimaries(WallVerdict majority) {
+void ReferenceClock::followPrimaries(WallClockStatus majority) {
   const Time median = medianOffset(majority);
-  // Their answers differ by their round trips: no move for that, but forward, where data only look older.
-  const bool same = byPrimaries_ && median <= offset_ + kJitter && median > offset_ - kLongestRoundTrip;
+  // Offsets vary with the round trip. Small differences are ignored, except forward beyond the
+  // reading jitter, which only makes data look older.
+  const bool same =
+      offsetFromPrimaries_ && median <= offset_ + kReadingJitter && median > offset_ - kMaxRoundTrip;
   if (!same) offset_ = median;
-  byPrimaries_ = true;
+  offsetFromPrimaries_ = true;
 }
 
-ReferenceClock::Time ReferenceClock::medianOffset(WallVerdict verdict) const {
+ReferenceClock::Time ReferenceClock::medianOffset(WallClockStatus status) const {
   std::vector<Time> offsets;
   for (const auto& [server, sample] : samples_)
-    if (sample.verdict == verdict) offsets.push_back(sample.maxOffset);
+    if (sample.status == status) offsets.push_back(sample.maxOffset);
   const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
   std::nth_element(offsets.begin(), middle, offsets.end());
   return *middle;
--- a/src/engine/reference_clock.hpp
+++ b/src/engine/reference_clock.hpp
@@ -1,14 +1,16 @@
-// The clock by which timestamps of other machines are judged. Pure: no I/O and no system clock.
+// Estimates the Unix time of other machines, to compute the age of their time stamps. Pure: no I/O
+// and no system clock.
 //
-// Endpoints report replication positions in Unix time. How stale a position is depends on the time at the
-// endpoint, and this machine's wall clock may be stepped. The reference is kept as an offset to the process's
-// monotonic scale: reference = monotonic + offset().
+// Endpoints report replication positions in Unix time. The staleness of a position depends on the
+// time at the endpoint, and this machine's wall clock may be stepped. The reference time is
+// therefore stored as an offset to the process's monotonic clock: reference = monotonic + offset().
 //
-// The wall clock is trusted unless most primaries contradict it. A primary's position is its current time, so
-// a response received at R to a request sent at S, with position P, bounds the true offset: P - R at least,
-// P - S at most. A step back, which makes data look fresher, is followed only if most primaries confirm it;
-// before any primary has answered it is not followed at all. A single endpoint with a wrong clock is
-// outvoted.
+// - The offset follows the wall clock unless most primaries contradict it, so a single endpoint
+//   with a wrong clock has no effect.
+// - A primary's position is its current time. A response received at R to a request sent at S, with
+//   position P, therefore bounds the true offset: at least P - R, at most P - S.
+// - A step back, which makes data look fresher, is followed only if most primaries confirm it, so
+//   never before a primary has answered.
 #pragma once
 
 #include <chrono>
@@ -23,48 +25,50 @@
   using Time = std::chrono::microseconds;
   using ServerId = std::uint64_t;
 
-  // A new reading of how far the wall clock is ahead of the monotonic scale.
-  void readWall(Time wallOffset);
-  // A response of a primary; `sent` and `received` are on the monotonic scale, `position` is Unix time.
+  // Records how far the wall clock is ahead of the monotonic clock.
+  void updateWallOffset(Time wallOffset);
+  // Records a response of a primary. `sent` and `received` are monotonic times, `position` is Unix
+  // time.
   void primaryAnswered(ServerId, Time position, Time sent, Time received);
-  void forget(ServerId);  // it was removed, or is no longer a primary
+  // Called for a server that was removed or is no longer a primary.
+  void forget(ServerId);
 
   Time offset() const { return offset_; }
 
  private:
-  // What a primary's answers say about the wall clock.
-  enum class WallVerdict { Undecided, Behind, Ahead, Confirmed };
+  // State of the wall clock according to one primary's answers.
+  enum class WallClockStatus { Undecided, Behind, Ahead, Confirmed };
   struct Sample {
-    // Bounds of the true offset, by the newest response.
+    // Bounds of the true offset from the latest response.
     Time minOffset{};
     Time maxOffset{};
-    Time steadyOffset{};  // close to minOffset of all responses since `steadySince`
-    Time steadySince{};
-    bool steady = false;  // for long enough to show that its position advances
-    WallVerdict verdict = WallVerdict::Undecided;
+    Time stableOffset{};  // within kMaxRoundTrip of each minOffset since `stableSince`
+    Time stableSince{};
+    bool stable = false;  // long enough to show that the position advances with time
+    WallClockStatus status = WallClockStatus::Undecided;
   };
-  // How many samples say so.
-  struct Votes {
+  // Number of samples with each status.
+  struct StatusCounts {
     std::size_t behind = 0;
     std::size_t ahead = 0;
     std::size_t confirmed = 0;
   };
 
-  WallVerdict judgeWallClock(const Sample&) const;
-  // Null for samples that are undecided.
-  std::size_t* votesFor(WallVerdict);
-  void addVote(const Sample&);
-  void removeVote(const Sample&);
-  bool isMajority(std::size_t votes) const { return 2 * votes > samples_.size(); }
+  WallClockStatus assessWallClock(const Sample&) const;
+  // Returns null for Undecided, which is not counted.
+  std::size_t* counterOf(WallClockStatus);
+  void countSample(const Sample&);
+  void uncountSample(const Sample&);
+  bool isMajority(std::size_t count) const { return 2 * count > samples_.size(); }
   void updateOffset();
-  void followPrimaries(WallVerdict majority);
-  Time medianOffset(WallVerdict) const;  // of the samples of this verdict, at least one
+  void followPrimaries(WallClockStatus majority);
+  Time medianOffset(WallClockStatus) const;  // requires at least one sample with this status
 
   Time wallOffset_{};
   Time offset_{};
   std::unordered_map<ServerId, Sample> samples_;
-  Votes votes_;
-  bool byPrimaries_ = false;  // offset_ is theirs, not the wall clock's
+  StatusCounts statusCounts_;
+  bool offsetFromPrimaries_ = false;  // offset_ comes from the primaries, not the wall clock
 };
 
 }  // namespace sablespur
--- a/src/engine/reference_time.cpp
+++ b/src/engine/reference_time.cpp
@@ -10,11 +10,11 @@
 void ReferenceTime::followWallClock(const Clock& clock, Time now) {
   if (now - wallReadAt_ < kWallClockInterval) return;
   wallReadAt_ = now;
-  if (const std::optional<Time> offset = clock.wallOffset()) clock_.readWall(*offset);
+  if (const std::optional<Time> offset = clock.wallOffset()) clock_.updateWallOffset(*offset);
 }
 
 std::optional<ReferenceTime::Time> ReferenceTime::updateOffset() {
-  // Rounded up: data must not look newer than they are.
+  // Rounded up, so that data never look newer than they are.
   const Time offset = std::chrono::ceil<std::chrono::milliseconds>(clock_.offset());
   const Time movedBy = offset - offset_;
   if (movedBy == Time(0)) return std::nullopt;
--- a/src/engine/reference_time.hpp
+++ b/src/engine/reference_time.hpp
@@ -1,4 +1,5 @@
-// The reference clock as the engine uses it: fed at intervals, its offset in whole milliseconds.
+// Wraps ReferenceClock for the engine: reads the wall clock at intervals and rounds the offset to
+// whole milliseconds.
 #pragma once
 
 #include <chrono>
@@ -14,17 +15,18 @@
  public:
   using Time = Clock::Time;
 
-  // Reads the wall clock, unless the last reading is recent.
+  // Reads the wall clock unless it was read less than 100 ms ago.
   void followWallClock(const Clock&, Time now);
   void primaryAnswered(balancer::EndpointId id, Time position, Time sentAt, Time receivedAt) {
     clock_.primaryAnswered(id, position, sentAt, receivedAt);
   }
-  // It was removed, or is no longer a primary.
+  // Called for an endpoint that was removed or is no longer a primary.
   void forget(balancer::EndpointId id) { clock_.forget(id); }
 
-  // Takes over what the above have changed. Returns by how much the offset has moved, if it has.
+  // Applies the changes of the calls above to offset(). Returns the difference, or std::nullopt if
+  // offset() is unchanged.
   std::optional<Time> updateOffset();
-  // Unix time of other machines less that of the process's clock, as of the last updateOffset().
+  // The reference clock's Unix time minus the process's clock, as of the last updateOffset().
   Time offset() const { return offset_; }
 
  private:
--- a/src/engine/replication_status.hpp
+++ b/src/engine/replication_status.hpp
@@ -1,5 +1,5 @@
-// Replication positions and roles as endpoints report them, in the forms that the balancer and other proxies
-// take. Pure: no I/O, no clock.
+// Converts the replication positions and roles that endpoints report to the formats of the balancer
+// and of gossip. Pure: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,24 @@
 
 namespace sablespur {
 
-// A position relative to `epoch`, rounded down so that data never look newer than they are; 0 where it lies
-// before the epoch or is unknown.
+// Return a position relative to `epoch`, rounded down so that data never look newer than they are;
+// 0 if the position is unknown or before the epoch. Positions of 2^30 ms or more count as unknown
+// in milliseconds.
 float secondsSince(Time epoch, double unixSeconds);
 std::uint32_t millisecondsSince(Time epoch, std::int64_t unixMs);  // below 2^30
 
-// The balancer's word: the position in milliseconds above two bits, 1 for a primary and 2 for a replica.
+// Returns the position in milliseconds, shifted left by two bits, with the role in the low bits: 1
+// for a primary, 2 for a replica.
 std::uint32_t replicationStatusWord(Time epoch, const AttemptEnd&);
 std::uint32_t replicationStatusWord(Time epoch, const cluster::GossipUpdate&);
 
-// Position and role, with no endpoint tag and no latency.
+// Returns position and role, without endpoint tag and latency.
 cluster::GossipUpdate replicationStatusOf(const AttemptEnd&);
-// The same of a health check; unknown where it failed. `fields` says what each value of the report means.
+// The same for a health check; position and role are unknown if it failed. `fields` gives the
+// meaning of each value of the report.
 cluster::GossipUpdate replicationStatusOf(bool healthy, const std::vector<double>& report,
                                           const std::vector<balancer::ReportField>& fields);
-// The report with its positions relative to `epoch`.
+// Returns the report with its positions relative to `epoch`.
 std::vector<float> reportSince(Time epoch, const std::vector<double>& report,
                                const std::vector<balancer::ReportField>& fields);
 
--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -1,5 +1,6 @@
-// The process's budget of descriptors, divided between clients and servers, and of bytes for long statements.
-// The shares do not borrow from each other. Pure: no I/O; the loop's thread only.
+// The process's budgets of descriptors, with fixed shares for clients and servers, and of bytes for
+// long statements. Shares cannot borrow from each other. Pure: no I/O; used only on the event
+// loop's thread.
 #pragma once
 
 #include <algorithm>
@@ -35,9 +36,9 @@
   }
   bool hasRoom(DescriptorHolder holder) const { return share(holder).held < share(holder).most; }
 
-  // Counts one descriptor of a share while it lives. It is granted even if the share is full: the caller has
-  // checked hasRoom(), or needs a descriptor for a moment to reject a connection. The budget has to outlive
-  // it.
+  // Counts one descriptor of a share during its lifetime. It does not check the limit: the caller
+  // has checked hasRoom(), or needs a descriptor briefly to reject a connection. The budget must
+  // outlive the permit.
   class DescriptorPermit {
    public:
     DescriptorPermit() = default;
@@ -58,7 +59,8 @@
     DescriptorShare* share_ = nullptr;
   };
 
-  // Bytes of long statements and of prepared statements. False: no room, and nothing is reserved.
+  // Reserves bytes for long statements and prepared statements. Returns false, and reserves
+  // nothing, if the budget is too small.
   bool reserveBytes(std::size_t count) {
     if (count > maxBytes_ - bytes_) return false;
     bytes_ += count;
@@ -70,7 +72,7 @@
   std::size_t maxBytes() const { return maxBytes_; }
   std::size_t peakBytes() const { return peakBytes_; }
 
-  // Shortages that the system reported, whatever this budget says.
+  // Counts resource shortages that the system reported, independent of this budget.
   void recordExhaustion(ResourceExhaustion resource) {
     ++exhaustionCounts_[static_cast<std::size_t>(resource)];
   }
--- a/src/engine/system_calls.cpp
+++ b/src/engine/system_calls.cpp
@@ -54,8 +54,8 @@
 
 SocketFault classifyAccept(int error) {
   if (isOutOfMemoryOrDescriptors(error)) return SocketFault::OwnResource;
-  // The rest, the network's errors among them, is of the connection that was next (accept(2), "Error
-  // handling").
+  // All other errors, including network errors, concern only the connection to be accepted
+  // (accept(2), "Error handling").
   return SocketFault::Transient;
 }
 
@@ -63,7 +63,7 @@
   switch (error) {
     case EINPROGRESS:
     case EALREADY:
-    case EINTR:  // goes on by itself, as after EINPROGRESS (connect(2))
+    case EINTR:  // continues asynchronously, as after EINPROGRESS (connect(2))
       return SocketFault::None;
     case EAGAIN:  // no free entries in the routing cache, or no local port (connect(2))
       return SocketFault::OwnResource;
@@ -85,7 +85,7 @@
     case SocketCall::Accept:
       return classifyAccept(error);
     case SocketCall::Open:
-      return SocketFault::OwnResource;  // there is no other side yet
+      return SocketFault::OwnResource;  // no peer is involved yet
     case SocketCall::Connecting:
       return isOutOfMemoryOrDescriptors(error) || error == EADDRNOTAVAIL ? SocketFault::OwnResource
                                                                          : SocketFault::Peer;
--- a/src/engine/timer_queue.hpp
+++ b/src/engine/timer_queue.hpp
@@ -1,4 +1,4 @@
-// Timers by due time, each with a token of its owner. Pure: no I/O, no clock.
+// Timers ordered by due time, each with a token chosen by the caller. Pure: no I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -16,14 +16,15 @@
   using Token = std::uint64_t;
 
   void schedule(Time due, Token token) { timers_.push({due, ++lastSequence_, token}); }
-  // Removes the first timer that is due at `now` and returns its token; nothing if none is due.
+  // Removes the first timer that is due at `now` and returns its token; std::nullopt if none is
+  // due.
   std::optional<Token> popDue(Time now) {
     if (timers_.empty() || timers_.top().due > now) return std::nullopt;
     const Token token = timers_.top().token;
     timers_.pop();
     return token;
   }
-  // When the first timer is due; nothing if there is none.
+  // Returns the due time of the first timer; std::nullopt if there is none.
   std::optional<Time> nextDue() const {
     return timers_.empty() ? std::nullopt : std::make_optional(timers_.top().due);
   }
@@ -31,7 +32,7 @@
  private:
   struct Timer {
     Time due;
-    std::uint64_t sequence;  // timers due at the same time fire in the order in which they were set
+    std::uint64_t sequence;  // timers with equal due times fire in the order of scheduling
     Token token;
     bool operator>(const Timer& other) const {
       return due != other.due ? due > other.due : sequence > other.sequence;
--- a/src/engine/workers.cpp
+++ b/src/engine/workers.cpp
@@ -11,7 +11,7 @@
 namespace sablespur {
 namespace {
 
-// Bounds memory and waiting time: jobs beyond this are rejected at once.
+// Bounds memory and waiting time: when the queue is full, new jobs are rejected at once.
 constexpr std::size_t kMaxWaitingJobs = 1024;
 
 }  // namespace
@@ -36,7 +36,7 @@
 }
 
 WorkerPool::Ticket WorkerPool::run(std::function<std::string()> work, std::function<void(std::string)> done) {
-  auto ticket = std::make_shared<Interest>();
+  auto ticket = std::make_shared<JobToken>();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (waitingJobs_.size() >= kMaxWaitingJobs) return nullptr;
@@ -55,27 +55,27 @@
     Job job = std::move(waitingJobs_.front());
     waitingJobs_.pop_front();
     lock.unlock();
-    if (!job.interest.expired()) job.result = job.work();
+    if (!job.token.expired()) job.result = job.work();
     lock.lock();
     finishedJobs_.push_back(std::move(job));
     const std::uint64_t one = 1;
-    // Fails only if a wakeup is pending already.
+    // Fails only if a wakeup is already pending.
     [[maybe_unused]] const ssize_t written = write(wakeup_.get(), &one, sizeof one);
   }
 }
 
 void WorkerPool::deliverResults() {
   std::uint64_t count = 0;
-  // Fails only if there is no wakeup, as after an earlier call has taken several at once.
+  // Fails only if no wakeup is pending, because an earlier call has consumed several at once.
   [[maybe_unused]] const ssize_t received = read(wakeup_.get(), &count, sizeof count);
   std::deque<Job> finished;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     finished.swap(finishedJobs_);
   }
-  // Checked one by one: delivering a result may cancel the jobs after it.
+  // Each token is checked just before its call, because delivering a result may cancel later jobs.
   for (Job& job : finished)
-    if (!job.interest.expired()) job.done(std::move(job.result));
+    if (!job.token.expired()) job.done(std::move(job.result));
 }
 
 }  // namespace sablespur
--- a/src/engine/workers.hpp
+++ b/src/engine/workers.hpp
@@ -1,5 +1,5 @@
-// A thread pool for work that would block the event loop, such as salting passwords. Threads are started on
-// demand.
+// A thread pool for work that would block the event loop, such as password hashing. Threads are
+// started on demand.
 #pragma once
 
 #include <condition_variable>
@@ -20,23 +20,23 @@
 class WorkerPool {
  public:
   WorkerPool(event_base*, std::size_t threads);
-  // Drops jobs that have not begun and waits for those that run.
+  // Drops queued jobs and waits for running ones.
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
 
-  // Cancels a job when it is destroyed: `done` is not called then.
-  struct Interest {};
-  using Ticket = std::shared_ptr<Interest>;
-  // `work` runs on a worker thread and may use only what it captures; `done` receives its result in the
-  // loop's thread. Null: the queue is full.
+  // Destroying the ticket cancels the job: `done` is then not called.
+  struct JobToken {};
+  using Ticket = std::shared_ptr<JobToken>;
+  // `work` runs on a worker thread and may access only its captures; `done` receives its result on
+  // the event loop's thread. Returns null if the queue is full.
   [[nodiscard]] Ticket run(std::function<std::string()> work, std::function<void(std::string)> done);
 
  private:
   struct Job {
     std::function<std::string()> work;
     std::function<void(std::string)> done;
-    std::weak_ptr<Interest> interest;
+    std::weak_ptr<JobToken> token;
     std::string result;
   };
   void runJobs();
@@ -48,7 +48,7 @@
   std::deque<Job> waitingJobs_;   // guarded by mutex_
   std::deque<Job> finishedJobs_;  // guarded by mutex_
   bool stopping_ = false;         // guarded by mutex_
-  FileDescriptor wakeup_;         // eventfd, written when a job has finished
+  FileDescriptor wakeup_;         // eventfd, written when a job finishes
   Event wakeupEvent_;
   std::vector<std::thread> threads_;
 };
--- a/tests/endpoint_registry_test.cpp
+++ b/tests/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// The identity of endpoints: ids, names, gossip tags, start times. No loop, no clock.
+// EndpointRegistry (ids, names, gossip tags) and EndpointStartTimes.
 #include "engine/endpoint_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -17,9 +17,9 @@
 constexpr Time kNow = seconds(1000);
 constexpr Time kWarmUp = seconds(30);
 
-milliseconds stampOf(Time onOwnClock) { return std::chrono::duration_cast<milliseconds>(onOwnClock); }
+milliseconds stampOf(Time onProcessClock) { return std::chrono::duration_cast<milliseconds>(onProcessClock); }
 
-TEST(EndpointRegistry, RemovedEndpointGetsANewIdWhenItReturns) {
+TEST(EndpointRegistry, AssignsNewIdToReturningEndpoint) {
   EndpointRegistry registry;
   EXPECT_FALSE(registry.everHadEndpoints());
   const auto first = registry.add("s-1");
@@ -33,7 +33,7 @@
   EXPECT_TRUE(registry.everHadEndpoints());
 }
 
-TEST(EndpointRegistry, TagIsFoundUnlessTwoEndpointsShareIt) {
+TEST(EndpointRegistry, FindsTagUnlessTwoEndpointsShareIt) {
   EndpointRegistry registry;
   const auto one = registry.add("s-1488d");
   const std::uint64_t tag = cluster::endpointTag("s-1488d");
@@ -45,7 +45,7 @@
   EXPECT_EQ(registry.findByTag(tag), std::nullopt);
 }
 
-TEST(EndpointRegistry, ListedNameIsRememberedAfterItsRemoval) {
+TEST(EndpointRegistry, RemembersListedNameAfterRemoval) {
   EndpointRegistry registry;
   registry.recordListed("s-1");
   registry.remove(registry.add("s-1"));
@@ -53,17 +53,18 @@
   EXPECT_FALSE(registry.wasListed("s-2"));
 }
 
-TEST(EndpointStartTimes, StampCountsOnlyInTheInitialLists) {
+TEST(EndpointStartTimes, UsesTimeStampOnlyInInitialLists) {
   EndpointStartTimes starts;
   const Time longAgo = kNow - seconds(500);
   EXPECT_EQ(starts.startOf(1, stampOf(longAgo), true, kNow, Time(0)), longAgo);
   EXPECT_EQ(starts.startOf(2, stampOf(longAgo), false, kNow, Time(0)), kNow) << "first seen now";
-  EXPECT_EQ(starts.startOf(2, stampOf(longAgo), false, kNow + seconds(9), Time(0)), kNow) << "the same start";
+  EXPECT_EQ(starts.startOf(2, stampOf(longAgo), false, kNow + seconds(9), Time(0)), kNow)
+      << "the same time stamp";
   EXPECT_EQ(starts.startOf(3, stampOf(kNow + seconds(5)), true, kNow, Time(0)), kNow) << "not in the future";
-  EXPECT_EQ(starts.startOf(3, std::nullopt, true, kNow, Time(0)), std::nullopt) << "no start is told";
+  EXPECT_EQ(starts.startOf(3, std::nullopt, true, kNow, Time(0)), std::nullopt) << "the list gives no start";
 }
 
-TEST(EndpointStartTimes, ReassessGivesReadyEndpointsThatAreStillWarmingUp) {
+TEST(EndpointStartTimes, ReassessReturnsReadyEndpointsThatAreStillWarmingUp) {
   EndpointStartTimes starts;
   const auto list = [&](std::uint64_t id, Time started, balancer::Lifecycle state) {
     balancer::ListedEndpoint listed;
@@ -75,12 +76,13 @@
   list(1, kNow - seconds(20), balancer::Lifecycle::Ready);
   list(2, kNow - seconds(20), balancer::Lifecycle::Draining);
   list(3, kNow - seconds(90), balancer::Lifecycle::Ready);
-  // The reference clock turns out to be 10 s behind: each start was 10 s later on this process's clock.
+  // The offset of the reference clock moves by -10 s: each start is 10 s later on this process's
+  // clock.
   const auto corrected = starts.reassess(kNow, -seconds(10), kWarmUp);
   ASSERT_EQ(corrected.size(), 1u);
   EXPECT_EQ(corrected[0].id, 1u);
   EXPECT_EQ(corrected[0].started, kNow - seconds(10));
-  EXPECT_TRUE(starts.reassess(kNow, -seconds(10), kWarmUp).empty()) << "known already";
+  EXPECT_TRUE(starts.reassess(kNow, -seconds(10), kWarmUp).empty()) << "already corrected";
 }
 
 }  // namespace
--- a/tests/engine_fakes.hpp
+++ b/tests/engine_fakes.hpp
@@ -1,4 +1,5 @@
-// What stands around an engine in its tests: data servers and discovery that only write down what is asked.
+// Fakes for the engine's tests: a backend and a discovery source that only record the calls they
+// receive.
 #pragma once
 
 #include <map>
@@ -10,31 +11,34 @@
 
 namespace sablespur::test {
 
-struct FakeMembers : Backend {
+struct RecordingBackend : Backend {
   struct Sent {
     RequestId id;
     int attempt;
-    EndpointId member;
+    EndpointId endpoint;
   };
   std::vector<Sent> sent, cancelled;
-  std::vector<EndpointId> probes;
-  std::vector<std::pair<int, bool>> started;  // attempt, fit
+  std::vector<EndpointId> healthChecks;
+  std::vector<std::pair<int, bool>> continued;  // attempt, maySend
   std::map<EndpointId, bool> ready;
   std::map<EndpointId, Time> warmAt;
-  void endpointListed(EndpointId m, const Address&, bool isReady, Time until) override {
-    ready[m] = isReady;
-    warmAt[m] = until;
+  void endpointListed(EndpointId endpoint, const Address&, bool isReady, Time until) override {
+    ready[endpoint] = isReady;
+    warmAt[endpoint] = until;
   }
-  void send(RequestId id, int attempt, EndpointId m, Time, std::shared_ptr<const RequestMessage>) override {
-    sent.push_back({id, attempt, m});
+  void send(RequestId id, int attempt, EndpointId endpoint, Time,
+            std::shared_ptr<const RequestMessage>) override {
+    sent.push_back({id, attempt, endpoint});
+  }
+  void continueAttempt(RequestId, int attempt, bool maySend) override {
+    continued.emplace_back(attempt, maySend);
   }
-  void continueAttempt(RequestId, int attempt, bool fit) override { started.emplace_back(attempt, fit); }
   void cancel(RequestId id, int attempt) override { cancelled.push_back({id, attempt, 0}); }
-  void startHealthCheck(EndpointId m) override { probes.push_back(m); }
-  std::vector<EndpointId> forgotten;
-  void removeEndpoint(EndpointId m) override { forgotten.push_back(m); }
+  void startHealthCheck(EndpointId endpoint) override { healthChecks.push_back(endpoint); }
+  std::vector<EndpointId> removed;
+  void removeEndpoint(EndpointId endpoint) override { removed.push_back(endpoint); }
 };
-struct FakeLists : DiscoverySource {
+struct RecordingDiscovery : DiscoverySource {
   std::vector<std::uint64_t> watches;
   void watch(std::uint64_t after) override { watches.push_back(after); }
 };
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine between a fake way to the members and a fake asker: no sockets.
+// The engine with a fake backend, discovery source and response handler; no sockets.
 #include "engine/engine.hpp"
 
 #include <fcntl.h>
@@ -16,123 +16,127 @@
 namespace sablespur {
 namespace {
 
-using test::FakeLists;
-using test::FakeMembers;
+using test::RecordingBackend;
+using test::RecordingDiscovery;
 
-struct Asker : ResponseHandler {
-  std::string got;
+struct RecordingHandler : ResponseHandler {
+  std::string outcome;
   void served(Answer answer) override {
-    got += "served ";
-    got.append(reinterpret_cast<const char*>(evbuffer_pullup(answer.messages.get(), -1)),
-               evbuffer_get_length(answer.messages.get()));
+    outcome += "served ";
+    outcome.append(reinterpret_cast<const char*>(evbuffer_pullup(answer.messages.get(), -1)),
+                   evbuffer_get_length(answer.messages.get()));
   }
-  void rejected(Time) override { got += "refused"; }
-  void failed() override { got += "failed"; }
+  void rejected(Time) override { outcome += "rejected"; }
+  void failed() override { outcome += "failed"; }
 };
 
 struct EngineTest : testing::Test {
   EventBase base{event_base_new()};
-  Config config = parseConfig(test::configuration({}, 1, {11, 12}));  // member 1 and member 2
+  Config config = parseConfig(test::configuration({}, 1, {11, 12}));  // endpoints 1 and 2
   Engine engine{base.get(), config};
-  FakeMembers members;
-  FakeLists lists;
-  Asker asker;
+  RecordingBackend backend;
+  RecordingDiscovery discovery;
+  RecordingHandler handler;
 
   void SetUp() override {
-    engine.start(members, lists);
+    engine.start(backend, discovery);
     engine.runTurn();
-    report(1, true, engine.now());
-    report(2, false, engine.now());
+    reportHealth(1, true, engine.now());
+    reportHealth(2, false, engine.now());
   }
-  void report(EndpointId m, bool primary, Time position) {
-    engine.healthCheckEnded(m, true, {static_cast<double>(position.count()) / 1e6, primary ? 1.0 : 0.0, 0.0});
+  void reportHealth(EndpointId endpoint, bool primary, Time position) {
+    engine.healthCheckEnded(endpoint, true,
+                            {static_cast<double>(position.count()) / 1e6, primary ? 1.0 : 0.0, 0.0});
     engine.runTurn();
   }
-  RequestId ask(int cls = 0) {
-    balancer::Request q;
-    q.classIndex = cls;
-    q.group = 3;
-    q.deadline = engine.now() + std::chrono::seconds(5);
-    const RequestId id = engine.request(asker, q, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
+  RequestId sendRequest(int classIndex = 0) {
+    balancer::Request request;
+    request.classIndex = classIndex;
+    request.group = 3;
+    request.deadline = engine.now() + std::chrono::seconds(5);
+    const RequestId id =
+        engine.request(handler, request, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
     engine.runTurn();
     return id;
   }
-  void end(RequestId id, int attempt, EndpointId m, AttemptResult result) {
-    AttemptEnd e;
-    e.result = result;
-    e.answer.messages = newBuffer();
-    append(e.answer.messages.get(), "v");
-    engine.attemptEnded(id, attempt, m, std::move(e));
+  void endAttempt(RequestId id, int attempt, EndpointId endpoint, AttemptResult result) {
+    AttemptEnd ended;
+    ended.result = result;
+    ended.answer.messages = newBuffer();
+    append(ended.answer.messages.get(), "v");
+    engine.attemptEnded(id, attempt, endpoint, std::move(ended));
   }
 };
 
-TEST_F(EngineTest, WatchesFromTheGenerationThatItKnows) {
-  EXPECT_EQ(lists.watches, std::vector<std::uint64_t>{5});
-  EXPECT_TRUE(members.ready[1] && members.ready[2]);
+TEST_F(EngineTest, WatchesFromKnownGeneration) {
+  EXPECT_EQ(discovery.watches, std::vector<std::uint64_t>{5});
+  EXPECT_TRUE(backend.ready[1] && backend.ready[2]);
 }
-TEST_F(EngineTest, WhatIsGatheredWaitsForTheTurn) {
-  balancer::Request q;
-  q.group = 3;
-  q.deadline = engine.now() + std::chrono::seconds(5);
-  engine.request(asker, q, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
-  EXPECT_TRUE(members.sent.empty());
+TEST_F(EngineTest, ProcessesQueuedEventsInTheNextTurn) {
+  balancer::Request request;
+  request.group = 3;
+  request.deadline = engine.now() + std::chrono::seconds(5);
+  engine.request(handler, request, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
+  EXPECT_TRUE(backend.sent.empty());
   EXPECT_TRUE(engine.hasPendingEvents());
   engine.runTurn();
-  ASSERT_EQ(members.sent.size(), 1u);
-  EXPECT_EQ(members.sent[0].member, 2u);
+  ASSERT_EQ(backend.sent.size(), 1u);
+  EXPECT_EQ(backend.sent[0].endpoint, 2u);
 }
-TEST_F(EngineTest, OneFinalAnswerAndAnOutcomeForEachSend) {
-  const RequestId id = ask();
-  end(id, 0, 2, AttemptResult::Reset);
+TEST_F(EngineTest, RetriesAfterResetAndAnswersClientOnce) {
+  const RequestId id = sendRequest();
+  endAttempt(id, 0, 2, AttemptResult::Reset);
   engine.runTurn();
-  ASSERT_EQ(members.sent.size(), 2u);  // the module's decision, on the other member
-  EXPECT_EQ(members.sent[1].attempt, 1);
-  end(id, 1, 1, AttemptResult::Ok);
-  end(id, 1, 1, AttemptResult::Ok);  // nobody's: it is told to the module as closed and goes no further
+  ASSERT_EQ(backend.sent.size(), 2u);  // the balancer retries at the other endpoint
+  EXPECT_EQ(backend.sent[1].attempt, 1);
+  endAttempt(id, 1, 1, AttemptResult::Ok);
+  // A duplicate is reported to the balancer as already answered and not sent to the client.
+  endAttempt(id, 1, 1, AttemptResult::Ok);
   engine.runTurn();
-  EXPECT_EQ(asker.got, "served v");
+  EXPECT_EQ(handler.outcome, "served v");
 }
-TEST_F(EngineTest, AnAnswerThatCrossesItsClientsLeavingGoesNowhere) {
-  const RequestId id = ask();
-  end(id, 0, 2, AttemptResult::Ok);
+TEST_F(EngineTest, DropsAnswerAfterClientDisconnects) {
+  const RequestId id = sendRequest();
+  endAttempt(id, 0, 2, AttemptResult::Ok);
   engine.clientDisconnected(id);
   engine.runTurn();
-  EXPECT_EQ(asker.got, "");
-  const RequestId other = ask();
+  EXPECT_EQ(handler.outcome, "");
+  const RequestId other = sendRequest();
   engine.clientDisconnected(other);
   engine.runTurn();
-  ASSERT_EQ(members.cancelled.size(), 1u);
-  EXPECT_EQ(members.cancelled[0].id, other);
+  ASSERT_EQ(backend.cancelled.size(), 1u);
+  EXPECT_EQ(backend.cancelled[0].id, other);
 }
-// A slow dial must not let a drain or the data's age slip past: both count from the bytes sent.
-TEST_F(EngineTest, ASendThatWaitedForItsConnectionIsLookedAtAgain) {
-  const RequestId id = ask();
+// While an attempt waits for a slow dial, its endpoint may start draining or its data may become
+// too stale. So both are checked again when the connection is ready.
+TEST_F(EngineTest, ChecksAttemptAgainWhenConnectionIsReady) {
+  const RequestId id = sendRequest();
   engine.connectionReady(id, 0);
   engine.runTurn();
-  EXPECT_EQ(members.started.back(), std::make_pair(0, true));
+  EXPECT_EQ(backend.continued.back(), std::make_pair(0, true));
   EndpointList change{6, false, {config.known.instances[1]}};
   change.instances[0].state = balancer::Lifecycle::Draining;
   engine.endpointsListed(change);
   engine.connectionReady(id, 0);
   engine.runTurn();
-  EXPECT_EQ(members.started.back(), std::make_pair(0, false));
-  EXPECT_FALSE(members.ready[2]);
-  end(id, 0, 2, AttemptResult::NotSent);
+  EXPECT_EQ(backend.continued.back(), std::make_pair(0, false));
+  EXPECT_FALSE(backend.ready[2]);
+  endAttempt(id, 0, 2, AttemptResult::NotSent);
   engine.runTurn();
-  EXPECT_EQ(members.sent.back().member, 1u);
+  EXPECT_EQ(backend.sent.back().endpoint, 1u);
 }
-TEST_F(EngineTest, AWholeListTakesAwayWhatItDoesNotName) {
+TEST_F(EngineTest, FullListMarksUnlistedEndpointsNotReady) {
   engine.endpointsListed({7, true, {config.known.instances[0]}});
   engine.runTurn();
-  EXPECT_TRUE(members.ready[1]);
-  EXPECT_FALSE(members.ready[2]);
+  EXPECT_TRUE(backend.ready[1]);
+  EXPECT_FALSE(backend.ready[2]);
   engine.discoveryFailed("down");
   engine.runTurn();
-  EXPECT_TRUE(members.ready[1]);
+  EXPECT_TRUE(backend.ready[1]);
 }
-// A soak found it: where the settings name no server, the registry's first list passed for one of the
-// settings, and requests waited for another one for 6 s.
-TEST(EngineStart, TheFirstListOfDiscoveryCountsAsSuchWhereTheSettingsNameNoServer) {
+// Guards against a fault found in a soak: if the settings name no server, the first list from
+// discovery was taken for the known list of the settings, and requests waited 6 s for another list.
+TEST(EngineStart, FirstDiscoveryListIsNotTakenForTheKnownListIfThatIsEmpty) {
   Time steady{};
   ClockSource source;
   source.steady = [&steady] { return steady; };
@@ -141,86 +145,89 @@
   config.settings.knownListMayBeOld = true;
   const std::vector<DiscoveredEndpoint> servers = std::exchange(config.known, {}).instances;
   Engine engine(base.get(), config, source);
-  FakeMembers members;
-  FakeLists lists;
-  engine.start(members, lists);
+  RecordingBackend backend;
+  RecordingDiscovery discovery;
+  engine.start(backend, discovery);
   engine.runTurn();
   engine.endpointsListed({1, true, servers});
   engine.runTurn();
   steady += std::chrono::seconds(2);
-  Asker asker;
+  RecordingHandler handler;
   balancer::Request request;
   request.group = 3;
   request.deadline = engine.now() + std::chrono::seconds(5);
-  engine.request(asker, request, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
+  engine.request(handler, request, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
   engine.runTurn();
-  for (const EndpointId checked : std::vector<EndpointId>(members.probes))
+  for (const EndpointId checked : std::vector<EndpointId>(backend.healthChecks))
     engine.healthCheckEnded(checked, true,
                             {static_cast<double>(engine.now().count()) / 1e6, checked == 1 ? 1.0 : 0.0, 0.0});
   engine.runTurn();
-  EXPECT_EQ(members.sent.size(), 1u);
+  EXPECT_EQ(backend.sent.size(), 1u);
 }
-// On a long day every data server is replaced by a new one with a new name.
-TEST_F(EngineTest, ForgetsWhatIsGoneAndQuietAndGivesNoIdTwice) {
-  const RequestId id = ask();  // out at member 2
+// Data servers are replaced by new ones with new names, so state of removed endpoints must not
+// accumulate.
+TEST_F(EngineTest, RemovesIdleGoneEndpointsAndNeverReusesIds) {
+  const RequestId id = sendRequest();  // in flight at endpoint 2
   engine.endpointsListed({7, true, {config.known.instances[0]}});
   engine.runTurn();
   engine.removeExpired(engine.now() + std::chrono::seconds(30));
   engine.runTurn();
-  EXPECT_TRUE(members.forgotten.empty()) << "its attempt is still out";
-  end(id, 0, 2, AttemptResult::Reset);
-  for (const EndpointId m : std::vector<EndpointId>(members.probes)) engine.healthCheckEnded(m, false, {});
+  EXPECT_TRUE(backend.removed.empty()) << "its attempt is still in flight";
+  endAttempt(id, 0, 2, AttemptResult::Reset);
+  for (const EndpointId endpoint : std::vector<EndpointId>(backend.healthChecks))
+    engine.healthCheckEnded(endpoint, false, {});
   engine.runTurn();
   engine.removeExpired(engine.now() + std::chrono::seconds(31));
   engine.runTurn();
-  EXPECT_EQ(members.forgotten, std::vector<EndpointId>{2});
-  end(id, 0, 2, AttemptResult::Ok);  // late, of a member that is not known any more
+  EXPECT_EQ(backend.removed, std::vector<EndpointId>{2});
+  endAttempt(id, 0, 2, AttemptResult::Ok);  // late answer of a removed endpoint
   engine.healthCheckEnded(2, true, {1, 0, 0});
   engine.runTurn();
   engine.endpointsListed({8, true, config.known.instances});
   engine.runTurn();
-  EXPECT_TRUE(members.ready[3]);
-  EXPECT_FALSE(members.ready[2]);
+  EXPECT_TRUE(backend.ready[3]);
+  EXPECT_FALSE(backend.ready[2]);
 }
-TEST_F(EngineTest, DataOlderThanTheBoundIsNotRead) {
+TEST_F(EngineTest, DoesNotReadFromReplicaBeyondMaxStaleness) {
   Engine fresh(base.get(), config);
-  fresh.start(members, lists);
+  fresh.start(backend, discovery);
   fresh.runTurn();
-  const double old =
-      static_cast<double>((fresh.now() - std::chrono::seconds(6)).count()) / 1e6;  // bound: 5 s
+  // The maximum staleness is 5 s.
+  const double old = static_cast<double>((fresh.now() - std::chrono::seconds(6)).count()) / 1e6;
   fresh.healthCheckEnded(2, true, {old, 0.0, 0.0});
   fresh.runTurn();
-  balancer::Request q;
-  q.group = 3;
-  q.deadline = fresh.now() + std::chrono::seconds(5);
-  fresh.request(asker, q, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
+  balancer::Request request;
+  request.group = 3;
+  request.deadline = fresh.now() + std::chrono::seconds(5);
+  fresh.request(handler, request, RequestMessage{newBuffer(), newBuffer(), nullptr, {}, {}});
   fresh.runTurn();
-  EXPECT_TRUE(members.sent.empty());
+  EXPECT_TRUE(backend.sent.empty());
   fresh.healthCheckEnded(1, false, {});
   fresh.healthCheckEnded(2, true, {static_cast<double>(fresh.now().count()) / 1e6, 0.0, 0.0});
   fresh.runTurn();
-  ASSERT_EQ(members.sent.size(), 1u);
-  EXPECT_EQ(members.sent[0].member, 2u);
+  ASSERT_EQ(backend.sent.size(), 1u);
+  EXPECT_EQ(backend.sent[0].endpoint, 2u);
 }
 
-// Positions as the module takes them: never newer than they were told, on a short uptime and a long one.
-TEST(Positions, AreRoundedDownAndStayPreciseUpToTheRebase) {
-  const Time zero = std::chrono::seconds(1767225600);
+// The balancer's positions must never be newer than the reported ones, from 1 ms up to two hours
+// after the epoch.
+TEST(Positions, AreRoundedDownAndPreciseForTheEpochLifetime) {
+  const Time epoch = std::chrono::seconds(1767225600);
   for (const std::int64_t ms : {1, 999, 59999, 60001, 3600123, 7199999}) {
-    const double told = static_cast<double>(zero.count()) / 1e6 + static_cast<double>(ms) / 1e3;
-    const double got = static_cast<double>(secondsSince(zero, told));
-    EXPECT_LE(got, static_cast<double>(ms) / 1e3 + 1e-6) << ms;
-    EXPECT_GE(got, static_cast<double>(ms) / 1e3 - 0.001) << ms;
-    EXPECT_EQ(millisecondsSince(zero, zero.count() / 1000 + ms), static_cast<std::uint32_t>(ms));
+    const double reported = static_cast<double>(epoch.count()) / 1e6 + static_cast<double>(ms) / 1e3;
+    const double converted = static_cast<double>(secondsSince(epoch, reported));
+    EXPECT_LE(converted, static_cast<double>(ms) / 1e3 + 1e-6) << ms;
+    EXPECT_GE(converted, static_cast<double>(ms) / 1e3 - 0.001) << ms;
+    EXPECT_EQ(millisecondsSince(epoch, epoch.count() / 1000 + ms), static_cast<std::uint32_t>(ms));
   }
-  EXPECT_EQ(secondsSince(zero, 1767225599.0), 0.0f);
-  EXPECT_EQ(millisecondsSince(zero, zero.count() / 1000 - 1), 0u);
-  EXPECT_EQ(millisecondsSince(zero, 0), 0u);
-  // 4 x milliseconds must fit into 32 bits.
-  EXPECT_EQ(millisecondsSince(zero, zero.count() / 1000 + (std::int64_t{1} << 30)), 0u);
+  EXPECT_EQ(secondsSince(epoch, 1767225599.0), 0.0f);
+  EXPECT_EQ(millisecondsSince(epoch, epoch.count() / 1000 - 1), 0u);
+  EXPECT_EQ(millisecondsSince(epoch, 0), 0u);
+  // Milliseconds shifted left by two bits must fit into 32 bits.
+  EXPECT_EQ(millisecondsSince(epoch, epoch.count() / 1000 + (std::int64_t{1} << 30)), 0u);
 }
 
-TEST(TimerQueue, GivesDueTimersInTheOrderInWhichTheyAreDueAndWereSet) {
+TEST(TimerQueue, PopsDueTimersByDueTimeThenSchedulingOrder) {
   using std::chrono::seconds;
   TimerQueue timers;
   EXPECT_EQ(timers.nextDue(), std::nullopt);
@@ -236,7 +243,7 @@
   EXPECT_EQ(timers.nextDue(), std::nullopt);
 }
 
-TEST(FileDescriptor, ClosesWhatItOwnsOnceAndKeepsErrno) {
+TEST(FileDescriptor, ClosesOwnedDescriptorOnceAndPreservesErrno) {
   const auto isOpen = [](int fd) { return fcntl(fd, F_GETFD) != -1; };
   const auto openNull = [] { return open("/dev/null", O_RDONLY | O_CLOEXEC); };
   const int first = openNull();
@@ -252,7 +259,7 @@
   EXPECT_FALSE(isOpen(second));
   const int third = openNull();
   EXPECT_EQ(FileDescriptor(third).release(), third);
-  EXPECT_TRUE(isOpen(third)) << "given up, not closed";
+  EXPECT_TRUE(isOpen(third)) << "released, not closed";
   errno = ENOSPC;
   FileDescriptor(third).reset();
   EXPECT_EQ(errno, ENOSPC);
