--- a/src/app/status_json.cpp
+++ b/src/app/status_json.cpp
@@ -19,7 +19,7 @@
 double milliseconds(Time time) { return std::chrono::duration<double, std::milli>(time).count(); }
 
 Json descriptorShare(const ResourceBudget::DescriptorShare& share) {
-  return {{"held", share.held}, {"most", share.most}, {"peak", share.peak}};
+  return {{"held", share.held}, {"most", share.limit}, {"peak", share.peak}};
 }
 
 Json descriptors(const ResourceBudget& budget) {
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -84,7 +84,7 @@
   // By the limits on clients there is room for all that they can ask at once.
   if (!connections_.ensureRoom()) {
     logEvent(LogLevel::Warning, "server_connections_full",
-             {{"most", resources_.share(DescriptorHolder::Servers).most}});
+             {{"most", resources_.share(DescriptorHolder::Servers).limit}});
     return endUnsuccessfully(operation, AttemptResult::NotSent);
   }
   connections_.enqueue(operation);
--- a/src/backend/postgres/connection_pool.cpp
+++ b/src/backend/postgres/connection_pool.cpp
@@ -196,7 +196,7 @@
 
 bool ConnectionPool::hasRoomAheadOfNeed() const {
   const ResourceBudget::DescriptorShare& share = resources_.share(DescriptorHolder::Servers);
-  return share.held < share.most / kAheadOfNeedDivisor;
+  return share.held < share.limit / kAheadOfNeedDivisor;
 }
 
 bool ConnectionPool::dial(EndpointId id, Endpoint& endpoint) {
--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -20,21 +20,21 @@
 class ResourceBudget {
  public:
   explicit ResourceBudget(const Config& config) : maxBytes_(config.largeStatements) {
-    mutableShare(DescriptorHolder::Clients).most = config.clientConnections;
-    mutableShare(DescriptorHolder::Servers).most = config.serverConnections;
+    mutableShare(DescriptorHolder::Clients).limit = config.clientConnections;
+    mutableShare(DescriptorHolder::Servers).limit = config.serverConnections;
   }
   ResourceBudget(const ResourceBudget&) = delete;
   ResourceBudget& operator=(const ResourceBudget&) = delete;
 
   struct DescriptorShare {
     std::size_t held = 0;
-    std::size_t most = 0;  // limit
+    std::size_t limit = 0;  // limit
     std::size_t peak = 0;
   };
   const DescriptorShare& share(DescriptorHolder holder) const {
     return shares_[static_cast<std::size_t>(holder)];
   }
-  bool hasRoom(DescriptorHolder holder) const { return share(holder).held < share(holder).most; }
+  bool hasRoom(DescriptorHolder holder) const { return share(holder).held < share(holder).limit; }
 
   // Counts one descriptor of a share during its lifetime. It does not check the limit: the caller
   // has checked hasRoom(), or needs a descriptor briefly to reject a connection. The budget must
