--- a/src/engine/resource_budget.hpp
+++ b/src/engine/resource_budget.hpp
@@ -28,7 +28,7 @@
 
   struct DescriptorShare {
     std::size_t held = 0;
-    std::size_t limit = 0;  // limit
+    std::size_t limit = 0;
     std::size_t peak = 0;
   };
   const DescriptorShare& share(DescriptorHolder holder) const {
