--- a/src/engine/endpoint_updater.cpp
+++ b/src/engine/endpoint_updater.cpp
@@ -44,7 +44,7 @@
           [](evutil_socket_t, short, void* self) { static_cast<EndpointUpdater*>(self)->deliverDueLists(); },
           this)) {}
 
-void EndpointUpdater::found(std::vector<DiscoveredEndpoint> all, bool first) {
+void EndpointUpdater::snapshotReceived(std::vector<DiscoveredEndpoint> all, bool first) {
   table_.applySnapshot(clock_.now(), std::move(all), first);
   deliverDueLists();
 }
@@ -63,8 +63,8 @@
   deliverDueLists();
 }
 
-// How old the list had grown tells whether a change came late, and the two generations whether the source
-// went back.
+// The age of the previous list shows whether a change arrived late; the two generations show
+// whether the source went back to an older list.
 void EndpointUpdater::logReceived(const EndpointList& list) const {
   const auto now = clock_.now();
   const auto lastUpdate = table_.view(now).lastUpdate;
