--- a/src/durability/backlog.cpp
+++ b/src/durability/backlog.cpp
@@ -45,17 +45,17 @@
   return true;
 }
 
-std::vector<Operation> Backlog::oldest(std::size_t most) const {
-  std::vector<Operation> part;
+std::vector<Operation> Backlog::oldest(std::size_t limit) const {
+  std::vector<Operation> batch;
   for (const auto& [session, positionMs] : positions_) {
-    if (part.size() >= most) return part;
-    part.emplace_back(RecordSessionPosition{session, positionMs});
+    if (batch.size() >= limit) return batch;
+    batch.emplace_back(RecordSessionPosition{session, positionMs});
   }
   for (const Operation& o : operations_) {
-    if (part.size() >= most) return part;
-    part.push_back(o);
+    if (batch.size() >= limit) return batch;
+    batch.push_back(o);
   }
-  return part;
+  return batch;
 }
 
 void Backlog::drop(std::size_t count) {
--- a/src/durability/database.cpp
+++ b/src/durability/database.cpp
@@ -18,25 +18,27 @@
 using leveldb::Slice;
 using leveldb::Status;
 
-constexpr std::size_t kWriteBuffer = 1 << 20;  // as much is read again at a start
+constexpr std::size_t kWriteBuffer = 1 << 20;  // also the amount of log replayed at startup
 constexpr std::size_t kCache = 1 << 20;
-constexpr const char *kLockFile = "OWNER", *kMarkFile = "DURABLE", *kTornFile = "TORN";
-// Two places, written in turn, so that a torn one leaves the other; each on a sector of its own.
-constexpr std::size_t kMarkPlaces = 2, kMarkStride = 512, kMarkBytes = 16;
-constexpr std::uint64_t kMarksPerSync = 1024;
+constexpr const char *kLockFile = "OWNER", *kMarkerFile = "DURABLE", *kTornFile = "TORN";
+// The marker file (DURABLE) has two slots that are written in turn, so that a torn write leaves the
+// other slot intact. Each slot is on a sector of its own.
+constexpr std::size_t kMarkerSlots = 2, kMarkerSlotStride = 512, kMarkerBytes = 16;
+constexpr std::uint64_t kMarkersPerSync = 1024;
 constexpr int kMaxOpenFiles = 32;
 constexpr std::size_t kMaxTableBytes = 2 << 20;
 constexpr int kDecimal = 10;
 constexpr std::string_view kLogSuffix = ".log";
 
-// LevelDB's own account would grow on the same disk.
+// Discards LevelDB's info log, which would otherwise grow on the store's disk.
 class DiscardingLogger final : public leveldb::Logger {
  public:
   void Logv(const char*, va_list) override {}
 };
 
-// Whether a lock could not be had since another has it; LevelDB tells it by its text alone. All else (a disk
-// that is read-only or fails, no descriptors) may pass.
+// Returns true if locking failed because another process holds the lock. LevelDB reports this only
+// in the text of the status. Other causes (a read-only or failing disk, no file descriptors) may be
+// transient.
 bool isHeldByAnotherProcess(const Status& s) {
   const std::string text = s.ToString();
   const auto endsWith = [&](const std::string& end) {
@@ -54,7 +56,7 @@
   for (std::size_t k = 0; k < 8; ++k) v = v << 8 | static_cast<unsigned char>(s[k]);
   return v;
 }
-std::string mark(std::uint64_t commits) {
+std::string encodeMarker(std::uint64_t commits) {
   std::string m = commitNumber(commits);
   return m + commitNumber(XXH3_64bits_withSeed(m.data(), m.size(), 0x5ab1e));
 }
@@ -79,7 +81,7 @@
 }  // namespace
 
 Database::Batch::Batch() {
-  batch_.Put(slice(kCommitKey), Slice("\0\0\0\0\0\0\0\0", kCommitBytes));  // filled in when it is committed
+  batch_.Put(slice(kCommitKey), Slice("\0\0\0\0\0\0\0\0", kCommitBytes));  // commit() fills in the number
 }
 void Database::Batch::put(std::string_view key, std::string_view value) {
   batch_.Put(slice(key), slice(value));
@@ -95,16 +97,16 @@
       directory_(directory),
       cache_(leveldb::NewLRUCache(kCache)),
       discardingLogger_(std::make_unique<DiscardingLogger>()) {
-  files_.CreateDir(directory_);  // it may be there
+  files_.CreateDir(directory_);  // ignored: the directory may already exist
   if (const Status s = files_.LockFile(directory_ + "/" + kLockFile, &lock_); !s.ok()) {
     if (isHeldByAnotherProcess(s))
       throw StoreError(StoreError::Kind::Busy, directory_ + " is open in another process");
-    throw StoreError(StoreError::Kind::Failed, "cannot be opened: " + s.ToString());
+    throw StoreError(StoreError::Kind::Failed, "cannot open the store: " + s.ToString());
   }
   try {
     inspectLogs();
     openDatabase();
-    checkMark();
+    checkMarker();
     opened_.commits = commits_;
   } catch (...) {
     db_.reset();
@@ -113,10 +115,10 @@
   }
 }
 Database::~Database() {
-  if (markedCommits_ > 0) {
+  if (markerCommits_ > 0) {
     try {
-      writeMark(true);
-    } catch (const StoreError&) {  // it is only older then
+      writeMarker(true);
+    } catch (const StoreError&) {  // the marker on disk is then older, which is safe
     }
   }
   db_.reset();
@@ -136,38 +138,42 @@
   leveldb::DB* db = nullptr;
   const Status status = leveldb::DB::Open(options, directory_, &db);
   db_.reset(db);
-  if (!status.ok()) fail(status, "opening");
+  if (!status.ok()) fail(status, "cannot open the database");
   const auto last = get(kCommitKey);
   commits_ = last && last->size() >= kCommitBytes ? big64(*last) : 0;
 }
 
-// The mark names the last commit that was durable: fewer commits mean that some were lost.
-void Database::checkMark() const {
-  if (commits_ >= markedCommits_) return;
+// The marker holds the number of the last durable commit. A lower number in the database means that
+// commits were lost.
+void Database::checkMarker() const {
+  if (commits_ >= markerCommits_) return;
   const bool isTorn = opened_.tornBytes > 0;
-  std::string what = "commits up to " + std::to_string(markedCommits_) +
-                     " had been durable, and the last one here is " + std::to_string(commits_);
+  std::string what = "commits up to " + std::to_string(markerCommits_) +
+                     " had been durable, but the last commit found is " + std::to_string(commits_);
   if (isTorn)
-    what += "; the end of " + opened_.tornFile + " was torn at offset " + std::to_string(opened_.tornOffset);
-  throw StoreError(StoreError::Kind::Damaged, what, isTorn ? opened_.tornFile : kMarkFile,
+    what += "; the tail of " + opened_.tornFile + " was torn at offset " + std::to_string(opened_.tornOffset);
+  throw StoreError(StoreError::Kind::Damaged, what, isTorn ? opened_.tornFile : kMarkerFile,
                    opened_.tornOffset);
 }
 
-// The name of the manifest in use; empty in a new database. Its file may be missing.
+// Returns the name of the current manifest, or an empty string in a new database. The file may
+// be missing.
 std::string Database::currentManifest() {
   std::string name;
   if (const Status status = files_.read(directory_ + "/CURRENT", name); !status.ok() && !status.IsNotFound())
-    fail(status, "reading");
+    fail(status, "cannot read a file");
   while (!name.empty() && name.back() == '\n') name.pop_back();
   return name;
 }
 
-// A writer that ended during a commit leaves an incomplete tail, which is cut off: LevelDB would reject some
-// forms of it. The mark tells, once the rest is open, whether what was cut off had been durable.
+// A crash during a commit leaves an incomplete tail. It is truncated here, since LevelDB would
+// reject some forms of it. Once the database is open, the marker shows whether the truncated data
+// had been durable.
 void Database::inspectLogs() {
-  readMark();
+  readMarker();
   std::vector<std::string> names;
-  if (const Status status = files_.list(directory_, names); !status.ok()) fail(status, "listing");
+  if (const Status status = files_.list(directory_, names); !status.ok())
+    fail(status, "cannot list the directory");
   LogProgress progress;
   progress.manifest = currentManifest();
   if (std::find(names.begin(), names.end(), progress.manifest) != names.end()) inspectManifest(progress);
@@ -182,7 +188,7 @@
 std::string Database::readLog(const std::string& name) {
   std::string bytes;
   if (const Status status = files_.read(directory_ + "/" + name, bytes); !status.ok())
-    fail(status, "reading");
+    fail(status, "cannot read a file");
   return bytes;
 }
 
@@ -199,70 +205,74 @@
 void Database::inspectBatches(const std::string& name, LogPlace place, LogProgress& progress) {
   const std::string bytes = readLog(name);
   const LogInspection inspection = inspectLog(bytes, LogKind::Batches, progress.nextSequence);
-  // LevelDB would take the logs for all there is, and delete the tables that this manifest does not know.
+  // With an outdated manifest LevelDB would recover from the logs alone and delete the tables that
+  // the manifest does not list.
   const bool isFirst = progress.nextSequence == 0;
   if (isFirst && inspection.firstSequence > progress.manifestSequence + 1)
     throw StoreError(StoreError::Kind::Damaged,
-                     progress.manifest + " is older than " + name + ": it ends at " +
-                         std::to_string(progress.manifestSequence) + ", and the log begins with " +
+                     progress.manifest + " is older than " + name + ": it ends at sequence " +
+                         std::to_string(progress.manifestSequence) + ", but the log starts at " +
                          std::to_string(inspection.firstSequence),
                      progress.manifest);
   progress.nextSequence = inspection.nextSequence;
   if (!inspection.incompleteTail) return;
   checkTail(name, place, inspection);
-  if (inspection.commit != 0 && inspection.commit < markedCommits_)
+  if (inspection.commit != 0 && inspection.commit < markerCommits_)
     throw StoreError(StoreError::Kind::Damaged,
-                     tailDamage(name, inspection) + "; commits up to " + std::to_string(markedCommits_) +
-                         " had been durable, and whole are those up to " + std::to_string(inspection.commit),
+                     tailDamage(name, inspection) + "; commits up to " + std::to_string(markerCommits_) +
+                         " had been durable, but the last intact one is " + std::to_string(inspection.commit),
                      name, inspection.wholeBytes);
   cutTail(name, bytes, inspection);
 }
 
-// Only the last record of the last log may be incomplete: nothing was written after it.
+// Throws StoreError (Damaged) unless the incomplete record is the last one of the last log. Only
+// there can it be the result of a crash: no record was written after it.
 void Database::checkTail(const std::string& name, LogPlace place, const LogInspection& inspection) {
   if (!inspection.laterRecordAt && place == LogPlace::Last) return;
-  const std::string later = inspection.laterRecordAt ? ", and a later record stands whole at offset " +
+  const std::string later = inspection.laterRecordAt ? ", and an intact later record starts at offset " +
                                                            std::to_string(*inspection.laterRecordAt)
                                                      : ", and a later log follows";
   throw StoreError(StoreError::Kind::Damaged, tailDamage(name, inspection) + later, name,
                    inspection.wholeBytes);
 }
 
-// A copy is kept, should what had been durable turn out to be missing.
+// Copies the tail to the TORN file first, in case it turns out to hold data that had been durable.
 void Database::cutTail(const std::string& name, std::string_view bytes, const LogInspection& inspection) {
   opened_.tornFile = name;
   opened_.tornOffset = inspection.wholeBytes;
   opened_.tornBytes = bytes.size() - inspection.wholeBytes;
   files_.overwrite(directory_ + "/" + kTornFile, 0, bytes.substr(inspection.wholeBytes), false);
   if (const Status status = files_.truncate(directory_ + "/" + name, inspection.wholeBytes); !status.ok())
-    fail(status, "cutting off a torn end");
+    fail(status, "cannot truncate a torn log");
 }
 
-void Database::readMark() {
+void Database::readMarker() {
   std::string bytes;
-  const Status read = files_.read(directory_ + "/" + kMarkFile, bytes);
-  if (read.IsNotFound()) return;  // none was written yet
-  if (!read.ok()) fail(read, "reading the mark");
-  for (std::size_t k = 0; k < kMarkPlaces; ++k) {
-    if (bytes.size() < k * kMarkStride + kMarkBytes) continue;
-    const std::string one = bytes.substr(k * kMarkStride, kMarkBytes);
+  const Status read = files_.read(directory_ + "/" + kMarkerFile, bytes);
+  if (read.IsNotFound()) return;  // not written yet
+  if (!read.ok()) fail(read, "cannot read the durability marker");
+  for (std::size_t k = 0; k < kMarkerSlots; ++k) {
+    if (bytes.size() < k * kMarkerSlotStride + kMarkerBytes) continue;
+    const std::string one = bytes.substr(k * kMarkerSlotStride, kMarkerBytes);
     const std::uint64_t commits = big64(one);
-    if (one == mark(commits)) markedCommits_ = std::max(markedCommits_, commits);
+    if (one == encodeMarker(commits)) markerCommits_ = std::max(markerCommits_, commits);
   }
 }
-// After the commit that it tells of, so it never claims what is not there. Not durable each time, which would
-// cost as much as the commit: after the machine's death it may be older, and then tells less.
-void Database::writeMark(bool durable) {
-  const Status s = files_.overwrite(directory_ + "/" + kMarkFile, commits_ % kMarkPlaces * kMarkStride,
-                                    mark(commits_), durable);
-  if (!s.ok()) fail(s, "writing the mark");
-  markedCommits_ = commits_;
+// Called after the commit, so the marker never names a commit that is not there. It is not synced
+// each time, which would cost as much as the commit: after a machine crash the marker may be older
+// and detect less.
+void Database::writeMarker(bool durable) {
+  const Status s =
+      files_.overwrite(directory_ + "/" + kMarkerFile, commits_ % kMarkerSlots * kMarkerSlotStride,
+                       encodeMarker(commits_), durable);
+  if (!s.ok()) fail(s, "cannot write the durability marker");
+  markerCommits_ = commits_;
 }
 
 void Database::commit(const Batch& b) {
   leveldb::WriteBatch all = b.batch_;
-  // The number goes into the place that the batch's first pair keeps for it, and once more as what is read
-  // back: the first pair is what tells it to the inspector.
+  // Replaces the placeholder in the batch's first pair with the commit number. inspectLog() reads
+  // the number from the first pair, and the constructor reads it back under the same key.
   struct Numbered final : leveldb::WriteBatch::Handler {
     explicit Numbered(std::uint64_t n) : number(commitNumber(n)) {}
     void Put(const Slice& k, const Slice& v) override {
@@ -275,9 +285,9 @@
   all.Iterate(&numbered);
   leveldb::WriteOptions w;
   w.sync = true;
-  if (const Status s = db_->Write(w, &numbered.out); !s.ok()) fail(s, "committing");
+  if (const Status s = db_->Write(w, &numbered.out); !s.ok()) fail(s, "cannot commit");
   ++commits_;
-  writeMark(++marksSinceSync_ % kMarksPerSync == 0);
+  writeMarker(++markersSinceSync_ % kMarkersPerSync == 0);
 }
 
 std::optional<std::string> Database::get(std::string_view key) {
@@ -286,7 +296,7 @@
   std::string value;
   const Status s = db_->Get(r, slice(key), &value);
   if (s.ok()) return value;
-  if (!s.IsNotFound()) fail(s, "reading");
+  if (!s.IsNotFound()) fail(s, "cannot read a record");
   return std::nullopt;
 }
 
@@ -300,7 +310,7 @@
     if (view(it->key()).substr(0, prefix.size()) != prefix) break;
     if (!each(view(it->key()), view(it->value()))) break;
   }
-  if (!it->status().ok()) fail(it->status(), "reading");
+  if (!it->status().ok()) fail(it->status(), "cannot read a record");
 }
 
 void Database::compact() { db_->CompactRange(nullptr, nullptr); }
@@ -316,17 +326,17 @@
   return sum;
 }
 
-void Database::fail(const Status& s, const char* doing) {
+void Database::fail(const Status& s, const char* context) {
   const Files::LastRead at = files_.lastRead();
-  // A file that is named and not there was there once.
+  // The database refers only to files that were written before, so a missing file is damage.
   if (s.IsNotFound())
     throw StoreError(StoreError::Kind::Damaged, baseName(at.path) + " is missing (" + s.ToString() + ")",
                      baseName(at.path));
   if (!s.IsCorruption() && !s.IsInvalidArgument())
-    throw StoreError(StoreError::Kind::Failed, std::string(doing) + ": " + s.ToString());
+    throw StoreError(StoreError::Kind::Failed, std::string(context) + ": " + s.ToString());
   throw StoreError(StoreError::Kind::Damaged,
-                   baseName(at.path) + " is damaged in the " + std::to_string(at.length) +
-                       " bytes from offset " + std::to_string(at.offset) + " (" + s.ToString() + ")",
+                   baseName(at.path) + " is damaged within the " + std::to_string(at.length) +
+                       " bytes at offset " + std::to_string(at.offset) + " (" + s.ToString() + ")",
                    baseName(at.path), at.offset);
 }
 
--- a/src/durability/database.hpp
+++ b/src/durability/database.hpp
@@ -1,9 +1,10 @@
-// Pairs of bytes on disk, in LevelDB, a durable batch at a time. What stands round LevelDB, and why, is told
-// in docs/design/store.md: its logs are inspected before it opens them, and a mark tells how far it had come.
+// A durable key-value store on LevelDB, written one batch at a time. LevelDB's logs are inspected
+// before LevelDB opens them, and a marker file records the last durable commit (see
+// docs/design/store.md).
 //
-// What commit() has returned from survives the process's death and the machine's. Nothing that it had taken
-// is ever missing silently: open() or the read that meets the damage throws a StoreError that names file and
-// offset. Not thread-safe: one thread owns it.
+// Once commit() has returned, the batch survives a crash of the process or of the machine.
+// Committed data is never lost silently: the constructor or the read that meets the damage throws a
+// StoreError that names the file and the offset. Not thread-safe: one thread owns it.
 #pragma once
 
 #include <leveldb/cache.h>
@@ -26,36 +27,34 @@
 
 struct StoreError : std::runtime_error {
   enum class Kind {
-    Busy,     // another process has it open
-    Damaged,  // what had been durable is not there, or not what it was
+    Busy,     // another process has the database open
+    Damaged,  // durable data is missing or corrupt
     Newer,    // written by a later version
-    Failed    // the disk does not do what it is asked: full, read-only, an error; it may come back
+    Failed    // disk full, read-only or an I/O error; a later attempt may succeed
   };
   StoreError(Kind k, const std::string& text, std::string f = {}, std::uint64_t at = 0)
       : std::runtime_error(text), kind(k), file(std::move(f)), offset(at) {}
   Kind kind;
-  std::string file;  // Damaged: where
+  std::string file;  // Damaged: the damaged file; empty if unknown
   std::uint64_t offset;
 };
 
 struct DatabaseOpenResult {
-  std::uint64_t commits = 0;    // the number of the last commit
-  std::uint64_t tornBytes = 0;  // of a commit that was being written when its writer ended; cut off
+  std::uint64_t commits = 0;    // number of the last commit
+  std::uint64_t tornBytes = 0;  // truncated: part of a commit that was being written during a crash
   std::string tornFile;
   std::uint64_t tornOffset = 0;
 };
 
 class Database {
  public:
-  // Makes what is not there. Throws StoreError.
+  // Creates the directory and the database if they do not exist. Throws StoreError.
   Database(Files&, const std::string& directory);
   ~Database();
   Database(const Database&) = delete;
 
   const DatabaseOpenResult& opened() const { return opened_; }
-  // Pairs of one commit, the number of it included; durable once this has returned. Throws StoreError
-  // (Failed), after which this object is of no more use: what became of the batch is known once it is opened
-  // again.
+  // The changes of one commit; commit() adds the commit number.
   class Batch {
    public:
     Batch();
@@ -68,9 +67,12 @@
     leveldb::WriteBatch batch_;
     std::size_t pairs_ = 0;
   };
+  // The batch is durable once this has returned. After a StoreError the object must not be used any
+  // more; whether the batch became durable is known only when the database has been opened again.
   void commit(const Batch&);
   std::optional<std::string> get(std::string_view key);
-  // In the order of keys, from `from` on while the key begins with `prefix`; stops when `each` returns false.
+  // Visits the keys that begin with `prefix`, in order, starting at `from`. Stops when `each`
+  // returns false.
   void scan(std::string_view prefix, std::string_view from,
             const std::function<bool(std::string_view key, std::string_view value)>& each);
   void compact();
@@ -78,12 +80,12 @@
   std::uint64_t commits() const { return commits_; }
 
  private:
-  // What the manifest and the logs before have told.
+  // State read from the manifest and from the logs inspected so far.
   struct LogProgress {
-    std::string manifest;                // its name; empty: none is named
-    std::uint64_t manifestSequence = 0;  // the last that the manifest knows
-    std::uint64_t firstLog = 0;          // the number of the first log that is still needed
-    std::uint64_t nextSequence = 0;      // that the next log has to begin with; 0: not known yet
+    std::string manifest;                // file name; empty in a new database
+    std::uint64_t manifestSequence = 0;  // last sequence number in the manifest
+    std::uint64_t firstLog = 0;          // number of the first log that is still needed
+    std::uint64_t nextSequence = 0;      // expected first sequence number of the next log; 0: any
   };
   enum class LogPlace { Earlier, Last };
 
@@ -95,9 +97,9 @@
   static void checkTail(const std::string& name, LogPlace, const LogInspection&);
   void cutTail(const std::string& name, std::string_view bytes, const LogInspection&);
   void openDatabase();
-  void checkMark() const;
-  void readMark();
-  void writeMark(bool durable);
+  void checkMarker() const;
+  void readMarker();
+  void writeMarker(bool durable);
   [[noreturn]] void fail(const leveldb::Status&, const char* doing);
 
   Files& files_;
@@ -107,8 +109,8 @@
   leveldb::FileLock* lock_ = nullptr;
   std::unique_ptr<leveldb::DB> db_;
   DatabaseOpenResult opened_;
-  std::uint64_t commits_ = 0, markedCommits_ = 0;
-  std::uint64_t marksSinceSync_ = 0;
+  std::uint64_t commits_ = 0, markerCommits_ = 0;  // markerCommits_: last commit recorded in the marker file
+  std::uint64_t markersSinceSync_ = 0;
 };
 
 }  // namespace sablespur::durability
--- a/src/durability/files.cpp
+++ b/src/durability/files.cpp
@@ -17,9 +17,9 @@
 using leveldb::Slice;
 using leveldb::Status;
 
-constexpr std::size_t kBuffer = 64 << 10;  // of a table while it is written
+constexpr std::size_t kBuffer = 64 << 10;  // write buffer of a table file
 
-Status failed(const std::string& path) { return Status::IOError(path, std::strerror(errno)); }
+Status errnoStatus(const std::string& path) { return Status::IOError(path, std::strerror(errno)); }
 
 class Descriptor {
  public:
@@ -38,13 +38,13 @@
 };
 
 Status writeAll(int fd, const std::string& path, std::string_view bytes) {
-  return writeFully(fd, bytes) ? Status::OK() : failed(path);
+  return writeFully(fd, bytes) ? Status::OK() : errnoStatus(path);
 }
 
 Status syncDirectoryOf(const std::string& path) {
   const std::string dir = path.substr(0, path.rfind('/'));
   const Descriptor d(::open(dir.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  return d && syncFully(d.get()) ? Status::OK() : failed(dir);
+  return d && syncFully(d.get()) ? Status::OK() : errnoStatus(dir);
 }
 
 }  // namespace
@@ -60,7 +60,8 @@
   return hook_ ? hook_->before(op, path, bytes, at, to) : FileHook::Result{};
 }
 
-// A flush is one write(2), for LevelDB flushes at the end of each record of its log.
+// Buffers writes and sends them with one write(2) per flush; LevelDB flushes after each record of
+// its log.
 class Files::HookedWritableFile final : public leveldb::WritableFile {
  public:
   HookedWritableFile(Files& files, std::string path, Descriptor fd)
@@ -73,18 +74,20 @@
     if (buffer_.empty()) return Status::OK();
     const std::string bytes = std::move(buffer_);
     buffer_.clear();
-    const FileHook::Result fate = files_.consultHook(FileOp::Append, path_, bytes);
-    if (fate.status.ok()) return writeAll(fd_.get(), path_, bytes);
-    const Status partly = writeAll(fd_.get(), path_, std::string_view(bytes).substr(0, fate.bytesWritten));
-    return partly.ok() ? fate.status : partly;
+    const FileHook::Result hookResult = files_.consultHook(FileOp::Append, path_, bytes);
+    if (hookResult.status.ok()) return writeAll(fd_.get(), path_, bytes);
+    const Status partial =
+        writeAll(fd_.get(), path_, std::string_view(bytes).substr(0, hookResult.bytesWritten));
+    return partial.ok() ? hookResult.status : partial;
   }
   Status Sync() override {
     if (Status s = Flush(); !s.ok()) return s;
-    if (const FileHook::Result fate = files_.consultHook(FileOp::Sync, path_); !fate.status.ok())
-      return fate.status;
-    if (!syncDataFully(fd_.get())) return failed(path_);
-    // Guards against a file that is durable under no name.
-    if (std::exchange(named_, true)) return Status::OK();
+    if (const FileHook::Result hookResult = files_.consultHook(FileOp::Sync, path_); !hookResult.status.ok())
+      return hookResult.status;
+    if (!syncDataFully(fd_.get())) return errnoStatus(path_);
+    // The first sync also syncs the directory: without it a crash could lose the file's directory
+    // entry.
+    if (std::exchange(directorySynced_, true)) return Status::OK();
     return syncDirectoryOf(path_);
   }
   Status Close() override { return Flush(); }
@@ -94,7 +97,7 @@
   const std::string path_;
   const Descriptor fd_;
   std::string buffer_;
-  bool named_ = false;
+  bool directorySynced_ = false;
 };
 
 class Files::TrackedSequentialFile final : public leveldb::SequentialFile {
@@ -136,11 +139,11 @@
 
 Status Files::open(const std::string& path, int flags, leveldb::WritableFile** to) {
   *to = nullptr;
-  if (const FileHook::Result fate = consultHook(FileOp::Open, path, {}, (flags & O_TRUNC) != 0);
-      !fate.status.ok())
-    return fate.status;
+  if (const FileHook::Result hookResult = consultHook(FileOp::Open, path, {}, (flags & O_TRUNC) != 0);
+      !hookResult.status.ok())
+    return hookResult.status;
   Descriptor fd(::open(path.c_str(), flags | O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
-  if (!fd) return failed(path);
+  if (!fd) return errnoStatus(path);
   *to = new HookedWritableFile(*this, path, std::move(fd));
   return Status::OK();
 }
@@ -158,16 +161,17 @@
                : nullptr;
   return s;
 }
-// Without mmap, whose pages would count as this process's memory and whose faults are signals.
+// Reads with pread(2) rather than mmap(2): mapped pages would count as memory of this process, and
+// I/O errors on them would be delivered as signals.
 Status Files::NewRandomAccessFile(const std::string& path, leveldb::RandomAccessFile** to) {
-  class Plain final : public leveldb::RandomAccessFile {
+  class PreadFile final : public leveldb::RandomAccessFile {
    public:
-    Plain(std::string path, Descriptor fd) : path_(std::move(path)), fd_(std::move(fd)) {}
+    PreadFile(std::string path, Descriptor fd) : path_(std::move(path)), fd_(std::move(fd)) {}
     Status Read(std::uint64_t offset, std::size_t n, Slice* result, char* scratch) const override {
-      // A piece that stopped short would be taken for damage.
+      // Reads in full, since LevelDB would take a short read for damage.
       const ssize_t got = readFullyAt(fd_.get(), scratch, n, static_cast<off_t>(offset));
       *result = Slice(scratch, got < 0 ? 0 : static_cast<std::size_t>(got));
-      return got < 0 ? failed(path_) : Status::OK();
+      return got < 0 ? errnoStatus(path_) : Status::OK();
     }
 
    private:
@@ -177,47 +181,47 @@
   *to = nullptr;
   rememberRead(path, 0, 0);
   Descriptor fd(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-  if (!fd) return errno == ENOENT ? Status::NotFound(path, std::strerror(errno)) : failed(path);
-  *to = new TrackedRandomAccessFile(*this, path, std::make_unique<Plain>(path, std::move(fd)));
+  if (!fd) return errno == ENOENT ? Status::NotFound(path, std::strerror(errno)) : errnoStatus(path);
+  *to = new TrackedRandomAccessFile(*this, path, std::make_unique<PreadFile>(path, std::move(fd)));
   return Status::OK();
 }
 Status Files::RemoveFile(const std::string& path) {
-  const FileHook::Result fate = consultHook(FileOp::Remove, path);
-  return fate.status.ok() ? target()->RemoveFile(path) : fate.status;
+  const FileHook::Result hookResult = consultHook(FileOp::Remove, path);
+  return hookResult.status.ok() ? target()->RemoveFile(path) : hookResult.status;
 }
 Status Files::CreateDir(const std::string& path) {
-  const FileHook::Result fate = consultHook(FileOp::MakeDirectory, path);
-  if (!fate.status.ok()) return fate.status;
-  return ::mkdir(path.c_str(), 0700) == 0 ? Status::OK() : failed(path);
+  const FileHook::Result hookResult = consultHook(FileOp::MakeDirectory, path);
+  if (!hookResult.status.ok()) return hookResult.status;
+  return ::mkdir(path.c_str(), 0700) == 0 ? Status::OK() : errnoStatus(path);
 }
 Status Files::RenameFile(const std::string& from, const std::string& to) {
-  const FileHook::Result fate = consultHook(FileOp::Rename, from, {}, 0, to);
-  if (!fate.status.ok()) return fate.status;
+  const FileHook::Result hookResult = consultHook(FileOp::Rename, from, {}, 0, to);
+  if (!hookResult.status.ok()) return hookResult.status;
   const Status s = target()->RenameFile(from, to);
   return s.ok() ? syncDirectoryOf(to) : s;
 }
 
 Status Files::overwrite(const std::string& path, std::uint64_t at, std::string_view bytes, bool durable) {
-  const FileHook::Result fate = consultHook(FileOp::Overwrite, path, bytes, at);
+  const FileHook::Result hookResult = consultHook(FileOp::Overwrite, path, bytes, at);
   const Descriptor fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
-  if (!fd) return fate.status.ok() ? failed(path) : fate.status;
-  const std::string_view written = fate.status.ok() ? bytes : bytes.substr(0, fate.bytesWritten);
-  if (!writeFullyAt(fd.get(), written, static_cast<off_t>(at))) return failed(path);
-  if (!fate.status.ok()) return fate.status;
+  if (!fd) return hookResult.status.ok() ? errnoStatus(path) : hookResult.status;
+  const std::string_view written = hookResult.status.ok() ? bytes : bytes.substr(0, hookResult.bytesWritten);
+  if (!writeFullyAt(fd.get(), written, static_cast<off_t>(at))) return errnoStatus(path);
+  if (!hookResult.status.ok()) return hookResult.status;
   if (!durable) return Status::OK();
   if (const FileHook::Result sync = consultHook(FileOp::Sync, path); !sync.status.ok()) return sync.status;
-  return syncDataFully(fd.get()) ? Status::OK() : failed(path);
+  return syncDataFully(fd.get()) ? Status::OK() : errnoStatus(path);
 }
 Status Files::truncate(const std::string& path, std::uint64_t size) {
-  const FileHook::Result fate = consultHook(FileOp::Truncate, path, {}, size);
-  if (!fate.status.ok()) return fate.status;
+  const FileHook::Result hookResult = consultHook(FileOp::Truncate, path, {}, size);
+  if (!hookResult.status.ok()) return hookResult.status;
   const Descriptor fd(::open(path.c_str(), O_WRONLY | O_CLOEXEC));
   if (!fd || ::ftruncate(fd.get(), static_cast<off_t>(size)) != 0 || !syncDataFully(fd.get()))
-    return failed(path);
+    return errnoStatus(path);
   return Status::OK();
 }
-Status Files::read(const std::string& path, std::string& whole) {
-  return leveldb::ReadFileToString(target(), path, &whole);
+Status Files::read(const std::string& path, std::string& contents) {
+  return leveldb::ReadFileToString(target(), path, &contents);
 }
 Status Files::list(const std::string& dir, std::vector<std::string>& names) {
   return target()->GetChildren(dir, &names);
@@ -225,11 +229,11 @@
 
 void Files::rememberRead(const std::string& path, std::uint64_t offset, std::uint64_t length) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  last_ = {path, offset, length};
+  lastRead_ = {path, offset, length};
 }
 Files::LastRead Files::lastRead() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return last_;
+  return lastRead_;
 }
 
 }  // namespace sablespur::durability
--- a/src/durability/files.hpp
+++ b/src/durability/files.hpp
@@ -1,8 +1,9 @@
-// The store's way to the disk: a file layer (leveldb::Env) under LevelDB and under what stands round it.
+// File access of the store: a leveldb::Env that is used by LevelDB and by the store's own files.
 //
-// Every operation that changes the disk goes through here, one call a system call, so that a hook can watch
-// it or have it fail: tests try each in turn, and the sweep replays them. What was read last is remembered,
-// so that damage can be named by file and offset. Thread-safe as leveldb::Env is; a hook must be, too.
+// Every operation that changes the disk goes through here, one hook call per system call, so that a
+// hook can observe it or make it fail: tests fail each operation in turn, and the crash sweep
+// (tests/store_sweep.cpp) replays them. The last read is remembered, so that errors can name the
+// damaged file and offset. As thread-safe as leveldb::Env; a hook must be thread-safe, too.
 #pragma once
 
 #include <leveldb/env.h>
@@ -21,11 +22,12 @@
  public:
   virtual ~FileHook() = default;
   struct Result {
-    leveldb::Status status;        // not ok: the operation fails with it
-    std::size_t bytesWritten = 0;  // ...after so many of its bytes
+    leveldb::Status status;        // if not ok, the operation fails with it
+    std::size_t bytesWritten = 0;  // written before the failure
   };
-  // Before it is carried out. `bytes`: what is written; `to`: a rename's new name; `at`: where an overwrite
-  // begins, a truncate ends.
+  // Called before the operation is carried out. `bytes`: the data to write; `at`: the offset of an
+  // overwrite, the new size of a truncate, or 1 for an open that truncates the file; `to`: the new
+  // name of a renamed file.
   virtual Result before(FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
                         const std::string& to) = 0;
 };
@@ -43,8 +45,8 @@
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
 
   leveldb::Status overwrite(const std::string& path, std::uint64_t at, std::string_view bytes, bool durable);
-  leveldb::Status truncate(const std::string& path, std::uint64_t size);  // and makes that durable
-  leveldb::Status read(const std::string& path, std::string& whole);
+  leveldb::Status truncate(const std::string& path, std::uint64_t size);  // durable on return
+  leveldb::Status read(const std::string& path, std::string& contents);
   leveldb::Status list(const std::string& dir, std::vector<std::string>& names);
 
   struct LastRead {
@@ -64,7 +66,7 @@
 
   FileHook* const hook_;
   mutable std::mutex mutex_;
-  LastRead last_;
+  LastRead lastRead_;
 };
 
 }  // namespace sablespur::durability
--- a/src/durability/group_commit_writer.cpp
+++ b/src/durability/group_commit_writer.cpp
@@ -21,16 +21,16 @@
 namespace {
 
 constexpr std::size_t kLargestGroup = 1024;  // bounds how long one commit can take
-constexpr Time kRetryLeast = std::chrono::milliseconds(100);
-constexpr Time kRetryMost = std::chrono::seconds(5);
+constexpr Time kMinRetryDelay = std::chrono::milliseconds(100);
+constexpr Time kMaxRetryDelay = std::chrono::seconds(5);
 constexpr Time kShutdownTimeout = std::chrono::seconds(1);
-// Bounds the memory while a disk hangs. An unacknowledged operation that is lost only makes the store
-// stricter.
+// Bounds memory use while the disk hangs. Losing an unacknowledged operation only makes the
+// store stricter.
 constexpr std::size_t kMaxUnacknowledged = 65536;
-// Unacknowledged operations wait so long for a commit that somebody waits for, and then have one of their
-// own.
+// How long unacknowledged operations wait to share the commit of an acknowledged one, before they
+// are committed without one.
 constexpr Time kUnacknowledgedWait = std::chrono::milliseconds(50);
-// The size on disk costs a walk over the directory, so it is read once in so many commits.
+// Measuring the size on disk lists the directory, so it is done only once per this many commits.
 constexpr std::uint64_t kCommitsPerSizeReading = 256;
 
 Time monotonic() {
@@ -39,17 +39,18 @@
 
 }  // namespace
 
-// Outlives the GroupCommitWriter where the disk hangs: its thread cannot be ended then.
+// State shared with the writer thread. Outlives the GroupCommitWriter if the disk hangs, since the
+// thread cannot be stopped then.
 struct GroupCommitWriter::Shared {
   struct QueuedOperation {
     Operation operation;
     Completion completion;  // empty: unacknowledged
-    std::weak_ptr<Interest> interest;
+    std::weak_ptr<TicketState> ticket;
     Time submittedAt{};
   };
   struct CommitResult {
     Completion completion;
-    std::weak_ptr<Interest> interest;
+    std::weak_ptr<TicketState> ticket;
     bool durable;
     OperationResult result;
   };
@@ -66,7 +67,7 @@
   ~Shared() { close(wakeupFd); }
   Shared(const Shared&) = delete;
 
-  // Has the loop deliver the results and state changes.
+  // Wakes the event loop, which delivers results and state changes.
   void wakeLoop() const {
     const std::uint64_t one = 1;
     [[maybe_unused]] const ssize_t n = write(wakeupFd, &one, sizeof one);
@@ -75,15 +76,15 @@
   const IdempotencyStoreSettings settings;
   Files files;
   const int wakeupFd;
-  std::unique_ptr<IdempotencyStore> store;  // the thread's, once it runs
+  std::unique_ptr<IdempotencyStore> store;  // owned by the writer thread once it runs
 
   // Guarded by the mutex.
   mutable std::mutex mutex;
   std::condition_variable workArrived;
   std::condition_variable threadEnded;
   std::deque<QueuedOperation> queue;
-  std::size_t awaited = 0;                  // operations of the queue that somebody waits for
-  std::vector<QueuedOperation> committing;  // by the commit in progress
+  std::size_t awaited = 0;                  // queued operations that have a completion
+  std::vector<QueuedOperation> committing;  // the group being committed
   Time commitStartedAt{};
   std::vector<CommitResult> results;
   std::vector<StateChange> stateChanges;
@@ -91,13 +92,13 @@
   bool stopped = false;
   Statistics statistics;
 
-  // The loop's copies.
+  // Used by the event loop only.
   State state = State::Down;
   std::string why;
   StoreRecovery recovered;
 };
 
-// The thread that owns the store. Holds the mutex except while it works on the disk.
+// Runs on the thread that owns the store. Holds the mutex except during disk access.
 class GroupCommitWriter::WriterThread {
  public:
   explicit WriterThread(Shared& shared)
@@ -127,16 +128,16 @@
   void reopen();
   void finish();
   void changeState(State, const std::string& why);
-  void lose(std::vector<QueuedOperation>&);
-  void loseQueue();
-  void backOff();
+  void failOperations(std::vector<QueuedOperation>&);
+  void failQueuedOperations();
+  void scheduleRetry();
 
   Shared& shared_;
   State state_;
   std::unique_lock<std::mutex> lock_;
-  // What failed commits were to record; applied before anything else once the disk is back.
+  // Operations of failed commits; applied before any other once the store is open again.
   Backlog backlog_;
-  Time retryDelay_ = kRetryLeast;  // reset by the first group that is committed, not by the reopening
+  Time retryDelay_ = kMinRetryDelay;  // reset by the first successful commit, not by reopening the store
   Time retryAt_{};
 };
 
@@ -163,12 +164,12 @@
   std::unique_lock<std::mutex> lock(shared_->mutex);
   shared_->stopRequested = true;
   shared_->workArrived.notify_all();
-  // A disk that hangs must not keep the process from ending.
+  // The wait is bounded so that a hanging disk does not block process exit.
   shared_->threadEnded.wait_for(lock, kShutdownTimeout, [this] { return shared_->stopped; });
 }
 
 GroupCommitWriter::Ticket GroupCommitWriter::submit(Operation o, Completion done) {
-  auto ticket = std::make_shared<Interest>();
+  auto ticket = std::make_shared<TicketState>();
   {
     const std::lock_guard<std::mutex> lock(shared_->mutex);
     shared_->queue.push_back({std::move(o), std::move(done), ticket, monotonic()});
@@ -185,15 +186,15 @@
       return;
     }
     shared_->queue.push_back({std::move(o), {}, {}, monotonic()});
-    // The thread sleeps while the queue is empty; once awake it commits unacknowledged operations in their
-    // time.
+    // The thread is woken when the queue stops being empty and when it holds a full group; in
+    // between it waits for kUnacknowledgedWait by itself.
     if (shared_->queue.size() != 1 && shared_->queue.size() != kLargestGroup) return;
   }
   shared_->workArrived.notify_one();
 }
 
 void GroupCommitWriter::WriterThread::run() {
-  backOff();
+  scheduleRetry();
   lock_.lock();
   for (;;) {
     waitForWork();
@@ -207,17 +208,17 @@
 }
 
 void GroupCommitWriter::WriterThread::waitForWork() {
-  const auto somethingToDo = [this] { return hasWork(); };
+  const auto workAvailable = [this] { return hasWork(); };
   if (state_ == State::Damaged) {
-    shared_.workArrived.wait(lock_, somethingToDo);
+    shared_.workArrived.wait(lock_, workAvailable);
     return;
   }
   if (state_ == State::Down) {
     const Time now = monotonic();
-    if (now < retryAt_) shared_.workArrived.wait_for(lock_, retryAt_ - now, somethingToDo);
+    if (now < retryAt_) shared_.workArrived.wait_for(lock_, retryAt_ - now, workAvailable);
     return;
   }
-  shared_.workArrived.wait(lock_, somethingToDo);
+  shared_.workArrived.wait(lock_, workAvailable);
   if (groupIsDue()) return;
   const Time waited = monotonic() - shared_.queue.front().submittedAt;
   if (waited >= kUnacknowledgedWait) return;
@@ -237,12 +238,12 @@
   const std::uint64_t bytesOnDisk = readSize ? shared_.store->bytesOnDisk() : 0;
   lock_.lock();
   if (failure) {
-    lose(shared_.committing);
+    failOperations(shared_.committing);
     changeState(failure->state, failure->why);
-    backOff();
+    scheduleRetry();
     return;
   }
-  retryDelay_ = kRetryLeast;
+  retryDelay_ = kMinRetryDelay;
   recordCommit(shared_.store->commits() - commitsBefore, took, bytesOnDisk);
   deliver(std::move(results));
 }
@@ -256,7 +257,7 @@
     if (queued.completion) --shared_.awaited;
 }
 
-// Without the mutex.
+// Called without the mutex.
 std::optional<GroupCommitWriter::WriterThread::Failure> GroupCommitWriter::WriterThread::apply(
     std::vector<OperationResult>& results) {
   std::vector<Operation> operations;
@@ -289,16 +290,17 @@
   for (std::size_t k = 0; k < shared_.committing.size(); ++k) {
     QueuedOperation& queued = shared_.committing[k];
     if (!queued.completion) continue;
-    shared_.results.push_back({std::move(queued.completion), queued.interest, true, std::move(results[k])});
+    shared_.results.push_back({std::move(queued.completion), queued.ticket, true, std::move(results[k])});
     anyAwaited = true;
   }
   shared_.committing.clear();
   if (anyAwaited) shared_.wakeLoop();
 }
 
-// The disk is tried with backoff, not at each operation that arrives.
+// Fails the queued operations and reopens the store if the backoff delay has passed. Arriving
+// operations do not trigger an attempt.
 void GroupCommitWriter::WriterThread::tryReopen() {
-  loseQueue();
+  failQueuedOperations();
   if (state_ == State::Damaged || monotonic() < retryAt_) return;
   lock_.unlock();
   std::optional<Failure> failure;
@@ -314,10 +316,10 @@
   else if (failure->state == State::Damaged)
     changeState(State::Damaged, failure->why);
   else
-    backOff();
+    scheduleRetry();
 }
 
-// Opens the store and applies the backlog. Without the mutex; throws StoreError.
+// Opens the store and applies the backlog. Called without the mutex; throws StoreError.
 void GroupCommitWriter::WriterThread::reopen() {
   shared_.store.reset();
   shared_.store = std::make_unique<IdempotencyStore>(shared_.files, shared_.settings);
@@ -329,11 +331,11 @@
 }
 
 void GroupCommitWriter::WriterThread::finish() {
-  if (state_ == State::Down) loseQueue();
+  if (state_ == State::Down) failQueuedOperations();
   lock_.unlock();
   if (state_ == State::Down && !backlog_.empty()) {
     try {
-      reopen();                    // the last chance to record it
+      reopen();                    // last attempt to record the backlog
     } catch (const StoreError&) {  // NOLINT(bugprone-empty-catch): logged when the store went down
     }
   }
@@ -344,8 +346,8 @@
 }
 
 GroupCommitWriter::WriterThread::Failure GroupCommitWriter::WriterThread::failureOf(const StoreError& error) {
-  const bool mayPass = error.kind != StoreError::Kind::Damaged && error.kind != StoreError::Kind::Newer;
-  return {mayPass ? State::Down : State::Damaged, error.what()};
+  const bool transient = error.kind != StoreError::Kind::Damaged && error.kind != StoreError::Kind::Newer;
+  return {transient ? State::Down : State::Damaged, error.what()};
 }
 
 void GroupCommitWriter::WriterThread::changeState(State state, const std::string& why) {
@@ -354,28 +356,28 @@
   shared_.wakeLoop();
 }
 
-void GroupCommitWriter::WriterThread::lose(std::vector<QueuedOperation>& operations) {
+void GroupCommitWriter::WriterThread::failOperations(std::vector<QueuedOperation>& operations) {
   for (QueuedOperation& queued : operations) {
     ++shared_.statistics.lost;
     backlog_.add(std::move(queued.operation));
     if (queued.completion)
-      shared_.results.push_back({std::move(queued.completion), queued.interest, false, {}});
+      shared_.results.push_back({std::move(queued.completion), queued.ticket, false, {}});
   }
   operations.clear();
   shared_.wakeLoop();
 }
 
-void GroupCommitWriter::WriterThread::loseQueue() {
+void GroupCommitWriter::WriterThread::failQueuedOperations() {
   std::vector<QueuedOperation> all(std::make_move_iterator(shared_.queue.begin()),
                                    std::make_move_iterator(shared_.queue.end()));
   shared_.queue.clear();
   shared_.awaited = 0;
-  if (!all.empty()) lose(all);
+  if (!all.empty()) failOperations(all);
 }
 
-void GroupCommitWriter::WriterThread::backOff() {
+void GroupCommitWriter::WriterThread::scheduleRetry() {
   retryAt_ = monotonic() + retryDelay_;
-  retryDelay_ = std::min(2 * retryDelay_, kRetryMost);
+  retryDelay_ = std::min(2 * retryDelay_, kMaxRetryDelay);
 }
 
 void GroupCommitWriter::deliverResults() {
@@ -394,9 +396,10 @@
     if (change.state == State::Up) shared_->recovered = change.recovered;
     if (onStateChange_) onStateChange_(change.state, change.why);
   }
-  // Whether each is still awaited is looked up in its turn: a completion may release the next one's ticket.
+  // Each ticket is checked just before its completion is called, since a completion may release the
+  // ticket of another result.
   for (Shared::CommitResult& result : results)
-    if (!result.interest.expired()) result.completion(result.durable, std::move(result.result));
+    if (!result.ticket.expired()) result.completion(result.durable, std::move(result.result));
 }
 
 GroupCommitWriter::State GroupCommitWriter::state() const { return shared_->state; }
--- a/src/durability/group_commit_writer.hpp
+++ b/src/durability/group_commit_writer.hpp
@@ -1,11 +1,13 @@
-// Runs the idempotency store on a thread of its own. Operations that arrive during a commit go into the next
-// one together (group commit), so a slow disk makes larger groups, not a longer queue.
+// Runs the idempotency store on a thread of its own. Operations that arrive during a commit form
+// the next group and are committed together (group commit), so a slow disk makes larger groups, not
+// a longer queue.
 //
-// The event loop never waits for it. A submitted operation brings one call back in the loop: applied and
-// durable, or lost. Lost means that nothing may rely on it; it may be on the disk all the same. After a disk
-// error the store is reopened with exponential backoff between kRetryLeast and kRetryMost; until then every
-// operation is lost at once. Its record is kept in memory (backlog.hpp) and applied when the disk is back, or
-// at the end in one last attempt.
+// The event loop never waits for the disk. Each submitted operation gets one completion callback in
+// the loop: durable, or lost. A lost operation must not be relied on, although it may have reached
+// the disk. After a disk error the store is reopened with exponential backoff between
+// kMinRetryDelay and kMaxRetryDelay; until then every operation is lost at once. Lost operations
+// are kept in memory (backlog.hpp) and applied when the store is open again, or in a last attempt
+// at shutdown.
 #pragma once
 
 #include <atomic>
@@ -22,28 +24,29 @@
 class GroupCommitWriter {
  public:
   enum class State { Up, Down, Damaged };
-  // Called in the loop when the state changes: why it is down, or nothing.
+  // Called in the loop when the state changes. `why` says why the store is down or damaged; it is
+  // empty when the store is up.
   using StateCallback = std::function<void(State, const std::string& why)>;
   using Completion = std::function<void(bool durable, OperationResult)>;
-  // Held by the caller that waits for the completion; once it is released the completion is not called. The
-  // operation is applied all the same.
-  struct Interest {};
-  using Ticket = std::shared_ptr<Interest>;
+  // Owned by the caller that waits for the completion. Once it is released the completion is not
+  // called, but the operation is still applied.
+  struct TicketState {};
+  using Ticket = std::shared_ptr<TicketState>;
 
-  // Opens the store before it returns. Throws StoreError but for Failed, which leaves it Down and trying.
+  // Opens the store. Throws StoreError, except for Kind::Failed: the state is then Down, and the
+  // writer thread keeps trying to open the store.
   GroupCommitWriter(event_base*, const IdempotencyStoreSettings&, StateCallback, FileHook* = nullptr);
-  ~GroupCommitWriter();  // carries out what waits, within a second
+  ~GroupCommitWriter();  // commits queued operations; waits at most a second
   GroupCommitWriter(const GroupCommitWriter&) = delete;
 
   [[nodiscard]] Ticket submit(Operation, Completion);
-  void submitUnacknowledged(Operation);  // nobody waits for it
+  void submitUnacknowledged(Operation);  // without a completion callback
 
   State state() const;
   const std::string& failureReason() const;
-  const StoreRecovery& recovered() const;  // of the last opening
-  // How long the commit under way has taken, and how many operations wait; for the loop's bounds.
-  Time currentCommitAge() const;
-  std::size_t pendingOperations() const;
+  const StoreRecovery& recovered() const;  // result of the last successful open
+  Time currentCommitAge() const;           // time since the current commit started; 0: none is in progress
+  std::size_t pendingOperations() const;   // queued or being committed
 
   struct Statistics {
     std::uint64_t operations = 0, commits = 0, lost = 0, largestGroup = 0, keys = 0, sessions = 0,
