--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -23,7 +23,7 @@
 using durability::OperationResult;
 using durability::Outcome;
 
-constexpr Time kTickInterval = std::chrono::milliseconds(10);  // at what waits for the disk
+constexpr Time kTickInterval = std::chrono::milliseconds(10);  // how often waiting requests are checked
 constexpr Time kLeastWait = std::chrono::milliseconds(1);
 
 AttemptEffect attemptEffect(const AttemptEnd& e) {
@@ -88,7 +88,7 @@
   }
   ~DurableWriteHandler() override { engine_.setAttemptObserver(nullptr); }
 
-  RequestId request(ResponseHandler& asker, balancer::Request q, RequestMessage m) override {
+  RequestId request(ResponseHandler& responseHandler, balancer::Request q, RequestMessage m) override {
     const balancer::ClassSettings& c = classes_[static_cast<std::size_t>(q.classIndex)];
     const bool keyed =
         c.requirement == Requirement::Write && c.idempotency == Idempotency::WithKey && !m.key.empty();
@@ -97,7 +97,7 @@
     const bool sessionWrite = c.requirement == Requirement::Write && q.session != 0 && !sessionTokensCarried_;
     const RequestId id = ++lastId_;
     PendingRequest& e =
-        *pending_.emplace(id, std::make_unique<PendingRequest>(*this, id, asker, q, std::move(m)))
+        *pending_.emplace(id, std::make_unique<PendingRequest>(*this, id, responseHandler, q, std::move(m)))
              .first->second;
     e.keyed = keyed;
     e.session = sessionRead || sessionWrite;
@@ -121,8 +121,8 @@
       next_.clientDisconnected(e.forwardedId);
       forwarded_.erase(e.forwardedId);
     }
-    // The engine hears of it in its next turn, and may send once more before: once it has gone on, it may
-    // have run.
+    // The engine handles the disconnect in its next turn and may send another attempt before that,
+    // so a request that was forwarded may have been executed.
     if (e.keyed && e.intentDurable)
       writer_.submitUnacknowledged(
           durability::AbandonRequest{e.message.key, e.message.id, e.forwardedId != 0});
@@ -154,31 +154,31 @@
 
  private:
   enum class WaitReason { None, SameKey, Intent, Session, Outcome };
-  // A request between who asked and the engine.
+  // A request that this handler has accepted and not yet answered.
   struct PendingRequest final : ResponseHandler {
-    PendingRequest(DurableWriteHandler& k, RequestId i, ResponseHandler& a, const balancer::Request& r,
+    PendingRequest(DurableWriteHandler& h, RequestId i, ResponseHandler& a, const balancer::Request& r,
                    RequestMessage&& m)
-        : keeper(k), id(i), responseHandler(a), request(r), message(std::move(m)) {}
-    void served(Answer a) override { keeper.requestServed(*this, std::move(a)); }
-    void rejected(Time retryAfter) override { keeper.requestRejected(*this, retryAfter); }
-    void failed() override { keeper.requestFailed(*this); }
-    // Of its attempts, those included that are still out.
+        : handler(h), id(i), responseHandler(a), request(r), message(std::move(m)) {}
+    void served(Answer a) override { handler.requestServed(*this, std::move(a)); }
+    void rejected(Time retryAfter) override { handler.requestRejected(*this, retryAfter); }
+    void failed() override { handler.requestFailed(*this); }
+    // Whether any attempt, including those in flight, may have executed the request.
     bool mayHaveRun() const { return mayHaveExecuted || attemptsInFlight > 0; }
 
-    DurableWriteHandler& keeper;
+    DurableWriteHandler& handler;
     const RequestId id;
     ResponseHandler& responseHandler;
     balancer::Request request;
-    RequestMessage message;  // its id and key, once it has gone on
+    RequestMessage message;  // only its id and key once it is forwarded
     RequestId forwardedId = 0;
     bool keyed = false, session = false, write = false, intentDurable = false;
-    bool mayHaveExecuted = false;  // an attempt that is over may have
+    bool mayHaveExecuted = false;  // an ended attempt may have executed it
     int attemptsInFlight = 0;
     std::int64_t positionMs = 0;
-    Time arrived{}, waitingSince{};  // since: it waits
+    Time arrived{}, waitingSince{};  // waitingSince: start of the current wait
     WaitReason waitReason = WaitReason::None;
     GroupCommitWriter::Ticket ticket;
-    Answer answer;  // while its outcome becomes durable
+    Answer answer;  // kept while its outcome is being committed
   };
 
   bool acceptsWrites() const { return writer_.state() == GroupCommitWriter::State::Up && !slow_; }
@@ -187,19 +187,19 @@
     return Time(std::uniform_int_distribution<std::int64_t>(config_.comeBackLeast.count(),
                                                             config_.comeBackMost.count())(random_));
   }
-  void startWaiting(PendingRequest& e, WaitReason what) {
-    e.waitReason = what;
+  void startWaiting(PendingRequest& e, WaitReason reason) {
+    e.waitReason = reason;
     e.waitingSince = engine_.now();
     if (!event_pending(tick_.get(), EV_TIMEOUT, nullptr)) startTimer(tick_.get(), kTickInterval);
   }
 
-  // Of a key one request is under way at a time; the others wait for how it ends. Guards the window: the
-  // module counts it from the attempts of one request, and knows nothing of another's. (The model check found
-  // it.)
+  // Starts the request, or queues it while another request of the same key is in flight. Two
+  // requests in flight at once could break the deduplication window, which the balancer counts from
+  // the attempts of one request without knowing of the other's (found by the model check).
   void enqueueForKey(PendingRequest& e) {
-    std::deque<RequestId>& line = requestsByKey_[e.message.key];
-    line.push_back(e.id);
-    if (line.size() == 1) return beginIntent(e);
+    std::deque<RequestId>& queue = requestsByKey_[e.message.key];
+    queue.push_back(e.id);
+    if (queue.size() == 1) return beginIntent(e);
     ++counts_.waitedForSameKey;
     startWaiting(e, WaitReason::SameKey);
   }
@@ -208,21 +208,21 @@
     const RequestId id = e.id;
     pending_.erase(id);
     if (key.empty()) return;
-    const auto line = requestsByKey_.find(key);
-    std::deque<RequestId>& all = line->second;
-    const bool first = all.front() == id;
-    all.erase(std::find(all.begin(), all.end(), id));
-    if (all.empty()) {
-      requestsByKey_.erase(line);
+    const auto queue = requestsByKey_.find(key);
+    std::deque<RequestId>& ids = queue->second;
+    const bool first = ids.front() == id;
+    ids.erase(std::find(ids.begin(), ids.end(), id));
+    if (ids.empty()) {
+      requestsByKey_.erase(queue);
       return;
     }
     if (!first) return;
-    PendingRequest& next = *pending_.at(all.front());
+    PendingRequest& next = *pending_.at(ids.front());
     next.waitReason = WaitReason::None;
     beginIntent(next);
   }
 
-  // ---- before it goes on -------------------------------------------------------------------------------
+  // ---- before forwarding ------------------------------------------------------------------------
   void beginIntent(PendingRequest& e) {
     if (!acceptsWrites()) {
       ++counts_.rejected;
@@ -256,9 +256,10 @@
         return forward(e);
       case Disposition::Retry:
         ++counts_.retried;
-        // Since when it may be out: from then the data servers' memory of it counts. The ledger looked after
-        // this was asked, so counted from there it is no later than it was; counted from now, a slow commit
-        // would add to it.
+        // The deduplication window of the data servers counts from the first send. The store
+        // computed `sinceFirstSend` after the wait began, so subtracting it from `waitingSince`
+        // gives a time that is not after the first send. Subtracting it from now would add the
+        // duration of a slow commit.
         e.request.mayHaveRunSince = std::max(e.waitingSince - s.sinceFirstSend, Time(1));
         return forward(e);
       case Disposition::Replay: {
@@ -268,9 +269,9 @@
         append(a.messages.get(), s.response);
         a.reader = &reader_;
         writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
-        ResponseHandler& asker = e.responseHandler;
+        ResponseHandler& responseHandler = e.responseHandler;
         removeRequest(e);
-        return asker.served(std::move(a));
+        return responseHandler.served(std::move(a));
       }
       case Disposition::OutcomeUnknown:
         ++counts_.outcomeUnknown;
@@ -301,7 +302,7 @@
     e.request.sessionTokenAgeMs = std::max(
         0.001f, static_cast<float>(static_cast<double>((engine_.unixNow() - position).count()) / 1e3));
   }
-  // What the session has seen is not known: nothing older than now will do.
+  // Requires data no older than now, since the session's position is not known.
   void requireCurrentPosition(PendingRequest& e) { requirePosition(e, engine_.unixNow()); }
 
   void forward(PendingRequest& e) {
@@ -312,7 +313,7 @@
     forwarded_.emplace(e.forwardedId, &e);
   }
 
-  // ---- attempts ----------------------------------------------------------------------------------------
+  // ---- attempts ---------------------------------------------------------------------------------
   void attemptSent(RequestId id, int attempt, const std::string& member) override {
     const auto it = forwarded_.find(id);
     if (it == forwarded_.end()) return;
@@ -335,7 +336,7 @@
           durability::RecordAttemptEnd{e.message.key, e.message.id, attempt, effect});
   }
 
-  // ---- how it ended ------------------------------------------------------------------------------------
+  // ---- request end ------------------------------------------------------------------------------
   void requestServed(PendingRequest& e, Answer a) {
     forwarded_.erase(e.forwardedId);
     if (!e.keyed && e.session && !e.write && e.positionMs > 0)
@@ -343,9 +344,9 @@
     const bool problem = a.problem;
     if (problem || (!e.keyed && !(e.session && e.write && e.positionMs > 0))) {
       if (e.keyed) recordFailure(e, problem && !e.mayHaveExecuted ? Outcome::Rejected : Outcome::Failed);
-      ResponseHandler& asker = e.responseHandler;
+      ResponseHandler& responseHandler = e.responseHandler;
       removeRequest(e);
-      return asker.served(std::move(a));
+      return responseHandler.served(std::move(a));
     }
     e.answer = std::move(a);
     startWaiting(e, WaitReason::Outcome);
@@ -363,24 +364,24 @@
       f.response.resize(length);
       evbuffer_copyout(from, f.response.data(), length);
     } else {
-      f.response.assign(config_.longestAnswer + 1, '\0');  // too long to keep, whatever it is
+      f.response.assign(config_.longestAnswer + 1, '\0');  // exceeds the limit, so it is not stored
     }
     e.ticket = writer_.submit(std::move(f), done);
   }
   void outcomeRecorded(PendingRequest& e, bool durable) {
     e.ticket.reset();
     e.waitReason = WaitReason::None;
-    // Its answer is known here and would be lost by a crash: it is not given.
+    // A crash would lose the outcome, so the response must not be sent.
     if (!durable) {
       ++counts_.notDurable;
       return fail(e);
     }
     if (e.keyed)
       writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
-    ResponseHandler& asker = e.responseHandler;
+    ResponseHandler& responseHandler = e.responseHandler;
     Answer a = std::move(e.answer);
     removeRequest(e);
-    asker.served(std::move(a));
+    responseHandler.served(std::move(a));
   }
   void requestRejected(PendingRequest& e, Time retryAfter) {
     forwarded_.erase(e.forwardedId);
@@ -398,21 +399,22 @@
     writer_.submitUnacknowledged(durability::RecordResponseDelivered{e.message.key, e.message.id});
   }
   void reject(PendingRequest& e, Time wait) {
-    ResponseHandler& asker = e.responseHandler;
+    ResponseHandler& responseHandler = e.responseHandler;
     removeRequest(e);
-    asker.rejected(wait);
+    responseHandler.rejected(wait);
   }
   void fail(PendingRequest& e) {
-    ResponseHandler& asker = e.responseHandler;
+    ResponseHandler& responseHandler = e.responseHandler;
     removeRequest(e);
-    asker.failed();
+    responseHandler.failed();
   }
-  // Its intent may become durable yet; nothing of it is ever sent.
+  // Abandons a request whose intent may still become durable. No byte of it was or will be sent.
   void revokeIntent(const PendingRequest& e) {
     writer_.submitUnacknowledged(durability::AbandonRequest{e.message.key, e.message.id, false});
   }
 
-  // A requester is never answered within its own call.
+  // Delivers the rejection in a later turn: a ResponseHandler is never called from within
+  // request().
   void rejectLater(PendingRequest& e, Time wait) {
     rejections_.emplace_back(e.id, wait);
     event_active(deliverRejections_.get(), EV_TIMEOUT, 0);
@@ -424,8 +426,9 @@
       if (const auto it = pending_.find(id); it != pending_.end()) reject(*it->second, wait);
   }
 
-  // ---- a disk that is slow -----------------------------------------------------------------------------
-  // Who has waited longer than the patience is answered, whatever becomes of the commit.
+  // ---- slow disk --------------------------------------------------------------------------------
+  // Ends the wait of requests that have waited for the disk longer than the commit timeout or whose
+  // deadline has passed, whatever becomes of the commit.
   void tick() {
     const Time now = engine_.now();
     const bool slow = writer_.currentCommitAge() > config_.patience;
@@ -436,16 +439,16 @@
       else
         logEvent(LogLevel::Info, "store_recovered");
     }
-    std::vector<RequestId> over;
+    std::vector<RequestId> timedOut;
     bool any = slow_;
     for (const auto& [id, e] : pending_) {
       if (e->waitReason == WaitReason::None) continue;
       any = true;
       if ((e->waitReason != WaitReason::SameKey && now - e->waitingSince > config_.patience) ||
           now >= e->request.deadline)
-        over.push_back(id);
+        timedOut.push_back(id);
     }
-    for (const RequestId id : over) {
+    for (const RequestId id : timedOut) {
       const auto it = pending_.find(id);
       if (it == pending_.end()) continue;
       PendingRequest& e = *it->second;
@@ -504,9 +507,9 @@
   std::mt19937 random_;
   std::unordered_map<RequestId, std::unique_ptr<PendingRequest>> pending_;
   std::unordered_map<RequestId, PendingRequest*> forwarded_;
-  std::unordered_map<std::string, std::deque<RequestId>>
-      requestsByKey_;                                   // by key: under way, and those that wait for it
-  std::vector<std::pair<RequestId, Time>> rejections_;  // to be told
+  // The first request of each queue is in flight; the others wait for it to end.
+  std::unordered_map<std::string, std::deque<RequestId>> requestsByKey_;
+  std::vector<std::pair<RequestId, Time>> rejections_;  // to be delivered by deliverRejections()
   IdempotencyView counts_;
   bool slow_ = false;
   RequestId lastId_ = 0;
@@ -515,14 +518,14 @@
   Event deliverRejections_, tick_;
 };
 
-// So that what is there can be looked at: nothing is thrown away.
+// Renames the directory of a damaged store rather than deleting it, so that it can be examined.
 void setAsideDamagedStore(const std::string& directory, const std::string& why) {
   const std::string to = directory + ".damaged-" + std::to_string(std::time(nullptr));
   std::error_code failed;
   std::filesystem::rename(directory, to, failed);
   if (failed)
     throw std::runtime_error("key [store] directory: " + why +
-                             "; it cannot be set aside: " + failed.message());
+                             "; cannot rename the damaged store directory: " + failed.message());
   logEvent(LogLevel::Error, "store_set_aside", {{"to", to}, {"why", why}});
 }
 
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -1,20 +1,23 @@
-// In front of the engine, where the settings have a store: what of a keyed write must be durable before what.
-// The rules are in src/durability/rules.hpp; this applies them to requests, attempts and time.
+// Handles requests in front of the engine when the settings have a store, and makes the records of
+// keyed writes and sessions durable in the required order. The rules are in
+// src/durability/rules.hpp; this applies them to requests and attempts.
 //
-//   a keyed write          its intent is durable before the engine gets it, so before any byte of it is sent;
-//                          its outcome is durable before its response goes out
-//   a session's write      its position is durable before its response goes out
+//   keyed write            its intent is durable before the engine gets the request, and so before
+//                          any byte of it is sent; its outcome is durable before its response is
+//                          sent
+//   session write          its position is durable before its response is sent
 //   without a key
-//   a session's read       the position that it saw is recorded without waiting; after a start it first reads
-//                          the session's position from the store
+//   session read           the position it read at is recorded without waiting; for `keepSessions`
+//                          after startup, the session's position is first read from the store
 //   any other request      passes unchanged
 //
-// One request of a key is in flight at a time; the others wait for its end and are decided then.
+// Only one request per key is in flight at a time; later ones wait until it has ended and are
+// decided then.
 //
-// Rejections and failures are delivered without waiting for the disk: if their record is lost, the store
-// knows less and is stricter. While the store is down, or a commit takes longer than the commit timeout,
-// keyed writes are rejected with a Retry-After; reads go on, those of sessions to endpoints that are up to
-// date.
+// Rejections and failures are delivered without waiting for the disk: if their record is lost, the
+// store has less information and is stricter. While the store is down, or a commit takes longer
+// than the commit timeout (`StoreConfig::patience`), keyed writes are rejected with a retry-after.
+// Reads are still served, but session reads only by endpoints that are up to date.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +39,7 @@
                 lostOperations = 0, bytesOnDisk = 0;
   Time lastCommit{}, longestCommit{};
   std::uint64_t executed = 0, retried = 0, replayed = 0, outcomeUnknown = 0, rejected = 0, notDurable = 0,
-                waitedForSameKey = 0;  // of the same key
+                waitedForSameKey = 0;  // for another request of the same key
   std::size_t waiting = 0;
 };
 
@@ -45,10 +48,11 @@
   virtual IdempotencyView view() const = 0;
 };
 
-// Null where the settings have no store. Opens the store before it returns; throws std::runtime_error if it
-// can't be opened (another process holds it, or it is damaged and the settings don't let it be set aside).
-// `reader` reads stored responses; `next` handles the requests, the engine or what is in front of it. All
-// references have to outlive the result.
+// Opens the store and returns its handler, or nullptr if the settings have no store. Throws
+// std::runtime_error if the store can't be opened (another process has it open, or it is damaged
+// and the settings don't let it be set aside). `reader` reads stored responses; requests are
+// forwarded to `next`: the engine or a handler in front of it. All references have to outlive the
+// result.
 std::unique_ptr<IdempotencyHandler> createIdempotencyHandler(event_base*, Engine&, RequestHandler& next,
                                                              const Config&,
                                                              const translation::AnswerReader& reader,
--- a/src/durability/idempotency_store.cpp
+++ b/src/durability/idempotency_store.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr const char *kClock = "!clock", *kTotals = "!totals", *kFormat = "!format";
-constexpr int kFormatVersion = 1;  // of the keys above; records have versions of their own
-// Forgotten in one commit: each commit makes room for what it brings, so the store stays level under any
-// load.
+constexpr int kFormatVersion = 1;  // of the key layout in the header; records have their own version
+// Bounds how many expired records one commit removes. Each commit may remove more records than it
+// adds, so the store does not grow with the load.
 constexpr std::size_t kMinExpiriesPerCommit = 32, kExpiriesPerOperation = 2;
-constexpr std::size_t kMaxEpochRecords = 64;   // kept for people
-constexpr std::size_t kExpiryPrefixBytes = 9;  // of an entry of the index: 'x' and the time
+constexpr std::size_t kMaxEpochRecords = 64;   // kept for diagnosis only
+constexpr std::size_t kExpiryPrefixBytes = 9;  // of an index entry: 'x' and the expiry time
 
 std::string encodeNumber(std::uint64_t n) {
   std::string s;
@@ -25,10 +25,10 @@
   for (const unsigned char c : s.substr(0, 8)) v = v << 8 | c;
   return v;
 }
-std::string keyKey(const std::string& key) { return "k" + key; }
-std::string sessionKey(std::uint64_t session) { return "s" + encodeNumber(session); }
-std::string expiryKey(Time at, const std::string& of) {
-  return "x" + encodeNumber(static_cast<std::uint64_t>(at.count())) + of;
+std::string keyRecordKey(const std::string& key) { return "k" + key; }
+std::string sessionRecordKey(std::uint64_t session) { return "s" + encodeNumber(session); }
+std::string expiryKey(Time at, const std::string& recordKey) {
+  return "x" + encodeNumber(static_cast<std::uint64_t>(at.count())) + recordKey;
 }
 [[noreturn]] void throwDamaged(const std::string& what) { throw StoreError(StoreError::Kind::Damaged, what); }
 
@@ -50,7 +50,7 @@
   try {
     return read(value);
   } catch (const NewerRecordError& e) {
-    throw StoreError(StoreError::Kind::Newer, "the record of " + printable(key) + " is " + e.what());
+    throw StoreError(StoreError::Kind::Newer, "the record of " + printable(key) + " has " + e.what());
   } catch (const std::runtime_error& e) {
     throw StoreError(StoreError::Kind::Damaged, "the record of " + printable(key) + ": " + e.what());
   }
@@ -60,7 +60,8 @@
   const auto format = db.get(kFormat);
   if (!format) return;
   if (std::atoi(format->c_str()) > kFormatVersion)
-    throw StoreError(StoreError::Kind::Newer, "the store has form " + *format + "; this program knows " +
+    throw StoreError(StoreError::Kind::Newer, "the store has format version " + *format +
+                                                  "; this program supports versions up to " +
                                                   std::to_string(kFormatVersion));
 }
 
@@ -117,109 +118,111 @@
 }
 
 std::vector<OperationResult> IdempotencyStore::apply(const std::vector<Operation>& all) {
-  Transaction g;
-  g.machine = machineClock_();
-  g.now = clock_.at(g.machine);
-  std::vector<OperationResult> said;
-  said.reserve(all.size());
+  Transaction transaction;
+  transaction.machine = machineClock_();
+  transaction.now = clock_.at(transaction.machine);
+  std::vector<OperationResult> results;
+  results.reserve(all.size());
   for (const Operation& o : all)
-    said.push_back(std::visit([&](const auto& x) { return applyOperation(g, x); }, o));
-  for (const auto& [key, c] : g.keys) {
+    results.push_back(std::visit([&](const auto& x) { return applyOperation(transaction, x); }, o));
+  for (const auto& [key, c] : transaction.keys) {
     if (!c.changed) continue;
-    const std::string of = keyKey(key);
-    g.changed = true;
+    const std::string recordKey = keyRecordKey(key);
+    transaction.changed = true;
     const bool open = c.record->outcome == Outcome::Pending;
     totals_.pendingKeys += open && !c.wasPending;
     totals_.pendingKeys -= c.wasPending && !open;
     if (c.indexedExpiry && *c.indexedExpiry != c.record->expiresAt)
-      g.batch.remove(expiryKey(*c.indexedExpiry, of));
+      transaction.batch.remove(expiryKey(*c.indexedExpiry, recordKey));
     if (!c.indexedExpiry || *c.indexedExpiry != c.record->expiresAt)
-      g.batch.put(expiryKey(c.record->expiresAt, of), "");
-    g.batch.put(of, encode(*c.record));
+      transaction.batch.put(expiryKey(c.record->expiresAt, recordKey), "");
+    transaction.batch.put(recordKey, encode(*c.record));
   }
-  for (const auto& [session, c] : g.sessions) {
+  for (const auto& [session, c] : transaction.sessions) {
     if (!c.changed) continue;
-    const std::string of = sessionKey(session);
-    g.changed = true;
+    const std::string recordKey = sessionRecordKey(session);
+    transaction.changed = true;
     if (c.indexedExpiry && *c.indexedExpiry != c.record->expiresAt)
-      g.batch.remove(expiryKey(*c.indexedExpiry, of));
+      transaction.batch.remove(expiryKey(*c.indexedExpiry, recordKey));
     if (!c.indexedExpiry || *c.indexedExpiry != c.record->expiresAt)
-      g.batch.put(expiryKey(c.record->expiresAt, of), "");
-    g.batch.put(of, encode(*c.record));
+      transaction.batch.put(expiryKey(c.record->expiresAt, recordKey), "");
+    transaction.batch.put(recordKey, encode(*c.record));
   }
-  if (!g.changed) return said;
-  removeExpired(g, kMinExpiriesPerCommit + kExpiriesPerOperation * all.size());
-  g.batch.put(kTotals, encode(totals_));
-  g.batch.put(kClock, encode(clock_.record(g.machine)));
-  database_.commit(g.batch);
-  return said;
+  if (!transaction.changed) return results;
+  removeExpired(transaction, kMinExpiriesPerCommit + kExpiriesPerOperation * all.size());
+  transaction.batch.put(kTotals, encode(totals_));
+  transaction.batch.put(kClock, encode(clock_.record(transaction.machine)));
+  database_.commit(transaction.batch);
+  return results;
 }
 
-IdempotencyStore::CachedKey& IdempotencyStore::loadKey(Transaction& g, const std::string& key) {
-  const auto [it, fresh] = g.keys.try_emplace(key);
-  if (fresh) {
-    if (const auto value = database_.get(keyKey(key))) {
-      it->second.record = decodeRecord(keyKey(key), *value, decodeKey);
+IdempotencyStore::CachedKey& IdempotencyStore::loadKey(Transaction& transaction, const std::string& key) {
+  const auto [it, inserted] = transaction.keys.try_emplace(key);
+  if (inserted) {
+    if (const auto value = database_.get(keyRecordKey(key))) {
+      it->second.record = decodeRecord(keyRecordKey(key), *value, decodeKey);
       it->second.indexedExpiry = it->second.record->expiresAt;
       it->second.wasPending = it->second.record->outcome == Outcome::Pending;
     }
   }
   return it->second;
 }
-IdempotencyStore::CachedSession& IdempotencyStore::loadSession(Transaction& g, std::uint64_t session) {
-  const auto [it, fresh] = g.sessions.try_emplace(session);
-  if (fresh) {
-    if (const auto value = database_.get(sessionKey(session))) {
-      it->second.record = decodeRecord(sessionKey(session), *value, decodeSession);
+IdempotencyStore::CachedSession& IdempotencyStore::loadSession(Transaction& transaction,
+                                                               std::uint64_t session) {
+  const auto [it, inserted] = transaction.sessions.try_emplace(session);
+  if (inserted) {
+    if (const auto value = database_.get(sessionRecordKey(session))) {
+      it->second.record = decodeRecord(sessionRecordKey(session), *value, decodeSession);
       it->second.indexedExpiry = it->second.record->expiresAt;
     }
   }
   return it->second;
 }
 
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const BeginKeyedRequest& o) {
-  CachedKey& c = loadKey(g, o.request.key);
-  OperationResult said;
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const BeginKeyedRequest& o) {
+  CachedKey& c = loadKey(transaction, o.request.key);
+  OperationResult result;
   if (!c.record && totals_.keys >= settings_.maxKeys) {
-    // Forgetting one early to make room could have it run twice.
-    said.storeFull = true;
-    said.retryAfter = std::max(earliestKeyExpiry() - g.now, Time(0));
-    g.keys.erase(o.request.key);
-    return said;
+    // Removing a key before it expires could let its write execute twice.
+    result.storeFull = true;
+    result.retryAfter = std::max(earliestKeyExpiry() - transaction.now, Time(0));
+    transaction.keys.erase(o.request.key);
+    return result;
   }
-  const KeyDecision j = decide(c.record ? &*c.record : nullptr, o.request, g.now, clock_.gapAt());
-  said.disposition = j.disposition;
-  said.sinceFirstSend = j.sinceFirstSend;
-  if (j.disposition == Disposition::Replay) {
-    said.response = c.record->response;
-    said.positionMs = c.record->positionMs;
+  const KeyDecision decision =
+      decide(c.record ? &*c.record : nullptr, o.request, transaction.now, clock_.gapAt());
+  result.disposition = decision.disposition;
+  result.sinceFirstSend = decision.sinceFirstSend;
+  if (decision.disposition == Disposition::Replay) {
+    result.response = c.record->response;
+    result.positionMs = c.record->positionMs;
   }
   totals_.keys += !c.record;
-  c.record = durability::beginRequest(c.record, o.request, j, g.now, settings_.keyRetention, recovered_.epoch,
-                                      g.machine.wallMs);
+  c.record = durability::beginRequest(c.record, o.request, decision, transaction.now, settings_.keyRetention,
+                                      recovered_.epoch, transaction.machine.wallMs);
   c.changed = true;
-  return said;
+  return result;
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const RecordAttemptSent& o) {
-  CachedKey& c = loadKey(g, o.key);
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const RecordAttemptSent& o) {
+  CachedKey& c = loadKey(transaction, o.key);
   if (!c.record) return {};
-  recordAttemptSent(*c.record, {o.id, o.attempt, o.endpoint, g.now, AttemptEffect::InFlight});
+  recordAttemptSent(*c.record, {o.id, o.attempt, o.endpoint, transaction.now, AttemptEffect::InFlight});
   c.changed = true;
   return {};
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const RecordAttemptEnd& o) {
-  CachedKey& c = loadKey(g, o.key);
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const RecordAttemptEnd& o) {
+  CachedKey& c = loadKey(transaction, o.key);
   if (!c.record) return {};
   recordAttemptEnd(*c.record, o.id, o.attempt, o.effect);
   c.changed = true;
   return {};
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const CompleteRequest& o) {
-  if (o.session != 0) recordPosition(g, o.session, o.positionMs);
-  CachedKey& c = loadKey(g, o.key);
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const CompleteRequest& o) {
+  if (o.session != 0) recordPosition(transaction, o.session, o.positionMs);
+  CachedKey& c = loadKey(transaction, o.key);
   if (!c.record) return {};
   c.record->mayHaveExecuted = c.record->mayHaveExecuted || o.mayHaveExecuted;
-  recordOutcome(*c.record, o.id, o.outcome, g.now, settings_.keyRetention);
+  recordOutcome(*c.record, o.id, o.outcome, transaction.now, settings_.keyRetention);
   if (o.outcome == Outcome::Served && !c.record->hasResponse) {
     c.record->hasResponse = o.response.size() <= settings_.maxResponseBytes;
     if (c.record->hasResponse) c.record->response = o.response;
@@ -228,47 +231,48 @@
   c.changed = true;
   return {};
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const RecordResponseDelivered& o) {
-  CachedKey& c = loadKey(g, o.key);
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const RecordResponseDelivered& o) {
+  CachedKey& c = loadKey(transaction, o.key);
   if (!c.record) return {};
   recordResponseDelivered(*c.record, o.id);
   c.changed = true;
   return {};
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const AbandonRequest& o) {
-  CachedKey& c = loadKey(g, o.key);
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const AbandonRequest& o) {
+  CachedKey& c = loadKey(transaction, o.key);
   if (!c.record) return {};
   c.record->mayHaveExecuted = c.record->mayHaveExecuted || o.mayHaveExecuted;
   abandonRequest(*c.record, o.id);
   c.changed = true;
   return {};
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const RecordSessionPosition& o) {
-  recordPosition(g, o.session, o.positionMs);
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const RecordSessionPosition& o) {
+  recordPosition(transaction, o.session, o.positionMs);
   return {};
 }
-OperationResult IdempotencyStore::applyOperation(Transaction& g, const ReadSessionPosition& o) {
-  const CachedSession& c = loadSession(g, o.session);
-  OperationResult said;
-  said.positionMs = c.record ? c.record->positionMs : totals_.forgottenPositionMs;
-  return said;
+OperationResult IdempotencyStore::applyOperation(Transaction& transaction, const ReadSessionPosition& o) {
+  const CachedSession& c = loadSession(transaction, o.session);
+  OperationResult result;
+  result.positionMs = c.record ? c.record->positionMs : totals_.positionFloorMs;
+  return result;
 }
 
-void IdempotencyStore::recordPosition(Transaction& g, std::uint64_t session, std::int64_t positionMs) {
-  CachedSession& c = loadSession(g, session);
+void IdempotencyStore::recordPosition(Transaction& transaction, std::uint64_t session,
+                                      std::int64_t positionMs) {
+  CachedSession& c = loadSession(transaction, session);
   if (!c.record) {
-    // One more than there is room for is forgotten at once: that raises the floor for all who are not known.
+    // No room for another session: its position raises the floor for all sessions without a record.
     if (totals_.sessions >= settings_.maxSessions) {
-      totals_.forgottenPositionMs = std::max(totals_.forgottenPositionMs, positionMs);
-      g.changed = true;
-      g.sessions.erase(session);
+      totals_.positionFloorMs = std::max(totals_.positionFloorMs, positionMs);
+      transaction.changed = true;
+      transaction.sessions.erase(session);
       return;
     }
     ++totals_.sessions;
-    c.record = SessionRecord{totals_.forgottenPositionMs, {}};
+    c.record = SessionRecord{totals_.positionFloorMs, {}};
   }
   c.record->positionMs = std::max(c.record->positionMs, positionMs);
-  c.record->expiresAt = g.now + settings_.sessionRetention;
+  c.record->expiresAt = transaction.now + settings_.sessionRetention;
   c.changed = true;
 }
 
@@ -282,36 +286,37 @@
   return first;
 }
 
-void IdempotencyStore::removeExpired(Transaction& g, std::size_t most) {
+void IdempotencyStore::removeExpired(Transaction& transaction, std::size_t limit) {
   database_.scan("x", "x", [&](std::string_view key, std::string_view) {
-    if (key.size() < 10) throwDamaged("an expiry entry that names nothing: " + printable(key));
+    if (key.size() < 10) throwDamaged("an expiry entry names no record: " + printable(key));
     const Time at(static_cast<std::int64_t>(decodeNumber(key.substr(1))));
-    if (at > g.now || most-- == 0) return false;
-    const std::string of(key.substr(9));
-    if (of[0] == 'k') {
-      const auto it = g.keys.find(of.substr(1));
-      if (it != g.keys.end() && it->second.changed) return true;  // it has just been given more time
+    if (at > transaction.now || limit-- == 0) return false;
+    const std::string recordKey(key.substr(9));
+    if (recordKey[0] == 'k') {
+      const auto it = transaction.keys.find(recordKey.substr(1));
+      if (it != transaction.keys.end() && it->second.changed) return true;  // its expiry was extended
       totals_.keys -= totals_.keys > 0;
-      const auto value = database_.get(of);
-      totals_.pendingKeys -= value && decodeRecord(of, *value, decodeKey).outcome == Outcome::Pending;
+      const auto value = database_.get(recordKey);
+      totals_.pendingKeys -= value && decodeRecord(recordKey, *value, decodeKey).outcome == Outcome::Pending;
     } else {
-      const auto it = g.sessions.find(decodeNumber(std::string_view(of).substr(1)));
-      if (it != g.sessions.end() && it->second.changed) return true;
-      if (const auto value = database_.get(of))
-        totals_.forgottenPositionMs =
-            std::max(totals_.forgottenPositionMs, decodeRecord(of, *value, decodeSession).positionMs);
+      const auto it = transaction.sessions.find(decodeNumber(std::string_view(recordKey).substr(1)));
+      if (it != transaction.sessions.end() && it->second.changed) return true;
+      if (const auto value = database_.get(recordKey))
+        totals_.positionFloorMs =
+            std::max(totals_.positionFloorMs, decodeRecord(recordKey, *value, decodeSession).positionMs);
       totals_.sessions -= totals_.sessions > 0;
     }
-    g.batch.remove(of);
-    g.batch.remove(key);
+    transaction.batch.remove(recordKey);
+    transaction.batch.remove(key);
     return true;
   });
 }
 
-// ---- for people ---------------------------------------------------------------------------------------
+// ---- check, dump and compact --------------------------------------------------------------------
 namespace {
 
-// Reads every record, key by key, so that memory stays level; throws where they do not fit together.
+// Reads the records one by one, so memory use does not depend on the size of the store. Throws
+// StoreError (Damaged) if they are inconsistent.
 class StoreCheck {
  public:
   explicit StoreCheck(Database& database) : database_(database) {}
@@ -365,20 +370,21 @@
 
   void checkIsIndexed(std::string_view key, Time expiresAt) {
     if (!database_.get(expiryKey(expiresAt, std::string(key))))
-      throwDamaged("no expiry stands for " + printable(key));
+      throwDamaged("no expiry entry for " + printable(key));
   }
 
-  // Each record has an entry of its own, so as many entries as records, each for one that exists, are all.
+  // checkKeys() and checkSessions() have found an entry for each record. If every entry refers to
+  // an existing record and there are as many entries as records, then no entry is left over.
   void checkExpiryIndex() {
     std::uint64_t entries = 0;
     database_.scan("x", "x", [&](std::string_view key, std::string_view) {
       ++entries;
       if (key.size() < kExpiryPrefixBytes + 1 || !database_.get(key.substr(kExpiryPrefixBytes)))
-        throwDamaged("an expiry entry for what is not there: " + printable(key));
+        throwDamaged("an expiry entry for a record that does not exist: " + printable(key));
       return true;
     });
     if (entries != statistics_.keys + statistics_.sessions)
-      throwDamaged("entries that expire and records differ in number");
+      throwDamaged("the numbers of expiry entries and of records differ");
   }
 
   void checkTotals() {
@@ -389,8 +395,8 @@
     if (totals.keys == found.keys && totals.sessions == found.sessions &&
         totals.pendingKeys == found.pendingKeys)
       return;
-    throwDamaged("counted are " + std::to_string(totals.keys) + " keys and " +
-                 std::to_string(totals.sessions) + " sessions, and there are " + std::to_string(found.keys) +
+    throwDamaged("the totals say " + std::to_string(totals.keys) + " keys and " +
+                 std::to_string(totals.sessions) + " sessions, but there are " + std::to_string(found.keys) +
                  " and " + std::to_string(found.sessions));
   }
 
@@ -424,7 +430,7 @@
       j = {{"record", "totals"},
            {"keys", r.keys},
            {"sessions", r.sessions},
-           {"floor_unix_ms", r.forgottenPositionMs}};
+           {"floor_unix_ms", r.positionFloorMs}};
     } else if (key[0] == 'e') {
       const EpochRecord r = decodeRecord(key, value, decodeEpoch);
       j = {{"record", "epoch"}, {"number", r.number},        {"began_us", r.beganAt.count()},
@@ -440,7 +446,7 @@
            {"position_unix_ms", r.positionMs},
            {"expires_us", r.expiresAt.count()}};
     } else {
-      return true;  // the index, and the number of the commit
+      return true;  // the expiry index, the commit number and the format
     }
     each(j);
     return true;
--- a/src/durability/idempotency_store.hpp
+++ b/src/durability/idempotency_store.hpp
@@ -1,9 +1,11 @@
-// What is known of keyed writes and of sessions, over a Database. A group of operations is applied as one
-// durable commit. The rules are in rules.hpp; this is where the records are stored, and for how long.
+// Stores the records of keyed writes and sessions in a Database. A group of operations is applied
+// as one durable commit. rules.hpp decides how records change; this file loads, stores and expires
+// them.
 //
 // Keys of the database, by their first byte:
-//   !commit  !clock  !totals  !format      the store's own
-//   e EPOCH                                an EpochRecord; EPOCH and all numbers below big-endian, 8 bytes
+//   !commit  !clock  !totals  !format      records of the store itself
+//   e EPOCH                                an EpochRecord; EPOCH and all numbers below: 8 bytes,
+//                                          big-endian
 //   k KEY                                  a KeyRecord
 //   s SESSION                              a SessionRecord
 //   x EXPIRES k KEY,  x EXPIRES s SESSION  the index by expiry; no value
@@ -28,14 +30,14 @@
 
 struct IdempotencyStoreSettings {
   std::string directory;
-  Time keyRetention = std::chrono::minutes(10);      // a key, after the last word on it
-  Time sessionRetention = std::chrono::minutes(10);  // after it was last seen
+  Time keyRetention = std::chrono::minutes(10);      // since the key's last request or outcome
+  Time sessionRetention = std::chrono::minutes(10);  // since the session's last recorded position
   std::size_t maxKeys = 1000000;
   std::size_t maxSessions = 1000000;
-  std::size_t maxResponseBytes = 16 << 10;  // a longer one is not kept
+  std::size_t maxResponseBytes = 16 << 10;  // longer responses are not kept
 };
 
-struct BeginKeyedRequest {  // its intent is durable before anything of it is sent
+struct BeginKeyedRequest {  // durable before any byte of the request is sent
   KeyedRequest request;
 };
 struct RecordAttemptSent {
@@ -47,22 +49,22 @@
   int attempt = 0;
   AttemptEffect effect = AttemptEffect::InFlight;
 };
-struct CompleteRequest {  // durable before the final answer goes out
+struct CompleteRequest {  // a served outcome is durable before the response is sent
   std::string key, id;
   Outcome outcome = Outcome::Pending;
   std::string response;
   std::int64_t positionMs = 0;
   std::uint64_t session = 0;     // 0: none
-  bool mayHaveExecuted = false;  // some attempt of this request: notes of them may have been lost
+  bool mayHaveExecuted = false;  // whether any attempt may have; attempt records can be lost
 };
 struct RecordResponseDelivered {
   std::string key, id;
 };
-struct AbandonRequest {  // its client has gone: nothing is owed any more, and nothing more is sent
+struct AbandonRequest {  // its client disconnected: no response is owed, and no further attempt is sent
   std::string key, id;
   bool mayHaveExecuted = false;
 };
-struct RecordSessionPosition {  // a session has seen this position
+struct RecordSessionPosition {  // the session has read or written at this position
   std::uint64_t session = 0;
   std::int64_t positionMs = 0;
 };
@@ -73,19 +75,21 @@
     std::variant<BeginKeyedRequest, RecordAttemptSent, RecordAttemptEnd, CompleteRequest,
                  RecordResponseDelivered, AbandonRequest, RecordSessionPosition, ReadSessionPosition>;
 
-// What an operation brings; for those that only note, nothing.
+// The result of BeginKeyedRequest or ReadSessionPosition; other operations leave it empty.
 struct OperationResult {
-  Disposition disposition = Disposition::OutcomeUnknown;  // AskKey
-  bool storeFull = false;                                 // AskKey: no room for another key
-  Time retryAfter{};                                      // full: until some expire
-  Time sinceFirstSend{};                                  // Again
-  std::string response;                                   // Recorded
-  std::int64_t positionMs = 0;  // AskSession: what it has to see at least; Recorded: of the write
+  Disposition disposition = Disposition::OutcomeUnknown;  // BeginKeyedRequest
+  bool storeFull = false;                                 // BeginKeyedRequest: no room for another key
+  Time retryAfter{};                                      // storeFull: until the first key expires
+  Time sinceFirstSend{};                                  // Disposition::Retry; an upper bound
+  std::string response;                                   // Disposition::Replay
+  // ReadSessionPosition: the least position that the session may read at. Disposition::Replay: the
+  // position of the write.
+  std::int64_t positionMs = 0;
 };
 
 struct StoreRecovery {
   std::uint64_t epoch = 0, keys = 0, sessions = 0,
-                pendingKeys = 0;  // without an outcome when the proxy ended
+                pendingKeys = 0;  // had no outcome when the proxy stopped
   bool afterGap = false;
   DatabaseOpenResult database;
 };
@@ -98,8 +102,8 @@
   ~IdempotencyStore();
 
   const StoreRecovery& recovered() const { return recovered_; }
-  // All of it in one commit; what is only asked costs none. Throws StoreError: none of it counts as durable
-  // then, and this object is of no more use.
+  // Applies the operations in one durable commit; operations that only read need no commit. After a
+  // StoreError none of the operations counts as durable, and the object must not be used any more.
   std::vector<OperationResult> apply(const std::vector<Operation>&);
   const StoreTotals& totals() const { return totals_; }
   std::uint64_t commits() const { return database_.commits(); }
@@ -109,7 +113,7 @@
  private:
   struct CachedKey {
     std::optional<KeyRecord> record;
-    std::optional<Time> indexedExpiry;  // the expiry under which it stands on disk
+    std::optional<Time> indexedExpiry;  // its expiry in the index on disk
     bool changed = false, wasPending = false;
   };
   struct CachedSession {
@@ -117,7 +121,7 @@
     std::optional<Time> indexedExpiry;
     bool changed = false;
   };
-  struct Transaction;  // one call of apply
+  struct Transaction;  // state of one apply() call
   CachedKey& loadKey(Transaction&, const std::string&);
   CachedSession& loadSession(Transaction&, std::uint64_t);
   void recordPosition(Transaction&, std::uint64_t session, std::int64_t positionMs);
@@ -129,7 +133,7 @@
   OperationResult applyOperation(Transaction&, const AbandonRequest&);
   OperationResult applyOperation(Transaction&, const RecordSessionPosition&);
   OperationResult applyOperation(Transaction&, const ReadSessionPosition&);
-  void removeExpired(Transaction&, std::size_t most);
+  void removeExpired(Transaction&, std::size_t limit);
   Time earliestKeyExpiry();
   std::optional<ClockRecord> readClockRecord();
 
@@ -141,16 +145,16 @@
   StoreRecovery recovered_;
 };
 
-// For `sablespur store`: whole walks over what is there.
+// For `sablespur store`. check() and dump() read the whole store.
 struct StoreStatistics {
   std::uint64_t keys = 0, sessions = 0, epochs = 0, pendingKeys = 0, responses = 0, responseBytes = 0,
                 pendingIds = 0, pairs = 0;
   std::uint64_t commits = 0, bytesOnDisk = 0;
   DatabaseOpenResult openResult;
 };
-// Reads every record and every index entry, and throws StoreError (Damaged) where they do not fit together.
+// Reads every record and every index entry. Throws StoreError (Damaged) if they are inconsistent.
 StoreStatistics check(Files&, const std::string& directory);
-// Each record as a JSON object, in the order of keys.
+// Calls `each` with every record as a JSON object, in key order.
 void dump(Files&, const std::string& directory, const std::function<void(const nlohmann::json&)>& each);
 void compact(Files&, const std::string& directory);
 
--- a/src/durability/record.cpp
+++ b/src/durability/record.cpp
@@ -21,28 +21,29 @@
 json unpack(std::string_view s, const char* type) {
   json j = json::from_cbor(s.begin(), s.end(), true, false);
   if (j.is_discarded() || !j.is_object() || j.value("t", "") != type)
-    throw std::runtime_error(std::string("no record of type ") + type);
+    throw std::runtime_error(std::string("not a record of type ") + type);
   const int version = j.value("v", 0);
   if (version > kRecordVersion)
-    throw NewerRecordError("a record of version " + std::to_string(version) + "; this program knows " +
+    throw NewerRecordError("version " + std::to_string(version) + "; this program supports versions up to " +
                            std::to_string(kRecordVersion));
-  if (version < 1) throw std::runtime_error("a record without a version");
+  if (version < 1) throw std::runtime_error("the record has no version");
   return j;
 }
-// What nlohmann throws for a wrong type tells nothing of the record.
+// Decodes a record of the given type. The exceptions of nlohmann::json do not name the record type,
+// so they are rethrown with it.
 template <typename Read>
-auto reading(std::string_view s, const char* type, Read read) {
+auto decodeMap(std::string_view s, const char* type, Read read) {
   try {
     return read(unpack(s, type));
   } catch (const json::exception& e) {
     throw std::runtime_error(std::string("a malformed record of type ") + type + ": " + e.what());
   }
 }
-Time us(const json& j, const char* key) { return Time(j.at(key).get<std::int64_t>()); }
+Time decodeTime(const json& j, const char* key) { return Time(j.at(key).get<std::int64_t>()); }
 template <typename E>
-E choice(const json& j, int most) {
+E decodeEnum(const json& j, int maxValue) {
   const int n = j.get<int>();
-  if (n < 0 || n > most) throw std::runtime_error("a value that is not known: " + std::to_string(n));
+  if (n < 0 || n > maxValue) throw std::runtime_error("unknown enum value: " + std::to_string(n));
   return static_cast<E>(n);
 }
 
@@ -77,16 +78,16 @@
   return pack(j);
 }
 KeyRecord decodeKey(std::string_view s) {
-  return reading(s, "key", [](const json& j) {
+  return decodeMap(s, "key", [](const json& j) {
     KeyRecord r;
     r.group = j.at("g").get<std::uint32_t>();
     r.className = j.at("c").get<std::string>();
-    r.intentAt = us(j, "a");
-    r.deduplicationWindow = us(j, "w");
-    r.expiresAt = us(j, "x");
+    r.intentAt = decodeTime(j, "a");
+    r.deduplicationWindow = decodeTime(j, "w");
+    r.expiresAt = decodeTime(j, "x");
     r.wallMs = j.at("u").get<std::int64_t>();
     r.epoch = j.at("e").get<std::uint64_t>();
-    r.outcome = choice<Outcome>(j.at("o"), 3);
+    r.outcome = decodeEnum<Outcome>(j.at("o"), 3);
     r.positionMs = j.at("p").get<std::int64_t>();
     if (j.contains("answer")) {
       r.hasResponse = true;
@@ -97,7 +98,7 @@
     r.answeredIds = j.at("given").get<std::vector<std::string>>();
     for (const json& a : j.at("s"))
       r.attempts.push_back({a.at(0).get<std::string>(), a.at(1).get<int>(), a.at(2).get<std::string>(),
-                            Time(a.at(3).get<std::int64_t>()), choice<AttemptEffect>(a.at(4), 3)});
+                            Time(a.at(3).get<std::int64_t>()), decodeEnum<AttemptEffect>(a.at(4), 3)});
     return r;
   });
 }
@@ -106,8 +107,8 @@
   return pack({{"t", "session"}, {"v", kRecordVersion}, {"p", r.positionMs}, {"x", r.expiresAt.count()}});
 }
 SessionRecord decodeSession(std::string_view s) {
-  return reading(s, "session", [](const json& j) {
-    return SessionRecord{j.at("p").get<std::int64_t>(), us(j, "x")};
+  return decodeMap(s, "session", [](const json& j) {
+    return SessionRecord{j.at("p").get<std::int64_t>(), decodeTime(j, "x")};
   });
 }
 
@@ -121,10 +122,10 @@
                {"boot", r.bootId}});
 }
 EpochRecord decodeEpoch(std::string_view s) {
-  return reading(s, "epoch", [](const json& j) {
+  return decodeMap(s, "epoch", [](const json& j) {
     EpochRecord r;
     r.number = j.at("n").get<std::uint64_t>();
-    r.beganAt = us(j, "a");
+    r.beganAt = decodeTime(j, "a");
     r.afterGap = j.at("gap").get<bool>();
     r.wallMs = j.at("u").get<std::int64_t>();
     r.bootId = j.at("boot").get<std::string>();
@@ -141,9 +142,9 @@
                {"gap", r.gapAt.count()}});
 }
 ClockRecord decodeClock(std::string_view s) {
-  return reading(s, "clock", [](const json& j) {
-    return ClockRecord{us(j, "a"), j.at("boot").get<std::string>(), j.at("b").get<std::int64_t>(),
-                       us(j, "gap")};
+  return decodeMap(s, "clock", [](const json& j) {
+    return ClockRecord{decodeTime(j, "a"), j.at("boot").get<std::string>(), j.at("b").get<std::int64_t>(),
+                       decodeTime(j, "gap")};
   });
 }
 
@@ -153,15 +154,15 @@
                {"k", r.keys},
                {"s", r.sessions},
                {"o", r.pendingKeys},
-               {"f", r.forgottenPositionMs}});
+               {"f", r.positionFloorMs}});
 }
 StoreTotals decodeTotals(std::string_view s) {
-  return reading(s, "totals", [](const json& j) {
+  return decodeMap(s, "totals", [](const json& j) {
     StoreTotals t;
     t.keys = j.at("k").get<std::uint64_t>();
     t.sessions = j.at("s").get<std::uint64_t>();
     t.pendingKeys = j.at("o").get<std::uint64_t>();
-    t.forgottenPositionMs = j.at("f").get<std::int64_t>();
+    t.positionFloorMs = j.at("f").get<std::int64_t>();
     return t;
   });
 }
--- a/src/durability/rules.hpp
+++ b/src/durability/rules.hpp
@@ -1,5 +1,5 @@
-// Whether a keyed write may be executed or retried, given the record of its key, and how the record changes.
-// Pure.
+// Whether a keyed write may be executed or retried, given the record of its key, and how the record
+// changes. Pure.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace sablespur::durability {
 
-// A keyed write as it arrives.
+// A keyed write that has arrived.
 struct KeyedRequest {
   std::string id, key, className;
   std::uint32_t group = 0;
@@ -17,28 +17,30 @@
 };
 
 enum class Disposition {
-  Execute,        // it is new, or none of what was sent can have had an effect
-  Retry,          // it may have run; data servers still drop the repeat
-  Replay,         // it has run, and here is its answer
-  OutcomeUnknown  // it has run, or may have, and must not run again: the client is told so
+  Execute,  // the key is new, or no attempt can have had an effect
+  Retry,    // an attempt may have been executed; data servers still drop a repeat
+  Replay,   // the write was executed; its response is stored and sent again
+  // The write was or may have been executed and must not be sent again. The client gets an error.
+  OutcomeUnknown
 };
 const char* name(Disposition);
 
 struct KeyDecision {
   Disposition disposition = Disposition::Execute;
-  Time sinceFirstSend{};  // Again: since the first send, at most
+  Time sinceFirstSend{};  // Retry: upper bound of the time since the first send
 };
-// `gapAt`: StoreClock::gapAt(). The record is null for a key that is not known.
+// Decides how to handle a request. The record is null for an unknown key; `gapAt` is
+// StoreClock::gapAt().
 KeyDecision decide(const KeyRecord*, const KeyedRequest&, Time now, Time gapAt);
 
-// The record after the decision is applied. Execute begins it anew.
+// Returns the record after the decision. Disposition::Execute starts a new record.
 KeyRecord beginRequest(const std::optional<KeyRecord>&, const KeyedRequest&, const KeyDecision&, Time now,
-                       Time keep, std::uint64_t epoch, std::int64_t wallMs);
+                       Time retention, std::uint64_t epoch, std::int64_t wallMs);
 
 void recordAttemptSent(KeyRecord&, Attempt);
 void recordAttemptEnd(KeyRecord&, const std::string& id, int attempt, AttemptEffect);
-void recordOutcome(KeyRecord&, const std::string& id, Outcome, Time now, Time keep);
+void recordOutcome(KeyRecord&, const std::string& id, Outcome, Time now, Time retention);
 void recordResponseDelivered(KeyRecord&, const std::string& id);
-void abandonRequest(KeyRecord&, const std::string& id);  // its client has gone
+void abandonRequest(KeyRecord&, const std::string& id);  // its client disconnected
 
 }  // namespace sablespur::durability
--- a/src/durability/store_clock.cpp
+++ b/src/durability/store_clock.cpp
@@ -8,7 +8,7 @@
 namespace sablespur::durability {
 
 MachineTime machineTime() {
-  // Read once: it changes with the machine's start alone.
+  // Read once, since it only changes when the machine boots.
   static const std::string boot = [] {
     std::string id;
     std::ifstream("/proc/sys/kernel/random/boot_id") >> id;
@@ -25,8 +25,8 @@
     : boot_(now.bootId), bootUs_(now.sinceBootUs), base_(1), last_(base_) {
   if (!last) return;
   gapAt_ = last->gapAt;
-  // An empty name or a time before the record's is a machine that was set back (a snapshot): as good as
-  // another.
+  // An empty boot id, or less time since boot than in the record (a virtual machine restored from a
+  // snapshot), is treated like another boot.
   if (!now.bootId.empty() && last->bootId == now.bootId && now.sinceBootUs >= last->sinceBootUs) {
     base_ = last->at + Time(now.sinceBootUs - last->sinceBootUs);
   } else {
--- a/src/durability/store_clock.hpp
+++ b/src/durability/store_clock.hpp
@@ -1,8 +1,9 @@
-// The store's clock: it never goes back, and no step of the wall clock moves it. Within one boot of the
-// machine it counts the time since the boot, suspension included, so it continues through restarts of the
-// proxy. How long the machine was off is not known without trusting its wall clock: the clock then continues
-// from its last value, and what is older than that gap counts as too old to be retried and too young to
-// expire. Pure but for machineTime().
+// The store's clock. It is monotonic and independent of steps of the wall clock. Within one boot of
+// the machine it follows the time since boot, including suspension, so it continues across restarts
+// of the proxy. After a reboot the time that the machine was off is unknown, since the wall clock
+// is not trusted: the clock continues from its last value (a gap). Keys from before the gap are too
+// old to be retried, and the unknown time does not count towards their expiry. Pure except for
+// machineTime().
 #pragma once
 
 #include <cstdint>
@@ -14,8 +15,8 @@
 namespace sablespur::durability {
 
 struct MachineTime {
-  std::string bootId;            // names this start of the machine
-  std::int64_t sinceBootUs = 0;  // since then, CLOCK_BOOTTIME
+  std::string bootId;            // identifies the boot of the machine
+  std::int64_t sinceBootUs = 0;  // CLOCK_BOOTTIME
   std::int64_t wallMs = 0;
 };
 MachineTime machineTime();
@@ -23,9 +24,9 @@
 class StoreClock {
  public:
   StoreClock(const std::optional<ClockRecord>& last, const MachineTime& now);
-  bool gap() const { return gap_; }      // between the last record and now lies a time that is not known
-  Time gapAt() const { return gapAt_; }  // of the last gap; 0: there was none
-  Time at(const MachineTime&);           // never less than before
+  bool gap() const { return gap_; }      // the time between the last record and construction is unknown
+  Time gapAt() const { return gapAt_; }  // store time of the last gap; 0: none
+  Time at(const MachineTime&);           // never decreases
   ClockRecord record(const MachineTime&);
 
  private:
