--- a/src/durability/inspect.cpp
+++ b/src/durability/inspect.cpp
@@ -14,13 +14,13 @@
 struct Batch {
   std::uint64_t sequence = 0;
   std::uint64_t count = 0;
-  std::uint64_t commit = 0;  // 0: its first pair is no commit number
+  std::uint64_t commit = 0;  // 0: the first pair is not a commit number
 };
 
 std::uint64_t commitOf(std::string_view record) {
   const std::string head =
       std::string(1, kPutTag) + static_cast<char>(kCommitKey.size()) + std::string(kCommitKey);
-  const std::size_t value = kPairsOffset + head.size() + 1;  // its length is one byte
+  const std::size_t value = kPairsOffset + head.size() + 1;  // the value's length takes one byte
   if (record.substr(kPairsOffset, head.size()) != head || record.size() < value + kCommitBytes) return 0;
   std::uint64_t commit = 0;
   for (const char byte : record.substr(value, kCommitBytes))
@@ -41,62 +41,62 @@
 class LogInspector {
  public:
   LogInspector(std::string_view log, LogKind kind, std::uint64_t sequence) : log_(log), kind_(kind) {
-    findings_.nextSequence = sequence;
+    inspection_.nextSequence = sequence;
   }
 
   LogInspection inspect() {
-    while (findings_.wholeBytes < log_.size() && !onlyFillingIsLeft()) {
-      const LogRecord record = readLogRecord(log_, findings_.wholeBytes);
+    while (inspection_.wholeBytes < log_.size() && !onlyPaddingIsLeft()) {
+      const LogRecord record = readLogRecord(log_, inspection_.wholeBytes);
       const char* const defect = record.defect ? record.defect : accept(record.payload);
       if (defect) {
-        findings_.defect = defect;
-        findings_.incompleteTail = true;
-        findings_.laterRecordAt = findLaterRecord();
+        inspection_.defect = defect;
+        inspection_.incompleteTail = true;
+        inspection_.laterRecordAt = findLaterRecord();
         break;
       }
-      ++findings_.records;
-      findings_.wholeBytes = record.end;
+      ++inspection_.records;
+      inspection_.wholeBytes = record.end;
     }
-    return findings_;
+    return inspection_;
   }
 
  private:
-  // The rest of a block in which no header fits.
-  bool onlyFillingIsLeft() const {
-    const std::size_t room = roomInLogBlock(findings_.wholeBytes);
-    const std::string_view rest = log_.substr(findings_.wholeBytes);
-    return room < kLogHeaderBytes && rest.size() <= room &&
+  // Whether only the zero padding at the end of a block is left, where no header fits.
+  bool onlyPaddingIsLeft() const {
+    const std::size_t left = bytesLeftInLogBlock(inspection_.wholeBytes);
+    const std::string_view rest = log_.substr(inspection_.wholeBytes);
+    return left < kLogHeaderBytes && rest.size() <= left &&
            rest.find_first_not_of('\0') == std::string_view::npos;
   }
 
-  // Takes what the record tells into the findings; null, or what is wrong with it.
+  // Adds the record to the inspection. Returns the record's defect, or nullptr.
   const char* accept(std::string_view record) {
     return kind_ == LogKind::Batches ? acceptBatch(record) : acceptEdit(record);
   }
 
   const char* acceptBatch(std::string_view record) {
     const std::optional<Batch> batch = readBatch(record);
-    if (!batch) return "a record that is no batch";
-    if (findings_.nextSequence != 0 && batch->sequence != findings_.nextSequence)
-      return "a batch out of sequence";
-    if (batch->commit == 0) return "a batch without its number";
-    if (findings_.firstSequence == 0) findings_.firstSequence = batch->sequence;
-    findings_.nextSequence = batch->sequence + batch->count;
-    findings_.commit = batch->commit;
+    if (!batch) return "the record is not a batch";
+    if (inspection_.nextSequence != 0 && batch->sequence != inspection_.nextSequence)
+      return "unexpected sequence number of a batch";
+    if (batch->commit == 0) return "a batch without a commit number";
+    if (inspection_.firstSequence == 0) inspection_.firstSequence = batch->sequence;
+    inspection_.nextSequence = batch->sequence + batch->count;
+    inspection_.commit = batch->commit;
     return nullptr;
   }
 
   const char* acceptEdit(std::string_view record) {
     const std::optional<VersionEdit> edit = readVersionEdit(record);
-    if (!edit) return "a record that is no edit of a version";
-    findings_.lastSequence = edit->lastSequence.value_or(findings_.lastSequence);
-    findings_.logNumber = edit->logNumber.value_or(findings_.logNumber);
+    if (!edit) return "the record is not a version edit";
+    inspection_.lastSequence = edit->lastSequence.value_or(inspection_.lastSequence);
+    inspection_.logNumber = edit->logNumber.value_or(inspection_.logNumber);
     return nullptr;
   }
 
-  // Any byte may begin a later record: the length by which it would be found may be what is damaged.
+  // Tries every offset, since the damaged part may be the length that locates the next record.
   std::optional<std::uint64_t> findLaterRecord() const {
-    for (std::size_t offset = findings_.wholeBytes + 1; offset + kLogHeaderBytes <= log_.size(); ++offset) {
+    for (std::size_t offset = inspection_.wholeBytes + 1; offset + kLogHeaderBytes <= log_.size(); ++offset) {
       if (!mayBeginLogRecord(log_, offset)) continue;
       const LogRecord record = readLogRecord(log_, offset);
       if (!record.defect && isLater(record.payload)) return offset;
@@ -107,13 +107,13 @@
   bool isLater(std::string_view record) const {
     if (kind_ != LogKind::Batches) return true;
     const std::optional<Batch> batch = readBatch(record);
-    if (!batch || batch->commit <= findings_.commit) return false;
-    return findings_.nextSequence == 0 || batch->sequence >= findings_.nextSequence;
+    if (!batch || batch->commit <= inspection_.commit) return false;
+    return inspection_.nextSequence == 0 || batch->sequence >= inspection_.nextSequence;
   }
 
   const std::string_view log_;
   const LogKind kind_;
-  LogInspection findings_;
+  LogInspection inspection_;
 };
 
 }  // namespace
--- a/src/durability/log_record.cpp
+++ b/src/durability/log_record.cpp
@@ -27,17 +27,18 @@
 }
 
 Fragment readFragment(std::string_view log, std::size_t offset) {
-  if (log.size() - offset < kLogHeaderBytes) return defective("the file ends within a header");
+  if (log.size() - offset < kLogHeaderBytes) return defective("the file ends within a record header");
   const std::string_view header = log.substr(offset, kLogHeaderBytes);
   const std::size_t length =
       byteAt(header, kLengthOffset) | static_cast<std::size_t>(byteAt(header, kLengthOffset + 1)) << 8;
   const auto type = static_cast<FragmentType>(byteAt(header, kTypeOffset));
-  if (type == FragmentType::Zero && length == 0) return defective("zeros in place of a record");
-  if (type < FragmentType::Full || type > FragmentType::Last) return defective("no such type of record");
-  if (kLogHeaderBytes + length > roomInLogBlock(offset)) return defective("a length beyond its block");
+  if (type == FragmentType::Zero && length == 0) return defective("zeros instead of a record");
+  if (type < FragmentType::Full || type > FragmentType::Last) return defective("unknown record type");
+  if (kLogHeaderBytes + length > bytesLeftInLogBlock(offset))
+    return defective("record length exceeds its block");
   if (log.size() - offset - kLogHeaderBytes < length) return defective("the file ends within a record");
   if (maskedCrc(log.substr(offset + kTypeOffset, length + 1)) != readLittleEndian32(header, 0))
-    return defective("a checksum does not fit");
+    return defective("checksum mismatch");
   Fragment fragment;
   fragment.type = type;
   fragment.payload = log.substr(offset + kLogHeaderBytes, length);
@@ -47,10 +48,10 @@
 bool beginsRecord(FragmentType type) { return type == FragmentType::Full || type == FragmentType::First; }
 bool endsRecord(FragmentType type) { return type == FragmentType::Full || type == FragmentType::Last; }
 
-// What is left of a block is filled with zeros where no header fits.
-std::size_t skipFilling(std::string_view log, std::size_t offset) {
-  const std::size_t room = roomInLogBlock(offset);
-  return room < kLogHeaderBytes ? std::min(offset + room, log.size()) : offset;
+// Skips the zero padding at the end of a block, where no header fits.
+std::size_t skipPadding(std::string_view log, std::size_t offset) {
+  const std::size_t left = bytesLeftInLogBlock(offset);
+  return left < kLogHeaderBytes ? std::min(offset + left, log.size()) : offset;
 }
 
 }  // namespace
@@ -74,11 +75,11 @@
 LogRecord readLogRecord(std::string_view log, std::size_t offset) {
   LogRecord record;
   for (bool isFirst = true;; isFirst = false) {
-    offset = skipFilling(log, offset);
+    offset = skipPadding(log, offset);
     const Fragment fragment = readFragment(log, offset);
     record.defect = fragment.defect;
     if (!record.defect && isFirst != beginsRecord(fragment.type))
-      record.defect = "a record's parts are out of order";
+      record.defect = "record fragments are out of order";
     if (record.defect) return record;
     record.payload += fragment.payload;
     offset += kLogHeaderBytes + fragment.payload.size();
--- a/src/durability/masked_crc.cpp
+++ b/src/durability/masked_crc.cpp
@@ -5,7 +5,8 @@
 namespace sablespur::durability {
 namespace {
 
-// leveldb/util/crc32c.h: a checksum of bytes that hold checksums is masked.
+// leveldb/util/crc32c.h: CRCs are masked before they are stored, because computing the CRC of data
+// that contains CRCs is problematic.
 constexpr std::uint32_t kMaskDelta = 0xa282ead8u;
 
 }  // namespace
--- a/src/durability/masked_crc.hpp
+++ b/src/durability/masked_crc.hpp
@@ -1,4 +1,4 @@
-// The checksum of LevelDB's logs and tables.
+// The checksum in LevelDB's logs and tables.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace sablespur::durability {
 
-// CRC-32C, masked as LevelDB stores it: of a record's type and payload, or of a table's block and type.
+// Returns the CRC-32C of the bytes, masked as LevelDB stores it. In a log it covers a record's type
+// and payload, in a table a block and its type.
 std::uint32_t maskedCrc(std::string_view);
 
 }  // namespace sablespur::durability
--- a/src/durability/version_edit.cpp
+++ b/src/durability/version_edit.cpp
@@ -43,13 +43,13 @@
         return skipVarints(1) && skipString();
       case Tag::DeletedFile:  // level, number
         return skipVarints(2);
-      case Tag::NewFile:  // level, number, size, its first and last key
+      case Tag::NewFile:  // level, number, size, smallest and largest key
         return skipVarints(3) && skipString() && skipString();
     }
     return false;
   }
 
-  // Seven bits a byte, the lowest first; the top bit says that more follow.
+  // Seven bits per byte, least significant first; the top bit is set if more bytes follow.
   std::optional<std::uint64_t> readVarint() {
     std::uint64_t value = 0;
     for (int shift = 0; shift < 64 && !rest_.empty(); shift += 7) {
--- a/src/durability/version_edit.hpp
+++ b/src/durability/version_edit.hpp
@@ -1,4 +1,4 @@
-// Reads the records of a LevelDB manifest (leveldb/db/version_edit.cc). Pure: bytes in, fields out.
+// Reads the records of a LevelDB manifest (leveldb/db/version_edit.cc). Pure.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,14 @@
 
 namespace sablespur::durability {
 
-// The fields of one edit that an inspection needs; nothing: the edit does not set it.
+// The fields of a version edit that an inspection needs; std::nullopt if the edit does not set the
+// field.
 struct VersionEdit {
   std::optional<std::uint64_t> lastSequence;
   std::optional<std::uint64_t> logNumber;
 };
 
-// Nothing: the record is no edit.
+// Returns std::nullopt if the record is not a version edit.
 std::optional<VersionEdit> readVersionEdit(std::string_view record);
 
 }  // namespace sablespur::durability
--- a/src/durability/whole_file.cpp
+++ b/src/durability/whole_file.cpp
@@ -6,16 +6,16 @@
 namespace sablespur::durability {
 
 std::string replaceFile(Files& files, const std::string& path, std::string_view bytes) {
-  const std::string fresh = path + ".new";
+  const std::string temporary = path + ".new";
   leveldb::WritableFile* opened = nullptr;
-  leveldb::Status s = files.NewWritableFile(fresh, &opened);
+  leveldb::Status s = files.NewWritableFile(temporary, &opened);
   const std::unique_ptr<leveldb::WritableFile> file(opened);
   if (s.ok()) s = file->Append(leveldb::Slice(bytes.data(), bytes.size()));
   if (s.ok()) s = file->Sync();
   if (s.ok()) s = file->Close();
-  if (s.ok()) s = files.RenameFile(fresh, path);
+  if (s.ok()) s = files.RenameFile(temporary, path);
   if (s.ok()) return {};
-  if (files.FileExists(fresh)) files.RemoveFile(fresh);  // what it takes may be the room that the disk lacks
+  if (files.FileExists(temporary)) files.RemoveFile(temporary);  // frees its space, as the disk may be full
   return s.ToString();
 }
 
--- a/src/durability/whole_file.hpp
+++ b/src/durability/whole_file.hpp
@@ -1,4 +1,5 @@
-// A file that is replaced as a whole: at any end of the machine it holds what it held, or the new bytes.
+// Atomic replacement of a file: after a crash at any time it has either the old or the new
+// contents.
 #pragma once
 
 #include <optional>
@@ -9,10 +10,11 @@
 
 namespace sablespur::durability {
 
-// Writes PATH.new, makes it durable, renames it into place and makes the name durable. Empty: done; else what
-// failed, and the file is as it was. Blocks; any thread.
+// Writes PATH.new, syncs it, renames it to PATH and syncs the directory. Returns an empty string on
+// success. Otherwise returns the error; the file is then unchanged, unless only the sync of the
+// directory failed. Blocks; may be called from any thread.
 std::string replaceFile(Files&, const std::string& path, std::string_view bytes);
-// Nothing where there is no such file. Throws std::runtime_error where it cannot be read.
+// Returns std::nullopt if the file does not exist. Throws std::runtime_error if it cannot be read.
 std::optional<std::string> readFile(Files&, const std::string& path);
 
 }  // namespace sablespur::durability
