--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -6,12 +6,12 @@
 namespace sablespur::admission {
 namespace {
 
-constexpr double kDeviationWeight = 1.0 / 32;  // of one latency in the smoothed deviation
-constexpr double kWindowWeight = 0.2;          // of one window in the limit and in the typical latency
-// Growth per window while nothing queues: the limit has to be back within seconds after a failed server
-// brought it low.
+constexpr double kDeviationWeight = 1.0 / 32;  // weight of one sample in the smoothed deviation
+constexpr double kWindowWeight = 0.2;          // weight of one window in limit and typical latency
+// Growth per window without queueing. It is exponential so that the limit recovers within seconds
+// after a failed server has reduced it.
 constexpr double kGrowthFactor = 1.1;
-constexpr double kMinGradient = 0.5;  // one window does not shrink the limit's target by more
+constexpr double kMinGradient = 0.5;  // lower bound of the gradient of a single window
 
 }  // namespace
 
@@ -24,7 +24,8 @@
   Window& window = *window_;
   window.maxInFlight = std::max(window.maxInFlight, inFlight);
   if (dropped) ++window.dropped;
-  // While half the limit is probed, a request that began earlier was measured under the whole one.
+  // Requests that began before a probe ran under the full limit, so their latency is no probe
+  // sample.
   const bool beganBeforeProbe = probing_ && now - latency < window.openedAt;
   if (!dropped && !beganBeforeProbe) {
     const double us = static_cast<double>(latency.count());
@@ -77,7 +78,7 @@
   const double mean = window.meanLatencyUs();
   if (mean <= 0 || probing_) return limit_;
   const double gradient = std::clamp(settings_.tolerance * baselineLatencyUs() / mean, kMinGradient, 1.0);
-  // The square root leaves room for a short queue, which shows that the limit is in use.
+  // The square root allows a short queue, which shows that the limit is in use.
   const double target = limit_ * gradient + std::sqrt(limit_);
   const double smoothed = limit_ * (1 - kWindowWeight) + target * kWindowWeight;
   const bool reached = limitReached(window);
--- a/src/admission/concurrency_limit.hpp
+++ b/src/admission/concurrency_limit.hpp
@@ -1,5 +1,5 @@
-// Concurrency limit: how many requests may be in flight at once, learned from their latency.
-// Pure: no I/O and no clock.
+// Adaptive limit on the number of requests in flight, derived from their latency.
+// Performs no I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 enum class LimitKind {
   Fixed,    // always `initial`
-  Aimd,     // plus one per window; times `backoff` when the latency bound is passed or too much was dropped
-  Gradient  // follows the ratio of the lowest recent latency to that of the last window
+  Aimd,     // +1 per window; multiplied by `backoff` on high latency or too many drops
+  Gradient  // follows the ratio of the lowest recent latency to the latency of the last window
 };
 
 struct ConcurrencyLimitSettings {
@@ -24,33 +24,34 @@
   double min = 4;
   double max = 1000;
   Time window = std::chrono::milliseconds(200);
-  std::size_t minSamples = 8;                          // a window stays open until it has as many completions
-  Time latencyBound = std::chrono::milliseconds(400);  // Aimd: mean latency of a window
+  std::size_t minSamples = 8;                          // completions needed to close a window
+  Time latencyBound = std::chrono::milliseconds(400);  // Aimd: highest mean latency of a window
   double backoff = 0.9;                                // Aimd, and Gradient after too many drops
-  // Fraction of a window's completions; a few requests that ran out of time are no overload.
+  // A window is overloaded if at least this fraction of its completions was dropped. A few requests
+  // that time out are not a sign of overload.
   double overloadDropFraction = 0.1;
-  // Gradient: once in as many windows half the limit is in force for one, to measure the latency without a
-  // queue.
+  // Gradient: one window per epoch runs at half the limit, to measure the latency without queueing.
   std::size_t windowsPerEpoch = 50;
-  double tolerance = 1.5;  // Gradient: latency up to so many times the lowest counts as no queue
+  double tolerance = 1.5;  // Gradient: latencies up to this multiple of the lowest mean no queueing
 };
 
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(const ConcurrencyLimitSettings&);
 
-  // Records the end of a request. `inFlight` includes the request itself. `dropped`: it ran out of time, or
-  // was rejected behind this limit. Early failures say nothing about load and are not to be recorded.
+  // Records the end of a request. `inFlight` includes the request itself. `dropped` means that the
+  // request timed out or was rejected after this limit had admitted it. Requests that fail early
+  // must not be recorded: their latency says nothing about load.
   void recordCompletion(Time now, Time latency, std::size_t inFlight, bool dropped);
 
-  // The limit in force now.
+  // Returns the current limit; half of it while probing.
   std::size_t value() const {
     return static_cast<std::size_t>(probing_ ? std::max(limit_ / 2, settings_.min) : limit_);
   }
-  // Smoothed mean latency; zero until the first window with a sample has closed.
+  // Returns the smoothed mean latency; zero until the first window with a sample has closed.
   Time typicalLatency() const { return Time(static_cast<std::int64_t>(typicalLatencyUs_)); }
-  // What nearly all requests stay under: mean plus four deviations, as RFC 6298 (section 2) computes a
-  // retransmission timeout.
+  // Returns a latency that nearly all requests stay below: the mean plus four deviations, as RFC
+  // 6298 (section 2) computes a retransmission timeout.
   Time latencyUpperBound() const {
     return Time(static_cast<std::int64_t>(typicalLatencyUs_ + 4 * deviationUs_));
   }
@@ -68,7 +69,8 @@
 
   void closeWindow(Time now);
   bool overloaded(const Window&) const;
-  // A limit that was not nearly reached has not been tested, and does not grow.
+  // Returns whether at least half the limit was in use. The limit grows only then, since an unused
+  // limit says nothing about the capacity behind it.
   bool limitReached(const Window&) const;
   double nextAimdLimit(const Window&) const;
   double nextGradientLimit(const Window&) const;
@@ -79,13 +81,14 @@
   double limit_;
   double typicalLatencyUs_ = 0;
   double deviationUs_ = 0;
-  // Lowest mean latency of a window, in the previous epoch and in this one; zero: none yet. Two epochs, so
-  // that a queue that persists is not taken for the normal latency.
+  // Lowest mean latency of a window in the previous and in the current epoch; zero if not measured
+  // yet. Two epochs are kept so that the latency of a persistent queue does not become the
+  // baseline.
   double previousLowestUs_ = 0;
   double lowestUs_ = 0;
   std::size_t closedWindows_ = 0;
-  bool probing_ = false;          // half the limit is in force for this window
-  std::optional<Window> window_;  // from the first completion on
+  bool probing_ = false;          // the current window runs at half the limit
+  std::optional<Window> window_;  // unset until the first completion
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/connection_admission.cpp
+++ b/src/admission/connection_admission.cpp
@@ -13,7 +13,8 @@
 double toSeconds(Time time) { return static_cast<double>(time.count()) / kMicrosecondsPerSecond; }
 Time fromSeconds(double seconds) { return Time(static_cast<std::int64_t>(seconds * kMicrosecondsPerSecond)); }
 
-// Entries that reach zero are erased, which bounds the map by the connections that are held.
+// Erases entries that reach zero, so that the map has at most as many entries as there are
+// connections.
 void decrement(std::unordered_map<IpAddress, std::size_t>& counts, const IpAddress& address) {
   const auto it = counts.find(address);
   if (it == counts.end()) return;
@@ -38,14 +39,14 @@
   reload(std::move(settings), std::move(networks));
 }
 
-// ---- settings -----------------------------------------------------------------------------------------
+// ---- settings -----------------------------------------------------------------------------------
 
 void ConnectionAdmission::reload(ConnectionAdmissionSettings settings,
                                  std::shared_ptr<const Networks> networks) {
   if (settings.groups.empty() || settings.maxConnections == 0)
-    throw std::invalid_argument("connection admission without a group or without room");
+    throw std::invalid_argument("connection admission requires a group and maxConnections > 0");
   std::vector<Group> groups = makeGroups(settings);
-  const auto assigned = keptAssignments(groups);
+  const auto assigned = remapAssignments(groups);
   settings_ = std::move(settings);
   networks_ = std::move(networks);
   groups_ = std::move(groups);
@@ -53,7 +54,8 @@
   regroup(assigned);
 }
 
-// The new groups, without connections, with the counters and the rate of the old ones of the same name.
+// Returns the new groups, without connections. Counters and token buckets are copied from the old
+// groups of the same name.
 std::vector<ConnectionAdmission::Group> ConnectionAdmission::makeGroups(
     const ConnectionAdmissionSettings& settings) const {
   std::vector<Group> groups(settings.groups.size());
@@ -66,7 +68,7 @@
       group.counters.admitted = old.counters.admitted;
       group.counters.evicted = old.counters.evicted;
       group.counters.rejected = old.counters.rejected;
-      group.tokens = std::min(old.tokens, group.limits.burst);  // a reload refills no bucket
+      group.tokens = std::min(old.tokens, group.limits.burst);  // a reload does not refill the bucket
       group.tokensAt = old.tokensAt;
       group.nextRetryAt = old.nextRetryAt;
     }
@@ -74,8 +76,8 @@
   return groups;
 }
 
-// The new group of each assigned connection whose group is still there by name.
-std::unordered_map<ConnectionId, std::size_t> ConnectionAdmission::keptAssignments(
+// Returns the new group index of each connection whose assigned group still exists by name.
+std::unordered_map<ConnectionId, std::size_t> ConnectionAdmission::remapAssignments(
     const std::vector<Group>& groups) const {
   std::unordered_map<ConnectionId, std::size_t> kept;
   for (const auto& [id, connection] : connections_) {
@@ -106,7 +108,7 @@
   }
 }
 
-// ---- what groups hold ---------------------------------------------------------------------------------
+// ---- connections of a group ---------------------------------------------------------------------
 
 std::size_t ConnectionAdmission::groupOf(ConnectionId id) const {
   const auto it = connections_.find(id);
@@ -176,7 +178,7 @@
   refreshGauges(group);
 }
 
-// ---- admission ----------------------------------------------------------------------------------------
+// ---- admission ----------------------------------------------------------------------------------
 
 bool ConnectionAdmission::takeToken(Group& group, Time now) {
   const GroupLimits& limits = group.limits;
@@ -189,8 +191,8 @@
   return true;
 }
 
-// Each rejected client gets a slot of its own: at the group's rate, or else so many per second as the group
-// may hold.
+// Gives each rejected client its own retry time. Retry times are spaced by the group's connection
+// rate, or, if it has none, by as many per second as the group may have connections.
 ConnectionDecision ConnectionAdmission::reject(Group& group, Time now, RejectionReason reason) const {
   ++group.counters.rejected[reason];
   const GroupLimits& limits = group.limits;
@@ -200,7 +202,7 @@
                                : static_cast<double>(std::max<std::size_t>(capacity, 1));
   const Time first = now + settings_.minRetryAfter;
   const Time last = now + settings_.maxRetryAfter;
-  // Past the longest wait the slots start over, so no client is told to wait longer.
+  // Beyond maxRetryAfter, retry times start over at minRetryAfter, so no client waits longer.
   if (group.nextRetryAt < first || group.nextRetryAt > last) group.nextRetryAt = first;
   ConnectionDecision decision;
   decision.rejection = reason;
@@ -221,23 +223,24 @@
          now - connections_.at(group.idle.front()).idle->since >= settings_.minIdleTime;
 }
 
-// The longest idle connection of the group that holds most by weight, beyond its reserve and beyond what the
-// newcomer's group would hold with it. The newcomer's own group may exchange one of its own.
-std::optional<ConnectionId> ConnectionAdmission::evictionCandidate(Time now,
-                                                                   std::size_t newcomerGroup) const {
+// Returns the longest idle connection of the group with the largest weighted share. Other groups
+// qualify only if they exceed both their reserve and the share that the group of the new connection
+// would have with it. The group of the new connection itself always qualifies, as its total does
+// not grow.
+std::optional<ConnectionId> ConnectionAdmission::evictionCandidate(Time now, std::size_t groupIndex) const {
   const auto share = [](const Group& group, std::size_t connections) {
     return weightedShare(connections, group.limits.weight);
   };
-  const Group& newcomers = groups_[newcomerGroup];
-  const double newcomerShare = share(newcomers, newcomers.counters.connections + 1);
+  const Group& ownGroup = groups_[groupIndex];
+  const double ownShare = share(ownGroup, ownGroup.counters.connections + 1);
   const Group* best = nullptr;
   double bestShare = 0;
   for (const Group& group : groups_) {
     if (!hasEvictable(group, now)) continue;
     const double groupShare = share(group, group.counters.connections);
-    const bool mayYield = &group == &newcomers ||
-                          (group.counters.connections > group.limits.reserve && groupShare > newcomerShare);
-    if (!mayYield || (best && groupShare <= bestShare)) continue;
+    const bool qualifies =
+        &group == &ownGroup || (group.counters.connections > group.limits.reserve && groupShare > ownShare);
+    if (!qualifies || (best && groupShare <= bestShare)) continue;
     best = &group;
     bestShare = groupShare;
   }
@@ -245,7 +248,8 @@
   return best->idle.front();
 }
 
-// The narrowest limit counts first: an abuser is told of its own, and spends nothing of its neighbours' rate.
+// Checked before the limits of the group, so that a client above its own limit learns of that limit
+// and does not consume the group's rate.
 RejectionReason ConnectionAdmission::checkAddressLimits(const Group& group, const IpAddress& address) const {
   const GroupLimits& limits = group.limits;
   if (limits.maxPerAddress > 0 && countOf(group.byAddress, address) >= limits.maxPerAddress)
@@ -255,9 +259,10 @@
   return RejectionReason::None;
 }
 
-// None if there is room, or will be once `evict` (where it is set) has been closed.
-RejectionReason ConnectionAdmission::findRoom(Time now, std::size_t groupIndex,
-                                              std::optional<ConnectionId>& evict) const {
+// Returns RejectionReason::None if the connection fits, or fits once `evict` (if set) has been
+// closed.
+RejectionReason ConnectionAdmission::checkCapacity(Time now, std::size_t groupIndex,
+                                                   std::optional<ConnectionId>& evict) const {
   const Group& group = groups_[groupIndex];
   if (group.limits.maxConnections > 0 && group.counters.connections >= group.limits.maxConnections) {
     if (!hasEvictable(group, now)) return RejectionReason::GroupFull;
@@ -267,7 +272,7 @@
   const bool withinReserve = group.counters.reserveRemaining > 0;
   const std::size_t taken = connections_.size() + (withinReserve ? 0 : reservedForOthers(groupIndex));
   if (taken < maxConnections()) return RejectionReason::None;
-  // Within its reserve a group finds no room only if others were admitted under earlier settings.
+  // A group within its reserve gets here only if others were admitted under earlier settings.
   evict = evictionCandidate(now, groupIndex);
   return evict ? RejectionReason::None : RejectionReason::Full;
 }
@@ -279,7 +284,7 @@
   Group& group = groups_[groupIndex];
   ConnectionDecision decision;
   RejectionReason reason = checkAddressLimits(group, address);
-  if (reason == RejectionReason::None) reason = findRoom(now, groupIndex, decision.evict);
+  if (reason == RejectionReason::None) reason = checkCapacity(now, groupIndex, decision.evict);
   if (reason == RejectionReason::None && !takeToken(group, now)) reason = RejectionReason::Rate;
   if (reason != RejectionReason::None) return reject(group, now, reason);
   if (decision.evict) {
@@ -294,7 +299,7 @@
   return decision;
 }
 
-// ---- eviction -----------------------------------------------------------------------------------------
+// ---- eviction -----------------------------------------------------------------------------------
 
 ConnectionId ConnectionAdmission::evictLongestIdle(Group& group) {
   const ConnectionId id = group.idle.front();
@@ -303,7 +308,7 @@
   return id;
 }
 
-ConnectionAdmission::Group* ConnectionAdmission::largestShare(Time now) {
+ConnectionAdmission::Group* ConnectionAdmission::groupWithLargestShare(Time now) {
   const auto share = [](const Group& group) {
     return weightedShare(group.counters.connections, group.limits.weight);
   };
@@ -324,7 +329,7 @@
       evicted.push_back(evictLongestIdle(group));
   }
   while (evicted.size() < count && connections_.size() > maxConnections()) {
-    Group* const group = largestShare(now);
+    Group* const group = groupWithLargestShare(now);
     if (!group) break;
     evicted.push_back(evictLongestIdle(*group));
   }
@@ -334,7 +339,7 @@
 std::vector<ConnectionId> ConnectionAdmission::evictForExhaustion(Time now, std::size_t count) {
   std::vector<ConnectionId> evicted;
   while (evicted.size() < count) {
-    Group* const group = largestShare(now);
+    Group* const group = groupWithLargestShare(now);
     if (!group) break;
     evicted.push_back(evictLongestIdle(*group));
   }
--- a/src/admission/connection_limit.hpp
+++ b/src/admission/connection_limit.hpp
@@ -1,6 +1,7 @@
-// Connection limit: how many connections the machine has descriptors for, where that is fewer than the
-// settings allow because something else holds descriptors that the budget does not know of. Learned like a
-// congestion window (RFC 5681, section 3.1): down by a tenth on exhaustion, up by one at a time. Pure.
+// Adaptive connection limit: how many connections the available file descriptors suffice for. This
+// can be fewer than configured when descriptors are in use that the resource budget does not
+// account for. It is adjusted like a congestion window (RFC 5681, section 3.1): reduced by a tenth
+// on exhaustion, then raised by 1 at a time. Performs no I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -14,16 +15,17 @@
 
 class ConnectionLimit {
  public:
-  // `held` connections were open and there was no descriptor for another. The limit does not fall under
-  // `least`. Further calls within kExhaustionWindow are ignored: many connections meet one shortage.
-  void onExhaustion(Time now, std::size_t held, std::size_t least) {
+  // Lowers the limit after descriptors ran out with `openConnections` open, to no less than
+  // `minLimit`. Further calls within kExhaustionWindow are ignored: many connections fail in a
+  // single shortage.
+  void onExhaustion(Time now, std::size_t openConnections, std::size_t minLimit) {
     if (reduced_ && now - reduced_->loweredAt < kExhaustionWindow) return;
-    const std::size_t from = reduced_ ? std::min(reduced_->limit, held) : held;
+    const std::size_t from = reduced_ ? std::min(reduced_->limit, openConnections) : openConnections;
     const std::size_t lowered = from - from / 10 - std::min<std::size_t>(from, 2);
-    reduced_ = Reduced{std::max({lowered, least, std::size_t{1}}), now, now};
+    reduced_ = Reduced{std::max({lowered, minLimit, std::size_t{1}}), now, now};
   }
 
-  // The limit now, at most `configured`.
+  // Returns the current limit, at most `configured`.
   std::size_t value(Time now, std::size_t configured) {
     if (!reduced_) return configured;
     while (now - reduced_->raisedAt >= kRaiseInterval && reduced_->limit < configured) {
@@ -35,7 +37,7 @@
     return configured;
   }
 
-  // The limit is under the configured one.
+  // Returns whether the limit is below the configured one.
   bool active() const { return reduced_.has_value(); }
 
  private:
--- a/src/admission/networks.cpp
+++ b/src/admission/networks.cpp
@@ -82,12 +82,12 @@
   return false;
 }
 
-std::size_t Networks::find(const IpAddress& address, std::size_t otherwise) const {
+std::size_t Networks::find(const IpAddress& address, std::size_t defaultGroup) const {
   for (const auto& [bits, table] : address.is_v4() ? v4_ : v6_) {
     const auto it = table.find(prefixOf(address, bits, bits));
     if (it != table.end()) return it->second;
   }
-  return otherwise;
+  return defaultGroup;
 }
 
 }  // namespace sablespur::admission
--- a/src/admission/recent_clients.cpp
+++ b/src/admission/recent_clients.cpp
@@ -12,7 +12,7 @@
   list.erase(record);
 }
 
-void RecentClients::makeRoom(const IpAddress& network) {
+void RecentClients::evictIfFull(const IpAddress& network) {
   const auto count = countByNetwork_.find(network);
   if (count != countByNetwork_.end() && count->second >= settings_.maxPerPrefix) {
     const auto inNetwork = [&](const Record& record) { return networkOf(record.address) == network; };
@@ -27,7 +27,7 @@
 
 void RecentClients::insert(Time now, const IpAddress& address) {
   const IpAddress network = networkOf(address);
-  makeRoom(network);
+  evictIfFull(network);
   const auto record = candidates_.insert(candidates_.end(), Record{address, now, now, 1, false});
   records_.emplace(address, record);
   ++countByNetwork_[network];
@@ -39,7 +39,7 @@
   const auto it = found->second;
   Record& record = *it;
   RecordList& from = listOf(record);
-  if (now - record.lastAt > settings_.retention) {  // expired: it starts over
+  if (now - record.lastAt > settings_.retention) {  // the record has expired: start over
     record.firstAt = now;
     record.responses = 0;
     record.established = false;
--- a/src/admission/recent_clients.hpp
+++ b/src/admission/recent_clients.hpp
@@ -1,8 +1,11 @@
-// Recent clients: a bounded record of the addresses that have been served before. Pure: no I/O and no clock.
+// Recent clients: a bounded table of client addresses that have been served before. Performs no I/O
+// and reads no clock.
 //
-// An address becomes established once it was served several times over some span. Two bounds keep an abuser
-// from filling the record: each network has room for a few addresses only and displaces its own, and
-// addresses that are not established yet are displaced before any that is.
+// An address becomes established after several responses over a minimum time span. Two rules
+// prevent an abusive client from displacing the established addresses:
+// - Each network has a limit on its addresses; beyond it, a new address evicts one of the same
+//   network.
+// - Addresses that are not established are evicted before established ones.
 #pragma once
 
 #include <chrono>
@@ -18,22 +21,22 @@
 struct RecentClientsSettings {
   std::size_t maxClients = 4096;
   std::size_t maxPerPrefix = 32;
-  int prefix4 = 24;  // bits of the network that an IPv4 address counts against
+  int prefix4 = 24;  // prefix length of the networks that maxPerPrefix applies to
   int prefix6 = 64;
-  std::size_t minResponses = 3;             // an address is established after as many responses,
-  Time minSpan = std::chrono::seconds(2);   // the last of them at least so long after the first
-  Time retention = std::chrono::hours(24);  // after the last response
+  std::size_t minResponses = 3;             // responses until an address is established
+  Time minSpan = std::chrono::seconds(2);   // least time between the first and the last of them
+  Time retention = std::chrono::hours(24);  // since the last response
 };
 
 class RecentClients {
  public:
   explicit RecentClients(RecentClientsSettings settings) : settings_(settings) {}
 
-  // A client at this address got a response from a data server.
+  // Records that a client at this address received a response from a data server.
   void recordResponse(Time now, const IpAddress&);
-  // Whether the address is established.
+  // Returns whether the address is established and was served within the retention time.
   bool contains(Time now, const IpAddress&) const;
-  // Addresses on record, established or not.
+  // Returns the number of recorded addresses, established or not.
   std::size_t size() const { return records_.size(); }
 
  private:
@@ -49,7 +52,7 @@
   RecordList& listOf(const Record& record) { return record.established ? established_ : candidates_; }
   void insert(Time now, const IpAddress&);
   void erase(RecordList&, RecordList::iterator);
-  void makeRoom(const IpAddress& network);
+  void evictIfFull(const IpAddress& network);
   IpAddress networkOf(const IpAddress& address) const {
     return prefixOf(address, settings_.prefix4, settings_.prefix6);
   }
--- a/src/admission/rejection_period.hpp
+++ b/src/admission/rejection_period.hpp
@@ -1,5 +1,5 @@
-// Rejection period: tells when a run of rejections begins and ends, so that each is logged once however many
-// are rejected within it. Pure.
+// Rejection period: detects when a series of rejections begins and ends, so that each series is
+// logged once regardless of the number of rejections. Performs no I/O and reads no clock.
 #pragma once
 
 #include <chrono>
@@ -13,10 +13,10 @@
  public:
   enum class Transition { None, Began, Ended };
 
-  // A period ends once nothing has been rejected for `quietTime`.
+  // A period ends after `quietTime` without a rejection.
   explicit RejectionPeriod(Time quietTime = std::chrono::seconds(1)) : quietTime_(quietTime) {}
 
-  // `total`: all rejections so far. To be called at regular intervals.
+  // `total` is the number of rejections so far. Must be called at regular intervals.
   Transition update(Time now, std::uint64_t total) {
     if (total != total_) return onRejections(now, total);
     if (!active_ || now - lastAt_ < quietTime_) return Transition::None;
@@ -25,7 +25,7 @@
   }
 
   bool active() const { return active_; }
-  // Of the current period, or else of the last one.
+  // Rejections and duration of the current period, or of the last one if none is active.
   std::uint64_t rejections() const { return total_ - totalBefore_; }
   Time duration() const { return lastAt_ - firstAt_; }
 
--- a/src/admission/request_limiter.cpp
+++ b/src/admission/request_limiter.cpp
@@ -8,7 +8,7 @@
 namespace sablespur::admission {
 namespace {
 
-// For Retry-After, while little or nothing is known of the latency.
+// Lower bound of the latency in the retry delay, for when few or no latencies have been measured.
 constexpr Time kMinLatencyEstimate = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -20,19 +20,19 @@
 
 RequestLimiter::RequestLimiter(RequestLimiterSettings settings)
     : settings_(std::move(settings)), limit_(settings_.limit) {
-  if (settings_.groups.empty()) throw std::invalid_argument("requests without a group");
+  if (settings_.groups.empty()) throw std::invalid_argument("request limiter requires at least one group");
   for (const ShareSettings& share : settings_.groups) groups_.push_back({share, 0, {}, {}});
 }
 
-// The time that the queue and those rejected before need to be served: clients that are rejected together
-// return one after another.
+// Returns the estimated time to serve the queued requests and those rejected before, so that
+// clients that are rejected together retry one after another.
 Time RequestLimiter::nextRetryAfter() {
   const Time latency = std::max(limit_.typicalLatency(), kMinLatencyEstimate);
-  const auto ahead = static_cast<double>(queued_ + rejectedInARow_) /
-                     static_cast<double>(std::max<std::size_t>(limit_.value(), 1));
+  const auto roundsAhead = static_cast<double>(queued_ + rejectedInARow_) /
+                           static_cast<double>(std::max<std::size_t>(limit_.value(), 1));
   ++rejectedInARow_;
-  const Time wait =
-      settings_.minRetryAfter + Time(static_cast<std::int64_t>(ahead * static_cast<double>(latency.count())));
+  const Time wait = settings_.minRetryAfter +
+                    Time(static_cast<std::int64_t>(roundsAhead * static_cast<double>(latency.count())));
   if (wait <= settings_.maxRetryAfter) return wait;
   rejectedInARow_ = 0;
   return settings_.maxRetryAfter;
@@ -58,8 +58,8 @@
 }
 
 void RequestLimiter::reload(RequestLimiterSettings settings) {
-  if (settings.groups.empty()) throw std::invalid_argument("requests without a group");
-  // The requests of a removed group go on in the last one, where their end is accounted for.
+  if (settings.groups.empty()) throw std::invalid_argument("request limiter requires at least one group");
+  // The requests of a removed group move to the last group, which accounts for their completion.
   while (groups_.size() > settings.groups.size()) {
     const Group removed = std::move(groups_.back());
     groups_.pop_back();
@@ -106,7 +106,7 @@
   }
 }
 
-RequestLimiter::Group* RequestLimiter::nextToServe() {
+RequestLimiter::Group* RequestLimiter::nextGroupToAdmit() {
   Group* next = nullptr;
   const auto shareAfter = [](const Group& group) {
     return weightedShare(group.inFlight + 1, group.settings.weight);
@@ -121,7 +121,7 @@
 
 void RequestLimiter::admitQueued(std::vector<ResolvedRequest>& resolved) {
   while (queued_ > 0 && inFlight_ < limit_.value()) {
-    Group* const next = nextToServe();
+    Group* const next = nextGroupToAdmit();
     const RequestKey key = next->queue.front().key;
     next->queue.pop_front();
     --queued_;
@@ -131,26 +131,27 @@
   if (queued_ == 0) rejectedInARow_ = 0;
 }
 
-// By weight, the newcomer's request counted as queued.
-RequestLimiter::Group& RequestLimiter::longestQueue(const Group& newcomer) {
+// Returns the group with the largest weighted share of the queue, counting the new request of
+// `submitter` as queued.
+RequestLimiter::Group& RequestLimiter::groupWithLongestQueue(const Group& submitter) {
   const auto share = [&](const Group& group) {
-    return weightedShare(group.queue.size() + (&group == &newcomer ? 1 : 0), group.settings.weight);
+    return weightedShare(group.queue.size() + (&group == &submitter ? 1 : 0), group.settings.weight);
   };
-  std::size_t longest = static_cast<std::size_t>(&newcomer - groups_.data());
+  std::size_t longest = static_cast<std::size_t>(&submitter - groups_.data());
   for (std::size_t k = 0; k < groups_.size(); ++k) {
     const Group& group = groups_[k];
-    if (&group != &newcomer && !group.queue.empty() && share(group) > share(groups_[longest])) longest = k;
+    if (&group != &submitter && !group.queue.empty() && share(group) > share(groups_[longest])) longest = k;
   }
   return groups_[longest];
 }
 
-bool RequestLimiter::makeRoomInQueue(Time now, const Group& newcomer,
+bool RequestLimiter::makeRoomInQueue(Time now, const Group& submitter,
                                      std::vector<ResolvedRequest>& resolved) {
   if (queued_ >= settings_.maxQueued) rejectLate(now, resolved);
   if (queued_ < settings_.maxQueued) return true;
-  Group& longest = longestQueue(newcomer);
-  if (&longest == &newcomer) return false;
-  const RequestKey displaced = longest.queue.back().key;  // the newest: it has waited least
+  Group& longest = groupWithLongestQueue(submitter);
+  if (&longest == &submitter) return false;
+  const RequestKey displaced = longest.queue.back().key;  // the newest, which has waited least
   longest.queue.pop_back();
   --queued_;
   resolved.push_back(rejectQueued(displaced, RequestRejection::QueueFull));
@@ -177,7 +178,8 @@
   if (!makeRoomInQueue(now, own, result.resolved)) return rejected(RequestRejection::QueueFull);
   enqueue(key, group, deadline);
   result.decision = RequestDecision::Queue;
-  // There may be room below the limit now: what was queued before may just have been rejected.
+  // makeRoomInQueue may have rejected every queued request, so the concurrency limit may have
+  // capacity now.
   std::vector<ResolvedRequest> admitted;
   admitQueued(admitted);
   for (const ResolvedRequest& request : admitted) {
--- a/src/admission/request_limiter.hpp
+++ b/src/admission/request_limiter.hpp
@@ -1,5 +1,5 @@
-// Request limiter: which requests are forwarded, which wait in a short queue, and which are rejected. One
-// concurrency limit, shared among groups by weight. Pure: no I/O and no clock.
+// Request limiter: decides which requests are forwarded, which wait in a short queue, and which are
+// rejected. Groups share one concurrency limit by weight. Performs no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -15,11 +15,11 @@
 
 namespace sablespur::admission {
 
-using RequestKey = std::uint64_t;  // given by the caller, unique among the requests that are tracked
+using RequestKey = std::uint64_t;  // chosen by the caller, unique among the tracked requests
 
 struct ShareSettings {
   double weight = 1;
-  std::size_t maxOpen = 0;  // requests of the group, in flight and queued; 0: no limit of its own
+  std::size_t maxOpen = 0;  // limit on the group's requests, in flight and queued; 0: unlimited
 };
 
 struct RequestLimiterSettings {
@@ -33,27 +33,27 @@
 enum class RequestDecision { Admit, Queue, Reject };
 
 enum class RequestRejection {
-  GroupLimit,  // the group has as many requests open as it may
-  TooLate,     // the deadline is nearer than what nearly all requests take
+  GroupLimit,  // the group has reached ShareSettings::maxOpen
+  TooLate,     // the time left until the deadline is within ConcurrencyLimit::latencyUpperBound
   QueueFull
 };
 constexpr std::size_t kRequestRejectionCount = 3;
-// As in the status report and the log: "share", "late" or "queue".
+// Returns the name written in the status report and the log: "share", "late" or "queue".
 const char* requestRejectionName(RequestRejection);
 
 // The decision on a request that had been queued: Admit or Reject.
 struct ResolvedRequest {
   RequestKey key = 0;
   RequestDecision decision = RequestDecision::Reject;
-  Time retryAfter{};  // of a rejection
+  Time retryAfter{};  // if rejected
 };
 
 class RequestLimiter {
  public:
   struct SubmitResult {
     RequestDecision decision = RequestDecision::Reject;
-    Time retryAfter{};                      // of a rejection
-    std::vector<ResolvedRequest> resolved;  // other requests, queued until now
+    Time retryAfter{};                      // if rejected
+    std::vector<ResolvedRequest> resolved;  // other requests, which had been queued
   };
   struct Counters {
     std::size_t inFlight = 0;
@@ -63,21 +63,23 @@
     std::array<std::uint64_t, kRequestRejectionCount> rejected{};  // by RequestRejection
   };
 
-  // Throws std::invalid_argument without a group.
+  // Throws std::invalid_argument if there is no group.
   explicit RequestLimiter(RequestLimiterSettings);
 
-  // Decides on a new request. A group beyond the last one counts as the last one.
+  // Decides on a new request. A group index beyond the last group means the last group.
   SubmitResult submit(Time now, RequestKey, std::size_t group, Time deadline);
-  // Counts a request that the caller rejects for a reason of its own; returns its Retry-After.
+  // Counts a request that the caller rejects itself, and returns its retry delay.
   Time reject(std::size_t group, RequestRejection reason);
-  // A request that was admitted has ended (see ConcurrencyLimit::recordCompletion), or one was cancelled by
-  // its client. Unknown keys are ignored. Returns the queued requests that this decides.
+  // Called when an admitted request ends (see ConcurrencyLimit::recordCompletion), or when a client
+  // has cancelled an admitted or queued one. Unknown keys are ignored. Returns the queued requests
+  // that are admitted or rejected as a result.
   std::vector<ResolvedRequest> complete(Time now, RequestKey, Time latency, bool dropped);
   std::vector<ResolvedRequest> cancel(Time now, RequestKey);
-  // Rejects what is queued and can no longer be on time; to be called at intervals.
+  // Rejects the queued requests that can no longer meet their deadline. Must be called at regular
+  // intervals.
   std::vector<ResolvedRequest> rejectOverdue(Time now);
-  // New shares and bounds. Requests stay with their group by index, and the concurrency limit keeps its
-  // settings and what it has learned. Throws std::invalid_argument without a group.
+  // Applies new weights and limits. Requests stay with their group by index; the concurrency limit
+  // keeps its settings and its state. Throws std::invalid_argument if there is no group.
   void reload(RequestLimiterSettings);
 
   std::size_t inFlight() const { return inFlight_; }
@@ -96,7 +98,7 @@
     ShareSettings settings;
     std::size_t inFlight = 0;
     std::deque<QueuedRequest> queue;
-    Counters counters;  // without the two gauges, which are the members above
+    Counters counters;  // inFlight and queued are unused here: see the members above
   };
   struct TrackedRequest {
     std::size_t group;
@@ -105,11 +107,11 @@
 
   void admit(RequestKey, std::size_t group);
   void enqueue(RequestKey, std::size_t group, Time deadline);
-  void admitQueued(std::vector<ResolvedRequest>&);  // as many as the limit allows
+  void admitQueued(std::vector<ResolvedRequest>&);  // as many as the concurrency limit allows
   void rejectLate(Time now, std::vector<ResolvedRequest>&);
-  bool makeRoomInQueue(Time now, const Group& newcomer, std::vector<ResolvedRequest>&);
-  Group* nextToServe();
-  Group& longestQueue(const Group& newcomer);
+  bool makeRoomInQueue(Time now, const Group& submitter, std::vector<ResolvedRequest>&);
+  Group* nextGroupToAdmit();
+  Group& groupWithLongestQueue(const Group& submitter);
   void removeFromQueue(Group&, RequestKey);
   ResolvedRequest rejectQueued(RequestKey, RequestRejection);
   Time nextRetryAfter();
@@ -120,7 +122,7 @@
   std::unordered_map<RequestKey, TrackedRequest> requests_;  // in flight and queued
   std::size_t inFlight_ = 0;
   std::size_t queued_ = 0;
-  std::size_t lastAdmittedGroup_ = 0;  // among equal shares the next group in order is served first
+  std::size_t lastAdmittedGroup_ = 0;  // groups with equal shares take turns, starting after this one
   std::uint64_t rejectedInARow_ = 0;   // since the queue was last empty
 };
 
--- a/src/admission/request_queues.cpp
+++ b/src/admission/request_queues.cpp
@@ -5,7 +5,7 @@
 namespace sablespur::admission {
 namespace {
 
-// An empty queue is removed when it has been unused for so long.
+// How long an empty queue may be unused before it is removed.
 constexpr Time kUnusedQueueLifetime = std::chrono::seconds(60);
 
 void add(RequestLimiter::Counters& sum, const RequestLimiter::Counters& counters) {
--- a/src/admission/request_queues.hpp
+++ b/src/admission/request_queues.hpp
@@ -1,9 +1,10 @@
-// Request queues: one request limiter for each thing that requests compete for, so that what queues for one
-// does not hold up the others. Pure: no I/O and no clock.
+// Request queues: a request limiter for each resource that requests compete for, so that requests
+// queued for one resource do not delay requests for another. Performs no I/O and reads no clock.
 //
-// A queue stands for a group of data servers and whether its primary is needed. With one limit for all,
-// writes that waited for a crowded primary held its slots, and reads that idle replicas could have served
-// were rejected (docs/measurements/admission).
+// There is one queue per group of data servers and per kind of request: those that need the primary
+// and those that do not. With a single limit, writes waiting for an overloaded primary used up the
+// limit, and reads that idle replicas could have served were rejected
+// (docs/measurements/admission).
 #pragma once
 
 #include <cstddef>
@@ -28,26 +29,26 @@
     Time typicalLatency;
   };
 
-  // Shared by all keys beyond the largest number of queues.
+  // The queue shared by all keys beyond `maxQueues`.
   static constexpr QueueKey kSharedQueue = ~QueueKey{0};
 
-  // Clients name the groups of data servers, so the number of queues is bounded: the keys beyond `maxQueues`
-  // share one more. Throws std::invalid_argument without a group.
+  // The number of queues is bounded because clients choose the names of the groups of data servers:
+  // keys beyond `maxQueues` share one additional queue. The settings must have at least one group.
   explicit RequestQueues(RequestLimiterSettings, std::size_t maxQueues = 256);
 
-  // As in RequestLimiter; ShareSettings::maxOpen counts over all queues.
+  // See RequestLimiter. ShareSettings::maxOpen applies to all queues together.
   RequestLimiter::SubmitResult submit(Time now, RequestKey, QueueKey, std::size_t group, Time deadline);
   std::vector<ResolvedRequest> complete(Time now, RequestKey, Time latency, bool dropped);
   std::vector<ResolvedRequest> cancel(Time now, RequestKey);
-  // Also removes queues that have been unused for a while.
+  // Also removes queues that have been empty and unused for 60 s.
   std::vector<ResolvedRequest> rejectOverdue(Time now);
   void reload(RequestLimiterSettings);
 
-  // Over all queues, removed ones included.
+  // Returns the sum over all queues, including removed ones.
   RequestLimiter::Counters counters(std::size_t group) const;
   std::size_t groupCount() const { return openByGroup_.size(); }
   std::size_t queueCount() const { return queues_.size(); }
-  std::vector<QueueView> view() const;  // by key
+  std::vector<QueueView> view() const;  // sorted by key
 
  private:
   struct Queue {
@@ -63,7 +64,7 @@
   Queue& queueFor(Time now, QueueKey);
   void forget(RequestKey);
   void forgetRejected(const std::vector<ResolvedRequest>&);
-  // Of one queue, where the limits of groups do not apply: they are checked here, over all queues.
+  // Returns the settings of a single queue, without maxOpen, which is checked here for all queues.
   static RequestLimiterSettings limiterSettings(RequestLimiterSettings);
 
   RequestLimiterSettings settings_;
@@ -71,7 +72,7 @@
   std::unordered_map<QueueKey, std::unique_ptr<Queue>> queues_;
   std::unordered_map<RequestKey, OpenRequest> requests_;
   std::vector<std::size_t> openByGroup_;                   // in flight and queued
-  std::vector<RequestLimiter::Counters> removedCounters_;  // by group, of removed queues
+  std::vector<RequestLimiter::Counters> removedCounters_;  // sums over removed queues, by group
 };
 
 }  // namespace sablespur::admission
--- a/src/admission/settings.hpp
+++ b/src/admission/settings.hpp
@@ -1,4 +1,5 @@
-// All settings of admission control: read and checked by config, applied by the AdmissionController.
+// All settings of admission control: read and checked by config, applied by the
+// AdmissionController.
 #pragma once
 
 #include <cstddef>
@@ -14,16 +15,17 @@
 
 namespace sablespur::admission {
 
-// Groups are given by their index in connections.groups.
+// Groups are identified by their index in connections.groups.
 struct Settings {
   ConnectionAdmissionSettings connections;
-  std::shared_ptr<const Networks> networks;       // of the groups
-  Networks trustedProxies;                        // send a PROXY header first; each entry has group 0
+  std::shared_ptr<const Networks> networks;       // maps addresses to groups
+  Networks trustedProxies;                        // peers that send a PROXY header; group is always 0
   std::map<std::string, std::size_t> users;       // group by authenticated user name
-  std::optional<std::size_t> recentClientsGroup;  // of recent clients whose address is in no network
+  std::optional<std::size_t> recentClientsGroup;  // for recent clients outside all networks
   RecentClientsSettings recentClients;
-  std::optional<RequestLimiterSettings> requests;  // without it requests are not limited
-  // Connections held without being admitted: to be told so, to authenticate, or to send their PROXY header.
+  std::optional<RequestLimiterSettings> requests;  // if unset, requests are not limited
+  // Limit on open connections that are not admitted: those being rejected, authenticating, or about
+  // to send a PROXY header.
   std::size_t maxUnadmittedConnections = 0;
 };
 
--- a/src/admission/time.hpp
+++ b/src/admission/time.hpp
@@ -5,7 +5,8 @@
 
 namespace sablespur::admission {
 
-// An instant on the caller's monotonic clock, or a span; the decisions never read a clock themselves.
+// A point in time on the caller's monotonic clock, or a duration. This module never reads a clock
+// itself.
 using Time = std::chrono::microseconds;
 
 }  // namespace sablespur::admission
--- a/src/admission/weighted_share.hpp
+++ b/src/admission/weighted_share.hpp
@@ -6,10 +6,11 @@
 
 namespace sablespur::admission {
 
-// Keeps the division defined for a weight of zero, which then counts as a very small one.
+// Lower bound of a weight, so that a weight of zero does not divide by zero.
 constexpr double kMinWeight = 1e-9;
 
-// The group with the smallest share is served next; the one with the largest gives way first.
+// The group with the smallest share is served next; the group with the largest share loses a
+// connection or a queued request first.
 inline double weightedShare(std::size_t used, double weight) {
   return static_cast<double>(used) / std::max(weight, kMinWeight);
 }
