--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -1,4 +1,5 @@
-// The door as clients meet it, the account of descriptors, and what the system may run out of.
+// Tests of admission through a running proxy, of the PROXY header parser, of slow clients, of the
+// exhaustion of descriptors and memory, and of the status report.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -17,18 +18,20 @@
 
 using namespace std::chrono_literals;
 
-// Two groups: desks in 127.1.0.0/16, and everyone else. `idleLeast`: how long a client has been idle before
-// it may be asked to make way.
-Setting door(const std::string& admission, const std::string& desks = "", const std::string& others = "",
-             const std::string& idleLeast = "0") {
+// Returns a configuration with two groups: desks in 127.1.0.0/16, and all others. A client may be
+// evicted after it has been idle for `minIdleTime`.
+Setting admissionSetting(const std::string& admission, const std::string& desks = "",
+                         const std::string& others = "", const std::string& minIdleTime = "0") {
   Setting s;
   s.ini = true;
-  s.more = "[admission]\ndoor = yes\nidle_least = " + idleLeast + "\n" + admission +
+  s.more = "[admission]\ndoor = yes\nidle_least = " + minIdleTime + "\n" + admission +
            "[admission_group desks]\nnetworks = 127.1.0.0/16\n" + desks + "[admission_group others]\n" +
            others;
   return s;
 }
-std::string each(const std::string& name, int from, int to, const std::string& steps) {
+// Repeats `steps` for the numbers `from` to `to`, replacing $ by the client's name and # by the
+// number.
+std::string forEachNumber(const std::string& name, int from, int to, const std::string& steps) {
   std::string all;
   for (int k = from; k <= to; ++k) {
     std::string one = steps;
@@ -39,47 +42,48 @@
   }
   return all;
 }
-std::string served(const std::string& who, const std::string& id) {
+// Returns the steps of a read that a client sends and s2 answers.
+std::string answeredRead(const std::string& who, const std::string& id) {
   return who + " send query SELECT 1 /* id=" + id + ",c=read,d=7000,cluster=3 */\ns2 expect query id=" + id +
          "\ns2 send row " + id + "\n" + who + " expect row " + id + "\n";
 }
-struct Socket {  // a path that no other test has
-  Socket() : path("/tmp/sablespur-status-" + std::to_string(getpid())) { unlink(path.c_str()); }
-  ~Socket() { unlink(path.c_str()); }
+struct StatusSocket {  // a path that no other test uses
+  StatusSocket() : path("/tmp/sablespur-status-" + std::to_string(getpid())) { unlink(path.c_str()); }
+  ~StatusSocket() { unlink(path.c_str()); }
   const std::string path;
   std::string section() const { return "[status]\nsocket = " + path + "\n"; }
 };
 
-// ---- connections --------------------------------------------------------------------------------------
-TEST(DoorStep, OneAddressInALoopIsToldSoAndDesksGetIn) {
-  Scenario t(door("", "reserve = 2\n", "connections_by_address = 3\n"));
-  t.run(each("c", 1, 3, "$ from 127.9.0.1\n$ expect in") +
-        each("c", 4, 40, "$ from 127.9.0.1\n$ expect refused") + "d1 from 127.1.0.7\n" + served("d1", "1") +
-        served("c3", "2") + "c41 from 127.9.0.2\nc41 expect in\n" +
+// ---- connections --------------------------------------------------------------------------------
+TEST(AdmissionScenario, AnAddressOverItsLimitIsRejectedWithoutAffectingOthers) {
+  Scenario t(admissionSetting("", "reserve = 2\n", "connections_by_address = 3\n"));
+  t.run(forEachNumber("c", 1, 3, "$ from 127.9.0.1\n$ expect in") +
+        forEachNumber("c", 4, 40, "$ from 127.9.0.1\n$ expect refused") + "d1 from 127.1.0.7\n" +
+        answeredRead("d1", "1") + answeredRead("c3", "2") + "c41 from 127.9.0.2\nc41 expect in\n" +
         "proxy expect log event=rejection_started group=others");
-  EXPECT_EQ(t.logged("event=rejection_started"), 1u);  // not one a refusal
+  EXPECT_EQ(t.logged("event=rejection_started"), 1u);  // not once per rejection
   t.run("proxy expect log event=rejection_ended group=others what=connections refused=37");
 }
-TEST(DoorStep, FiveHundredAddressesOfOneNetworkAreOneNetwork) {
-  Scenario t(door("network_bits = 16\n", "", "connections_by_network = 5\n"));
+TEST(AdmissionScenario, FiveHundredAddressesOfOneNetworkShareItsLimit) {
+  Scenario t(admissionSetting("network_bits = 16\n", "", "connections_by_network = 5\n"));
   std::string steps;
   for (int k = 1; k <= 500; ++k) {
     const std::string who = "c" + std::to_string(k);
     steps += who + " from 127.9." + std::to_string(k / 250) + "." + std::to_string(1 + k % 250) + "\n" + who +
              (k <= 5 ? " expect in\n" : " expect refused\n" + who + " close\n");
   }
-  t.run(steps + "d1 from 127.1.0.7\n" + served("d1", "1"));
+  t.run(steps + "d1 from 127.1.0.7\n" + answeredRead("d1", "1"));
 }
-TEST(DoorStep, WithoutAReserveAnIdleAppMakesWayForADesk) {
-  Scenario t(door("connections = 6\n", "reserve = 2\nweight = 4\n"));
-  t.run(each("d", 1, 2, "$ from 127.1.0.#\n$ send query\n$ expect empty") +
-        each("c", 1, 4, "$ from 127.9.0.#\n$ send query\n$ expect empty") +
-        "c5 from 127.9.0.5\nc5 expect in\nc1 expect closed\n"  // within its own group: the longest idle one
+TEST(AdmissionScenario, EvictsAnIdleConnectionOfTheGroupWithTheLargestShare) {
+  Scenario t(admissionSetting("connections = 6\n", "reserve = 2\nweight = 4\n"));
+  t.run(forEachNumber("d", 1, 2, "$ from 127.1.0.#\n$ send query\n$ expect empty") +
+        forEachNumber("c", 1, 4, "$ from 127.9.0.#\n$ send query\n$ expect empty") +
+        "c5 from 127.9.0.5\nc5 expect in\nc1 expect closed\n"  // longest idle one of its group
         "d3 from 127.1.0.3\nd3 expect in\nc2 expect closed\n" +
-        served("c3", "1") + served("d3", "2"));
+        answeredRead("c3", "1") + answeredRead("d3", "2"));
 }
-TEST(DoorStep, AClientAtWorkIsNeverAskedToMakeWay) {
-  Scenario t(door("connections = 2\n", "reserve = 1\nweight = 4\n"));
+TEST(AdmissionScenario, ABusyClientIsNotEvicted) {
+  Scenario t(admissionSetting("connections = 2\n", "reserve = 1\nweight = 4\n"));
   t.run(R"(
     c1 from 127.9.0.1
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -95,18 +99,19 @@
     c1 expect row one
   )");
 }
-TEST(DoorStep, AllDesksComeBackInOneSecondAfterARestart) {
-  for (int round = 0; round < 2; ++round) {  // the second process is the one after the restart
-    Scenario t(door("", "reserve = 40\nconnections_per_second = 2\nburst = 40\n",
-                    "connections_per_second = 5\nburst = 5\n"));
-    t.run(each("c", 1, 5, "$ from 127.9.0.#\n$ expect in") + "c6 from 127.9.0.6\nc6 expect refused\n" +
-          each("d", 1, 40, "$ from 127.1.0.#\n$ expect in"));
+TEST(AdmissionScenario, AllReservedClientsReconnectAtOnceAfterARestart) {
+  for (int round = 0; round < 2; ++round) {  // round 1 is the process after the restart
+    Scenario t(admissionSetting("", "reserve = 40\nconnections_per_second = 2\nburst = 40\n",
+                                "connections_per_second = 5\nburst = 5\n"));
+    t.run(forEachNumber("c", 1, 5, "$ from 127.9.0.#\n$ expect in") +
+          "c6 from 127.9.0.6\nc6 expect refused\n" +
+          forEachNumber("d", 1, 40, "$ from 127.1.0.#\n$ expect in"));
   }
 }
-// They have asked: what has not is closed after first_query anyway.
-TEST(DoorStep, AReloadThatLowersACapClosesWhatIsIdleAlone) {
-  Scenario t(door("", "", "connections = 5\n"));
-  t.run(each("c", 1, 5, "$ from 127.9.0.#\n$ send query\n$ expect empty") + R"(
+// Each client sends a query first, since a client without one is closed after first_query.
+TEST(AdmissionScenario, ALowerLimitAfterAReloadClosesOnlyIdleClients) {
+  Scenario t(admissionSetting("", "", "connections = 5\n"));
+  t.run(forEachNumber("c", 1, 5, "$ from 127.9.0.#\n$ send query\n$ expect empty") + R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
   )");
@@ -122,9 +127,9 @@
     c5 expect closed
   )");
 }
-TEST(DoorStep, AnAddressMovesToAnotherGroupOnReload) {
-  const Socket socket;
-  Setting s = door("", "reserve = 1\n");
+TEST(AdmissionScenario, AReloadMovesAnAddressToAnotherGroup) {
+  const StatusSocket socket;
+  Setting s = admissionSetting("", "reserve = 1\n");
   s.more += socket.section();
   Scenario t(s);
   t.run("c1 from 127.9.0.1\nc1 expect in\n");
@@ -134,22 +139,22 @@
   EXPECT_TRUE(holds("others")) << t.status();
   t.reload("[admission]\ndoor = yes\n[admission_group desks]\nnetworks = 127.1.0.0/16, 127.9.0.0/24\n" +
            socket.section());
-  t.run("proxy expect log event=config_reloaded\n" + served("c1", "1"));
+  t.run("proxy expect log event=config_reloaded\n" + answeredRead("c1", "1"));
   EXPECT_TRUE(holds("desks")) << t.status();
 }
-TEST(DoorStep, AnAbuserAmongTheDesksTakesItsOwnShareOfThem) {
-  Scenario t(door("connections = 20\n", "reserve = 10\nconnections_by_address = 2\n"));
-  t.run(each("x", 1, 2, "$ from 127.1.0.66\n$ expect in") +
-        each("x", 3, 30, "$ from 127.1.0.66\n$ expect refused") +
-        each("d", 1, 8, "$ from 127.1.0.#\n$ expect in") + served("d8", "1"));
+TEST(AdmissionScenario, AnAbusiveAddressDoesNotUseUpTheReserveOfItsGroup) {
+  Scenario t(admissionSetting("connections = 20\n", "reserve = 10\nconnections_by_address = 2\n"));
+  t.run(forEachNumber("x", 1, 2, "$ from 127.1.0.66\n$ expect in") +
+        forEachNumber("x", 3, 30, "$ from 127.1.0.66\n$ expect refused") +
+        forEachNumber("d", 1, 8, "$ from 127.1.0.#\n$ expect in") + answeredRead("d8", "1"));
 }
-TEST(DoorStep, ServedBeforeIsKnown) {
-  Setting s = door("connections = 3\nserved_before = desks\n", "reserve = 2\n");
+TEST(AdmissionScenario, ARecentClientBelongsToTheConfiguredGroup) {
+  Setting s = admissionSetting("connections = 3\nserved_before = desks\n", "reserve = 2\n");
   Scenario t(s);
   t.run("c1 from 127.9.0.1\n");
-  // Three times over more than two seconds.
+  // Three responses over more than 2 s establish the address.
   for (int k = 1; k <= 3; ++k) {
-    t.run(served("c1", std::to_string(k)));
+    t.run(answeredRead("c1", std::to_string(k)));
     usleep(1100 * 1000);
   }
   t.run(
@@ -157,12 +162,12 @@
       "s2 expect query id=9\nc3 from 127.9.0.3\nc3 expect refused\nc4 from 127.9.0.1\nc4 expect in\n"
       "s2 send row v\nc2 expect row v\n");
 }
-TEST(DoorStep, AUserIsKnownByNameOnceItIsProved) {
+TEST(AdmissionScenario, AUserBelongsToItsGroupOnlyAfterAuthentication) {
   const std::string path = "/tmp/sablespur-door-users-" + std::to_string(getpid());
   std::ofstream(path) << "desk:" << auth::makeVerifier("pencil", "0123456789abcdef", 4096).text()
                       << "\ntill:" << auth::makeVerifier("pencil", "0123456789abcdef", 4096).text() << "\n";
   chmod(path.c_str(), 0600);
-  Setting s = door("connections = 2\n", "reserve = 1\nusers = desk\n");
+  Setting s = admissionSetting("connections = 2\n", "reserve = 1\nusers = desk\n");
   s.clients = "login = scram\nusers = " + path + "\n";
   Scenario t(s);
   t.run(R"(
@@ -182,9 +187,9 @@
   )");
   unlink(path.c_str());
 }
-// Between an Execute and its Sync a client is not idle: its ReadyForQuery is owed.
-TEST(DoorStep, AClientAmidABatchIsNotAskedToMakeWay) {
-  Setting s = door("connections = 1\n");
+// Between Execute and Sync a client is not idle: its ReadyForQuery is still to be sent.
+TEST(AdmissionScenario, AClientBetweenExecuteAndSyncIsNotEvicted) {
+  Setting s = admissionSetting("connections = 1\n");
   s.clients = "extended_queries = yes\n";
   Scenario t(s);
   t.run(R"(
@@ -199,9 +204,10 @@
     o1 gets closed
   )");
 }
-// Who has no place may still call off what it has out on another connection.
-TEST(DoorStep, ACancelIsHeardThoughTheDoorIsFull) {
-  Scenario t(door("connections = 1\n"));
+// A CancelRequest for a request on another connection is handled even when no connection is
+// admitted.
+TEST(AdmissionScenario, CancelRequestsAreHandledAtTheConnectionLimit) {
+  Scenario t(admissionSetting("connections = 1\n"));
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -212,8 +218,8 @@
     o1 gets error 57014
   )");
 }
-TEST(DoorStep, EachVersionIsToldInItsOwnWords) {
-  Setting s = door("connections = 1\n");
+TEST(AdmissionScenario, RejectionsAreWrittenInTheProtocolVersionOfTheClient) {
+  Setting s = admissionSetting("connections = 1\n");
   s.clients = "version_2 = yes\n";
   Scenario t(s);
   t.run(R"(
@@ -227,21 +233,21 @@
     o3 gets closed
   )");
 }
-// More than the antechamber holds: told at once, without a word of theirs.
-TEST(DoorStep, AFloodThatSaysNothingHoldsTheAntechamberAlone) {
-  const Socket socket;
-  Setting s = door("connections = 1\nantechamber = 4\n", "reserve = 1\n");
+// Connections beyond the limit on unadmitted ones are rejected at once, before they send a message.
+TEST(AdmissionScenario, SilentConnectionsUseOnlyTheUnadmittedLimit) {
+  const StatusSocket socket;
+  Setting s = admissionSetting("connections = 1\nantechamber = 4\n", "reserve = 1\n");
   s.more += socket.section();
   Scenario t(s);
-  t.run(each("x", 1, 60, "$ from 127.9.0.1\n$ send bytes") + "d1 from 127.1.0.1\n" + served("d1", "1") +
-        "x60 expect closed\nx1 expect closed\n");  // the first ones after 2 s
+  t.run(forEachNumber("x", 1, 60, "$ from 127.9.0.1\n$ send bytes") + "d1 from 127.1.0.1\n" +
+        answeredRead("d1", "1") + "x60 expect closed\nx1 expect closed\n");  // x1 is closed after 2 s
   const std::string json = t.status(true);
-  EXPECT_NE(json.find("\"peak\": 5"), std::string::npos) << json;  // four, and one at a time that is told no
+  EXPECT_NE(json.find("\"peak\": 5"), std::string::npos) << json;  // four, and one being rejected
 }
 
-// ---- fronts -------------------------------------------------------------------------------------------
-TEST(DoorStep, AFrontTellsWhomItStandsFor) {
-  Scenario t(door("fronts = 127.2.0.1\n", "", "connections_by_address = 1\n"));
+// ---- PROXY header -------------------------------------------------------------------------------
+TEST(AdmissionScenario, TrustedProxiesPassTheClientAddressInAProxyHeader) {
+  Scenario t(admissionSetting("fronts = 127.2.0.1\n", "", "connections_by_address = 1\n"));
   t.run(R"(
     c1 from 127.2.0.1
     c1 send header PROXY TCP4 203.0.113.7 10.0.0.1 51000 5432
@@ -270,7 +276,7 @@
     c8 expect error 08P01
   )");
 }
-TEST(ProxyProtocol, EveryCutOfAHeaderWaitsForMoreAndNoneIsRead) {
+TEST(ProxyProtocol, TruncatedHeadersAreIncomplete) {
   const Address client = *Address::parse("203.0.113.7:51000"), server = *Address::parse("10.0.0.1:5432"),
                 client6 = *Address::parse("[2001:db8::7]:51000"),
                 server6 = *Address::parse("[2001:db8::1]:5432");
@@ -288,7 +294,7 @@
     EXPECT_EQ(*h.client, h.client->v6() ? client6 : client);
   }
 }
-TEST(ProxyProtocol, WhatIsNoHeaderIsBad) {
+TEST(ProxyProtocol, InvalidHeadersAreMalformed) {
   const std::string v2 =
       proxy_protocol::formatVersion2(*Address::parse("1.2.3.4:5"), *Address::parse("6.7.8.9:10"));
   std::string version3 = v2, command = v2, shorter = v2, longer = v2;
@@ -315,7 +321,7 @@
     EXPECT_FALSE(h.client);
   }
 }
-TEST(DoorStep, ATlsHelloIsAnsweredByAnAlertAndAnEnd) {
+TEST(AdmissionScenario, ATlsClientHelloIsAnsweredWithAnAlert) {
   Scenario t;
   t.run(R"(
     c1 send bytes 16 03 01 00 f4 01 00 00 f0 03 03
@@ -324,14 +330,14 @@
   )");
 }
 
-// ---- slow clients -------------------------------------------------------------------------------------
-// Each costs its sender alone: what it may hold ends, and another client is served all the while.
-TEST(SlowClients, AByteNowAndThenAHalfMessageAndSilenceEnd) {
+// ---- slow clients -------------------------------------------------------------------------------
+// Slow clients are closed by timeouts, and other clients are served meanwhile.
+TEST(SlowClients, IncompleteMessagesAndSilenceTimeOut) {
   Setting s;
   s.ini = true;
   s.clients = "first_query = 400ms\nhalf_message = 300ms\n";
   Scenario t(s);
-  t.run(served("c1", "1") + R"(
+  t.run(answeredRead("c1", "1") + R"(
     c2 send bytes 00 00
     c3 expect in
     c1 send query
@@ -340,47 +346,49 @@
     c2 expect closed
     c3 expect closed
     c1 expect closed
-  )" + served("c4", "2"));
+  )" + answeredRead("c4", "2"));
 }
-TEST(SlowClients, OneThatReadsNothingIsClosedAndHeldToABound) {
-  const Socket socket;
+TEST(SlowClients, AClientThatDoesNotReadIsClosedWithinItsBufferLimit) {
+  const StatusSocket socket;
   Setting s;
   s.ini = true;
   s.clients = "unread_answer = 300ms\n";
   s.more = socket.section();
   Scenario t(s);
-  // Whoever is asked answers. With one server alone, one late answer sets it aside, the others let the
-  // requests time out, and the short errors never fill the sockets' buffers.
+  // Every data server answers. If only one did, a single late answer would eject it, the requests
+  // to the others would time out, and the short errors would never fill the socket buffers.
   for (const char* server : {"s1", "s2"})
     t.run(std::string(server) + " serves " + std::string(60000, 'v') + "\n");
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const int small = 4096;
-  setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  const int receiveBufferSize = 4096;
+  setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receiveBufferSize, sizeof receiveBufferSize);
   const Address to = *Address::parse("127.0.0.1:" + std::to_string(t.port()));
   ASSERT_EQ(connect(fd, to.data(), to.size()), 0);
   std::string all = postgres::startup("api", "ledger");
   for (int k = 1; k <= 100; ++k)
     all += postgres::query("SELECT 1 /* id=" + std::to_string(k) + ",c=read,d=7000,cluster=3 */");
   ASSERT_EQ(send(fd, all.data(), all.size(), MSG_NOSIGNAL), static_cast<ssize_t>(all.size()));
-  // It reads nothing; the proxy serves what fits into the sockets' buffers, and then it ends.
-  int looks = 0;
+  // The client does not read: the proxy sends what fits into the socket buffers, then closes the
+  // connection.
+  int polls = 0;
   t.serveUntil([&] {
-    return ++looks % 20 == 0 && t.status(true).find("\"clients\": {\n      \"held\": 0") != std::string::npos;
+    return ++polls % 20 == 0 && t.status(true).find("\"clients\": {\n      \"held\": 0") != std::string::npos;
   });
-  const timeval most{5, 0};  // a connection that is still open fails the test, and does not hang it
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
-  std::size_t got = 0;
+  // With a timeout, a connection that is still open fails the test instead of blocking it.
+  const timeval receiveTimeout{5, 0};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof receiveTimeout);
+  std::size_t received = 0;
   char bytes[65536];
   errno = 0;
-  for (ssize_t n; (n = recv(fd, bytes, sizeof bytes, 0)) > 0;) got += static_cast<std::size_t>(n);
-  EXPECT_TRUE(errno != EAGAIN && errno != EWOULDBLOCK) << "it is still open";
-  EXPECT_LT(got, 100u * 60000u);
+  for (ssize_t n; (n = recv(fd, bytes, sizeof bytes, 0)) > 0;) received += static_cast<std::size_t>(n);
+  EXPECT_TRUE(errno != EAGAIN && errno != EWOULDBLOCK) << "the connection is still open";
+  EXPECT_LT(received, 100u * 60000u);
   close(fd);
 }
 
-// ---- requests -----------------------------------------------------------------------------------------
-TEST(DoorStep, RequestsBeyondTheLimitWaitThenAreRefusedAtOnce) {
-  Scenario t(door("requests = fixed\nlimit = 1\nwaiting = 1\n"));
+// ---- requests -----------------------------------------------------------------------------------
+TEST(AdmissionScenario, RequestsBeyondTheLimitAreQueuedThenRejected) {
+  Scenario t(admissionSetting("requests = fixed\nlimit = 1\nwaiting = 1\n"));
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -399,8 +407,8 @@
     c3 expect row four
   )");
 }
-TEST(DoorStep, OneThatWaitsMayLeaveOrBeCalledOff) {
-  Scenario t(door("requests = fixed\nlimit = 1\nwaiting = 4\n"));
+TEST(AdmissionScenario, AQueuedRequestEndsOnDisconnectOrCancel) {
+  Scenario t(admissionSetting("requests = fixed\nlimit = 1\nwaiting = 4\n"));
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -419,8 +427,8 @@
     c4 expect row four
   )");
 }
-TEST(DoorStep, OneThatWaitsInVainIsToldBeforeItsTimeIsUp) {
-  Scenario t(door("requests = fixed\nlimit = 1\nwaiting = 4\n"));
+TEST(AdmissionScenario, AQueuedRequestThatMissesItsDeadlineIsRejected) {
+  Scenario t(admissionSetting("requests = fixed\nlimit = 1\nwaiting = 4\n"));
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -430,11 +438,12 @@
     c1 expect row one
   )");
 }
-// Hundreds of commands at once take one place: a client's next request comes after its answer.
-TEST(DoorStep, AClientThatPipelinesHundredsHoldsOnePlace) {
-  Scenario t(door("requests = fixed\nlimit = 4\n", "", "requests = 1\n"));
+// A client's next request is submitted only after the previous answer, so hundreds of pipelined
+// queries count as one open request.
+TEST(AdmissionScenario, APipeliningClientHasOneOpenRequest) {
+  Scenario t(admissionSetting("requests = fixed\nlimit = 4\n", "", "requests = 1\n"));
   t.run("c1 from 127.9.0.1\n" +
-        each("q", 1, 200, "c1 send query SELECT 1 /* id=p#,c=read,d=7000,cluster=3 */") +
+        forEachNumber("q", 1, 200, "c1 send query SELECT 1 /* id=p#,c=read,d=7000,cluster=3 */") +
         "s2 expect query id=p1\n" +
         "d1 from 127.1.0.1\nd1 send query SELECT 1 /* id=d1,c=read,d=7000,cluster=3 */\ns2 serves v\nd1 "
         "expect row v\n" +
@@ -442,41 +451,43 @@
         "53300\n");
 }
 
-// ---- what the system runs out of ----------------------------------------------------------------------
-// All that is out has its one answer, new ones are told so, and it is well again. The shortage lasts while
-// the answers come, so a client that has its answer would be asked to make way as soon as it is idle.
-TEST(Shortage, OfDescriptorsWithRequestsOutLeavesEachItsOneAnswer) {
-  Setting s = door("requests = off\n", "", "", "1h");
+// ---- exhaustion of descriptors and memory -------------------------------------------------------
+// When descriptors run out, each open request is still answered once, new clients are rejected, and
+// the proxy recovers afterwards. The shortage lasts while the answers arrive, so without the long
+// idle_least an answered client would be evicted as soon as it is idle.
+TEST(ResourceExhaustion, OpenRequestsAreAnsweredOnceWithoutDescriptors) {
+  Setting s = admissionSetting("requests = off\n", "", "", "1h");
   s.sockets = s.descriptors = 160;
   s.inherited = 108;
   Scenario t(s);
-  t.run("s2 wait idle 2\n" + each("c", 1, 9, "$ send query SELECT 1 /* id=#,c=read,d=9000,cluster=3 */") +
+  t.run("s2 wait idle 2\n" +
+        forEachNumber("c", 1, 9, "$ send query SELECT 1 /* id=#,c=read,d=9000,cluster=3 */") +
         "s2 wait queries 9\n");
   std::string steps;
   for (int k = 1; k <= 40; ++k) steps += "x" + std::to_string(k) + " send bytes 0\n";
   t.run(steps + "proxy expect log event=accept_failed\nx40 expect refused\ns2 serves v\n" +
-        each("c", 1, 9, "$ expect row v") + each("x", 1, 40, "$ close"));
-  usleep(1100 * 1000);  // a second without a failure
+        forEachNumber("c", 1, 9, "$ expect row v") + forEachNumber("x", 1, 40, "$ close"));
+  usleep(1100 * 1000);  // more than 1 s without a failure
   t.run(
       "c10 expect welcome\nc10 send query SELECT 1 /* id=10,c=read,d=9000,cluster=3 */\nc10 expect row v\n"
       "proxy expect log event=accept_recovered\n");
-  for (int k = 1; k <= 9; ++k)  // nothing came behind it
+  for (int k = 1; k <= 9; ++k)  // no second answer has arrived
     t.run("c" + std::to_string(k) + " send query\nc" + std::to_string(k) + " expect empty\n");
 }
 
-struct Calls {  // puts the system's calls back
-  const SystemCalls kept = systemCalls();
-  ~Calls() { systemCalls() = kept; }
+struct SystemCallsGuard {  // restores the system calls
+  const SystemCalls original = systemCalls();
+  ~SystemCallsGuard() { systemCalls() = original; }
 };
-int failing = 0, left = 0;  // the error, and how often it comes
+int injectedError = 0, failuresLeft = 0;  // errno, and how many more calls fail with it
 
-struct ShortageTest : testing::Test {
-  Calls calls;
+struct ResourceExhaustionTest : testing::Test {
+  SystemCallsGuard calls;
   EventBase base{event_base_new()};
   Config config = parseConfig(test::configuration({}, 1, {11, 12}));
-  ResourceBudget account{config};
-  ReservedDescriptor spare;
-  void spin(const std::function<bool()>& done) {
+  ResourceBudget budget{config};
+  ReservedDescriptor reservedDescriptor;
+  void runUntil(const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + 10s;
     while (!done() && std::chrono::steady_clock::now() < end) {
       const timeval tick{0, 5000};
@@ -486,106 +497,107 @@
     ASSERT_TRUE(done());
   }
 };
-TEST_F(ShortageTest, EachErrorOfAcceptHasItsAnswer) {
+TEST_F(ResourceExhaustionTest, AcceptHandlesEachError) {
   systemCalls().accept = [](int l, sockaddr* a, socklen_t* n) {
-    if (left > 0) {
-      --left;
-      errno = failing;
+    if (failuresLeft > 0) {
+      --failuresLeft;
+      errno = injectedError;
       return -1;
     }
     return accept4(l, a, n, SOCK_NONBLOCK | SOCK_CLOEXEC);
   };
-  int taken = 0, shortages = 0, refused = 0;
-  Acceptor::ConnectionHandler taker;
-  taker.accepted = [&](evutil_socket_t fd, const sockaddr*) {
-    ++taken;
+  int acceptedCount = 0, exhaustionCount = 0, rejectedCount = 0;
+  Acceptor::ConnectionHandler handler;
+  handler.accepted = [&](evutil_socket_t fd, const sockaddr*) {
+    ++acceptedCount;
     close(fd);
   };
-  taker.hasRoom = [] { return true; };
-  taker.onExhaustion = [&] { ++shortages; };
-  taker.reject = [&](evutil_socket_t) { ++refused; };
+  handler.hasRoom = [] { return true; };
+  handler.onExhaustion = [&] { ++exhaustionCount; };
+  handler.reject = [&](evutil_socket_t) { ++rejectedCount; };
   const Clock clock;
-  Acceptor acceptor(base.get(), clock, *Address::parse("127.0.0.1:0"), account, spare, taker);
-  const auto come = [&] {
+  Acceptor acceptor(base.get(), clock, *Address::parse("127.0.0.1:0"), budget, reservedDescriptor, handler);
+  const auto connectClient = [&] {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const Address to = *Address::parse("127.0.0.1:" + std::to_string(acceptor.port()));
     EXPECT_EQ(connect(fd, to.data(), to.size()), 0);
     return fd;
   };
-  const auto meet = [&](int error, int times) {
-    failing = error;
-    left = times;
-    taken = shortages = refused = 0;
-    const int fd = come();
-    spin([&] { return taken + refused == 1; });
+  const auto acceptWithErrors = [&](int error, int times) {
+    injectedError = error;
+    failuresLeft = times;
+    acceptedCount = exhaustionCount = rejectedCount = 0;
+    const int fd = connectClient();
+    runUntil([&] { return acceptedCount + rejectedCount == 1; });
     close(fd);
   };
-  // One connection's own end: the next call takes the next one, with no pause.
+  // Errors of a single connection: the next one is accepted without a pause.
   for (const int error : {ECONNABORTED, EINTR, EPROTO, ENETDOWN}) {
-    meet(error, 5);
-    EXPECT_EQ(taken, 1) << error;
+    acceptWithErrors(error, 5);
+    EXPECT_EQ(acceptedCount, 1) << error;
     EXPECT_EQ(acceptor.backoff().count(), 0);
   }
   for (const int error : {EMFILE, ENFILE}) {
-    meet(error, 1);  // the call on the spare descriptor goes well: it is told so and closed
-    EXPECT_EQ(shortages, 1);
-    EXPECT_EQ(refused, 1);
-    EXPECT_TRUE(spare.held());
+    acceptWithErrors(error, 1);  // accepted with the reserved descriptor, rejected and closed
+    EXPECT_EQ(exhaustionCount, 1);
+    EXPECT_EQ(rejectedCount, 1);
+    EXPECT_TRUE(reservedDescriptor.held());
   }
-  EXPECT_EQ(account.exhaustionCount(ResourceExhaustion::Descriptors), 2u);
+  EXPECT_EQ(budget.exhaustionCount(ResourceExhaustion::Descriptors), 2u);
   for (const int error : {ENOBUFS, ENOMEM}) {
-    meet(error, 3);  // 20, 40, 80 ms: it waits in the backlog, and is taken
-    EXPECT_EQ(taken, 1);
-    EXPECT_EQ(shortages + refused, 0);
+    acceptWithErrors(error, 3);  // retried after 20, 40 and 80 ms, then accepted from the backlog
+    EXPECT_EQ(acceptedCount, 1);
+    EXPECT_EQ(exhaustionCount + rejectedCount, 0);
   }
-  EXPECT_EQ(account.exhaustionCount(ResourceExhaustion::Memory), 6u);
+  EXPECT_EQ(budget.exhaustionCount(ResourceExhaustion::Memory), 6u);
 }
-// An upgrade: from the yielding on all that come go to the listener that came later, and what waits is taken.
-TEST_F(ShortageTest, AListenerThatYieldsLosesNoConnection) {
+// During an upgrade, connections after the handover go to the newer listener, and those in the
+// backlog of the old one are accepted.
+TEST_F(ResourceExhaustionTest, AListenerHandoverLosesNoConnection) {
   int first = 0, second = 0;
-  const auto taker = [](int& count) {
-    Acceptor::ConnectionHandler t;
-    t.accepted = [&count](evutil_socket_t fd, const sockaddr*) { ++count, close(fd); };
-    t.hasRoom = [] { return true; };
-    t.onExhaustion = [] {};
-    t.reject = [](evutil_socket_t) {};
-    return t;
+  const auto countingHandler = [](int& count) {
+    Acceptor::ConnectionHandler handler;
+    handler.accepted = [&count](evutil_socket_t fd, const sockaddr*) { ++count, close(fd); };
+    handler.hasRoom = [] { return true; };
+    handler.onExhaustion = [] {};
+    handler.reject = [](evutil_socket_t) {};
+    return handler;
   };
   const Clock clock;
-  auto old = std::make_unique<Acceptor>(base.get(), clock, *Address::parse("127.0.0.1:0"), account, spare,
-                                        taker(first), true);
-  const Address at = *Address::parse("127.0.0.1:" + std::to_string(old->port()));
-  const Acceptor young(base.get(), clock, at, account, spare, taker(second), true);
-  const auto come = [&](int n) {
+  auto older = std::make_unique<Acceptor>(base.get(), clock, *Address::parse("127.0.0.1:0"), budget,
+                                          reservedDescriptor, countingHandler(first), true);
+  const Address at = *Address::parse("127.0.0.1:" + std::to_string(older->port()));
+  const Acceptor newer(base.get(), clock, at, budget, reservedDescriptor, countingHandler(second), true);
+  const auto connectClients = [&](int n) {
     for (int k = 0; k < n; ++k) {
       const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
       EXPECT_EQ(connect(fd, at.data(), at.size()), 0);
       close(fd);
     }
   };
-  come(64);  // some wait at each: the loop has not run
-  old->handOverListener();
-  old->drainBacklog();
+  connectClients(64);  // both backlogs have some: the event loop has not run
+  older->handOverListener();
+  older->drainBacklog();
   const int before = first;
   EXPECT_GT(before, 0);
-  come(64);
-  old->drainBacklog();
-  EXPECT_EQ(first, before) << "they were led to the other";
-  old.reset();
-  spin([&] { return first + second == 128; });
-  come(8);  // the one that is left takes all
-  spin([&] { return first + second == 136; });
-}
-// The proxy's own want is not held against the data server.
-TEST_F(ShortageTest, OfSocketsForADialIsNoFaultOfTheMember) {
-  struct Seen : DiscoverySource {
+  connectClients(64);
+  older->drainBacklog();
+  EXPECT_EQ(first, before) << "new connections reached the old listener";
+  older.reset();
+  runUntil([&] { return first + second == 128; });
+  connectClients(8);  // the remaining listener accepts all
+  runUntil([&] { return first + second == 136; });
+}
+// A shortage in the proxy must not count as a failure of the data server.
+TEST_F(ResourceExhaustionTest, AFailedSocketCallIsNotAFailureOfTheEndpoint) {
+  struct UnusedSource : DiscoverySource {
     void watch(std::uint64_t) override {}
-  } lists;
+  } source;
   Engine engine(base.get(), config);
   WorkerPool workers(base.get(), 1);
-  BackendPool upstream(base.get(), engine, workers, account, config);
-  int asked = 0;
-  upstream.onShortage([&] { ++asked; });
+  BackendPool pool(base.get(), engine, workers, budget, config);
+  int shortageCount = 0;
+  pool.onShortage([&] { ++shortageCount; });
   const int listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const Address any = *Address::parse("127.0.0.1:0");
   ASSERT_EQ(bind(listener, any.data(), any.size()), 0);
@@ -594,35 +606,34 @@
   socklen_t size = sizeof at;
   getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size);
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
-    failing = error;
-    left = 3;
+    injectedError = error;
+    failuresLeft = 3;
     systemCalls().socket = [](int family) {
-      if (left > 0) {
-        --left;
-        errno = failing;
+      if (failuresLeft > 0) {
+        --failuresLeft;
+        errno = injectedError;
         return -1;
       }
       return socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     };
-    const auto member = static_cast<EndpointId>(error);
-    upstream.endpointListed(member, Address::fromSocket(reinterpret_cast<const sockaddr*>(&at)), true,
-                            Time(0));
-    EXPECT_EQ(left, 2) << error;  // tried once, not in a loop
-    upstream.startHealthCheck(member);
-    spin([&] { return account.share(DescriptorHolder::Servers).held > 0; });
-    EXPECT_FALSE(engine.hasPendingEvents()) << error;  // nothing was told of it
-    upstream.removeEndpoint(member);
-    EXPECT_EQ(account.share(DescriptorHolder::Servers).held, 0u);
+    const auto endpoint = static_cast<EndpointId>(error);
+    pool.endpointListed(endpoint, Address::fromSocket(reinterpret_cast<const sockaddr*>(&at)), true, Time(0));
+    EXPECT_EQ(failuresLeft, 2) << error;  // one attempt, not a loop
+    pool.startHealthCheck(endpoint);
+    runUntil([&] { return budget.share(DescriptorHolder::Servers).held > 0; });
+    EXPECT_FALSE(engine.hasPendingEvents()) << error;  // the engine received no event
+    pool.removeEndpoint(endpoint);
+    EXPECT_EQ(budget.share(DescriptorHolder::Servers).held, 0u);
   }
-  EXPECT_GT(asked, 0);
-  EXPECT_EQ(account.exhaustionCount(ResourceExhaustion::Descriptors) +
-                account.exhaustionCount(ResourceExhaustion::Memory),
+  EXPECT_GT(shortageCount, 0);
+  EXPECT_EQ(budget.exhaustionCount(ResourceExhaustion::Descriptors) +
+                budget.exhaustionCount(ResourceExhaustion::Memory),
             12u);
   close(listener);
 }
-// New settings may be what mends the want: they are read on the spare descriptor.
-TEST(Shortage, OfDescriptorsDoesNotKeepSettingsFromBeingRead) {
-  Setting s = door("");
+// New settings may end the shortage, so they are read with the reserved descriptor.
+TEST(ResourceExhaustion, SettingsAreReloadedWithoutDescriptors) {
+  Setting s = admissionSetting("");
   s.sockets = s.descriptors = 160;
   s.inherited = 124;
   Scenario t(s);
@@ -632,9 +643,9 @@
   t.reload("[admission]\ndoor = yes\n[admission_group others]\nconnections = 3\n");
   t.run("proxy expect log event=config_reloaded\n");
 }
-TEST(Shortage, ALimitOfTheSystemBelowTheSettingsBinds) {
-  const Socket socket;
-  Setting s = door("");
+TEST(ResourceExhaustion, TheDescriptorLimitLowersTheConnectionLimit) {
+  const StatusSocket socket;
+  Setting s = admissionSetting("");
   s.more += socket.section();
   s.sockets = 1024;
   s.descriptors = 200;
@@ -643,14 +654,14 @@
   EXPECT_NE(t.status().find("client connections 0 of 79 "), std::string::npos) << t.status();
 }
 
-// ---- status -------------------------------------------------------------------------------------------
-TEST(Status, ShowsTheDoorToItsOwnUserAlone) {
-  const Socket socket;
-  Setting s =
-      door("connections = 4\nrequests = fixed\nlimit = 7\n", "reserve = 2\n", "connections_by_address = 1\n");
+// ---- status -------------------------------------------------------------------------------------
+TEST(Status, ShowsAdmissionOnASocketOfTheOwnerOnly) {
+  const StatusSocket socket;
+  Setting s = admissionSetting("connections = 4\nrequests = fixed\nlimit = 7\n", "reserve = 2\n",
+                               "connections_by_address = 1\n");
   s.more += socket.section();
   Scenario t(s);
-  t.run("c1 from 127.9.0.1\nc2 from 127.9.0.1\n" + served("c1", "1") + "c2 expect refused\n");
+  t.run("c1 from 127.9.0.1\nc2 from 127.9.0.1\n" + answeredRead("c1", "1") + "c2 expect refused\n");
   const std::string table = t.status();
   EXPECT_NE(table.find("the door: 1 of 4 let in"), std::string::npos) << table;
   EXPECT_NE(table.find("address_full=1"), std::string::npos) << table;
@@ -662,20 +673,21 @@
   ASSERT_EQ(stat(socket.path.c_str(), &st), 0);
   EXPECT_EQ(st.st_mode & 0777, 0600u);
   t.run("proxy send TERM\nproxy expect exit 0\n");
-  EXPECT_NE(stat(socket.path.c_str(), &st), 0);  // taken away
+  EXPECT_NE(stat(socket.path.c_str(), &st), 0);  // removed
   EXPECT_NE(t.status().find("is the proxy running?"), std::string::npos);
 }
-TEST(Status, TakesOverAPathThatADeadProxyLeft) {
-  const Socket socket;
-  for (int round = 0; round < 2; ++round) {  // the scenario's end kills the first: its path stays
-    Setting s = door("");
+TEST(Status, ReplacesTheSocketOfAKilledProxy) {
+  const StatusSocket socket;
+  // The end of the first scenario kills the proxy, so its socket is not removed.
+  for (int round = 0; round < 2; ++round) {
+    Setting s = admissionSetting("");
     s.more += socket.section();
     Scenario t(s);
     EXPECT_NE(t.status().find("the door: 0 of"), std::string::npos);
   }
 }
-TEST(Status, WithoutADoorSaysSo) {
-  const Socket socket;
+TEST(Status, ReportsThatAdmissionIsOff) {
+  const StatusSocket socket;
   Setting s;
   s.ini = true;
   s.more = socket.section();
