--- a/src/backend/postgres/answer_parser.cpp
+++ b/src/backend/postgres/answer_parser.cpp
@@ -11,13 +11,13 @@
 namespace sablespur {
 namespace {
 
-// Bounds the memory that an answer of any number of rows may hold.
-constexpr std::size_t kLongestAnswer = 256 << 10;
+// Limits the memory used by an answer with any number of rows.
+constexpr std::size_t kMaxAnswerSize = 256 << 10;
 constexpr std::size_t kColumnCountLength = 2;
 constexpr std::size_t kValueLengthLength = 4;
 constexpr std::uint32_t kNullLength = 0xffffffff;
 
-// Whether the DataRow at the front of `input` has one column whose length fits.
+// Whether the DataRow at the front of `input` has one column whose length matches the body size.
 bool isSingleValue(evbuffer* input, std::size_t body) {
   char start[postgres::kHeaderSize + postgres::kRowHeaderSize];
   if (evbuffer_copyout(input, start, sizeof start) != static_cast<ev_ssize_t>(sizeof start)) return false;
@@ -26,12 +26,12 @@
   return postgres::isRowHeader(rowHead, body);
 }
 
-// Copies `length` bytes at `at`; false where there are fewer.
+// Copies `length` bytes starting at `at`; returns false if fewer are available.
 bool peek(evbuffer* input, evbuffer_ptr& at, char* to, std::size_t length) {
   return evbuffer_copyout_from(input, &at, to, length) == static_cast<ev_ssize_t>(length);
 }
 
-// One that is malformed counts as not told.
+// Returns 0, the value for "not reported", if `text` is malformed.
 std::int64_t parsePosition(std::string_view text) {
   std::int64_t position = 0;
   const char* const end = text.data() + text.size();
@@ -69,14 +69,14 @@
   }
 }
 
-std::size_t AnswerParser::longestBody(char type) const {
+std::size_t AnswerParser::maxBodySize(char type) const {
   if (type == 'D')
     return singleRow() ? postgres::kRowHeaderSize + postgres::kMaxValue : postgres::kMaxMessage;
   return type == 'T' && !singleRow() ? postgres::kMaxMessage : postgres::kMaxOtherMessage;
 }
 
 bool AnswerParser::hasRoomFor(std::size_t messageLength) const {
-  return evbuffer_get_length(messages_.get()) + messageLength <= kLongestAnswer;
+  return evbuffer_get_length(messages_.get()) + messageLength <= kMaxAnswerSize;
 }
 
 MessageFault AnswerParser::takeRow(evbuffer* input, std::size_t body) {
@@ -86,7 +86,8 @@
   return std::nullopt;
 }
 
-// Whether the DataRow has the described number of columns and their lengths fit; values are not looked at.
+// Whether the DataRow has the number of columns of the RowDescription and their lengths match the
+// body size. Values are not inspected.
 bool AnswerParser::isRow(evbuffer* input, std::size_t body) const {
   evbuffer_ptr at{};
   char bytes[kValueLengthLength];
@@ -158,7 +159,8 @@
 AttemptEnd AnswerParser::finish(std::optional<AttemptResult> cancelledAs) {
   AttemptEnd end;
   end.result = stage_ == Stage::Failed ? errorResult_ : AttemptResult::Ok;
-  // An answer that crossed the cancellation counts as it is.
+  // Any answer but the cancellation's own error was sent before the cancellation took effect and
+  // keeps its result.
   if (cancelledAs && cancelled_) end.result = *cancelledAs;
   end.invalidStatement = invalidStatement_;
   end.role = role_;
--- a/src/backend/postgres/answer_parser.hpp
+++ b/src/backend/postgres/answer_parser.hpp
@@ -1,4 +1,4 @@
-// Checks and gathers a data server's answer to one query, message by message.
+// Validates and buffers a data server's answer to one query, message by message.
 #pragma once
 
 #include <cstddef>
@@ -14,46 +14,50 @@
 namespace sablespur {
 
 enum class AnswerKind {
-  SingleValue,  // one row of one column, no more and no less
+  SingleValue,  // exactly one row of one column
   AnyRows,      // any number of columns and rows
-  LoadReport    // one row of one column, which is read
+  LoadReport    // one row of one column, whose value is parsed
 };
 
-// What is wrong with a message, for the log; nothing where it is in order.
+// Why a message was rejected, for the log; std::nullopt: the message is valid.
 using MessageFault = std::optional<std::string_view>;
 
-// An answer is a description, rows, a completion, or an error instead, and then ReadyForQuery, with
-// parameters and notices anywhere between. Messages are offered in their order: expects() and longestBody()
-// judge by the head alone, before a body is read that may promise gigabytes.
+// An answer consists of RowDescription, DataRows and CommandComplete, or of an ErrorResponse,
+// followed by ReadyForQuery. ParameterStatus and NoticeResponse may appear anywhere in between.
+// Messages are passed in the order in which they arrive. expects() and maxBodySize() check a
+// message by its header alone, so that a body with a huge announced length is rejected before it is
+// read.
 class AnswerParser {
  public:
   explicit AnswerParser(AnswerKind kind);
 
   bool expects(char type) const;
-  std::size_t longestBody(char type) const;
-  // Whether a whole message of that length still has room: answers are held whole until they are complete.
+  std::size_t maxBodySize(char type) const;
+  // Whether a message of that length, header included, still fits the size limit of an answer.
+  // Answers are buffered until they are complete.
   bool hasRoomFor(std::size_t messageLength) const;
-  // Whether something of the answer itself has come.
+  // Whether a message of the answer has arrived, not counting parameters and notices.
   bool started() const { return stage_ != Stage::Start; }
-  // Whether rows are moved by takeRow(), their values unread.
+  // Whether takeRow() handles rows, without parsing their values.
   bool forwardsRows() const { return kind_ != AnswerKind::LoadReport; }
 
-  // Moves the DataRow at the front of `input`, head included, into the answer.
+  // Moves the DataRow at the front of `input`, header included, into the answer.
   MessageFault takeRow(evbuffer* input, std::size_t body);
   MessageFault takeDescription(std::string_view body);
   MessageFault takeCompletion(std::string_view body);
-  void takeReport(std::string_view body);  // the DataRow of a load report; malformed: there is no report
-  // The error that ends the answer; `forwardStatementErrors`: an invalid statement's error becomes the
-  // answer.
+  // Parses the DataRow of a load report; report() stays empty if it is malformed.
+  void takeReport(std::string_view body);
+  // Handles the ErrorResponse that ends the answer. With `forwardStatementErrors`, the error of an
+  // invalid statement replaces the buffered answer.
   void takeError(const ServerError&, std::string_view body, bool forwardStatementErrors);
   void takeParameter(std::string_view name, std::string_view value);
-  // Moves a message, head included, from the front of `input` into the answer.
+  // Moves a message, header included, from the front of `input` into the answer.
   void forward(evbuffer* input, std::size_t messageLength);
 
   bool invalidStatement() const { return invalidStatement_; }
   const std::optional<std::string>& report() const { return report_; }
-  // The outcome, once ReadyForQuery has come. `cancelledAs`: how an attempt ends whose cancellation took
-  // effect.
+  // Returns the outcome; call it after ReadyForQuery. `cancelledAs`: the result to report if the
+  // error is the effect of a CancelRequest.
   AttemptEnd finish(std::optional<AttemptResult> cancelledAs);
 
  private:
@@ -64,13 +68,13 @@
 
   const AnswerKind kind_;
   Stage stage_ = Stage::Start;
-  std::size_t columns_ = 0;  // as described; AnyRows only
+  std::size_t columns_ = 0;  // number of columns in the RowDescription; AnyRows only
   Buffer messages_;
-  AttemptResult errorResult_ = AttemptResult::Reset;  // Stage::Failed
+  AttemptResult errorResult_ = AttemptResult::Reset;  // valid in Stage::Failed
   bool invalidStatement_ = false;
   bool cancelled_ = false;
   Role role_ = Role::Unknown;
-  std::int64_t positionMs_ = 0;  // Unix time; 0: not told
+  std::int64_t positionMs_ = 0;  // Unix time; 0: not reported
   std::optional<std::string> report_;
 };
 
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -14,8 +14,8 @@
 namespace sablespur {
 namespace {
 
-constexpr int kMaxHealthCheckConnections = 4;  // that one health check may lose
-constexpr std::chrono::milliseconds kLeastTimeLeft(1);
+constexpr int kMaxHealthCheckConnections = 4;  // lost connections after which a health check fails
+constexpr std::chrono::milliseconds kMinTimeLeft(1);
 
 AttemptEnd endedAs(AttemptResult result) {
   AttemptEnd end;
@@ -23,7 +23,7 @@
   return end;
 }
 
-// Whether the data server may have run it: all of its bytes have been written.
+// Whether the data server may have run the operation: all of its bytes have been written.
 bool mayHaveRun(const Operation& operation, const Connection& connection) {
   return operation.written && connection.flushed();
 }
@@ -81,7 +81,8 @@
     idle->assign(operation);
     return write(operation);
   }
-  // By the limits on clients there is room for all that they can ask at once.
+  // The limits on clients leave enough server connections for all of their concurrent requests, so
+  // this is logged.
   if (!connections_.ensureRoom()) {
     logEvent(LogLevel::Warning, "server_connections_full",
              {{"most", resources_.share(DescriptorHolder::Servers).most}});
@@ -94,12 +95,13 @@
   Operation* const next = connections_.takeWaiting(connection);
   if (!next) return connections_.park(connection);
   if (next->isHealthCheck() && !connections_.isReady(connection.endpoint())) {
-    // The data server has begun to drain while this was dialed: nobody asks any more.
+    // The data server started draining during the dial, so the health check is no longer needed.
     finishHealthCheck(*next, false);
     return connectionReady(connection);
   }
   connection.assign(*next);
-  // An attempt that had to wait is looked at again: drains and the data's age count from the bytes sent.
+  // The engine re-evaluates an attempt that had to wait: draining and staleness are judged at the
+  // time when the bytes are sent.
   if (const Attempt* const attempt = next->attempt())
     engine_.connectionReady(attempt->key.request, attempt->key.number);
   else
@@ -115,7 +117,7 @@
   if (fit)
     write(operation);
   else
-    withdraw(operation);
+    finishUnsent(operation);
 }
 
 void BackendPool::write(Operation& operation) {
@@ -124,16 +126,16 @@
   operation.connection->writeHealthCheck();
 }
 
-// The clock is read here, and the bytes go to the kernel within the same call: the time left that they tell
-// is right but for how long this process is held up in between.
+// Reads the clock and passes the bytes to the kernel in the same call, so that the remaining time
+// in the query is wrong only by delays of this process in between.
 void BackendPool::writeAttempt(Operation& operation, const Attempt& attempt) {
   Connection& connection = *operation.connection;
   const RequestMessage& message = *attempt.message;
   const bool clientBackslashes = message.from && message.from->backslashes;
   const Time now = engine_.now();
-  // Rounded down, so that no data server is told of time that the client does not have.
+  // Rounded down, so that a data server never sees more time than the client has left.
   const auto left = std::chrono::floor<std::chrono::milliseconds>(operation.deadline - now);
-  if (left < kLeastTimeLeft) return withdraw(operation);
+  if (left < kMinTimeLeft) return finishUnsent(operation);
   operation.written = true;
   std::optional<Buffer> query = clientBackslashes == connection.backslashes()
                                     ? composeQuery(message, left)
@@ -142,8 +144,8 @@
   connection.writeQuery(std::move(*query), now);
 }
 
-// Its connection is free for others.
-void BackendPool::withdraw(Operation& operation) {
+// The connection becomes available to other operations.
+void BackendPool::finishUnsent(Operation& operation) {
   Connection& connection = *operation.connection;
   connection.release();
   finish(operation, endedAs(AttemptResult::NotSent));
@@ -152,7 +154,7 @@
 
 void BackendPool::cancel(RequestId id, int attempt) {
   const auto found = attempts_.find({id, attempt});
-  if (found == attempts_.end()) return;  // its end is on the way already
+  if (found == attempts_.end()) return;  // it has ended already
   Operation& operation = *found->second;
   if (operation.cancelledAs() || requestCancel(operation, AttemptResult::Cancelled)) return;
   if (Connection* const connection = operation.connection) {
@@ -165,7 +167,8 @@
   finish(operation, endedAs(operation.written ? AttemptResult::Cancelled : AttemptResult::NotSent));
 }
 
-// The attempt is over once the data server has answered, or not in time: no second one goes out before.
+// The attempt ends when the data server has answered, or after giveUpWait. Until then no other
+// attempt of the request is sent.
 bool BackendPool::requestCancel(Operation& operation, AttemptResult endsAs) {
   Attempt* const attempt = operation.attempt();
   if (!config_.cancelServers || !attempt || !operation.written || !operation.connection) return false;
@@ -176,13 +179,14 @@
   return true;
 }
 
-void BackendPool::cancelRequestEnded(Connection& connection, bool taken) {
+void BackendPool::cancelRequestEnded(Connection& connection, bool delivered) {
   if (Operation* const operation = connection.operation()) {
-    // The data server can't be asked, so the connection ends.
-    if (!taken) deadlinePassed(*operation);
+    // The data server could not be reached with the CancelRequest, so the connection is closed
+    // instead.
+    if (!delivered) deadlinePassed(*operation);
     return;
   }
-  if (!taken || !connection.quiet()) return connections_.drop(connection);
+  if (!delivered || !connection.hasNoPendingInput()) return connections_.drop(connection);
   connectionReady(connection);
 }
 
@@ -193,16 +197,18 @@
     connections_.drop(*connection);
   }
   if (operation.isHealthCheck()) return healthCheckTimedOut(operation);
-  // What was never written did not run.
+  // An operation that was never written cannot have run.
   const AttemptResult unanswered = operation.written ? AttemptResult::Timeout : AttemptResult::NotSent;
   finish(operation, endedAs(operation.cancelledAs().value_or(unanswered)));
 }
 
-// A health check is answered at once or not at all, so where a machine is cut off its other idle connections
-// are as silent. A send that has to dial fails soon and without having run; on a silent connection it is lost
-// until its deadline, and may have run.
+// A data server answers a health check at once or not at all. If its machine is unreachable, the
+// other idle connections to it are dead too, so they are dropped. A send that has to dial fails
+// soon and cannot have run. A send on a dead connection gets no answer until its deadline and
+// counts as possibly run.
 void BackendPool::healthCheckTimedOut(Operation& operation) {
-  // One that found nothing on this machine to go out on tells nothing of its data server.
+  // A health check that was not sent for lack of local resources says nothing about the data
+  // server.
   if (!operation.written && connections_.hasLocalShortage(operation.endpoint))
     return finishHealthCheck(operation, true);
   connections_.dropIdle(operation.endpoint);
@@ -227,13 +233,14 @@
     if (dialing) failWaiting(endpoint, result);
     return;
   }
-  // The end of a kept connection isn't that of its data server: the health check goes out on another.
+  // A pooled connection may close without a fault of its data server, so the health check is sent
+  // again on another one.
   if (HealthCheck* const check = operation->healthCheck()) {
     if (++check->connectionsLost >= kMaxHealthCheckConnections) return finishHealthCheck(*operation, false);
     operation->written = false;
     return start(*operation);
   }
-  // Written to the last byte it may have run; before that it never has.
+  // An operation may have run only if it was written to the last byte.
   if (result == AttemptResult::Reset && !(operation->written && flushed))
     result = AttemptResult::ConnectFailed;
   AttemptEnd end = endedAs(operation->cancelledAs().value_or(result));
@@ -241,30 +248,31 @@
   finish(*operation, std::move(end));
 }
 
-// Not held against the data server: what has not gone out whole never ran and waits for another connection;
-// what has may have run.
+// A local shortage does not count as a failure of the data server. An operation that was not
+// written completely cannot have run and waits for another connection; one that was may have run
+// and ends. Health checks always wait for another connection.
 void BackendPool::resourceExhausted(Connection& connection, int error) {
   const EndpointId endpoint = connection.endpoint();
   const bool dialing = connection.dialing();
-  const bool ran = connection.operation() && mayHaveRun(*connection.operation(), connection);
+  const bool maybeRan = connection.operation() && mayHaveRun(*connection.operation(), connection);
   Operation* const operation = connection.release();
   connections_.drop(connection);
   if (operation || dialing) connections_.handleShortage(endpoint, error);
   if (!operation) return;
-  if (!operation->cancelledAs() && (!ran || operation->isHealthCheck())) {
+  if (!operation->cancelledAs() && (!maybeRan || operation->isHealthCheck())) {
     operation->written = false;
     return connections_.requeue(*operation);
   }
   finish(*operation, endedAs(operation->cancelledAs().value_or(AttemptResult::Cancelled)));
 }
 
-// An attempt that was written may have run; a health check was answered, however badly: its data server
-// lives.
+// An attempt that was written completely may have run. A health check counts as answered: even an
+// invalid answer shows that the data server is alive.
 void BackendPool::protocolError(Connection& connection, std::string_view what) {
   logEvent(LogLevel::Warning, "server_protocol_error", {{"what", what}});
   const EndpointId endpoint = connection.endpoint();
   const bool dialing = connection.dialing();
-  const bool ran = connection.operation() && mayHaveRun(*connection.operation(), connection);
+  const bool maybeRan = connection.operation() && mayHaveRun(*connection.operation(), connection);
   Operation* const operation = connection.release();
   connections_.drop(connection);
   if (!operation) {
@@ -272,11 +280,12 @@
     return;
   }
   if (operation->isHealthCheck()) return finishHealthCheck(*operation, true);
-  const AttemptResult result = ran ? AttemptResult::Error : AttemptResult::NotSent;
+  const AttemptResult result = maybeRan ? AttemptResult::Error : AttemptResult::NotSent;
   finish(*operation, endedAs(operation->cancelledAs().value_or(result)));
 }
 
-// By no fault of the data server: the statement, or what it asks for, has no room here.
+// Not a failure of the data server: the rewritten statement or the answer exceeds this proxy's size
+// limits.
 void BackendPool::answerTooLong(Connection& connection) {
   Operation& operation = *connection.release();
   connections_.drop(connection);
@@ -313,7 +322,8 @@
   attempts_.erase(key);
 }
 
-// A data server that has nothing to report yet answers with an empty row: it is alive, and tells no values.
+// A data server that has nothing to report yet answers with an empty value: it is alive, and
+// `values` stays empty.
 void BackendPool::finishHealthCheck(Operation& operation, bool answered, std::string_view report) {
   const EndpointId endpoint = operation.endpoint;
   connections_.dequeue(operation);
--- a/src/backend/postgres/backend_pool.hpp
+++ b/src/backend/postgres/backend_pool.hpp
@@ -1,4 +1,4 @@
-// Carries out the engine's attempts and health checks on connections to PostgreSQL data servers.
+// Runs the engine's attempts and health checks on connections to PostgreSQL data servers.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,9 @@
 
 namespace sablespur {
 
-// Each send ends in one Engine::attemptEnded, each health check in one Engine::healthCheckEnded. All
-// arguments of the constructor outlive the pool.
+// Calls Engine::attemptEnded exactly once for each send(), and Engine::healthCheckEnded exactly
+// once for each health check that removeEndpoint() does not discard. All constructor arguments must
+// outlive the pool.
 class BackendPool final : public Backend, private ConnectionListener {
  public:
   BackendPool(event_base*, Engine&, WorkerPool&, ResourceBudget&, const Config&);
@@ -29,10 +30,11 @@
   void cancel(RequestId, int attempt) override;
   void startHealthCheck(EndpointId) override;
   void removeEndpoint(EndpointId) override;
-  // Replaces the built-in delay: how long after an endpoint has come connections to it are opened ahead of
-  // need.
+  // Replaces the built-in delay between the listing of an endpoint and the first connections opened
+  // to it ahead of need.
   void setDialDelay(std::function<Time(EndpointId)> delay) { connections_.setDialDelay(std::move(delay)); }
-  // Called when there is no descriptor for a connection that is needed: others are to make room.
+  // Sets the callback for when no descriptor is available for a needed connection. It should make
+  // other descriptor holders release one.
   void onShortage(std::function<void()> call) { connections_.onShortage(std::move(call)); }
 
  private:
@@ -44,20 +46,23 @@
   void answerTooLong(Connection&) override;
   void versionRejected(Connection&) override;
   void versionNegotiated(EndpointId, int minorVersion) override;
-  void cancelRequestEnded(Connection&, bool taken) override;
+  void cancelRequestEnded(Connection&, bool delivered) override;
   void connectionUnusable(Connection&) override;
 
-  void start(Operation&);  // on an idle connection, or once a new one is up
+  // Runs the operation on an idle connection, or on a new one once that is ready.
+  void start(Operation&);
   void write(Operation&);
   void writeAttempt(Operation&, const Attempt&);
-  void withdraw(Operation&);  // has a connection, and did not go out on it
+  // Ends an operation that was assigned a connection but not written to it.
+  void finishUnsent(Operation&);
   void deadlinePassed(Operation&);
   void healthCheckTimedOut(Operation&);
-  // False: cancelling is off, or there is no way to ask for it.
+  // Returns false if CancelRequests are disabled in the settings or none can be sent.
   bool requestCancel(Operation&, AttemptResult endsAs);
-  void failWaiting(EndpointId, AttemptResult);  // a dial failed
+  // Fails one waiting operation after a failed dial if not enough other dials are in progress.
+  void failWaiting(EndpointId, AttemptResult);
   void endUnsuccessfully(Operation&, AttemptResult);
-  // The one end of an operation; these destroy it.
+  // Report the end of an operation to the engine and destroy it. Every operation ends here.
   void finish(Operation&, AttemptEnd);
   void finishHealthCheck(Operation&, bool answered, std::string_view report = {});
 
--- a/src/backend/postgres/cancel_request.cpp
+++ b/src/backend/postgres/cancel_request.cpp
@@ -34,12 +34,12 @@
   finish(connected_ && (what & BEV_EVENT_EOF) && sent);
 }
 
-void CancelRequest::finish(bool taken) {
+void CancelRequest::finish(bool delivered) {
   event_del(timer_.get());
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
   // Moved out first: the callback may destroy this object.
   const auto done = std::exchange(done_, nullptr);
-  if (done) done(taken);
+  if (done) done(delivered);
 }
 
 }  // namespace sablespur
--- a/src/backend/postgres/cancel_request.hpp
+++ b/src/backend/postgres/cancel_request.hpp
@@ -1,4 +1,4 @@
-// A CancelRequest on its way to a data server, on a connection of its own.
+// Sends a CancelRequest to a data server on a separate connection.
 #pragma once
 
 #include <functional>
@@ -10,13 +10,14 @@
 
 namespace sablespur {
 
-// Connects, sends the request and waits until the data server closes: before that the cancellation may still
-// strike whatever runs next on the connection that it names.
+// Connects, sends the request and waits until the data server closes the connection. Until then the
+// cancellation may still hit the next query on the connection that the request names.
 class CancelRequest {
  public:
-  // `done` is called once, after the constructor has returned: true, the data server has taken the request
-  // and closed; false, it could not be reached within `timeout`. It may destroy this object. Destroyed
-  // earlier, it is never called.
+  // `done` is called once, after the constructor has returned, with true if the request was sent
+  // and the data server closed the connection, or with false if that failed or took longer than
+  // `timeout`. It may destroy this object. If the object is destroyed earlier, `done` is not
+  // called.
   CancelRequest(event_base*, const Address&, const std::string& request, balancer::Time timeout,
                 std::function<void(bool)> done);
   ~CancelRequest();
@@ -25,7 +26,7 @@
 
  private:
   void handleEvent(short what);
-  void finish(bool taken);
+  void finish(bool delivered);
 
   BufferEvent bev_;
   Event timer_;
--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -15,11 +15,12 @@
 namespace sablespur {
 namespace {
 
-// A data server writes an answer in one go, so one whose first byte has come is whole by then. Bounds the
-// wait for lengths that promise more than comes.
+// Limits the wait for the rest of an answer after its first byte. A data server writes an answer in
+// one go, so a longer wait means that a length announces more bytes than were sent.
 constexpr Time kAnswerTimeout = std::chrono::milliseconds(250);
-// A query tells how much time is left, and a data server may be told of 0.15 s too much at most. A process
-// that is held up uses part of that, and so does a data server that does not read.
+// A query carries the client's remaining time, which may be overstated by at most 0.15 s when the
+// data server reads it. Delays of this process and a data server that does not read both use up
+// that margin.
 constexpr Time kFlushTimeout = std::chrono::milliseconds(100);
 
 AnswerKind answerKindOf(const Operation& operation, const Config& config) {
@@ -43,7 +44,8 @@
       minorVersion_(minorVersion),
       login_(openServerLogin(context.config)) {
   sendStartup();
-  // A connect that fails at once is told by the timer: the caller that dials is not done yet.
+  // A connect that fails at once is reported by the timer, since the caller is still in the middle
+  // of the dial.
   startTimer(timer_.get(), fd < 0 ? Time(0) : context_.config.dialTimeout);
   bufferevent_setcb(
       bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); },
@@ -51,12 +53,12 @@
       [](bufferevent*, short what, void* self) { static_cast<Connection*>(self)->handleEvent(what); }, this);
   if (fd < 0) return;
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-  bufferevent_socket_connect(bev_.get(), nullptr, 0);  // waits for the connect that is under way
+  bufferevent_socket_connect(bev_.get(), nullptr, 0);  // waits for the connect in progress
 }
 
 Connection::~Connection() {
-  // bufferevent_free closes the descriptor only in the loop's next pass; the end of an attempt has to show
-  // before the next one goes out.
+  // bufferevent_free closes the descriptor only in the next iteration of the event loop. The data
+  // server must see the end of an attempt before the next one is sent.
   const evutil_socket_t fd = bufferevent_getfd(bev_.get());
   if (fd >= 0) shutdown(fd, SHUT_RDWR);
 }
@@ -71,7 +73,7 @@
 
 bool Connection::flushed() const { return evbuffer_get_length(output()) == 0 && !unsent_; }
 
-bool Connection::quiet() const {
+bool Connection::hasNoPendingInput() const {
   if (evbuffer_get_length(bufferevent_get_input(bev_.get())) > 0) return false;
   char byte = 0;
   const ssize_t received = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -100,13 +102,13 @@
   writeUnsent();
   if (!flushing_) return;
   const Time left = composed + kFlushTimeout - context_.engine.now();
-  // Late already: nothing more of it may go out in this pass of the loop either.
+  // Already late: nothing more may be sent in this iteration of the event loop either.
   if (left <= Time(0)) bufferevent_disable(bev_.get(), EV_WRITE);
   startTimer(timer_.get(), left);
 }
 
-// libevent would write the rest as soon as the kernel takes it, however late: it is written here instead,
-// after a look at the clock.
+// libevent would write the rest as soon as the kernel accepts it, however late. It is written here
+// instead, after a check of the clock (becameWritable).
 void Connection::writeUnsent() {
   const evutil_socket_t fd = bufferevent_getfd(bev_.get());
   if (evbuffer_write(unsent_.get(), fd) < 0 && errno != EAGAIN && errno != EINTR) {
@@ -134,10 +136,10 @@
   if (!key_ || cancelRequest_) return false;
   cancelDescriptor_ = ResourceBudget::DescriptorPermit(context_.resources, DescriptorHolder::Servers);
   cancelRequest_ = std::make_unique<CancelRequest>(context_.base, address_, postgres::cancel(*key_),
-                                                   context_.config.giveUpWait, [this](bool taken) {
+                                                   context_.config.giveUpWait, [this](bool delivered) {
                                                      const auto ended = std::move(cancelRequest_);
                                                      cancelDescriptor_ = ResourceBudget::DescriptorPermit();
-                                                     listener_.cancelRequestEnded(*this, taken);
+                                                     listener_.cancelRequestEnded(*this, delivered);
                                                    });
   return true;
 }
@@ -148,7 +150,8 @@
 }
 
 void Connection::handleEvent(short what) {
-  const int error = what & BEV_EVENT_ERROR ? EVUTIL_SOCKET_ERROR() : 0;  // first: any call may change it
+  // Read first, since any call may change errno.
+  const int error = what & BEV_EVENT_ERROR ? EVUTIL_SOCKET_ERROR() : 0;
   if (what & BEV_EVENT_CONNECTED) {
     connected_ = true;
     const int on = 1;
@@ -167,14 +170,14 @@
 
 void Connection::timedOut() {
   if (operation_ && flushing_) return listener_.connectionLost(*this, AttemptResult::Reset);
-  if (operation_) return listener_.protocolError(*this, "an answer that does not end");
+  if (operation_) return listener_.protocolError(*this, "an answer that did not complete in time");
   listener_.connectionLost(*this, resultIfLost_);
 }
 
 void Connection::read() {
   evbuffer* const input = bufferevent_get_input(bev_.get());
-  ReadResult result = ReadResult::Taken;
-  while (result == ReadResult::Taken && evbuffer_get_length(input) > 0) result = readMessage(input);
+  ReadResult result = ReadResult::Consumed;
+  while (result == ReadResult::Consumed && evbuffer_get_length(input) > 0) result = readMessage(input);
   if (result == ReadResult::ConnectionEnded) return;
   const bool answerDue = operation_ && operation_->written;
   if (answerDue && (answer_->started() || evbuffer_get_length(input) > 0) &&
@@ -184,14 +187,14 @@
 
 Connection::ReadResult Connection::readMessage(evbuffer* input) {
   if (!dialing_ && !(operation_ && operation_->written && flushed()))
-    return reportProtocolError("what nobody asked for");
+    return reportProtocolError("an unsolicited message");
   char bytes[postgres::kHeaderSize];
   if (evbuffer_copyout(input, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes))
     return ReadResult::Incomplete;
   const auto head = postgres::parseHeader(bytes);
-  // Judged by its head, before the rest is read: it may promise gigabytes.
-  if (!head || !expects(head->type) || head->bodySize > longestBody(head->type))
-    return reportProtocolError("a message that is none");
+  // Checked by its header before the body is read, whose announced length may be gigabytes.
+  if (!head || !expects(head->type) || head->bodySize > maxBodySize(head->type))
+    return reportProtocolError("a message of unexpected type or length");
   const std::size_t length = sizeof bytes + head->bodySize;
   if (!dialing_ && !answer_->hasRoomFor(length)) {
     listener_.answerTooLong(*this);
@@ -200,7 +203,7 @@
   if (evbuffer_get_length(input) < length) return ReadResult::Incomplete;
   if (head->type == 'D' && answer_->forwardsRows()) {
     const MessageFault fault = answer_->takeRow(input, head->bodySize);
-    return fault ? reportProtocolError(*fault) : ReadResult::Taken;
+    return fault ? reportProtocolError(*fault) : ReadResult::Consumed;
   }
   const auto* const message =
       reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(length)));
@@ -210,7 +213,7 @@
     answer_->forward(input, length);
   else
     evbuffer_drain(input, length);
-  return head->type == 'Z' ? becomeReady() : ReadResult::Taken;
+  return head->type == 'Z' ? becomeReady() : ReadResult::Consumed;
 }
 
 Connection::ReadResult Connection::reportProtocolError(std::string_view what) {
@@ -219,13 +222,14 @@
 }
 
 Connection::ReadResult Connection::becomeReady() {
-  // The CancelRequest may still strike whatever runs next: its end tells when this connection is free.
-  if (cancelRequest_ && !dialing_) return ReadResult::Taken;
-  if (!quiet() && !dialing_) {
+  // A CancelRequest in progress may still hit the next query, so the connection is free only after
+  // cancelRequestEnded.
+  if (cancelRequest_ && !dialing_) return ReadResult::Consumed;
+  if (!hasNoPendingInput() && !dialing_) {
     listener_.connectionUnusable(*this);
     return ReadResult::ConnectionEnded;
   }
-  return listener_.connectionReady(*this) ? ReadResult::Taken : ReadResult::ConnectionEnded;
+  return listener_.connectionReady(*this) ? ReadResult::Consumed : ReadResult::ConnectionEnded;
 }
 
 bool Connection::expects(char type) const {
@@ -233,8 +237,8 @@
   return type == 'v' ? minorVersion_ > 0 : std::string_view("SNRKEZ").find(type) != std::string_view::npos;
 }
 
-std::size_t Connection::longestBody(char type) const {
-  return dialing_ ? postgres::kMaxOtherMessage : answer_->longestBody(type);
+std::size_t Connection::maxBodySize(char type) const {
+  return dialing_ ? postgres::kMaxOtherMessage : answer_->maxBodySize(type);
 }
 
 bool Connection::handleMessage(char type, std::string_view body) {
@@ -246,7 +250,7 @@
     case 'R':
       return handleAuthentication(body);
     case 'K':
-      key_ = postgres::parseKeyData(body);  // of another length: there is no cancelling then
+      key_ = postgres::parseKeyData(body);  // no CancelRequests if it is malformed
       return true;
     case 'T':
       return accept(answer_->takeDescription(body));
@@ -299,16 +303,16 @@
 }
 
 bool Connection::handleNegotiation(std::string_view body) {
-  const auto spoken = postgres::parseNegotiate(body);
-  if (!spoken || *spoken > minorVersion_) return accept("a malformed negotiation");
-  minorVersion_ = *spoken;
+  const auto supported = postgres::parseNegotiate(body);
+  if (!supported || *supported > minorVersion_) return accept("a malformed NegotiateProtocolVersion");
+  minorVersion_ = *supported;
   listener_.versionNegotiated(endpoint_, minorVersion_);
   return true;
 }
 
 bool Connection::handleReadyForQuery(std::string_view body) {
   if (body.size() != 1 || std::string_view("ITE").find(body[0]) == std::string_view::npos)
-    return accept("a malformed end");
+    return accept("a malformed ReadyForQuery");
   resultIfLost_ = AttemptResult::Reset;
   if (dialing_) return true;
   Operation& answered = *release();
@@ -319,7 +323,7 @@
 
 bool Connection::handleAuthentication(std::string_view body) {
   constexpr std::size_t kCodeLength = 4;
-  if (body.size() < kCodeLength) return accept("a malformed request for a login");
+  if (body.size() < kCodeLength) return accept("a malformed authentication request");
   const std::uint32_t code = postgres::readInt32(body.data());
   if (code != postgres::kAuthOk) return continueLogin(code, body.substr(kCodeLength));
   if (login_ && !login_->acceptsAuthenticationOk())
--- a/src/backend/postgres/connection.hpp
+++ b/src/backend/postgres/connection.hpp
@@ -1,4 +1,5 @@
-// One connection to a data server: its startup and login, the framing of what comes, queries written to it.
+// One connection to a data server: startup and login, framing of incoming messages, writing of
+// queries.
 #pragma once
 
 #include <memory>
@@ -18,7 +19,7 @@
 
 namespace sablespur {
 
-// What all connections share; outlives them.
+// Shared by all connections; outlives them.
 struct ConnectionContext {
   event_base* base;
   const Engine& engine;  // the clock
@@ -27,34 +28,40 @@
   SaltedPasswordCache& passwords;
 };
 
-// Hears what becomes of a connection. Each call but those marked may destroy it, which is not touched after.
+// Receives the events of a connection. Each call may destroy the connection unless noted otherwise,
+// so the connection must not access its members afterwards.
 class ConnectionListener {
  public:
   virtual ~ConnectionListener() = default;
-  // Dialed, or done with an operation: free for the next one. False: it was destroyed.
+  // The dial or an operation has completed and the connection is free for the next operation.
+  // Returns false if the connection was destroyed.
   virtual bool connectionReady(Connection&) = 0;
-  // The whole answer has come; the operation and the connection are apart. Destroys the operation alone.
+  // The answer is complete and the operation no longer assigned to the connection. Destroys only
+  // the operation.
   virtual void operationAnswered(Operation&, AnswerParser&) = 0;
-  // Closed, reset or timed out; `result`: of an operation on it, or of what waits for the dial.
+  // Closed, reset or timed out, or ended by an error of the data server. `result` applies to the
+  // assigned operation or, during a dial, to the operation that waits for it.
   virtual void connectionLost(Connection&, AttemptResult result) = 0;
-  // Ended for want of something that this machine has none of (errno).
+  // Failed because this machine lacks a resource; `error`: the errno value.
   virtual void resourceExhausted(Connection&, int error) = 0;
-  // The data server sent what can't be an answer, or what nobody asked for.
+  // The data server sent an invalid or unsolicited message, or an answer that did not complete in
+  // time.
   virtual void protocolError(Connection&, std::string_view what) = 0;
   virtual void answerTooLong(Connection&) = 0;
-  // The data server doesn't speak the minor version that it was asked for.
+  // The data server does not support the requested minor version.
   virtual void versionRejected(Connection&) = 0;
-  // It speaks this minor version. Destroys nothing.
+  // The data server supports this minor version. Must not destroy the connection.
   virtual void versionNegotiated(EndpointId, int minorVersion) = 0;
-  virtual void cancelRequestEnded(Connection&, bool taken) = 0;
-  // Its answer was in order, and more has come behind it.
+  virtual void cancelRequestEnded(Connection&, bool delivered) = 0;
+  // The answer was valid, but more input or the end of the connection followed it.
   virtual void connectionUnusable(Connection&) = 0;
 };
 
-// Owned by the ConnectionPool. Its operation is only pointed at.
+// Owned by the ConnectionPool. Does not own its operation.
 class Connection {
  public:
-  // `fd`: a socket with a connect under way, taken over; -1: the endpoint has refused it already.
+  // `fd`: a socket with a connect in progress, of which this object takes ownership; -1: the
+  // endpoint has already refused the connection.
   Connection(const ConnectionContext&, ConnectionListener&, EndpointId, const Address&, int minorVersion,
              evutil_socket_t fd);
   ~Connection();
@@ -63,35 +70,40 @@
 
   EndpointId endpoint() const { return endpoint_; }
   const Address& address() const { return address_; }
-  bool dialing() const { return dialing_; }  // no ReadyForQuery has come yet
+  bool dialing() const { return dialing_; }  // until the first ReadyForQuery
   Operation* operation() const { return operation_; }
-  // Whether backslashes escape in its string literals, by standard_conforming_strings.
+  // Whether the data server treats backslashes in string literals as escapes
+  // (standard_conforming_strings=off).
   bool backslashes() const { return backslashes_; }
-  // Whether all that was written has gone to the kernel.
+  // Whether all written bytes have been passed to the kernel.
   bool flushed() const;
-  // Whether nothing has come that nobody asked for, nor an end: what stands behind an answer (a second copy,
-  // noise) must not be taken for the next one. Looks at what libevent has not read yet as well.
-  bool quiet() const;
-  // Whether its operation's statement was rejected as invalid.
+  // Whether there is neither unread input nor an end of the connection. Bytes that follow an answer
+  // (a second copy, noise) must not be read as the next answer. Also checks the socket for bytes
+  // that libevent has not read yet.
+  bool hasNoPendingInput() const;
+  // Whether the data server rejected the operation's statement as invalid.
   bool invalidStatement() const { return operation_ && answer_->invalidStatement(); }
 
   void dialCompleted() { dialing_ = false; }
-  // Closes after `timeout` unless an operation is assigned before.
+  // Closes the connection after `timeout` unless an operation is assigned before.
   void startIdleTimer(Time timeout) { startTimer(timer_.get(), timeout); }
   void assign(Operation&);
-  // Takes the operation off it; null: it had none.
+  // Detaches and returns the operation; null: there was none.
   Operation* release();
   void writeHealthCheck();
-  // Writes as much of the query as the kernel takes now. What it does not take soon after `composed`, when
-  // the time left that the query tells was right, never goes out: the connection ends.
+  // Writes as much of the query as the kernel accepts now and the rest later. `composed`: when the
+  // remaining time in the query was computed. If the query isn't flushed shortly after that, the
+  // rest is not sent and the connection ends.
   void writeQuery(Buffer query, Time composed);
-  // Asks the data server to cancel what runs here. False: it has told no key, or one is on its way already.
+  // Sends a CancelRequest for the running query. Returns false if the data server has sent no key
+  // or a CancelRequest is already in progress.
   bool sendCancelRequest();
-  // The key for a login challenge; if it is this connection's, its login goes on.
+  // Passes on the key derived for a login challenge; continues the login if the challenge is that
+  // of this connection.
   void passwordDerived(const std::string& challenge, const std::string& result);
 
  private:
-  enum class ReadResult { Taken, Incomplete, ConnectionEnded };
+  enum class ReadResult { Consumed, Incomplete, ConnectionEnded };
 
   evbuffer* output() const { return bufferevent_get_output(bev_.get()); }
   void sendStartup();
@@ -104,8 +116,8 @@
   ReadResult readMessage(evbuffer* input);
   ReadResult reportProtocolError(std::string_view what);
   bool expects(char type) const;
-  std::size_t longestBody(char type) const;
-  // These are false where the connection has ended.
+  std::size_t maxBodySize(char type) const;
+  // These return false if the connection has ended.
   bool handleMessage(char type, std::string_view body);
   bool accept(const MessageFault&);
   bool handleError(std::string_view body);
@@ -123,25 +135,26 @@
   const EndpointId endpoint_;
   const Address address_;
   BufferEvent bev_;
-  // Of the dial; then of idleness, of a query that is not taken, or of an answer that has begun.
+  // Limits the dial, then the idle time, the flushing of a query or the rest of an answer that has
+  // started.
   Event timer_;
 
   // Startup.
   bool connected_ = false;
   bool dialing_ = true;
-  int minorVersion_;                    // of version 3, as asked for, then as agreed
-  std::unique_ptr<ServerLogin> login_;  // until it is accepted
+  int minorVersion_;                    // of version 3, first as requested, then as negotiated
+  std::unique_ptr<ServerLogin> login_;  // null: accepted, or no password is set
   std::optional<postgres::Key> key_;
   bool backslashes_ = false;
 
-  // The operation under way.
+  // The current operation.
   Operation* operation_ = nullptr;
-  std::optional<AnswerParser> answer_;  // of the operation, or of the last one; none while dialing
-  AttemptResult resultIfLost_ = AttemptResult::ConnectFailed;  // what its end means now
-  bool flushing_ = false;  // the timer runs for what the kernel has not taken of the query
-  Buffer unsent_;          // that part of the query; null: none
-  Time composedAt_{};      // when the time left that it tells was right
-  Event writable_;         // the kernel takes bytes again
+  std::optional<AnswerParser> answer_;  // of the current or last operation; not used while dialing
+  AttemptResult resultIfLost_ = AttemptResult::ConnectFailed;  // reported if the connection ends now
+  bool flushing_ = false;  // the timer limits the time to pass the query to the kernel
+  Buffer unsent_;          // the part of the query that the kernel has not accepted; null: none
+  Time composedAt_{};      // when the remaining time in the query was computed
+  Event writable_;         // the socket accepts bytes again
 
   ResourceBudget::DescriptorPermit cancelDescriptor_;
   std::unique_ptr<CancelRequest> cancelRequest_;
--- a/src/backend/postgres/connection_pool.cpp
+++ b/src/backend/postgres/connection_pool.cpp
@@ -11,12 +11,12 @@
 
 constexpr Time kMaintenanceInterval = std::chrono::milliseconds(250);
 constexpr Time kRedialDelay = std::chrono::seconds(1);
-// Descriptors that were closed are free in the loop's next pass.
+// Closed descriptors are released in the next iteration of the event loop.
 constexpr Time kShortageRetryDelay = std::chrono::milliseconds(10);
-// How much of the data server's own idle limit is used: what is written to a connection that it has closed
-// ends as a reset.
+// Idle connections are closed after this share of the data server's own idle limit, because a query
+// on a connection that the data server has closed fails with a reset.
 constexpr double kIdleTimeoutShare = 0.7;
-// How much of the bound on connections those that are dialed ahead of need may bring it to.
+// Dials ahead of need use at most this fraction (one half) of the limit on server connections.
 constexpr std::size_t kAheadOfNeedDivisor = 2;
 
 }  // namespace
@@ -46,7 +46,8 @@
 
 void ConnectionPool::update(EndpointId id, const Address& address, bool ready, Time warmAt) {
   Endpoint& endpoint = endpoints_[id];
-  // Another process since: connections to the one before may stand there silent, if its machine vanished.
+  // The data server has restarted. If the machine of the previous process vanished, connections to
+  // that process may still be open here and get no answers.
   const bool restarted = warmAt > endpoint.warmAt;
   endpoint.warmAt = warmAt;
   const bool moved = !address.none() && address != endpoint.address;
@@ -60,7 +61,7 @@
   maintainWarmConnections();
 }
 
-// What is still being dialed would lead to the address before.
+// Dials in progress use the old address, so they are replaced.
 void ConnectionPool::redialMoved(EndpointId id, Endpoint& endpoint) {
   for (Connection* const connection : connectionsTo(id))
     if (connection->dialing()) drop(*connection);
@@ -84,7 +85,7 @@
   while (!endpoint.idle.empty()) {
     Connection& connection = *endpoint.idle.back();
     endpoint.idle.pop_back();
-    if (connection.quiet()) return &connection;
+    if (connection.hasNoPendingInput()) return &connection;
     drop(connection);
   }
   return nullptr;
@@ -182,9 +183,9 @@
   const Time now = engine_.now();
   for (auto& [id, endpoint] : endpoints_) {
     if (!endpoint.ready || now < endpoint.nextDial) continue;
-    const std::size_t kept = schedule_.warmConnections(now, endpoint.warmAt);
+    const std::size_t target = schedule_.warmConnections(now, endpoint.warmAt);
     while (endpoint.idle.size() + static_cast<std::size_t>(endpoint.dialing) <
-               kept + endpoint.waiting.size() &&
+               target + endpoint.waiting.size() &&
            hasRoomAheadOfNeed()) {
       if (dial(id, endpoint)) continue;
       if (processShortage_) return;
@@ -232,20 +233,21 @@
 }
 
 void ConnectionPool::handleShortage(Endpoint& endpoint, int error) {
-  const ResourceExhaustion lacking = resourceExhaustionOf(error);
-  resources_.recordExhaustion(lacking);
+  const ResourceExhaustion exhausted = resourceExhaustionOf(error);
+  resources_.recordExhaustion(exhausted);
   if (!processShortage_ && !endpoint.localShortage)
     logEvent(LogLevel::Warning, "connect_failed",
-             {{"why", std::strerror(error)}, {"of", resourceExhaustionName(lacking)}});
+             {{"why", std::strerror(error)}, {"of", resourceExhaustionName(exhausted)}});
   endpoint.localShortage = true;
-  // Ports and routes are lacking for one destination alone.
-  processShortage_ = lacking == ResourceExhaustion::Descriptors || lacking == ResourceExhaustion::Memory;
-  if (lacking == ResourceExhaustion::Descriptors) freeDescriptor();
+  // A shortage of ports or routes affects only one destination.
+  processShortage_ = exhausted == ResourceExhaustion::Descriptors || exhausted == ResourceExhaustion::Memory;
+  if (exhausted == ResourceExhaustion::Descriptors) freeDescriptor();
   if (!event_pending(retryTimer_.get(), EV_TIMEOUT, nullptr))
     startTimer(retryTimer_.get(), kShortageRetryDelay);
 }
 
-// An idle connection to another data server serves nobody now; else others are asked to make room.
+// Closes an idle connection of the endpoint that has the most. If there is none, asks other
+// descriptor holders to release one.
 void ConnectionPool::freeDescriptor() {
   const auto mostIdle = std::max_element(
       endpoints_.begin(), endpoints_.end(),
--- a/src/backend/postgres/connection_pool.hpp
+++ b/src/backend/postgres/connection_pool.hpp
@@ -1,4 +1,4 @@
-// The connections to all data servers: dialed, kept idle, and the operations that wait for one.
+// Pool of the connections to all data servers, with the operations that wait for a connection.
 #pragma once
 
 #include <cstddef>
@@ -20,8 +20,9 @@
 
 namespace sablespur {
 
-// Owns the connections; operations are pointed at while they wait. A lack of descriptors, memory, ports or
-// routes on this machine is never held against a data server: what waits goes on waiting, and room is made.
+// Owns the connections, but not the waiting operations. A shortage of descriptors, memory, ports or
+// routes on this machine does not count as a failure of a data server: operations keep waiting, and
+// a descriptor is freed if descriptors are short.
 class ConnectionPool {
  public:
   ConnectionPool(event_base*, const Engine&, WorkerPool&, ResourceBudget&, const Config&,
@@ -30,38 +31,42 @@
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
   void setDialDelay(std::function<Time(EndpointId)> delay) { schedule_.setDelay(std::move(delay)); }
-  // Called when there is no descriptor for a connection that is needed, nor an idle connection to close.
+  // Sets the callback for when no descriptor is available for a needed connection and there is no
+  // idle connection to close.
   void onShortage(std::function<void()> call) { onShortage_ = std::move(call); }
 
-  // What the list says of a data server; `warmAt`: until then it has just started.
+  // Applies a data server's entry in the endpoint list. `warmAt`: end of its slow start.
   void update(EndpointId, const Address&, bool ready, Time warmAt);
   void remove(EndpointId);
   bool isReady(EndpointId id) { return endpoints_[id].ready; }
-  // Whether the last dial failed for want of something on this machine.
+  // Whether the last dial failed for lack of a resource on this machine.
   bool hasLocalShortage(EndpointId id) { return processShortage_ || endpoints_[id].localShortage; }
 
-  // The idle connection that was used last; null: there is none.
+  // Removes the most recently used idle connection from the idle list and returns it; null: there
+  // is none.
   Connection* takeIdle(EndpointId);
-  // Whether one more connection is within the bound, if need be after closing an idle one.
+  // Whether the limit allows one more connection; closes an idle one if necessary.
   bool ensureRoom();
-  // Waits for a connection, which is dialed unless enough are under way.
+  // Queues an operation for a connection, which is dialed unless enough dials are in progress.
   void enqueue(Operation&);
-  // Waits again after a local shortage, whose retry dials.
+  // Queues an operation again after a local shortage; the retry timer dials for it.
   void requeue(Operation&);
   void dequeue(Operation&);
-  // Notes that the dial is over; the operation that takes the connection next, or null.
+  // Marks the dial as completed and returns the next operation for the connection; null: there is
+  // none.
   Operation* takeWaiting(Connection&);
-  // The operation that a failed dial leaves without a connection under way; null: there is none. Later dials
-  // ahead of need are put off.
+  // Handles a failed dial and delays dials ahead of need. Returns an operation that is left without
+  // a dial in progress; null: there is none.
   Operation* dialFailed(EndpointId, AttemptResult);
 
-  // Keeps a free connection, or drops it where it is of no more use: false.
+  // Adds a free connection to the idle list. Returns false if it was dropped instead, because its
+  // endpoint is not ready or has moved.
   bool park(Connection&);
   void drop(Connection&);
   void dropIdle(EndpointId);
-  // Opens no connection ahead of need for a while.
+  // Suspends dials ahead of need for one second.
   void delayDials(EndpointId);
-  // Speaks 3.0 with the data server from now on; replaces the connection.
+  // Uses protocol 3.0 with the data server from now on and replaces the connection.
   void dialOldestVersion(Connection&);
   void versionNegotiated(EndpointId id, int minorVersion) { endpoints_[id].minorVersion = minorVersion; }
   void handleShortage(EndpointId id, int error) { handleShortage(endpoints_[id], error); }
@@ -71,17 +76,17 @@
     Address address;
     bool ready = false;
     Time warmAt{};
-    int minorVersion = postgres::kNewestMinor;  // of version 3, the newest that it is known to speak
-    std::vector<Connection*> idle;              // the one used last comes last
+    int minorVersion = postgres::kNewestMinor;  // of version 3, the newest that it is known to support
+    std::vector<Connection*> idle;              // the most recently used one is last
     std::deque<Operation*> waiting;
     int dialing = 0;
-    Time nextDial{};             // no connection is opened ahead of need before then
-    bool localShortage = false;  // the last connection to it failed for want of something here
+    Time nextDial{};             // earliest time for dials ahead of need
+    bool localShortage = false;  // the last connection failed for lack of a local resource
 
     bool needsDial() const { return static_cast<std::size_t>(dialing) < waiting.size(); }
   };
 
-  // False: this machine has no way to the endpoint now; what waits goes on waiting.
+  // Returns false on a local shortage; operations keep waiting.
   bool dial(EndpointId, Endpoint&);
   void dialAllNeeded(EndpointId, Endpoint&);
   void redialMoved(EndpointId, Endpoint&);
@@ -103,11 +108,12 @@
   const ConnectionContext context_;
   DialSchedule schedule_;
   std::function<void()> onShortage_;
-  bool processShortage_ = false;  // the last socket that was asked for was not to be had
+  bool processShortage_ =
+      false;  // descriptors or memory are short; cleared by the next dial that gets a socket
   std::unordered_map<EndpointId, Endpoint> endpoints_;
   std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
   Event maintenanceTimer_;
-  Event retryTimer_;  // after a shortage
+  Event retryTimer_;  // dials again after a local shortage
 };
 
 }  // namespace sablespur
--- a/src/backend/postgres/dial_schedule.cpp
+++ b/src/backend/postgres/dial_schedule.cpp
@@ -3,21 +3,21 @@
 namespace sablespur {
 namespace {
 
-// With connections kept idle, health checks and first requests don't pay for a dial: the Balancer takes a
-// health check that is not answered within some ms for silence.
+// Idle connections save health checks and first requests the time of a dial. The Balancer counts a
+// health check that is not answered within a few ms as unanswered.
 constexpr std::size_t kWarmConnections = 2;
-// Up to so many proxies may act at once (herd+mass: the dials of all proxies came on top of what a data
-// server that had just started was sent).
-constexpr int kFewProxies = 16;
-// The mean distance in time of two proxies' dials to one data server is that of this step.
+// Up to this number of proxies may dial at the same time. In the experiment herd+mass, the dials of
+// all proxies came on top of the requests that a newly started data server received.
+constexpr int kMaxSmallFleet = 16;
+// Mean interval between the dials of two proxies to the same data server.
 constexpr Time kStaggerStep = std::chrono::milliseconds(20);
 constexpr std::uint64_t kStaggerSlots = 1000;
 
 }  // namespace
 
-bool DialSchedule::largeFleet() const { return config_.settings.proxyCount > kFewProxies; }
+bool DialSchedule::largeFleet() const { return config_.settings.proxyCount > kMaxSmallFleet; }
 
-// Another number for each endpoint and each start of a proxy (splitmix64).
+// Returns a different number for each endpoint and each start of a proxy (splitmix64).
 std::uint64_t DialSchedule::hash(EndpointId id) const {
   std::uint64_t x = config_.seed + 0x9e3779b97f4a7c15ULL * (id + 1);
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ULL;
@@ -33,7 +33,7 @@
 
 std::size_t DialSchedule::warmConnections(Time now, Time warmAt) const {
   if (!largeFleet()) return kWarmConnections;
-  // Each proxy's dial is work for a data server that has just started.
+  // Every dial adds load to a data server that has just started.
   return now < warmAt && !customDelay_ ? 0 : 1;
 }
 
--- a/src/backend/postgres/dial_schedule.hpp
+++ b/src/backend/postgres/dial_schedule.hpp
@@ -1,4 +1,4 @@
-// When, and how many, connections are opened to a data server ahead of need.
+// Decides when and how many connections to a data server are opened ahead of need.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +11,19 @@
 
 namespace sablespur {
 
-// Proxies of a large fleet act at once when a data server starts, or when they start themselves. So with more
-// than a few of them each keeps one connection alone and opens it at a moment of its own. What a request
-// needs is dialed at once whatever this says.
+// The proxies of a large fleet all react at the same time when a data server starts or when they
+// start themselves. In a large fleet each proxy therefore keeps a single idle connection and opens
+// it after a pseudo-random delay. Connections that requests need are dialed immediately, regardless
+// of this schedule.
 class DialSchedule {
  public:
   explicit DialSchedule(const Config& config) : config_(config) {}
 
-  // Replaces the built-in delay: how long after an endpoint has come connections to it are opened.
+  // Replaces the built-in delay between the listing of an endpoint and the first connections opened
+  // to it.
   void setDelay(std::function<Time(EndpointId)> delay) { customDelay_ = std::move(delay); }
   Time delay(EndpointId) const;
-  // How many connections to keep; `warmAt`: until then the data server has just started.
+  // The number of idle connections to keep. `warmAt`: end of the data server's slow start.
   std::size_t warmConnections(Time now, Time warmAt) const;
 
  private:
--- a/src/backend/postgres/load_report.cpp
+++ b/src/backend/postgres/load_report.cpp
@@ -9,13 +9,13 @@
 namespace sablespur {
 namespace {
 
-// The most requests that a data server may plausibly report as held.
+// Largest plausible number of requests in a report.
 constexpr double kMaxReportedRequests = 100000;
-// How far a reported position may lie ahead of this machine's clock, in seconds.
+// How far a reported position may be ahead of this machine's clock, in seconds.
 constexpr double kMaxPositionLead = 1;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// The number of the item `name`; nothing where the item is absent or not a number.
+// Returns the value of the item `name`; std::nullopt if it is absent or not a number.
 std::optional<double> findNumber(std::string_view report, std::string_view name) {
   for (std::size_t at = 0; at < report.size();) {
     const std::size_t end = std::min(report.find(',', at), report.size());
--- a/src/backend/postgres/load_report.hpp
+++ b/src/backend/postgres/load_report.hpp
@@ -1,4 +1,4 @@
-// Parses the load report that a data server answers a health check with.
+// Parses the load report in a data server's answer to a health check.
 #pragma once
 
 #include <string>
@@ -9,9 +9,10 @@
 
 namespace sablespur {
 
-// The values of `report` ("x0=1767225600.123,x1=1,inflight=7") in the order of `names`; `fields` says what
-// each of them means. Positions are Unix seconds. Empty where a value is missing, is no number or can't be
-// right at `now` (Unix time): one bad value discredits the whole report.
+// Returns the values of `report` ("x0=1767225600.123,x1=1,inflight=7") in the order of `names`.
+// `fields`: the meaning of each value; positions are in Unix seconds. Returns an empty vector if
+// any value is missing, not a number or implausible at `now` (Unix time), because one bad value
+// makes the whole report unreliable.
 std::vector<double> parseLoadReport(std::string_view report, const std::vector<std::string>& names,
                                     const std::vector<balancer::ReportField>& fields, balancer::Time now);
 
--- a/src/backend/postgres/login.cpp
+++ b/src/backend/postgres/login.cpp
@@ -17,7 +17,8 @@
 
 constexpr std::size_t kNonceLength = 18;  // bytes; 24 characters in base64
 
-// A login with the password of the settings, by whichever method the server asks for and the settings allow.
+// Logs in with the password from the settings, by the method that the server requests if the
+// settings allow it.
 class PasswordLogin final : public ServerLogin {
  public:
   explicit PasswordLogin(const Config& c)
--- a/src/backend/postgres/operation.hpp
+++ b/src/backend/postgres/operation.hpp
@@ -1,4 +1,5 @@
-// What the proxy runs on a connection to a data server: an attempt of a request, or a health check.
+// An operation that the proxy runs on a connection to a data server: an attempt of a request, or a
+// health check.
 #pragma once
 
 #include <memory>
@@ -15,7 +16,7 @@
 
 struct AttemptKey {
   RequestId request = 0;
-  int number = 0;  // of the attempt, among those of its request
+  int number = 0;  // of the attempt within its request
 
   friend bool operator<(const AttemptKey& a, const AttemptKey& b) {
     return a.request != b.request ? a.request < b.request : a.number < b.number;
@@ -25,23 +26,24 @@
 struct Attempt {
   AttemptKey key;
   std::shared_ptr<const RequestMessage> message;
-  // A CancelRequest is out for it: how the attempt ends unless an answer crosses the cancellation.
+  // Set once a CancelRequest is sent: the result of the attempt unless it is answered before the
+  // cancellation takes effect.
   std::optional<AttemptResult> cancelledAs;
 };
 
 struct HealthCheck {
-  int connectionsLost = 0;  // that ended under it
+  int connectionsLost = 0;  // that ended during this health check
 };
 
-// Owned by the BackendPool. While it runs, it and its Connection point at each other; whichever ends first
-// clears both pointers (Connection::release).
+// Owned by the BackendPool. While an operation runs, it and its Connection point to each other;
+// whichever ends first clears both pointers (Connection::release).
 struct Operation {
   EndpointId endpoint = 0;
   Time deadline{};
   std::variant<Attempt, HealthCheck> kind;
-  Connection* connection = nullptr;  // null: it waits for one
-  bool written = false;              // some of its bytes may have gone out
-  BackendPool* owner = nullptr;      // told by the timer when the deadline has passed
+  Connection* connection = nullptr;  // null: waiting for a connection
+  bool written = false;              // some of its bytes may have been sent
+  BackendPool* owner = nullptr;      // notified by deadlineTimer
   Event deadlineTimer;
 
   Attempt* attempt() { return std::get_if<Attempt>(&kind); }
--- a/src/backend/postgres/password_cache.cpp
+++ b/src/backend/postgres/password_cache.cpp
@@ -6,7 +6,8 @@
 namespace sablespur {
 namespace {
 
-// One result for each data server with a salt of its own, within reason.
+// Each data server may have its own salt; the limit bounds the memory used. A full cache is
+// cleared.
 constexpr std::size_t kMaxResults = 256;
 
 }  // namespace
--- a/src/backend/postgres/password_cache.hpp
+++ b/src/backend/postgres/password_cache.hpp
@@ -1,4 +1,4 @@
-// Salted passwords of logins to data servers, derived on worker threads and kept.
+// Cache of salted passwords for logins to data servers, which are derived on worker threads.
 #pragma once
 
 #include <functional>
@@ -9,18 +9,21 @@
 
 namespace sablespur {
 
-// The same password with the same salt gives the same key, so each challenge is computed once however many
-// connections receive it. A computation runs to its end even if the connections that asked for it are gone: a
-// server may demand more iterations than fit into the time of one login.
+// The same password, salt and iteration count give the same key, so each challenge is computed only
+// once, no matter how many connections receive it. A computation continues after the connections
+// that requested it have closed, because a server may demand more iterations than fit into one
+// login's timeout.
 class SaltedPasswordCache {
  public:
-  // `onDerived` is called in the loop with the challenge and its result; not after this object is gone.
+  // Called in the event loop with a challenge and its result; never after the cache is destroyed.
   using DerivedCallback = std::function<void(const std::string& challenge, const std::string& result)>;
   SaltedPasswordCache(WorkerPool&, DerivedCallback onDerived);
 
-  // The result for a challenge; null where it is not known (yet). Valid until the next result arrives.
+  // Returns the result for a challenge, or null if it is not (yet) known. The pointer is valid
+  // until the next result arrives.
   const std::string* find(const std::string& challenge) const;
-  // Starts `work` for a challenge unless it is under way. False: the workers have too much to do already.
+  // Starts `work` for a challenge unless it is already in progress. Returns false if the workers'
+  // queue is full.
   bool derive(const std::string& challenge, std::function<std::string()> work);
 
  private:
--- a/src/backend/postgres/query.cpp
+++ b/src/backend/postgres/query.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 Buffer composeQuery(const RequestMessage& message, std::chrono::milliseconds left) {
-  // An empty first part: the statement does not say how long its client waits.
+  // If the part before the remaining time is empty, the statement contains none.
   const std::size_t before = evbuffer_get_length(message.before.get());
   const std::string digits = before > 0 ? std::to_string(left.count()) : std::string();
   const std::size_t length = before + digits.size() + evbuffer_get_length(message.after.get());
--- a/src/backend/postgres/query.hpp
+++ b/src/backend/postgres/query.hpp
@@ -1,4 +1,5 @@
-// Composes the Query message of an attempt: the client's statement with the time that is left put into it.
+// Composes the Query message of an attempt: the client's statement with the remaining time
+// inserted.
 #pragma once
 
 #include <chrono>
@@ -9,11 +10,13 @@
 
 namespace sablespur {
 
-// The statement goes on unread and uncopied: the result shares the buffers of `message`.
+// Neither parses nor copies the statement: the result shares the buffers of `message`. `left`: the
+// remaining time to insert.
 Buffer composeQuery(const RequestMessage& message, std::chrono::milliseconds left);
 
-// The same for a data server that reads backslashes in string literals differently from the client: literals
-// are rewritten for one where they escape, or do not. Nothing: the result exceeds the longest message.
+// The same for a data server that treats backslashes in string literals differently from the
+// client: rewrites the literals. `serverBackslashes`: whether backslashes are escapes on the data
+// server. Returns std::nullopt if the result exceeds the maximum message length.
 std::optional<Buffer> composeRewrittenQuery(const RequestMessage& message, std::chrono::milliseconds left,
                                             bool serverBackslashes);
 
--- a/src/backend/postgres/server_error.hpp
+++ b/src/backend/postgres/server_error.hpp
@@ -1,4 +1,4 @@
-// What an ErrorResponse of a data server means for the attempt, or the login, that it answers.
+// Classifies a data server's ErrorResponse by its effect on the attempt or login that it answers.
 #pragma once
 
 #include "engine/engine.hpp"
@@ -8,8 +8,8 @@
 
 struct ServerError {
   AttemptResult result = AttemptResult::Error;
-  bool invalidStatement = false;  // the statement is at fault: syntax, data, protocol
-  bool cancelled = false;         // by a CancelRequest
+  bool invalidStatement = false;  // caused by the statement: syntax, data or protocol error
+  bool cancelled = false;         // the query was cancelled, as by a CancelRequest
   bool fatal = false;             // the data server closes the connection
 };
 
@@ -18,11 +18,12 @@
 // Classifies by SQLSTATE (PostgreSQL's documentation, "PostgreSQL Error Codes").
 ServerError classifyServerError(const postgres::ErrorFields&, ConnectionPhase);
 
-// Whether the code says that the server does not know the protocol version that was asked for: one from
-// before versions were negotiated.
+// Whether the server does not support the requested protocol version. Only servers without version
+// negotiation answer with this error.
 bool rejectsProtocolVersion(const postgres::ErrorFields&);
 
-// Whether the code is that of a server's own fault, which is too common under trouble to be logged.
+// Whether the code is that of an internal server error (XX000). These are too frequent during
+// faults to be logged.
 bool isInternalError(const postgres::ErrorFields&);
 
 }  // namespace sablespur
