--- a/src/protocol/postgres/answer_reader.cpp
+++ b/src/protocol/postgres/answer_reader.cpp
@@ -18,7 +18,8 @@
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kSqlStateLength = 5;
 
-// After a column's name: table (4), column (2), type (4), size (2), modifier (4), format (2).
+// Fields after a column's name, with their sizes in bytes: table (4), column (2), type (4), size
+// (2), modifier (4), format (2).
 constexpr std::size_t kColumnTailSize = 18;
 constexpr std::size_t kTypeOffset = 6;
 constexpr std::size_t kSizeOffset = 10;
@@ -30,7 +31,7 @@
   std::string_view body;
 };
 
-// Takes a message off the front; std::nullopt where there is no whole one.
+// Removes a message from the front of `from`; std::nullopt if there is no complete one.
 std::optional<Message> takeMessage(std::string_view& from) {
   if (from.size() < kHeaderSize) return std::nullopt;
   char bytes[kHeaderSize];
@@ -42,7 +43,8 @@
   return Message{header->type, body};
 }
 
-// Takes a value off the front and adds it to `values`; false where it is cut short.
+// Removes a value from the front of `from` and appends it to `values`; returns false if it is
+// truncated.
 bool takeValue(std::string_view& from, std::vector<Value>& values) {
   if (from.size() < kLengthSize) return false;
   const std::uint32_t length = readInt32(from.data());
--- a/src/protocol/postgres/answer_reader.hpp
+++ b/src/protocol/postgres/answer_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the answers and errors of servers, in protocol 3, into the terms of translation/terms.hpp. Pure;
-// views point into the message given.
+// Parses answers and errors of servers in protocol 3 into the types of translation/terms.hpp. Does
+// no I/O; returned views point into the given message.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +10,20 @@
 
 namespace sablespur::postgres {
 
-// Reads answers of every minor version. Lives as long as the process.
+// Returns the reader for answers of every minor version. It lives as long as the process.
 const translation::AnswerReader& reader();
 
-// Reads the messages of an answer, from RowDescription or CommandComplete up to and with CommandComplete.
-// False: they are malformed, or the consumer returned false.
+// Reads the messages of an answer, which starts with RowDescription or CommandComplete, up to and
+// including CommandComplete. Returns false if they are malformed or the consumer returned false.
 bool readAnswer(std::string_view messages, translation::AnswerConsumer& consumer);
-// Reads the body of a RowDescription. False: it is malformed; `columns` then holds what came before.
+// Reads the body of a RowDescription. Returns false if it is malformed; `columns` then holds the
+// columns before the malformed one.
 bool readColumns(std::string_view body, std::vector<translation::Column>& columns);
-// Whether this is the body of a DataRow of so many columns, for answers that are passed on unread.
+// Whether `body` is that of a DataRow with `columns` columns. For answers that are forwarded
+// without parsing their values.
 bool isRow(std::string_view body, std::size_t columns);
-// Reads the body of an ErrorResponse; unknown fields are skipped. The code is empty where it is malformed.
+// Parses the body of an ErrorResponse; unknown fields are skipped. The code is empty if it is
+// malformed.
 translation::ErrorReport parseErrorReport(std::string_view body);
 
 }  // namespace sablespur::postgres
--- a/src/protocol/postgres/bytes.hpp
+++ b/src/protocol/postgres/bytes.hpp
@@ -1,4 +1,4 @@
-// Integers and texts as protocol 3 encodes them: big-endian integers, texts that end with a NUL. Pure.
+// Encodes and decodes the integers (big-endian) and NUL-terminated strings of protocol 3.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace sablespur::postgres {
 
-// A length of this value stands for NULL.
+// The length of a value that represents NULL.
 constexpr std::uint32_t kNullLength = 0xffffffff;
 
 inline void put16(std::string& to, std::size_t value) {
@@ -23,14 +23,14 @@
 
 inline void putText(std::string& to, std::string_view text) { to.append(text).push_back('\0'); }
 
-// `from` holds two bytes at least from `at` on.
+// `from` must hold at least two bytes starting at `at`.
 inline std::uint16_t read16(std::string_view from, std::size_t at) {
   return static_cast<std::uint16_t>(static_cast<unsigned char>(from[at]) << 8 |
                                     static_cast<unsigned char>(from[at + 1]));
 }
 
-// Takes the text up to the next NUL, and the NUL, off the front of `from`; std::nullopt where there is no
-// NUL.
+// Removes the text up to the next NUL, and the NUL, from the front of `from` and returns the text;
+// std::nullopt if there is no NUL.
 inline std::optional<std::string_view> takeText(std::string_view& from) {
   const std::size_t end = from.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
--- a/src/protocol/postgres/codec.cpp
+++ b/src/protocol/postgres/codec.cpp
@@ -27,7 +27,7 @@
   put16(body, columns.size());
   for (const Column& column : columns) {
     putText(body, column.name);
-    put32(body, 0);  // table and column: none that the client could look up
+    put32(body, 0);  // table and column: unknown to the client
     put16(body, 0);
     put32(body, column.type);
     put16(body, static_cast<std::uint16_t>(column.size));
@@ -62,7 +62,7 @@
   for (const ErrorField& field : kFirstErrorFields) {
     putField(body, field.letter, report.*field.text);
     if (field.letter == 'S') putField(body, kNonLocalizedSeverity, report.severity);
-    // Programs read the time after which to retry from the detail, where it is a number alone.
+    // Clients read the retry delay in milliseconds from a detail that consists of a number alone.
     if (field.letter == 'D' && report.detail.empty() && report.retryAfterMs)
       putField(body, 'D', std::to_string(*report.retryAfterMs));
   }
--- a/src/protocol/postgres/error_fields.hpp
+++ b/src/protocol/postgres/error_fields.hpp
@@ -1,4 +1,4 @@
-// The fields of an ErrorResponse and where they stand in an ErrorReport; for the files of this folder alone.
+// Maps the fields of an ErrorResponse to the members of an ErrorReport. Internal to this directory.
 //
 // PostgreSQL's documentation, "Error and Notice Message Fields".
 #pragma once
@@ -14,10 +14,10 @@
   std::string translation::ErrorReport::*text;
 };
 
-// The severity as it is never translated into the server's language (since 9.6).
+// The severity, never translated into the server's language. Since 9.6.
 constexpr char kNonLocalizedSeverity = 'V';
 
-// Since 7.4, with which protocol 3.0 came.
+// Since 7.4, which introduced protocol 3.0.
 constexpr ErrorField kFirstErrorFields[] = {
     {'S', &translation::ErrorReport::severity}, {'C', &translation::ErrorReport::code},
     {'M', &translation::ErrorReport::text},     {'D', &translation::ErrorReport::detail},
--- a/src/protocol/postgres/extended.cpp
+++ b/src/protocol/postgres/extended.cpp
@@ -12,7 +12,8 @@
 constexpr char kStatementTarget = 'S';
 constexpr char kPortalTarget = 'P';
 
-// Reads a body from its start. After the first malformed field all it gives is empty, and done() stays false.
+// Reads the fields of a body in order. After the first malformed field it returns only empty
+// values, and done() stays false.
 class BodyReader {
  public:
   explicit BodyReader(std::string_view body) : rest_(body) {}
@@ -39,7 +40,7 @@
     return taken.empty() ? 0 : readInt32(taken.data());
   }
 
-  // A count and as many numbers of two bytes.
+  // Reads a count and that many two-byte integers.
   std::vector<std::int16_t> numbers16() {
     const std::size_t count = number16();
     std::vector<std::int16_t> numbers;
@@ -52,7 +53,7 @@
     return numbers;
   }
 
-  // A length and as many bytes; std::nullopt for NULL.
+  // Reads a length and that many bytes; std::nullopt for NULL.
   std::optional<std::string_view> value() {
     const std::uint32_t length = number32();
     if (length == kNullLength) return std::nullopt;
@@ -61,7 +62,7 @@
 
   std::size_t left() const { return rest_.size(); }
   bool good() const { return good_; }
-  // Whether all of the body has been read, and nothing was malformed.
+  // Whether the whole body has been read without a malformed field.
   bool done() const { return good_ && rest_.empty(); }
 
  private:
@@ -120,7 +121,7 @@
   bind.statement = reader.text();
   bind.formats = reader.numbers16();
   const std::size_t values = reader.number16();
-  if (reader.left() < 4 * values) return std::nullopt;  // each has its length
+  if (reader.left() < 4 * values) return std::nullopt;  // every value has a four-byte length
   for (std::size_t k = 0; k < values && reader.good(); ++k) bind.values.push_back(reader.value());
   bind.resultFormats = reader.numbers16();
   const bool formatsFit = bind.formats.size() <= 1 || bind.formats.size() == bind.values.size();
--- a/src/protocol/postgres/extended.hpp
+++ b/src/protocol/postgres/extended.hpp
@@ -1,5 +1,6 @@
-// The extended query sub-protocol of protocol 3: what clients send, and the answers that it has of its own.
-// Pure; views point into the message given.
+// The extended query sub-protocol of protocol 3: the messages of clients, and the server's
+// responses that only this sub-protocol has. Does no I/O; returned views point into the given
+// message.
 //
 // PostgreSQL's documentation, "Message Formats".
 #pragma once
@@ -16,13 +17,13 @@
 struct Parse {
   std::string_view name;  // of the prepared statement
   std::string_view statement;
-  std::vector<std::uint32_t> types;  // object ids of parameters' types; 0 or missing: not specified
+  std::vector<std::uint32_t> types;  // OIDs of the parameters' types; 0 or missing: not specified
 };
 
 struct Bind {
   std::string_view portal;
-  std::string_view statement;                           // name of the prepared one
-  std::vector<std::int16_t> formats;                    // none: all text; one: of all; otherwise one for each
+  std::string_view statement;                           // name of the prepared statement
+  std::vector<std::int16_t> formats;                    // none: all text; one: for all; otherwise one each
   std::vector<std::optional<std::string_view>> values;  // std::nullopt: NULL
   std::vector<std::int16_t> resultFormats;              // as formats
 
@@ -30,7 +31,7 @@
   bool binary(std::size_t parameter) const;
 };
 
-// What a Describe or Close is about.
+// The target of a Describe or Close.
 struct DescribeTarget {
   bool portal = false;  // otherwise a prepared statement
   std::string_view name;
@@ -41,13 +42,13 @@
   std::int32_t maxRows = 0;  // 0: all
 };
 
-// std::nullopt: the body does not have the message's form.
+// Return std::nullopt if the body is malformed.
 std::optional<Parse> parseParse(std::string_view body);
 std::optional<Bind> parseBind(std::string_view body);
 std::optional<DescribeTarget> parseDescribeTarget(std::string_view body);
 std::optional<Execute> parseExecute(std::string_view body);
 
-// What a server answers.
+// Messages of a server.
 std::string parseComplete();
 std::string bindComplete();
 std::string closeComplete();
@@ -55,7 +56,7 @@
 std::string portalSuspended();
 std::string parameterDescription(const std::vector<std::uint32_t>& types);
 
-// The same messages as a client sends them; for stand-ins and tests.
+// Messages of a client; for stand-in clients and tests.
 std::string parseMessage(std::string_view name, std::string_view statement,
                          const std::vector<std::uint32_t>& types);
 std::string bindMessage(const Bind& bind);
--- a/src/protocol/postgres/login.hpp
+++ b/src/protocol/postgres/login.hpp
@@ -1,5 +1,5 @@
-// Messages of logins in protocol 3: AuthenticationRequest and what clients answer. Pure; views point into the
-// message given.
+// The login messages of protocol 3: AuthenticationRequest and the responses of clients. Does no
+// I/O; returned views point into the given message.
 //
 // PostgreSQL's documentation, "Message Formats" and "SASL Authentication".
 #pragma once
@@ -21,22 +21,23 @@
 
 // An AuthenticationRequest of this kind, with its data.
 std::string authentication(std::uint32_t request, std::string_view data = {});
-// AuthenticationSASL that offers SCRAM-SHA-256 alone.
+// AuthenticationSASL that offers only SCRAM-SHA-256.
 std::string saslMechanisms();
-// Whether the data of an AuthenticationSASL (names, each with its NUL, and a NUL at the end) names
+// Whether the data of an AuthenticationSASL (NUL-terminated names, then a NUL) includes
 // SCRAM-SHA-256.
 bool offersScram(std::string_view mechanisms);
 
-// PasswordMessage: a text with its NUL.
+// PasswordMessage, with a NUL-terminated text.
 std::string passwordMessage(std::string_view text);
 // SASLInitialResponse for SCRAM-SHA-256, with the client-first-message.
 std::string saslInitialResponse(std::string_view first);
 std::string saslResponse(std::string_view data);
 
-// The body of a PasswordMessage; std::nullopt where its only NUL isn't its last byte.
+// Returns the text in the body of a PasswordMessage; std::nullopt unless the last byte is the only
+// NUL.
 std::optional<std::string_view> parsePassword(std::string_view body);
-// The client-first-message in the body of a SASLInitialResponse; std::nullopt where it is malformed or for
-// another mechanism than SCRAM-SHA-256.
+// Returns the client-first-message in the body of a SASLInitialResponse; std::nullopt if the body
+// is malformed or for a mechanism other than SCRAM-SHA-256.
 std::optional<std::string_view> parseSaslInitial(std::string_view body);
 
 }  // namespace sablespur::postgres
--- a/src/protocol/postgres/messages.cpp
+++ b/src/protocol/postgres/messages.cpp
@@ -5,12 +5,12 @@
 namespace sablespur::postgres {
 namespace {
 
-constexpr std::size_t kLengthSize = 4;  // each length counts itself
-// After a column's name: table, column, type, size, modifier, format.
+constexpr std::size_t kLengthSize = 4;  // every length includes itself
+// Fields after a column's name: table, column, type, size, modifier, format.
 constexpr std::size_t kColumnTailSize = 18;
 constexpr std::size_t kSqlStateLength = 5;
 
-// Whether the body begins with a count of one column.
+// Whether the body starts with a column count of one.
 bool hasOneColumn(std::string_view body) { return body.size() >= 2 && read16(body, 0) == 1; }
 
 }  // namespace
@@ -135,7 +135,7 @@
 std::optional<std::string_view> parseColumn(std::string_view body) {
   if (!hasOneColumn(body) || body.size() < kRowHeaderSize) return std::nullopt;
   const std::string_view value = body.substr(kRowHeaderSize);
-  if (readInt32(body.data() + 2) != value.size()) return std::nullopt;  // so for NULL, too: kNullLength
+  if (readInt32(body.data() + 2) != value.size()) return std::nullopt;  // also for NULL (kNullLength)
   return value;
 }
 
--- a/src/protocol/postgres/startup.cpp
+++ b/src/protocol/postgres/startup.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kMinorMask = 0xffff;
 constexpr std::string_view kExtensionPrefix = "_pq_.";
 
-// A packet without a type: its length, which counts itself, then its body.
+// A packet without a type byte: its length, which includes itself, then its body.
 std::string withLength(const std::string& body) {
   std::string packet;
   put32(packet, static_cast<std::uint32_t>(body.size() + kNumberSize));
@@ -87,7 +87,7 @@
   body.remove_prefix(2 * kNumberSize);
   for (std::uint32_t k = 0; k < unknown; ++k)
     if (!takeText(body)) return std::nullopt;
-  // Servers send the whole version; the documentation says that it is the minor one alone.
+  // Servers send the full version, although the documentation specifies only the minor one.
   const std::uint32_t major = version >> 16;
   if (!body.empty() || (major != 0 && major != kMajor)) return std::nullopt;
   return static_cast<int>(version & kMinorMask);
--- a/src/protocol/postgres/statement_comment.cpp
+++ b/src/protocol/postgres/statement_comment.cpp
@@ -7,8 +7,8 @@
 namespace sablespur::postgres {
 namespace {
 
-// No list of endpoints has a larger number; a client must not fill the memory with clusters that do not
-// exist.
+// The largest cluster number in an endpoint list. Without this limit a client could exhaust memory
+// by naming clusters that do not exist.
 constexpr std::uint32_t kMaxCluster = 65535;
 
 template <typename T>
@@ -24,7 +24,7 @@
   return text;
 }
 
-// What stands between the last "/*" and the last "*/".
+// Returns the text between the last "/*" and the last "*/"; std::nullopt if there is none.
 std::optional<std::string_view> lastComment(std::string_view text) {
   constexpr std::size_t kMarkLength = 2;
   const std::size_t open = text.rfind("/*");
@@ -37,10 +37,10 @@
 // Collects the entries of one comment.
 class CommentReader {
  public:
-  // `text`: the whole text, from which offsets count.
+  // `text`: the whole text, to which offsets are relative.
   explicit CommentReader(std::string_view text) : text_(text) {}
 
-  // One "name=value", with blanks around it; anything else is skipped.
+  // Reads a "name=value" entry, which may be surrounded by spaces; anything else is skipped.
   void readEntry(std::string_view entry) {
     entry = trimmed(entry);
     const std::size_t equals = entry.find('=');
--- a/src/protocol/postgres/statement_comment.hpp
+++ b/src/protocol/postgres/statement_comment.hpp
@@ -1,5 +1,6 @@
-// The comment at the end of a statement, in which applications name the request, its class and its deadline,
-// and the key in the statement. Pure; views point into the text given.
+// Parses the comment at the end of a statement, in which applications pass the request's id, class
+// and remaining time, and the key in the statement. Does no I/O; returned views point into the
+// given text.
 #pragma once
 
 #include <cstddef>
@@ -8,23 +9,23 @@
 
 namespace sablespur::postgres {
 
-// Offsets count from the start of the text given.
+// Offsets are relative to the start of the given text.
 struct Comment {
   std::string_view id;
   std::string_view className;
   std::string_view key;            // of a keyed write; empty: none
   std::uint32_t timeLeftMs = 0;    // d, in milliseconds
-  std::size_t timeLeftOffset = 0;  // where the digits of d stand
-  std::size_t timeLeftLength = 0;  // 0: there is no d
+  std::size_t timeLeftOffset = 0;  // position of the digits of d
+  std::size_t timeLeftLength = 0;  // 0: the comment has no d
   std::uint32_t cluster = 0;
   std::int64_t after = 0;       // position to read at, Unix time in milliseconds; 0: none
-  const char* fault = nullptr;  // what is wrong; nullptr: nothing
+  const char* fault = nullptr;  // why the comment is invalid; nullptr: it is valid
 };
 
-// Reads "/* id=...,cluster=...,... */", the last comment of the text. Unknown names are skipped.
+// Parses "/* id=...,cluster=...,... */", the last comment of the text. Unknown names are skipped.
 Comment parseComment(std::string_view text);
 
-// The first quoted text of a statement; empty where there is none.
+// Returns the first quoted text of a statement; empty if there is none.
 std::string_view parseKey(std::string_view text);
 
 }  // namespace sablespur::postgres
--- a/src/protocol/postgres2/codec.cpp
+++ b/src/protocol/postgres2/codec.cpp
@@ -17,7 +17,8 @@
 }
 
 std::string Codec::commandComplete(std::string_view tag) const {
-  // "SELECT 3" counts rows since 9.0; programs of 2.0's time compare the tag with "SELECT".
+  // The tag includes the row count ("SELECT 3") since 9.0; clients of protocol 2.0 compare it with
+  // "SELECT".
   constexpr std::string_view kCountedSelect = "SELECT ";
   const bool countedSelect = tag.substr(0, kCountedSelect.size()) == kCountedSelect;
   return postgres2::completed(countedSelect ? "SELECT" : tag);
--- a/src/protocol/postgres2/messages.cpp
+++ b/src/protocol/postgres2/messages.cpp
@@ -19,14 +19,14 @@
 
 std::string_view upToNul(std::string_view text) { return text.substr(0, text.find('\0')); }
 
-// A field of fixed size, which ends with a NUL at least.
+// A field of fixed size, padded with at least one NUL.
 std::string padded(std::string_view text, std::size_t size) {
   std::string field(text.substr(0, size - 1));
   field.resize(size, '\0');
   return field;
 }
 
-// A message that is one text.
+// A message that consists of a single text.
 std::string textMessage(char type, std::string_view text) {
   std::string message(1, type);
   message.append(upToNul(text));
@@ -34,7 +34,7 @@
   return message;
 }
 
-// The same, no longer than kMaxText with its type and NUL.
+// The same, truncated to kMaxText bytes including its type and NUL.
 std::string boundedMessage(char type, std::string_view text) {
   return textMessage(type, text.substr(0, kMaxText - 2));
 }
@@ -86,30 +86,30 @@
   return packet;
 }
 
-std::optional<ClientMessage> parseClientMessage(std::string_view in, bool& bad) {
-  bad = false;
+std::optional<ClientMessage> parseClientMessage(std::string_view in, bool& malformed) {
+  malformed = false;
   if (in.empty()) return std::nullopt;
   const char type = in[0];
   if (type == 'X' || type == 'F') return ClientMessage{type, {}, 1};
   if (type != 'Q') {
-    bad = true;
+    malformed = true;
     return std::nullopt;
   }
   const std::size_t end = in.find('\0', 1);
   const bool whole = end != std::string_view::npos;
-  bad = (whole ? end : in.size()) > kMaxQuery;
-  if (!whole || bad) return std::nullopt;
+  malformed = (whole ? end : in.size()) > kMaxQuery;
+  if (!whole || malformed) return std::nullopt;
   return ClientMessage{type, in.substr(1, end - 1), end + 1};
 }
 
 std::string query(std::string_view statement) { return textMessage('Q', statement); }
 
-std::optional<std::string_view> parsePassword(std::string_view in, std::size_t& size, bool& bad) {
-  bad = false;
+std::optional<std::string_view> parsePassword(std::string_view in, std::size_t& size, bool& malformed) {
+  malformed = false;
   if (in.size() < kLengthSize) return std::nullopt;
   const std::uint32_t length = read32(in, 0);
   if (length <= kLengthSize || length > kMaxPassword) {
-    bad = true;
+    malformed = true;
     return std::nullopt;
   }
   if (in.size() < length) return std::nullopt;
@@ -166,9 +166,9 @@
   to.resize(bitmap + bitmapSize(values.size()), '\0');
   for (std::size_t k = 0; k < values.size(); ++k) {
     char& byte = to[bitmap + k / 8];
-    if (values[k]) byte = static_cast<char>(static_cast<unsigned char>(byte) | bitOf(k));
+    if (values[k]) byte = static_cast<char>(static_cast<unsigned char>(byte) | columnMask(k));
   }
-  // The length of a text counts itself, the one of a binary value does not.
+  // The length of a text value includes itself, that of a binary value does not.
   const std::size_t counted = binary ? 0 : kLengthSize;
   for (const Value& value : values) {
     if (!value) continue;
--- a/src/protocol/postgres2/server_message_reader.cpp
+++ b/src/protocol/postgres2/server_message_reader.cpp
@@ -9,14 +9,14 @@
 
 constexpr std::size_t kMaxValue = 1 << 20;
 
-// Kinds of AuthenticationRequest that carry a salt, and its size.
+// Codes of AuthenticationRequests with a salt, and its size in bytes.
 constexpr std::uint32_t kAuthCrypt = 4;
 constexpr std::uint32_t kAuthMd5 = 5;
 constexpr std::size_t kCryptSaltSize = 2;
 constexpr std::size_t kMd5SaltSize = 4;
 
-// Takes fields off the start of a message. After the first one that is missing or malformed all it gives is
-// empty.
+// Reads the fields of a message in order. After the first incomplete or malformed field it returns
+// only empty values.
 class FieldReader {
  public:
   enum class Status { Ok, Incomplete, Malformed };
@@ -34,7 +34,7 @@
     return taken;
   }
 
-  // Up to the next NUL.
+  // Reads the text up to the next NUL.
   std::string text() {
     if (!ok()) return {};
     const std::size_t end = rest_.find('\0');
@@ -88,11 +88,11 @@
 }
 
 void readRow(FieldReader& fields, Reader::Message& message, std::size_t columns) {
-  // The length of a text counts itself, the one of a binary value does not.
+  // The length of a text value includes itself, that of a binary value does not.
   const std::uint32_t lengthSize = message.type == 'D' ? 4 : 0;
   const std::string_view bitmap = fields.bytes(bitmapSize(columns));
   for (std::size_t k = 0; k < columns && fields.ok(); ++k) {
-    if ((static_cast<unsigned char>(bitmap[k / 8]) & bitOf(k)) == 0) {
+    if ((static_cast<unsigned char>(bitmap[k / 8]) & columnMask(k)) == 0) {
       message.row.emplace_back(std::nullopt);
       continue;
     }
@@ -136,15 +136,15 @@
 
 }  // namespace
 
-std::optional<Reader::Message> Reader::take(std::string_view in, std::size_t& size, bool& bad) {
-  bad = false;
+std::optional<Reader::Message> Reader::take(std::string_view in, std::size_t& size, bool& malformed) {
+  malformed = false;
   if (in.empty()) return std::nullopt;
   Message message;
   message.type = in[0];
   FieldReader fields(in.substr(1));
   readBody(fields, message, columns_);
   if (!fields.ok()) {
-    bad = fields.status() == FieldReader::Status::Malformed;
+    malformed = fields.status() == FieldReader::Status::Malformed;
     return std::nullopt;
   }
   if (message.type == 'T') columns_ = message.columns.size();
--- a/src/protocol/postgres2/server_message_reader.hpp
+++ b/src/protocol/postgres2/server_message_reader.hpp
@@ -1,4 +1,4 @@
-// Reads what a server sends in protocol 2.0, for stand-in clients and tests. Pure.
+// Parses the messages of a server in protocol 2.0, for stand-in clients and tests. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +12,22 @@
 
 namespace sablespur::postgres2 {
 
-// Reads one message at a time. Rows have no lengths of their own, so it keeps the number of columns of the
-// last RowDescription.
+// Parses one message at a time. Rows don't contain their number of columns, so the reader remembers
+// that of the last RowDescription.
 class Reader {
  public:
   struct Message {
     char type = 0;
     std::string text;                             // of E, N, C, I, P and A; of R: the salt
-    std::uint32_t number = 0;                     // of R: the kind of request; of A: the process
+    std::uint32_t number = 0;                     // of R: the request code; of A: the process ID
     Cancel key;                                   // of K
     std::vector<Column> columns;                  // of T
     std::vector<std::optional<std::string>> row;  // of D and B
   };
 
-  // The first message of `in`, and its `size`. std::nullopt: it has not arrived whole, or, with `bad`, is
-  // malformed.
-  std::optional<Message> take(std::string_view in, std::size_t& size, bool& bad);
+  // Returns the first message of `in` and sets `size` to its length. std::nullopt: the message is
+  // incomplete or, with `malformed` set, malformed.
+  std::optional<Message> take(std::string_view in, std::size_t& size, bool& malformed);
 
  private:
   std::size_t columns_ = 0;
--- a/tests/answer_parser_test.cpp
+++ b/tests/answer_parser_test.cpp
@@ -1,4 +1,5 @@
-// The order and form of a data server's answer, message by message, and what an error means for its attempt.
+// Tests the order and format of the messages in a data server's answer, and how errors end an
+// attempt.
 #include "backend/postgres/answer_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
     append(input.get(), postgres::message('D', body));
     return parser.takeRow(input.get(), body.size());
   }
-  // The types that may come next.
+  // The message types that are accepted next.
   static std::string expected(const AnswerParser& parser) {
     std::string types;
     for (const char type : "SNTDCEZRKv"s)
@@ -36,7 +37,7 @@
   }
 };
 
-TEST_F(AnswerParserTest, ASingleValueIsDescriptionRowAndCompletionInThisOrder) {
+TEST_F(AnswerParserTest, SingleValueRequiresDescriptionRowAndCompletionInOrder) {
   AnswerParser parser(AnswerKind::SingleValue);
   EXPECT_EQ(expected(parser), "SNTE");
   EXPECT_EQ(parser.takeDescription(kDescription), std::nullopt);
@@ -50,7 +51,7 @@
   EXPECT_EQ(evbuffer_get_length(end.answer.messages.get()), postgres::kHeaderSize + kValueRow.size());
 }
 
-TEST_F(AnswerParserTest, AnyRowsMayBeManyOrNone) {
+TEST_F(AnswerParserTest, AnyRowsAcceptsZeroOrMoreRows) {
   AnswerParser parser(AnswerKind::AnyRows);
   EXPECT_EQ(expected(parser), "SNTCE");
   ASSERT_EQ(parser.takeDescription(kDescription), std::nullopt);
@@ -60,7 +61,7 @@
   EXPECT_EQ(expected(parser), "SNDCE");
 }
 
-TEST_F(AnswerParserTest, ARowWhoseLengthsDoNotFitIsMalformed) {
+TEST_F(AnswerParserTest, RowWithWrongLengthOrColumnCountIsMalformed) {
   for (const AnswerKind kind : {AnswerKind::SingleValue, AnswerKind::AnyRows}) {
     AnswerParser parser(kind);
     ASSERT_EQ(parser.takeDescription(kDescription), std::nullopt);
@@ -71,26 +72,26 @@
   }
 }
 
-TEST_F(AnswerParserTest, ACompletionOfASingleValueCountsOneRow) {
+TEST_F(AnswerParserTest, SingleValueCompletionMustReportOneRow) {
   AnswerParser single(AnswerKind::SingleValue);
   EXPECT_EQ(single.takeCompletion("SELECT 2\0"s), MessageFault("a malformed completion"));
   AnswerParser any(AnswerKind::AnyRows);
   EXPECT_EQ(any.takeCompletion("SELECT 2\0"s), std::nullopt);
 }
 
-TEST_F(AnswerParserTest, AnAnswerIsBounded) {
+TEST_F(AnswerParserTest, AnswerSizeIsLimited) {
   const AnswerParser parser(AnswerKind::AnyRows);
   EXPECT_TRUE(parser.hasRoomFor(256 << 10));
   EXPECT_FALSE(parser.hasRoomFor((256 << 10) + 1));
 }
 
-TEST_F(AnswerParserTest, ACancelledAttemptEndsAsItWasCancelled) {
+TEST_F(AnswerParserTest, CancelledAttemptEndsWithTheCancellationsResult) {
   AnswerParser parser(AnswerKind::SingleValue);
   parser.takeError(errorOf("57014"), "", false);
   EXPECT_EQ(parser.finish(AttemptResult::Timeout).result, AttemptResult::Timeout);
 }
 
-TEST_F(AnswerParserTest, AnAnswerThatCrossesTheCancellationCounts) {
+TEST_F(AnswerParserTest, AnswerCompletedBeforeCancellationCounts) {
   AnswerParser parser(AnswerKind::SingleValue);
   ASSERT_EQ(parser.takeDescription(kDescription), std::nullopt);
   ASSERT_EQ(takeRow(parser, kValueRow), std::nullopt);
@@ -98,19 +99,19 @@
   EXPECT_EQ(parser.finish(AttemptResult::Timeout).result, AttemptResult::Ok);
 }
 
-TEST_F(AnswerParserTest, AnInvalidStatementsErrorIsTheAnswerWhereItIsForwarded) {
+TEST_F(AnswerParserTest, InvalidStatementErrorIsTheAnswerOnlyIfForwarded) {
   AnswerParser forwarding(AnswerKind::SingleValue);
   forwarding.takeError(errorOf("42601"), "body", true);
   const AttemptEnd forwarded = forwarding.finish(std::nullopt);
   EXPECT_TRUE(forwarded.invalidStatement);
   EXPECT_TRUE(forwarded.answer.problem);
   EXPECT_EQ(evbuffer_get_length(forwarded.answer.messages.get()), postgres::kHeaderSize + 4);
-  AnswerParser silent(AnswerKind::SingleValue);
-  silent.takeError(errorOf("42601"), "body", false);
-  EXPECT_EQ(silent.finish(std::nullopt).answer.messages, nullptr);
+  AnswerParser suppressing(AnswerKind::SingleValue);
+  suppressing.takeError(errorOf("42601"), "body", false);
+  EXPECT_EQ(suppressing.finish(std::nullopt).answer.messages, nullptr);
 }
 
-TEST_F(AnswerParserTest, ParametersTellRoleAndPosition) {
+TEST_F(AnswerParserTest, ParametersSetRoleAndPosition) {
   AnswerParser parser(AnswerKind::SingleValue);
   parser.takeParameter("role", "replica");
   parser.takeParameter("applied_ms", "1767225600123");
@@ -119,13 +120,13 @@
   EXPECT_EQ(end.positionMs, 1767225600123);
 }
 
-TEST_F(AnswerParserTest, AMalformedPositionIsNotTold) {
+TEST_F(AnswerParserTest, MalformedPositionIsIgnored) {
   AnswerParser parser(AnswerKind::SingleValue);
   parser.takeParameter("applied_ms", "1767225600123x");
   EXPECT_EQ(parser.finish(std::nullopt).positionMs, 0);
 }
 
-TEST_F(AnswerParserTest, ErrorsAreClassifiedByTheirCode) {
+TEST_F(AnswerParserTest, ErrorsAreClassifiedBySqlState) {
   EXPECT_EQ(errorOf("53300").result, AttemptResult::Rejected);
   EXPECT_EQ(errorOf("25006").result, AttemptResult::TooStale);
   EXPECT_EQ(errorOf("72000").result, AttemptResult::TooStale);
--- a/tests/dial_schedule_test.cpp
+++ b/tests/dial_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Connections opened ahead of need: how many, and how long after an endpoint has come.
+// Tests how many connections are opened ahead of need, and how long after an endpoint is listed.
 #include "backend/postgres/dial_schedule.hpp"
 
 #include <gtest/gtest.h>
@@ -23,21 +23,21 @@
   }
 };
 
-TEST_F(DialScheduleTest, ASmallFleetKeepsTwoConnectionsAndDialsAtOnce) {
+TEST_F(DialScheduleTest, SmallFleetKeepsTwoConnectionsAndDialsImmediately) {
   const Config config = configOf(kSmallFleet);
   const DialSchedule schedule(config);
   EXPECT_EQ(schedule.delay(1), Time(0));
   EXPECT_EQ(schedule.warmConnections(Time(1s), Time(2s)), 2u);
 }
 
-TEST_F(DialScheduleTest, ALargeFleetKeepsOneConnectionAndNoneToAStartingServer) {
+TEST_F(DialScheduleTest, LargeFleetKeepsOneConnectionAndNoneDuringSlowStart) {
   const Config config = configOf(kLargeFleet);
   const DialSchedule schedule(config);
   EXPECT_EQ(schedule.warmConnections(Time(1s), Time(2s)), 0u);
   EXPECT_EQ(schedule.warmConnections(Time(2s), Time(2s)), 1u);
 }
 
-TEST_F(DialScheduleTest, ALargeFleetsDelaysAreSpreadOverItsSize) {
+TEST_F(DialScheduleTest, LargeFleetDelaysAreSpreadInProportionToItsSize) {
   const Config config = configOf(kLargeFleet);
   const DialSchedule schedule(config);
   const Time span = kLargeFleet * Time(20ms);
@@ -53,7 +53,7 @@
   EXPECT_GT(*delays.rbegin(), span - span / 10);
 }
 
-TEST_F(DialScheduleTest, ACustomDelayReplacesTheBuiltInOne) {
+TEST_F(DialScheduleTest, CustomDelayReplacesTheBuiltInDelay) {
   const Config config = configOf(kLargeFleet);
   DialSchedule schedule(config);
   schedule.setDelay([](EndpointId id) { return Time(id * 1ms); });
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,5 @@
-// The pure parts: PostgreSQL's messages and the statement's comment, HTTP, lists.
+// Tests the parsers that do no I/O (statement comments, PostgreSQL messages, HTTP responses,
+// endpoint lists) and the formatting and rate limit of the log.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 namespace sablespur {
 namespace {
 
-TEST(Pg, CommentSaysWhatTheProtocolPutsThere) {
+TEST(StatementComment, ParsesAllFieldsAndTheKey) {
   const std::string text =
       "SELECT blob FROM rows WHERE handle = 'a/*b*/' "
       "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
@@ -26,7 +27,7 @@
   EXPECT_EQ(c.after, 1767225600123);
   EXPECT_EQ(postgres::parseKey(text), "a/*b*/");
 }
-TEST(Pg, CommentsThatLackOrSpoilAValueAreFaults) {
+TEST(StatementComment, RejectsMissingAndMalformedFields) {
   for (const char* text :
        {"", "SELECT 1", "/* id=1,cluster=2", "/* c=x,cluster=2 */", "/* id=,cluster=2 */", "/* id=1,c=x */",
         "/* id=1,cluster=x */", "/* id=1,cluster=-1 */", "/* id=1,cluster=65536 */",
@@ -35,7 +36,7 @@
     EXPECT_NE(postgres::parseComment(text).fault, nullptr) << text;
   EXPECT_EQ(postgres::parseComment("/* id=1,cluster=1 */").timeLeftLength, 0u);
 }
-TEST(Pg, HeadsOutOfRangeAreNone) {
+TEST(PostgresMessages, HeaderLengthOutOfRangeIsRejected) {
   const auto head = [](std::uint32_t n) {
     const char bytes[postgres::kHeaderSize] = {'Q', static_cast<char>(n >> 24), static_cast<char>(n >> 16),
                                                static_cast<char>(n >> 8), static_cast<char>(n)};
@@ -48,7 +49,7 @@
   EXPECT_EQ(head(4)->bodySize, 0u);
   EXPECT_TRUE(head(2 * 65536 + 512));  // the longest value in hex
 }
-TEST(Pg, ErrorsAndRowsAreReadAsWritten) {
+TEST(PostgresMessages, ErrorsRowsParametersAndTagsAreParsedStrictly) {
   const std::string e = postgres::error("ERROR", "53300", "full", "25");
   const postgres::ErrorFields f = postgres::parseError(std::string_view(e).substr(5));
   EXPECT_EQ(f.severity, "ERROR");
@@ -78,7 +79,7 @@
   EXPECT_FALSE(postgres::isRowHeader({0, 1, 0, 0, 0, 5}, 6 + 4));
 }
 
-TEST(Http, ChunksMayBeSplitAnywhere) {
+TEST(HttpResponse, ChunkedBodyMayBeSplitAtAnyOffset) {
   const std::string text =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ntransfer-ENCODING:  chunked\r\nX: y\r\n\r\n"
       "5;ext=1\r\n{\"a\":\r\n1\r\n1\r\nC\r\n}\n\n0123456\r\n\r\n0\r\nTrailer: z\r\n\r\n";
@@ -92,7 +93,7 @@
     EXPECT_TRUE(r.complete());
   }
 }
-TEST(Http, CountedAndEmptyBodiesEnd) {
+TEST(HttpResponse, BodiesWithContentLengthComplete) {
   http::Response r;
   std::string body;
   EXPECT_TRUE(r.feed("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\ndo", body));
@@ -105,7 +106,7 @@
   EXPECT_TRUE(none.feed("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", body));
   EXPECT_TRUE(none.complete());
 }
-TEST(Http, WhatIsNoHttpIsToldAtOnce) {
+TEST(HttpResponse, MalformedResponsesAreRejectedAtOnce) {
   for (const std::string& text :
        {std::string("nonsense that is long\r\n"), std::string("HTTP/1.1 2x0 OK\r\n"),
         std::string("HTTP/1.1 200 OK\r\nno colon\r\n"), std::string(9000, 'x'),
@@ -120,7 +121,7 @@
   }
 }
 
-TEST(List, IsReadWholeAndFaultsNameTheKey) {
+TEST(EndpointList, AllFieldsAreParsedAndErrorsNameTheKey) {
   const std::string text =
       R"({"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:5432","zone":"a",)"
       R"("machineType":"m2","cell":3,"lifecycle":"leaving","weight":1.5,"startedAtMs":7},)"
@@ -152,8 +153,7 @@
   EXPECT_THROW(parseEndpointList("{\"generation\":"), BadInput);
 }
 
-// A trouble that touches every request must not fill the log.
-TEST(List, IsFoundInAStreamHoweverItIsCut) {
+TEST(EndpointList, StreamMayBeSplitAtAnyOffset) {
   const std::string one = R"({"generation":1,"a":"}{\"\\","instances":[{"x":[]}]})",
                     two = "{\n  \"generation\": 2\n}";
   const std::string stream = "\n" + one + "\r\n\n" + two;
@@ -167,8 +167,9 @@
     EXPECT_EQ(whole, (std::vector<std::string>{one, two})) << cut;
   }
 }
-// An empty line says that nothing has changed; bytes of a list say that something has. Blanks say nothing.
-TEST(List, OnlyWhatMakesSenseByItselfIsASignOfLife) {
+// An empty line means that the list is unchanged, and bytes of a list mean that it has changed.
+// Whitespace alone must not count as activity of the server.
+TEST(EndpointList, OnlyEmptyLinesAndListContentCountAsActivity) {
   struct Signs {
     std::size_t lines, bytes;
     bool operator==(const Signs& other) const { return lines == other.lines && bytes == other.bytes; }
@@ -196,12 +197,13 @@
   EndpointListStream endless;
   std::vector<std::string> whole;
   EXPECT_TRUE(endless.feed("{\"a\":\"", whole));
-  bool goesOn = true;
-  for (int k = 0; k < 100 && goesOn; ++k) goesOn = endless.feed(std::string(64 << 10, 'a'), whole);
-  EXPECT_FALSE(goesOn) << "a list without end costs its connection, not the memory";
+  bool accepted = true;
+  for (int k = 0; k < 100 && accepted; ++k) accepted = endless.feed(std::string(64 << 10, 'a'), whole);
+  EXPECT_FALSE(accepted) << "an endless list must be rejected instead of exhausting memory";
 }
 
-TEST(Log, IsRateLimitedAndSaysWhatItLeftOut) {
+// A failure that affects every request must not fill the log.
+TEST(Log, LinesAreRateLimited) {
   testing::internal::CaptureStderr();
   for (int k = 0; k < 5000; ++k) logEvent(LogLevel::Info, "line", {{"k", k}});
   const std::string text = testing::internal::GetCapturedStderr();
@@ -211,8 +213,9 @@
   EXPECT_NE(text.find("level=info event=line k=0\n"), std::string::npos);
   EXPECT_EQ(text.rfind("ts=", 0), 0u);
 }
-// What a stranger sent is quoted in the log: it must neither start a line of its own nor break a parser.
-TEST(Log, EscapesWhatItQuotesInBothForms) {
+// Logged values may contain untrusted input, which must neither start a new log line nor break a
+// parser.
+TEST(Log, ValuesAreEscapedInLogfmtAndJson) {
   const std::string bytes("a\"b\nlevel=error \x80\0\\", 19);
   EXPECT_EQ(
       formatEvent(LogForm::Logfmt, "seen", {{"what", bytes}, {"n", -3}, {"ok", true}, {"word", "plain"}}),
