--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -29,7 +29,8 @@
   std::string initialRequest() override {
     const auth::Method method = *authenticator_.method();
     if (method == auth::Method::Cleartext)
-      return version2_ ? postgres2::askCleartext() : postgres::authentication(postgres::kAuthCleartext);
+      return version2_ ? postgres2::authenticationCleartextPassword()
+                       : postgres::authentication(postgres::kAuthCleartext);
     if (method == auth::Method::Md5) {
       const std::string& salt = authenticator_.salt();
       return version2_ ? postgres2::askMd5(salt) : postgres::authentication(postgres::kAuthMd5, salt);
--- a/src/protocol/postgres2/messages.hpp
+++ b/src/protocol/postgres2/messages.hpp
@@ -73,7 +73,7 @@
 using Value = std::optional<std::string_view>;  // std::nullopt: NULL
 
 std::string authenticationOk();
-std::string askCleartext();
+std::string authenticationCleartextPassword();
 // `salt`: 4 bytes.
 std::string askMd5(std::string_view salt);
 std::string keyData(const Cancel& key);
