--- a/src/frontend/postgres/login.cpp
+++ b/src/frontend/postgres/login.cpp
@@ -33,7 +33,8 @@
                        : postgres::authentication(postgres::kAuthCleartext);
     if (method == auth::Method::Md5) {
       const std::string& salt = authenticator_.salt();
-      return version2_ ? postgres2::askMd5(salt) : postgres::authentication(postgres::kAuthMd5, salt);
+      return version2_ ? postgres2::authenticationMd5Password(salt)
+                       : postgres::authentication(postgres::kAuthMd5, salt);
     }
     return postgres::saslMechanisms();
   }
--- a/src/protocol/postgres2/messages.cpp
+++ b/src/protocol/postgres2/messages.cpp
@@ -127,7 +127,7 @@
 
 std::string authenticationOk() { return std::string(kAuthOk); }
 std::string authenticationCleartextPassword() { return std::string(kAuthCleartext); }
-std::string askMd5(std::string_view salt) {
+std::string authenticationMd5Password(std::string_view salt) {
   return std::string(kAuthMd5).append(salt.substr(0, kMd5SaltSize));
 }
 
--- a/src/protocol/postgres2/messages.hpp
+++ b/src/protocol/postgres2/messages.hpp
@@ -75,7 +75,7 @@
 std::string authenticationOk();
 std::string authenticationCleartextPassword();
 // `salt`: 4 bytes.
-std::string askMd5(std::string_view salt);
+std::string authenticationMd5Password(std::string_view salt);
 std::string keyData(const Cancel& key);
 std::string ready();
 std::string emptyQuery();
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -179,10 +179,10 @@
   values[8] = "";
   EXPECT_EQ(postgres2::row(values, false).substr(0, 3), "D\xb6\x80");
   for (const bool binary : {false, true}) {
-    const std::string stream = postgres2::cursor() + postgres2::rowDescription(columns) +
-                               postgres2::row(values, binary) + postgres2::completed("SELECT") +
-                               postgres2::notice("n") + postgres2::error("ERROR:  e\n") +
-                               postgres2::keyData({1, 2}) + postgres2::askMd5("salt") + postgres2::ready();
+    const std::string stream =
+        postgres2::cursor() + postgres2::rowDescription(columns) + postgres2::row(values, binary) +
+        postgres2::completed("SELECT") + postgres2::notice("n") + postgres2::error("ERROR:  e\n") +
+        postgres2::keyData({1, 2}) + postgres2::authenticationMd5Password("salt") + postgres2::ready();
     // In pieces of any size.
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
       postgres2::Reader reader;
