--- a/src/backend/postgres/connection.hpp
+++ b/src/backend/postgres/connection.hpp
@@ -150,7 +150,7 @@
   // The current operation.
   Operation* operation_ = nullptr;
   std::optional<AnswerParser> answer_;  // of the current or last operation; not used while dialing
-  AttemptResult resultIfLost_ = AttemptResult::ConnectFailed;  // reported if the connection ends now
+  AttemptResult resultIfLost_ = AttemptResult::ConnectFailed;  // if the connection ends now
   bool flushing_ = false;  // the timer limits the time to pass the query to the kernel
   Buffer unsent_;          // the part of the query that the kernel has not accepted; null: none
   Time composedAt_{};      // when the remaining time in the query was computed
--- a/src/backend/postgres/connection_pool.hpp
+++ b/src/backend/postgres/connection_pool.hpp
@@ -76,7 +76,7 @@
     Address address;
     bool ready = false;
     Time warmAt{};
-    int minorVersion = postgres::kNewestMinor;  // of version 3, the newest that it is known to support
+    int minorVersion = postgres::kNewestMinor;  // of version 3, the newest known to be supported
     std::vector<Connection*> idle;              // the most recently used one is last
     std::deque<Operation*> waiting;
     int dialing = 0;
@@ -108,8 +108,8 @@
   const ConnectionContext context_;
   DialSchedule schedule_;
   std::function<void()> onShortage_;
-  bool processShortage_ =
-      false;  // descriptors or memory are short; cleared by the next dial that gets a socket
+  // The last shortage was of descriptors or memory and no dial has obtained a socket since.
+  bool processShortage_ = false;
   std::unordered_map<EndpointId, Endpoint> endpoints_;
   std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
   Event maintenanceTimer_;
--- a/src/protocol/postgres/messages.hpp
+++ b/src/protocol/postgres/messages.hpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kMaxMessage = 160 << 10;  // a 64 KiB value in hexadecimal and its statement
 constexpr std::size_t kMaxStartup = 4096;       // a startup packet
 constexpr std::size_t kMaxValue = 64 << 10;     // the value of an answer with one column
-constexpr std::size_t kRowHeaderSize = 6;       // of a DataRow: number of columns, length of the first value
+constexpr std::size_t kRowHeaderSize = 6;       // of a DataRow: column count, first value's length
 constexpr std::size_t kMaxOtherMessage = 4096;  // a server's message without a value
 
 // Codes at the start of packets without a type byte.
