--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -43,7 +43,8 @@
   return header;
 }
 
-// Positions and roles of the snapshot as if they were gossip. For tests of what validation prevents.
+// Converts positions and roles of the snapshot to gossip updates, without validation. Used with
+// Trust::All only, which lets tests show the errors that validation prevents.
 std::vector<cluster::GossipUpdate> gossipUpdatesOf(const Snapshot& snapshot) {
   std::vector<cluster::GossipUpdate> updates;
   for (const EndpointRecord& endpoint : snapshot.endpoints) {
@@ -97,7 +98,7 @@
     for (const Address& peer : config.peers) proxyNames_.push_back(peer.text());
     loadKnownEndpoints(config);
     logStarted();
-    // A first start recovers nothing: there was no service before it.
+    // Without a snapshot file this is the first start, and there is nothing to recover.
     if (!settings_.order || !isRestart()) requests_.finish();
     assumeFreshStarts_ = isRestart() && config.source == Source::DnsSd && settings_.trust != Trust::All;
     startTimer(tick_.get(), kTickInterval);
@@ -164,8 +165,8 @@
   bool assumeFreshStarts_ = false;
   Time recoveryDuration_{};
   std::vector<std::string> proxyNames_;
-  std::vector<cluster::GossipUpdate> trustedUpdates_;    // for the engine, at the first tick
-  std::map<std::string, std::int64_t> assumedStartsMs_;  // by endpoint, where its start is not known
+  std::vector<cluster::GossipUpdate> trustedUpdates_;    // passed to the engine at the first tick
+  std::map<std::string, std::int64_t> assumedStartsMs_;  // by endpoint whose start time is not known
   recovery::EndpointTracker endpoints_;
   std::map<std::uint32_t, ConfirmedPrimary> primaries_;  // by group
   Event tick_;
@@ -200,8 +201,8 @@
   return view;
 }
 
-// The endpoints of the snapshot replace those of the settings, which may be older; the first list from
-// discovery replaces both.
+// Endpoints of the snapshot replace the known list of the settings, which may be older. The first
+// list from discovery replaces both.
 void FleetRecoveryCoordinator::loadKnownEndpoints(Config& config) {
   std::vector<DiscoveredEndpoint>& known = config.known.instances;
   if (settings_.trust != Trust::Nothing && config.source != Source::Fixed &&
@@ -213,7 +214,8 @@
     }
   }
   for (DiscoveredEndpoint& endpoint : known) {
-    // That an endpoint is warm is not trusted: what stopped this proxy may have stopped the endpoint, too.
+    // Endpoints count as just started: a power loss that stopped this proxy may have stopped them
+    // as well.
     if (isRestart() && settings_.trust != Trust::All)
       endpoint.startedMs = assumedStartsMs_.emplace(endpoint.name, nowMs()).first->second;
     endpoints_.update(endpoint);
@@ -222,7 +224,8 @@
   if (settings_.trust == Trust::All) trustedUpdates_ = gossipUpdatesOf(loaded_.snapshot);
 }
 
-// Requests in flight in each group before the start, by Little's law: arrival rate times latency.
+// Estimates the requests that were in flight in each group before the start: response rate times
+// latency (Little's law).
 void FleetRecoveryCoordinator::setUsualConcurrency() {
   std::map<std::uint32_t, double> concurrency;
   for (const EndpointRecord& record : recoveredState_.endpoints)
@@ -234,7 +237,7 @@
 void FleetRecoveryCoordinator::endpointsListed(EndpointList list) {
   if (list.reset) endpoints_.clearListed();
   for (DiscoveredEndpoint& endpoint : list.instances) {
-    // Where discovery reports no start times, each endpoint may have started while this proxy was down.
+    // Discovery reports no start time, so the endpoint may have started while this proxy was down.
     if (assumeFreshStarts_ && endpoint.startedMs == 0 && endpoint.state == balancer::Lifecycle::Ready) {
       const std::int64_t ownStartMs = milliseconds(startedAt_ + engine_.clockOffset());
       endpoint.startedMs = assumedStartsMs_.emplace(endpoint.name, ownStartMs).first->second;
@@ -273,7 +276,7 @@
 
 SnapshotHeader FleetRecoveryCoordinator::currentHeader() const {
   SnapshotHeader header = headerOf(loaded_.snapshot);
-  if (exchangingState_) return header;  // until an epoch is entered, only the past is known
+  if (exchangingState_) return header;  // no epoch entered yet: report the previous run's snapshot
   header.serving = true;
   header.epoch = epoch_;
   header.sequence = sequence_;
@@ -345,14 +348,16 @@
            {{"after_ms", milliseconds(recoveryDuration_)}, {"refused", requests_.requestsRejected()}});
 }
 
-// One write at a time: a disk that hangs delays snapshots and nothing else.
+// Writes a snapshot unless the previous write is still in progress, so a disk that hangs delays
+// snapshots and nothing else.
 void FleetRecoveryCoordinator::writeSnapshot() {
   if (snapshotFile_.writeInProgress() || exchangingState_) return;
   snapshotFile_.write(takeSnapshot());
 }
 
 Snapshot FleetRecoveryCoordinator::takeSnapshot() {
-  // During recovery an endpoint may not have responded yet: its earlier figures survive a second restart.
+  // Endpoints that have not responded during recovery keep the previous snapshot's figures, so that
+  // these survive another restart before recovery ends.
   static const std::vector<EndpointRecord> kNoFallback;
   const bool recovering = !requests_.finished();
   Snapshot snapshot;
--- a/src/recovery/coordinator.hpp
+++ b/src/recovery/coordinator.hpp
@@ -1,10 +1,15 @@
-// Carries out a proxy's recovery after a start: loads the snapshot of the previous run, exchanges state with
-// other proxies, admits requests as endpoints prove ready, and writes further snapshots.
+// Recovers a proxy's state after a start: loads the snapshot of the previous run, exchanges state
+// with other proxies, admits requests as endpoints respond, and writes new snapshots periodically.
 //
-// It sits in three places. In front of the engine it rejects requests that no endpoint is ready for. Between
-// discovery and the engine it marks endpoints as just started where discovery reports no start times, since
-// after a power loss they may be. Beside the engine it observes responses and health checks: its evidence and
-// the figures of the next snapshot. After recovery only the last is left.
+// The coordinator has three interfaces:
+//   RequestHandler, in front of the engine: rejects requests that no endpoint is known to be ready
+//     for.
+//   EndpointListConsumer, between discovery and the engine: marks endpoints as just started if
+//     discovery reports no start times, because a power loss may have restarted them together with
+//     this proxy.
+//   ReplicationObserver, beside the engine: receives the status from responses and health checks,
+//     on which admission and the next snapshot are based.
+// After recovery every request is forwarded, and figures for snapshots are still collected.
 #pragma once
 
 #include <cstdint>
@@ -21,35 +26,36 @@
 }
 namespace sablespur {
 
-// Datagrams to other proxies, which are numbered from 0 without this one.
+// Sends datagrams to the other proxies. Peers are numbered from 0; this proxy is not among them.
 struct PeerTransport {
   std::size_t peers = 0;
   std::function<void(std::size_t, const std::string&)> send;
 };
 
-// For `sablespur status`.
+// The state of the recovery, as reported by `sablespur status`.
 struct RecoveryView {
-  std::string snapshot;  // of the previous run: read, none, refused
-  std::string state;     // asking, returning, returned
+  std::string snapshot;  // of the previous run: read, none or refused
+  std::string state;     // asking, returning or returned
   std::uint64_t epoch = 0, sequence = 0, peerStatesAccepted = 0, peerStatesRejected = 0, requestsRejected = 0,
                 snapshotsWritten = 0, snapshotsFailed = 0;
   bool joinedEpoch = false;
-  Time duration{};  // of the recovery; 0 until it has ended
+  Time duration{};  // from the start until recovery ended; 0 before that
 };
 
 class RecoveryCoordinator : public RequestHandler, public EndpointListConsumer, public ReplicationObserver {
  public:
-  // A snapshot header from a proxy; other datagrams are ignored.
+  // Handles a snapshot header from a peer; ignores datagrams that are not snapshot headers.
   virtual void peerDatagramReceived(std::size_t peer, std::string_view datagram) = 0;
-  // How long after the start a connection to this endpoint may be opened in advance. The connect rate of the
-  // settings is shared by all proxies.
+  // Returns how long after the start this proxy has to wait before it opens connections to the
+  // endpoint in advance of requests. All proxies together stay within the configured connect rate.
   virtual Time connectDelay(const std::string& endpoint) const = 0;
   virtual RecoveryView view() const = 0;
 };
 
-// Loads the snapshot (blocking) and puts its endpoints into Config::known, so call it before Engine::start.
-// Returns null where the settings have no store or switch recovery off. `next` gets each observation, too; it
-// may be null. All references have to outlive the result.
+// Creates the coordinator. Loads the snapshot (blocking) and puts its endpoints into Config::known,
+// so it has to be called before Engine::start. Returns null if the settings have no store or switch
+// recovery off. Observations are also forwarded to `next`, which may be null. All references have
+// to outlive the result.
 std::unique_ptr<RecoveryCoordinator> createRecoveryCoordinator(event_base*, Engine&, WorkerPool&, Config&,
                                                                const PeerTransport&,
                                                                ReplicationObserver* next);
--- a/src/recovery/endpoint_tracker.cpp
+++ b/src/recovery/endpoint_tracker.cpp
@@ -11,8 +11,10 @@
 
 constexpr double kLatencyEwmaWeight = 0.1;                   // of a new response
 constexpr Time kRateTimeConstant = std::chrono::seconds(4);  // of the exponential decay of the rate
-constexpr std::size_t kStaleFactor = 4;                      // the index may be so many times the list...
-constexpr std::size_t kStaleAllowance = 64;                  // ...and so many entries more
+// Stale entries are removed once the index exceeds kStaleFactor times the list plus
+// kStaleAllowance.
+constexpr std::size_t kStaleFactor = 4;
+constexpr std::size_t kStaleAllowance = 64;
 
 const EndpointRecord* findByName(const std::vector<EndpointRecord>& records, const std::string& name) {
   const auto found = std::find_if(records.begin(), records.end(),
--- a/src/recovery/endpoint_tracker.hpp
+++ b/src/recovery/endpoint_tracker.hpp
@@ -1,4 +1,5 @@
-// The endpoints that discovery lists and what this run has measured of them: what the next snapshot records.
+// Tracks the endpoints that discovery lists and this run's measurements of them, for the next
+// snapshot.
 #pragma once
 
 #include <cstddef>
@@ -14,30 +15,33 @@
 
 namespace sablespur::recovery {
 
-// Pure: no I/O and no clock. Endpoints are known by their names; gossip updates name them by a hash of it
-// (cluster::endpointTag).
+// Performs no I/O and reads no clock. Endpoints are identified by name, in gossip updates by a hash
+// of the name (cluster::endpointTag).
 class EndpointTracker {
  public:
-  // Forgets the listed endpoints. Their measurements stay: the list that follows may name them again.
+  // Removes all listed endpoints but keeps their measurements, because the list that follows may
+  // contain them.
   void clearListed() { endpoints_.clear(); }
-  // An endpoint that is gone is removed; one listed without an address keeps the address that it had.
+  // Adds or updates a listed endpoint, or removes it if its state is Gone. An endpoint listed
+  // without an address keeps its previous address.
   void update(const DiscoveredEndpoint&);
-  // Bounds the index and the measurements by the number of listed endpoints. Call after each list.
+  // Removes index entries and measurements of endpoints no longer listed, once there are many of
+  // them (see kStaleFactor). Has to be called after each list.
   void removeStaleEntries();
 
-  // Null where no listed endpoint has this tag. Valid until the next update.
+  // Returns the listed endpoint with this tag, or null. The pointer is valid until the next update.
   const DiscoveredEndpoint* findByTag(std::uint64_t tag) const;
-  // Adds what a response of the endpoint has shown.
+  // Records the position and latency reported with a response of the endpoint.
   void recordResponse(const std::string& name, const cluster::GossipUpdate&, Time now);
 
-  // One record for each endpoint that is ready, in the order of their names. An endpoint of which nothing
-  // has been measured takes its figures from `fallback`, by name, if there is one.
+  // Returns one record for each endpoint that is ready, sorted by name. Endpoints without
+  // measurements get latency and rate from the record of the same name in `fallback`, if any.
   std::vector<EndpointRecord> records(Time now, const std::vector<EndpointRecord>& fallback) const;
 
  private:
   struct Measurements {
     double latencyUs = 0;         // exponentially weighted mean; 0: no response yet
-    double decayedResponses = 0;  // as of updatedAt
+    double decayedResponses = 0;  // exponentially decayed count, as of updatedAt
     Time updatedAt{};
     std::int64_t positionMs = 0;
   };
--- a/src/recovery/peer_state_exchange.cpp
+++ b/src/recovery/peer_state_exchange.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kFixedBytes = 1 + 1 + 4 + 8 + 8 + 8;
 constexpr std::size_t kBytesPerPrimary = 4 + 5;
-constexpr std::size_t kMaxClaimsPerGroup = 8;  // further ones are ignored, which bounds the memory
+constexpr std::size_t kMaxClaimsPerGroup = 8;  // more are ignored, to bound memory
 
 void put(std::string& to, std::uint64_t v, int bytes) {
   for (int k = bytes - 1; k >= 0; --k) to += static_cast<char>(v >> (8 * k));
@@ -71,13 +71,12 @@
   for (const SnapshotHeader::Primary& p : own.primaries)
     recordClaim(p.group, {p.tag, own.epoch, own.sequence, own.wallMs});
   if (policy_.peers == 0) round_ = policy_.rounds;
-  // Assumes the worst case, that all proxies start at once.
-  const double questions =
+  // Assumes the worst case: all proxies start at once.
+  const double fleetRequests =
       static_cast<double>((policy_.peers + 1) * policy_.fanout) * static_cast<double>(policy_.rounds);
-  const double spread = questions / policy_.fleetRequestsPerSecond;
-  nextDue_ =
-      now +
-      Time(static_cast<std::int64_t>(spread * 1e6 * static_cast<double>(randomNumber(1) >> 11) * 0x1p-53));
+  const double spreadSeconds = fleetRequests / policy_.fleetRequestsPerSecond;
+  nextDue_ = now + Time(static_cast<std::int64_t>(spreadSeconds * 1e6 *
+                                                  static_cast<double>(randomNumber(1) >> 11) * 0x1p-53));
   endsAt_ = policy_.peers == 0 ? now : nextDue_ + policy_.rounds * policy_.roundInterval;
 }
 
@@ -93,21 +92,22 @@
 }
 
 std::vector<std::size_t> PeerStateExchange::duePeers(Time now) {
-  std::vector<std::size_t> ask;
-  if (round_ >= policy_.rounds || now < nextDue_) return ask;
-  // Only peers that have not responded, and others in each round, since those of one round may all be gone.
+  std::vector<std::size_t> due;
+  if (round_ >= policy_.rounds || now < nextDue_) return due;
+  // Skips peers that have responded. Each round starts at other peers, because all peers of one
+  // round may be down.
   const std::size_t first = static_cast<std::size_t>(randomNumber(2) % policy_.peers);
   const std::size_t from = first + static_cast<std::size_t>(round_) * policy_.fanout;
-  for (std::size_t k = 0; k < policy_.peers && ask.size() < policy_.fanout; ++k) {
+  for (std::size_t k = 0; k < policy_.peers && due.size() < policy_.fanout; ++k) {
     const std::size_t peer = (from + k) % policy_.peers;
-    if (!responded_[peer]) ask.push_back(peer);
+    if (!responded_[peer]) due.push_back(peer);
   }
   ++round_;
   nextDue_ += policy_.roundInterval / 2 +
               Time(static_cast<std::int64_t>(randomNumber(3 + static_cast<std::uint64_t>(round_)) %
                                              static_cast<std::uint64_t>(policy_.roundInterval.count())));
   endsAt_ = now + policy_.roundInterval;
-  return ask;
+  return due;
 }
 
 bool PeerStateExchange::responseReceived(std::size_t peer, const SnapshotHeader& h, std::int64_t nowMs) {
@@ -125,8 +125,8 @@
   return true;
 }
 
-// Peers that serve have been running all along, so their epoch is joined; otherwise a proxy that starts late
-// would begin another epoch beside theirs.
+// Joins the epoch of peers that serve. A proxy that starts later than the others would otherwise
+// begin a new epoch while theirs is still in use.
 std::uint64_t PeerStateExchange::epoch() const {
   return servingEpoch_ >= ownEpoch_ && servingEpoch_ > 0 ? servingEpoch_ : newestEpoch_ + 1;
 }
@@ -150,14 +150,14 @@
 }
 
 std::optional<std::uint64_t> PeerStateExchange::confirmPrimary(std::uint32_t group, std::uint64_t tag) {
-  std::optional<std::uint64_t> by;
+  std::optional<std::uint64_t> claimedEpoch;
   if (const auto it = claims_.find(group); it != claims_.end())
     for (const Claim& c : it->second)
-      if (c.tag == tag) by = c.epoch;
-  const std::uint64_t epoch = by.value_or(ownEpoch_);
-  const auto was = confirmed_.find(group);
-  if (was == confirmed_.end() || epoch >= was->second.epoch) confirmed_[group] = {tag, epoch};
-  return by;
+      if (c.tag == tag) claimedEpoch = c.epoch;
+  const std::uint64_t epoch = claimedEpoch.value_or(ownEpoch_);
+  const auto previous = confirmed_.find(group);
+  if (previous == confirmed_.end() || epoch >= previous->second.epoch) confirmed_[group] = {tag, epoch};
+  return claimedEpoch;
 }
 
 std::optional<std::uint64_t> PeerStateExchange::confirmedPrimary(std::uint32_t group) const {
--- a/src/recovery/recovery_admission.cpp
+++ b/src/recovery/recovery_admission.cpp
@@ -8,14 +8,16 @@
 
 constexpr Time kMinPrimaryDiscoveryInterval = std::chrono::milliseconds(100);
 constexpr Time kMaxPrimaryDiscoveryInterval = std::chrono::seconds(2);
-constexpr Time kDecreaseInterval =
-    std::chrono::milliseconds(200);  // so that one fault decreases the window once
+// Minimum time between two decreases, so that the failures of one fault decrease the window only
+// once.
+constexpr Time kDecreaseInterval = std::chrono::milliseconds(200);
 constexpr double kWindowDecreaseFactor = 0.7;
 constexpr double kHeadroomFactor = 2;            // of the window over the usual concurrency
 constexpr double kInitialWindowFraction = 0.25;  // of the usual concurrency
-constexpr Time kTypicalRequestTime =
-    std::chrono::milliseconds(50);        // after which part of a full window is free
-constexpr std::size_t kMaxGroups = 4096;  // clients may name groups that do not exist
+// Base of the retry delay when the window is full: by then some of the requests in flight have
+// ended.
+constexpr Time kTypicalRequestTime = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxGroups = 4096;  // bounds memory: clients may name groups that do not exist
 
 std::uint64_t mix(std::uint64_t x) {
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ull;
@@ -48,7 +50,8 @@
   return g;
 }
 
-// Starts at a quarter of the usual concurrency: half of the endpoints may be gone, and the others are cold.
+// The window starts at a quarter of the usual concurrency, because half of the endpoints may be
+// gone and the others may have cold caches.
 void RecoveryAdmission::setUsualConcurrency(std::uint32_t group, double inFlight) {
   GroupState& g = groupState(group);
   g.usualConcurrency = std::max(0.0, inFlight);
@@ -72,29 +75,32 @@
   if (now - startedAt_ >= policy_.timeout || groups_.size() >= kMaxGroups) return {true, {}};
   GroupState& g = groupState(group);
   if (g.phase == RecoveryPhase::Complete) return {true, {}};
-  const auto later = [&](Time about) {
-    // Clients that were rejected must not all return together: each gets a random time, from a range that
-    // grows with their number per slot of the window.
+  const auto rejectWithDelay = [&](Time baseDelay) {
+    // Random delays keep rejected clients from retrying all at once. Their range grows with the
+    // number of rejections per slot of the window.
     ++g.rejectedSinceServed;
     const double pressure =
         std::min(16.0, 1 + static_cast<double>(g.rejectedSinceServed) / std::max(1.0, g.window));
-    const double most = std::clamp(static_cast<double>(about.count()) * pressure,
-                                   2.0 * static_cast<double>(policy_.minRetryAfter.count()),
-                                   static_cast<double>(policy_.maxRetryAfter.count()));
-    const double least = static_cast<double>(policy_.minRetryAfter.count());
-    return Decision{false, Time(static_cast<std::int64_t>(least + randomFraction() * (most - least)))};
+    const double maxDelayUs = std::clamp(static_cast<double>(baseDelay.count()) * pressure,
+                                         2.0 * static_cast<double>(policy_.minRetryAfter.count()),
+                                         static_cast<double>(policy_.maxRetryAfter.count()));
+    const double minDelayUs = static_cast<double>(policy_.minRetryAfter.count());
+    return Decision{
+        false, Time(static_cast<std::int64_t>(minDelayUs + randomFraction() * (maxDelayUs - minDelayUs)))};
   };
   if (write && g.phase < RecoveryPhase::Writing) {
-    // The primary is not known: a write now and then is admitted, by which the balancer finds it.
-    if (now < g.nextPrimaryDiscovery) return later(g.nextPrimaryDiscovery - now);
-    const Time pause = std::clamp(policy_.primaryDiscoveryInterval * std::max(1, policy_.proxies),
-                                  kMinPrimaryDiscoveryInterval, kMaxPrimaryDiscoveryInterval);
+    // The primary is not known yet. Occasional writes are admitted, so that the balancer can find
+    // it.
+    if (now < g.nextPrimaryDiscovery) return rejectWithDelay(g.nextPrimaryDiscovery - now);
+    const Time interval = std::clamp(policy_.primaryDiscoveryInterval * std::max(1, policy_.proxies),
+                                     kMinPrimaryDiscoveryInterval, kMaxPrimaryDiscoveryInterval);
     g.nextPrimaryDiscovery =
-        now + Time(static_cast<std::int64_t>(static_cast<double>(pause.count()) * (0.5 + randomFraction())));
+        now +
+        Time(static_cast<std::int64_t>(static_cast<double>(interval.count()) * (0.5 + randomFraction())));
     ++g.inFlight;
     return {true, {}};
   }
-  if (g.inFlight >= static_cast<int>(g.window)) return later(kTypicalRequestTime);
+  if (g.inFlight >= static_cast<int>(g.window)) return rejectWithDelay(kTypicalRequestTime);
   ++g.inFlight;
   return {true, {}};
 }
@@ -108,7 +114,7 @@
   if (end == RequestEnd::Served) {
     g.rejectedSinceServed = 0;
     g.window += 1;  // per response, so the window doubles in a round trip (slow start)
-    // The usual concurrency is admitted, with headroom, or as much as any start needs.
+    // Sufficient: the usual concurrency with headroom, or maxWindow.
     const bool sufficient =
         g.window >= policy_.maxWindow ||
         (g.usualConcurrency > 0 && g.window >= kHeadroomFactor * g.usualConcurrency + policy_.initialWindow);
@@ -140,7 +146,7 @@
 }
 
 Time connectDelay(const std::string& endpoint, const std::string& self,
-                  const std::vector<std::string>& proxies, double dialsPerSecond) {
+                  const std::vector<std::string>& proxies, double connectsPerSecond) {
   const std::uint64_t endpointHash = hashText(endpoint);
   const std::uint64_t ownRank = mix(endpointHash ^ hashText(self));
   std::size_t before = 0;
@@ -149,7 +155,7 @@
     const std::uint64_t other = mix(endpointHash ^ hashText(p));
     before += other < ownRank || (other == ownRank && p < self);
   }
-  return Time(static_cast<std::int64_t>(static_cast<double>(before) / dialsPerSecond * 1e6));
+  return Time(static_cast<std::int64_t>(static_cast<double>(before) / connectsPerSecond * 1e6));
 }
 
 }  // namespace sablespur::recovery
--- a/src/recovery/recovery_admission.hpp
+++ b/src/recovery/recovery_admission.hpp
@@ -1,13 +1,17 @@
-// How many requests each replication group is given after a start, before it is known to serve. Pure: no I/O
-// and no clock. The phases of a group:
+// Limits the requests in flight to each replication group after a start, until the group is known
+// to serve at its usual load. Performs no I/O and reads no clock. A group passes through these
+// phases:
 //
-//   AwaitingEndpoints   no endpoint has responded since the start: a few requests are admitted to find out
-//   Reading             some have: reads are admitted, as many at once as responses have shown capacity for
-//   Writing             one has responded as primary: writes are admitted, too
+//   AwaitingEndpoints   no endpoint has responded since the start; the initial window of reads and
+//                       occasional writes are admitted, to find endpoints that serve
+//   Reading             an endpoint has responded; reads are admitted within a window that grows
+//                       with each response, writes still only occasionally
+//   Writing             an endpoint has responded as primary; writes are admitted within the window
+//                       as well
 //   Complete            every request is admitted
 //
-// Which endpoint serves, and whether its data are fresh enough, is the balancer's decision. A request that is
-// not admitted is rejected at once with a Retry-After, never queued.
+// Admission neither chooses an endpoint nor checks staleness; the balancer does both. A request
+// that is not admitted is rejected at once with a retry delay and never queued.
 #pragma once
 
 #include <chrono>
@@ -24,24 +28,24 @@
 const char* recoveryPhaseName(RecoveryPhase);
 
 struct RecoveryAdmissionPolicy {
-  int proxies = 1;           // that recover together, as far as is known
-  double initialWindow = 4;  // requests in flight in a group, at first
-  double maxWindow = 64;     // a window that any start gets by with: nothing is limited beyond it
-  Time timeout = std::chrono::seconds(20);  // after which recovery ends in any case
-  // Between writes that are sent to find a primary, of all proxies together.
+  int proxies = 1;           // estimated number of proxies that recover at the same time
+  double initialWindow = 4;  // requests in flight per group; also the minimum of the window
+  double maxWindow = 64;     // a group whose window has grown to this size needs no further limit
+  Time timeout = std::chrono::seconds(20);  // after the start; recovery ends then in any case
+  // Mean time between the writes that all proxies together send to find a group's primary.
   Time primaryDiscoveryInterval = std::chrono::milliseconds(12);
   Time minRetryAfter = std::chrono::milliseconds(40);
   Time maxRetryAfter = std::chrono::seconds(1);
 };
 
-// How an admitted request ended.
+// The result of an admitted request.
 enum class RequestEnd { Served, Rejected, Failed, ClientDisconnected };
 
 class RecoveryAdmission {
  public:
   struct Decision {
     bool admitted = false;
-    Time retryAfter{};  // of one that is not admitted
+    Time retryAfter{};  // if not admitted
   };
   struct PhaseChange {
     std::uint32_t group = 0;
@@ -50,29 +54,31 @@
   };
   RecoveryAdmission(const RecoveryAdmissionPolicy&, std::uint64_t seed, Time now);
 
-  // Requests that this proxy had in flight in the group before the start; 0: not known.
+  // Sets how many requests this proxy had in flight in the group before the start; 0: not known.
   void setUsualConcurrency(std::uint32_t group, double inFlight);
-  // Evidence: an endpoint of the group responded; one responded as primary.
+  // Report that an endpoint of the group responded, or responded as primary. They advance the
+  // phase.
   void endpointResponded(Time now, std::uint32_t group);
   void primaryResponded(Time now, std::uint32_t group);
-  // An admitted request counts as in flight until requestEnded().
+  // Admits or rejects a request. An admitted request counts as in flight until requestEnded() is
+  // called.
   Decision admit(Time now, std::uint32_t group, bool write);
   void requestEnded(Time now, std::uint32_t group, bool write, RequestEnd);
 
   RecoveryPhase phase(std::uint32_t group) const;
   double window(std::uint32_t group) const;
-  // Every group that was requested is Complete, or the timeout has passed.
+  // Returns true if every group with requests so far is Complete, or the timeout has passed.
   bool finished(Time now) const;
   std::vector<PhaseChange> takePhaseChanges();  // since the last call
 
  private:
   struct GroupState {
     RecoveryPhase phase = RecoveryPhase::AwaitingEndpoints;
-    double window = 0;            // requests in flight that are allowed
+    double window = 0;            // allowed requests in flight
     double usualConcurrency = 0;  // before the start; 0: not known
     int inFlight = 0;
     Time nextPrimaryDiscovery{};
-    Time nextDecrease{};  // of the window, at the earliest
+    Time nextDecrease{};  // earliest time of the next decrease of the window
     int rejectedSinceServed = 0;
   };
   GroupState& groupState(std::uint32_t group);
@@ -86,10 +92,11 @@
   std::vector<PhaseChange> changes_;
 };
 
-// How long after its start a proxy connects to an endpoint that all proxies return to: its rank in the
-// endpoint's own order of all proxies (rendezvous hashing: Thaler and Ravishankar, 1998) over the connect
-// rate of all together. Every proxy with the same list computes the same order without communication.
+// Returns how long after its start proxy `self` waits before it connects to `endpoint`, so that all
+// proxies together connect at `connectsPerSecond`: the proxy's rank divided by that rate. Each
+// endpoint has its own ranking of all proxies (rendezvous hashing: Thaler and Ravishankar, 1998),
+// which every proxy with the same list computes alike without communication.
 Time connectDelay(const std::string& endpoint, const std::string& self,
-                  const std::vector<std::string>& proxies, double dialsPerSecond);
+                  const std::vector<std::string>& proxies, double connectsPerSecond);
 
 }  // namespace sablespur::recovery
--- a/src/recovery/recovery_request_handler.cpp
+++ b/src/recovery/recovery_request_handler.cpp
@@ -5,10 +5,12 @@
 namespace sablespur::recovery {
 namespace {
 
-// Ids of requests that never reach the engine start here; the engine's own count up from 1.
+// First id of requests that are rejected without reaching the engine. The engine's ids count up
+// from 1.
 constexpr RequestId kFirstRejectedId = RequestId{1} << 62;
-constexpr std::uint64_t kAdmissionSeed =
-    0x5ab1e;  // keeps its random numbers apart from other users' of the seed
+// Combined with the configured seed, so that admission draws other random numbers than other users
+// of it.
+constexpr std::uint64_t kAdmissionSeed = 0x5ab1e;
 
 RecoveryAdmissionPolicy admissionPolicy(const Config& config) {
   RecoveryAdmissionPolicy policy;
@@ -19,11 +21,11 @@
 
 }  // namespace
 
-// A request that was forwarded during recovery: how it ends is evidence for the admission.
+// A request that was forwarded during recovery. Reports its result to the admission.
 struct RecoveryRequestHandler::AdmittedRequest final : ResponseHandler {
   AdmittedRequest(RecoveryRequestHandler& o, ResponseHandler& h, std::uint32_t g, bool w)
       : owner(o), responseHandler(h), group(g), write(w) {}
-  // requestEnded() destroys this object, so the handler to be called is copied first.
+  // requestEnded() destroys this object, so each member copies the handler reference first.
   void served(Answer answer) override {
     ResponseHandler& handler = responseHandler;
     owner.requestEnded(*this, answer.problem ? RequestEnd::ClientDisconnected : RequestEnd::Served);
@@ -77,7 +79,8 @@
   return id;
 }
 
-// A handler is never called within its own request(): the rejection is delivered by the loop.
+// The event loop delivers the rejection, because a handler must not be called from within
+// request().
 RequestId RecoveryRequestHandler::reject(ResponseHandler& handler, Time retryAfter) {
   const RequestId id = kFirstRejectedId + ++requestsRejected_;
   rejected_.emplace(id, RejectedRequest{&handler, retryAfterAllowed_ ? retryAfter : Time(0)});
@@ -108,7 +111,8 @@
   const RequestId id = request.id;
   const Time now = engine_.now();
   if (end == RequestEnd::Served) {
-    // Where endpoints report no positions, their responses are the only evidence.
+    // Endpoints that report no positions never reach statusObserved(); their responses advance the
+    // phase here.
     if (request.write) admission_.primaryResponded(now, request.group);
     admission_.endpointResponded(now, request.group);
   }
--- a/src/recovery/recovery_request_handler.hpp
+++ b/src/recovery/recovery_request_handler.hpp
@@ -1,5 +1,5 @@
-// Requests during recovery: each is forwarded to the engine or rejected at once, as RecoveryAdmission
-// decides, and how the forwarded ones end is reported back to it.
+// Handles requests during recovery: forwards each to the engine or rejects it, as RecoveryAdmission
+// decides, and reports the results of forwarded requests to RecoveryAdmission.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 namespace sablespur::recovery {
 
-// Belongs to the event loop's thread; the response handlers given to request() have to outlive their request.
+// Used on the event loop's thread only. Response handlers passed to request() have to outlive their
+// request.
 class RecoveryRequestHandler final : public RequestHandler {
  public:
   RecoveryRequestHandler(event_base*, Engine&, const Config&, Time now);
@@ -22,10 +23,10 @@
   RequestId request(ResponseHandler&, balancer::Request, RequestMessage) override;
   void clientDisconnected(RequestId) override;
 
-  // From now on every request is forwarded without a decision.
+  // Ends recovery: all further requests are forwarded to the engine without an admission decision.
   void finish() { finished_ = true; }
   bool finished() const { return finished_; }
-  // Evidence and state of the decisions. Pass evidence only until finished().
+  // The admission state. Report endpoint responses to it only until finished().
   RecoveryAdmission& admission() { return admission_; }
   std::uint64_t requestsRejected() const { return requestsRejected_; }
 
@@ -46,7 +47,7 @@
   bool finished_ = false;
   std::uint64_t requestsRejected_ = 0;
   std::unordered_map<RequestId, std::unique_ptr<AdmittedRequest>> admitted_;
-  std::map<RequestId, RejectedRequest> rejected_;  // not answered yet
+  std::map<RequestId, RejectedRequest> rejected_;  // rejections that are not delivered yet
   Event deliverRejections_;
 };
 
--- a/src/recovery/snapshot.cpp
+++ b/src/recovery/snapshot.cpp
@@ -15,7 +15,7 @@
 using Json = nlohmann::json;
 
 constexpr int kVersion = 1;
-constexpr std::size_t kFirstLineBytes = 48;  // bytes, its end of line included
+constexpr std::size_t kFirstLineBytes = 48;  // including the newline
 
 std::string encodeFirstLine(std::string_view body) {
   char line[kFirstLineBytes + 1];
@@ -30,22 +30,24 @@
   return std::isfinite(v) && v > 0 ? v : 0;
 }
 
-// The CBOR after the first line, once version, length and checksum have been found right.
+// Checks version, length and checksum and returns the CBOR after the first line.
 std::string_view verifiedBody(std::string_view file) {
-  if (file.size() > kMaxSnapshotBytes) throw SnapshotError("longer than any snapshot", kMaxSnapshotBytes);
-  if (file.size() < kFirstLineBytes) throw SnapshotError("cut within its first line", file.size());
+  if (file.size() > kMaxSnapshotBytes)
+    throw SnapshotError("file exceeds the maximum snapshot size", kMaxSnapshotBytes);
+  if (file.size() < kFirstLineBytes) throw SnapshotError("truncated in the first line", file.size());
   int version = 0;
   unsigned long long length = 0;
   unsigned long long checksum = 0;
   const std::string first(file.substr(0, kFirstLineBytes));
   if (std::sscanf(first.c_str(), "sablespur-snapshot %2d %8llx %16llx", &version, &length, &checksum) != 3)
-    throw SnapshotError("no snapshot", 0);
+    throw SnapshotError("not a snapshot file", 0);
   if (version > kVersion) throw SnapshotError("written by a later version", 0);
   const std::string_view body = file.substr(kFirstLineBytes);
-  if (body.size() < length) throw SnapshotError("cut", file.size());
-  if (body.size() > length) throw SnapshotError("more follows than was written", kFirstLineBytes + length);
-  // Compared as a whole: a bit that changed in the padding is corruption, too.
-  if (encodeFirstLine(body) != first) throw SnapshotError("its checksum is another", kFirstLineBytes);
+  if (body.size() < length) throw SnapshotError("truncated", file.size());
+  if (body.size() > length)
+    throw SnapshotError("trailing bytes after the snapshot", kFirstLineBytes + length);
+  // Compares the whole line, because a changed bit in the padding is corruption as well.
+  if (encodeFirstLine(body) != first) throw SnapshotError("checksum mismatch", kFirstLineBytes);
   return body;
 }
 
@@ -102,12 +104,12 @@
     for (const Json& m : j.at("m")) {
       snapshot.endpoints.push_back(decodeEndpoint(m));
       if (snapshot.endpoints.size() > kMaxSnapshotEndpoints)
-        throw SnapshotError("more members than any snapshot", kFirstLineBytes);
+        throw SnapshotError("too many endpoints", kFirstLineBytes);
     }
     for (const Json& p : j.at("p")) snapshot.primaries.push_back({p.at("g"), p.at("n"), p.at("t")});
     return snapshot;
   } catch (const Json::exception& e) {
-    throw SnapshotError(std::string("not the form of its version: ") + e.what(), kFirstLineBytes);
+    throw SnapshotError(std::string("invalid content: ") + e.what(), kFirstLineBytes);
   }
 }
 
--- a/src/recovery/snapshot_file.hpp
+++ b/src/recovery/snapshot_file.hpp
@@ -1,4 +1,4 @@
-// The file that holds this proxy's snapshot: read once at the start, replaced as a whole later on.
+// Reads this proxy's snapshot file at the start and replaces it with new snapshots.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 }
 namespace sablespur::recovery {
 
-// Belongs to the event loop's thread. Destroying it drops the result of a write that is under way; the write
-// itself completes on its worker.
+// Used on the event loop's thread only. If it is destroyed during a write, the write completes on
+// its worker and the result is dropped.
 class SnapshotFile {
  public:
   enum class LoadStatus { Missing, Loaded, Rejected };
@@ -25,10 +25,10 @@
 
   SnapshotFile(WorkerPool&, std::string path);
 
-  // Blocks. A file that is damaged or can't be read is logged and renamed to PATH.refused, replacing an
-  // earlier one, so that it can be examined.
+  // Loads the snapshot; blocks. A file that is damaged or can't be read is logged and renamed to
+  // PATH.refused for examination, replacing an earlier one.
   LoadResult load();
-  // Encodes and writes on a worker. Call only while no write is under way.
+  // Encodes and writes the snapshot on a worker. Must not be called while a write is in progress.
   void write(Snapshot);
   bool writeInProgress() const { return writeInProgress_ != nullptr; }
 
@@ -44,7 +44,7 @@
   const std::shared_ptr<durability::Files> files_;  // shared with a write that outlives this object
   std::uint64_t writesSucceeded_ = 0;
   std::uint64_t writesFailed_ = 0;
-  bool lastWriteFailed_ = false;  // a run of failures is logged once
+  bool lastWriteFailed_ = false;  // so that consecutive failures are logged once
   WorkerPool::Ticket writeInProgress_;
 };
 
--- a/src/recovery/snapshot_validation.cpp
+++ b/src/recovery/snapshot_validation.cpp
@@ -7,7 +7,8 @@
 namespace sablespur::recovery {
 namespace {
 
-// Geometric, so that one endpoint a hundred times slower than the rest hardly moves it.
+// A geometric mean, because one endpoint that is a hundred times slower than the rest changes it
+// little.
 struct GeometricMean {
   double logSum = 0;
   double count = 0;
@@ -27,7 +28,8 @@
   }
 };
 
-// The weighted geometric mean of an endpoint's own figure and that of its group.
+// Returns the weighted geometric mean of an endpoint's own figure and its group's mean. If one of
+// them is not known (0), returns the other; an own figure of weight 0 counts as not known.
 double shrinkToward(double own, double group, double ownWeight) {
   if (own <= 0 || group <= 0) return own > 0 && ownWeight > 0 ? own : group;
   return std::exp(ownWeight * std::log(own) + (1 - ownWeight) * std::log(group));
@@ -56,14 +58,15 @@
     all.add(endpoint);
   }
   for (EndpointRecord endpoint : snapshot.endpoints) {
-    const GroupMeans& own = groups[endpoint.group];
-    const GroupMeans& latency = own.latency.count > 1 ? own : all;
-    const GroupMeans& rate = own.rate.count > 1 ? own : all;
-    endpoint.latencyUs = shrinkToward(endpoint.latencyUs, latency.latency.value(), state.ownWeight);
+    const GroupMeans& group = groups[endpoint.group];
+    const GroupMeans& latencySource = group.latency.count > 1 ? group : all;
+    const GroupMeans& rateSource = group.rate.count > 1 ? group : all;
+    endpoint.latencyUs = shrinkToward(endpoint.latencyUs, latencySource.latency.value(), state.ownWeight);
     endpoint.responsesPerSecond =
-        shrinkToward(endpoint.responsesPerSecond, rate.rate.value(), state.ownWeight);
+        shrinkToward(endpoint.responsesPerSecond, rateSource.rate.value(), state.ownWeight);
     endpoint.positionMs = 0;
-    // A start in the future means that the wall clock was set back: the endpoint counts as just started.
+    // A start time in the future means that the wall clock was set back. The endpoint counts as
+    // just started.
     if (endpoint.startedMs > nowMs + toleranceMs) endpoint.startedMs = nowMs;
     state.endpoints.push_back(std::move(endpoint));
   }
