--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t kWrap = std::int64_t{1} << kPositionBits;
 constexpr int kNoClass = 255;
 constexpr double kLatencyStepsPerOctave = 10;   // from 100 us on; 255 steps reach an hour
-constexpr std::int64_t kMaxClockSkewMs = 1000;  // between two machines
+constexpr std::int64_t kMaxClockSkewMs = 1000;  // between the clocks of two machines
 
 void put(std::string& to, std::uint64_t v, int bytes) {
   for (int k = bytes - 1; k >= 0; --k) to += static_cast<char>(v >> (8 * k));
@@ -52,9 +52,9 @@
     put(bytes, updates[k].endpointTag, 5);
     const auto position = static_cast<std::uint64_t>(updates[k].positionMs % kWrap);
     put(bytes, static_cast<std::uint64_t>(updates[k].role) << kPositionBits | position, 3);
-    const bool timed = updates[k].classIndex >= 0 && updates[k].classIndex < kNoClass;
-    put(bytes, static_cast<std::uint64_t>(timed ? updates[k].classIndex : kNoClass), 1);
-    put(bytes, timed ? scaleOf(updates[k].latencyUs) : 0, 1);
+    const bool hasLatency = updates[k].classIndex >= 0 && updates[k].classIndex < kNoClass;
+    put(bytes, static_cast<std::uint64_t>(hasLatency ? updates[k].classIndex : kNoClass), 1);
+    put(bytes, hasLatency ? scaleOf(updates[k].latencyUs) : 0, 1);
   }
   return bytes;
 }
@@ -77,14 +77,14 @@
   const auto low = static_cast<std::int64_t>(word) % kWrap;
   std::int64_t back = (nowMs + kMaxClockSkewMs - low) % kWrap;  // distance to the latest accepted instant
   if (back < 0) back += kWrap;
-  GossipUpdate h{get(d, at, 5), nowMs + kMaxClockSkewMs - back,
-                 static_cast<GossipRole>(word >> kPositionBits)};
+  GossipUpdate update{get(d, at, 5), nowMs + kMaxClockSkewMs - back,
+                      static_cast<GossipRole>(word >> kPositionBits)};
   const auto cls = static_cast<int>(get(d, at + 8, 1));
   if (cls != kNoClass) {
-    h.classIndex = cls;
-    h.latencyUs = latencyOf(get(d, at + 9, 1));
+    update.classIndex = cls;
+    update.latencyUs = latencyOf(get(d, at + 9, 1));
   }
-  return h;
+  return update;
 }
 
 std::vector<GossipUpdate> decode(std::string_view d, std::int64_t nowMs) {
--- a/src/cluster/relay_selection.cpp
+++ b/src/cluster/relay_selection.cpp
@@ -3,9 +3,11 @@
 namespace sablespur::cluster {
 namespace {
 
-// A relay sends many times a second while there are updates, and a datagram takes up to 40 ms each way.
+// A relay that is silent for this long after an update becomes suspected. A relay sends many times
+// a second while there are updates, and a datagram takes up to 40 ms each way.
 constexpr std::int64_t kSilenceMs = 300;
-// Until a suspected peer is tried again, if nothing comes from it before: about what a restart takes.
+// A suspected peer is tried again after this time, about the duration of a restart, or as soon as a
+// datagram arrives from it.
 constexpr std::int64_t kSuspicionMs = 3000;
 
 }  // namespace
--- a/src/cluster/relay_selection.hpp
+++ b/src/cluster/relay_selection.hpp
@@ -1,5 +1,5 @@
-// Chooses the proxy that gathers the gossip of a large fleet and broadcasts it in full datagrams. Pure: no
-// sockets, no clock.
+// Chooses the relay: the proxy that gathers the gossip updates of a large fleet and broadcasts them
+// in full datagrams. Uses no sockets and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -9,19 +9,22 @@
 
 namespace sablespur::cluster {
 
-// All proxies rank each other alike; the relay is the first that is not suspected to be down. A peer is
-// suspected for a while if nothing at all comes from it after an update was sent to it. Proxies that disagree
-// for a moment lose a few updates or send them twice, which is harmless.
+// All proxies compute the same ranking; the relay is the first proxy in it that is not suspected to
+// be down. A peer becomes suspected for a limited time if no datagram arrives from it after an
+// update was sent to it. Proxies that disagree temporarily lose a few updates or send them twice,
+// which is harmless.
 class RelaySelection {
  public:
-  // The peers that rank before this proxy, the first one first; `peers` is the number of all of them.
+  // `rankedBefore`: the peers that rank before this proxy, in rank order. `peers`: the number of
+  // all peers.
   RelaySelection(const std::vector<std::size_t>& rankedBefore, std::size_t peers);
 
-  // The relay's index among the peers; nothing: it is this proxy.
+  // Returns the relay's index among the peers; std::nullopt if this proxy is the relay.
   std::optional<std::size_t> relay(std::int64_t nowMs);
-  // An update went to the relay `peer`, whose datagrams show that it is alive.
+  // Records that an update was sent to the relay `peer`, which is expected to send datagrams of its
+  // own.
   void sentTo(std::size_t peer, std::int64_t nowMs);
-  // A datagram came from `peer`: whatever it holds, it is alive.
+  // Records that a datagram arrived from `peer`. Any datagram shows that the peer is alive.
   void receivedFrom(std::size_t peer);
 
  private:
@@ -32,7 +35,7 @@
   };
 
   std::vector<Candidate> candidates_;               // by rank
-  std::vector<std::optional<std::size_t>> rankOf_;  // by peer; nothing: ranked after this proxy
+  std::vector<std::optional<std::size_t>> rankOf_;  // by peer; std::nullopt: ranked after this proxy
 };
 
 }  // namespace sablespur::cluster
--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -7,33 +7,37 @@
 namespace sablespur::cluster {
 namespace {
 
-// A position is sent again once it has advanced by the staleness bound over this divisor: with as much again
-// for the transfer, and the endpoint's own lag, it still proves what a read needs.
+// A position is sent again once it has advanced by the staleness bound over this divisor. With the
+// same time for the transfer, plus the endpoint's own lag, it is still fresh enough for a read when
+// it arrives.
 constexpr std::int64_t kPositionAdvanceDivisor = 4;
-// A position that has used up three quarters of the bound before it is sent proves too little on arrival.
-constexpr std::int64_t kFreshNumerator = 3;
-constexpr std::int64_t kFreshDenominator = 4;
-// Each status adds so many bytes, delivered at all peers together, to the budget: the cost of a request stays
-// the same however many proxies there are. The cap always allows a full datagram to all.
+// A position older than three quarters of the bound is not sent: it would be too old on arrival.
+constexpr std::int64_t kMaxSendAgeNumerator = 3;
+constexpr std::int64_t kMaxSendAgeDenominator = 4;
+// Each local status adds this many bytes, counted once per receiver, to the byte budget, so the
+// gossip cost of a request does not grow with the fleet. The budget's cap always allows one full
+// datagram to all receivers.
 constexpr double kBytesPerStatus = 512;
 constexpr double kMinByteBudgetCap = 64 * 1024;
 constexpr std::size_t kMaxEndpoints = 4096;
 constexpr std::int64_t kStatusLifetimeMs = 60 * 1000;  // without an update
 constexpr std::int64_t kExpiryIntervalMs = 1000;       // between scans of all endpoints
 constexpr std::size_t kMaxPending = 4 * kGossipUpdatesPerDatagram;
-// A small fleet sometimes has updates faster than its interval; it may use what it left unused for so long.
+// The updates of a small fleet may arrive faster than its interval. A sender may catch up on the
+// unused allowance of this time.
 constexpr double kBurstMs = 250;
 constexpr double kUrgentBurst = 3;  // datagrams beyond the first
-// Factors of an interval; 1 in the mean.
+// Factors of an interval; 1 on average.
 constexpr double kMinJitter = 0.5;
 constexpr double kMaxJitter = 1.5;
-// The delay of a change of role: 900 proxies that see it at once spread over 200 ms, several times what a
-// datagram takes to arrive, and the first is out after a fraction of one.
+// The random delay before a change of role is sent. 900 proxies that observe it at once spread over
+// 200 ms, several times the transfer time of a datagram. The first sends after a fraction of that
+// time and suppresses most of the others.
 constexpr double kUrgentDelayMsPerPeer = 0.25;
 constexpr double kMaxUrgentDelayMs = 200;
-constexpr int kUrgentSends = 2;              // a datagram may be lost
-constexpr std::int64_t kRepeatAfterMs = 80;  // more than a datagram takes to arrive
-constexpr std::int64_t kUrgentForMs = 3000;  // by then an ordinary datagram has carried it
+constexpr int kUrgentSends = 2;                   // a datagram may be lost
+constexpr std::int64_t kRepeatAfterMs = 80;       // longer than the transfer of a datagram
+constexpr std::int64_t kUrgentLifetimeMs = 3000;  // by then an ordinary datagram has included it
 
 double budgetIntervalMs(std::size_t receivers, double perSecond) {
   return 1000.0 * static_cast<double>(receivers) / perSecond;
@@ -52,109 +56,111 @@
     : policy_(policy),
       receivers_(policy.broadcast ? policy.peers : std::min(policy.peers, kFanout)),
       random_(policy.seed),
-      ordinary_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
-      urgent_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
-              kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
-      toRelay_(budgetIntervalMs(policy.peers, kRelayReceivedPerSecond), kBurstMs),
-      relayed_(budgetIntervalMs(1, kReceivedPerSecond), 0),
+      ordinaryLimiter_(budgetIntervalMs(receivers_, kReceivedPerSecond), kBurstMs),
+      urgentLimiter_(budgetIntervalMs(receivers_, kUrgentReceivedPerSecond),
+                     kUrgentBurst * budgetIntervalMs(receivers_, kUrgentReceivedPerSecond)),
+      toRelayLimiter_(budgetIntervalMs(policy.peers, kRelayReceivedPerSecond), kBurstMs),
+      relayLimiter_(budgetIntervalMs(1, kReceivedPerSecond), 0),
       byteBudget_(std::max(kMinByteBudgetCap / 8, deliveredBytes(kGossipUpdatesPerDatagram))),
       order_(policy.peers) {
   std::iota(order_.begin(), order_.end(), std::size_t{0});
   if (policy.broadcast && policy.peers > kMaxDirectPeers && policy.rankedBefore)
-    relays_.emplace(*policy.rankedBefore, policy.peers);
+    relaySelection_.emplace(*policy.rankedBefore, policy.peers);
 }
 
 void GossipScheduler::observedLocally(const GossipUpdate& update, std::int64_t nowMs) {
   if (policy_.peers == 0) return;
   if (!started_) {
-    started_ = true;  // proxies that start together don't send together
-    ordinary_.startAt(static_cast<double>(nowMs) + firstPhase() * ordinary_.intervalMs());
+    started_ = true;  // a random first interval, so that proxies started together don't send at once
+    ordinaryLimiter_.startAt(static_cast<double>(nowMs) + firstPhase() * ordinaryLimiter_.intervalMs());
   }
   byteBudget_ = std::min(byteBudget_ + kBytesPerStatus,
                          std::max(kMinByteBudgetCap, deliveredBytes(kGossipUpdatesPerDatagram)));
-  const std::optional<News> news = newsIn(update, nowMs);
-  if (!news) return;
-  if (relays_ && *news != News::RoleChange) {
-    // The relay only passes on: who observed an update pays for its delivery to all.
+  const std::optional<UpdateKind> kind = classify(update, nowMs);
+  if (!kind) return;
+  if (relaySelection_ && *kind != UpdateKind::RoleChange) {
+    // The relay spends no byte budget on what it forwards; the proxy that observed the update pays
+    // for the delivery to all receivers.
     const auto cost = static_cast<double>(receivers_ * kGossipUpdateBytes);
     if (byteBudget_ < cost) return;
     byteBudget_ -= cost;
   }
-  enqueue(update, *news, nowMs);
+  enqueue(update, *kind, nowMs);
 }
 
 void GossipScheduler::datagramReceived(std::size_t peer) {
-  if (relays_) relays_->receivedFrom(peer);
+  if (relaySelection_) relaySelection_->receivedFrom(peer);
 }
 
-// Datagrams do not tell whether they were sent to all. A change of role always is. A position counts as sent
-// once this proxy has broadcast it, so none is passed on twice.
+// A datagram does not say whether it was sent to all peers or only to the relay. Changes of role
+// are always broadcast and need no forwarding. Other updates count as sent only once this proxy has
+// broadcast them, so none is forwarded twice.
 void GossipScheduler::receivedByRelay(const GossipUpdate& update, std::int64_t nowMs) {
-  const std::optional<News> news = newsIn(update, nowMs);
-  if (!news) return;
-  if (*news == News::RoleChange)
+  const std::optional<UpdateKind> kind = classify(update, nowMs);
+  if (!kind) return;
+  if (*kind == UpdateKind::RoleChange)
     recordStatus(update, nowMs);
   else
-    enqueue(update, *news, nowMs);
+    enqueue(update, *kind, nowMs);
 }
 
 void GossipScheduler::receivedFromPeer(const GossipUpdate& update, std::int64_t nowMs) {
-  if (!sampled()) {
+  if (!sendsToSample()) {
     const auto own = find(update.endpointTag);
-    if (own != pending_.end() && own->news == News::RoleChange && own->update.role == update.role)
-      pending_.erase(own);  // the broadcast has reached all others too
+    if (own != pending_.end() && own->kind == UpdateKind::RoleChange && own->update.role == update.role)
+      pending_.erase(own);  // the peer's broadcast has reached all other proxies as well
     if (isRelay(nowMs))
       receivedByRelay(update, nowMs);
     else
       recordStatus(update, nowMs);
     return;
   }
-  // Only kFanout peers have got it. A change of role is passed on, once; nothing else is.
+  // The update was sent to kFanout peers only. Forwards changes of role, once, and nothing else.
   if (!changesRole(update)) return;
   recordStatus(update, nowMs);
-  enqueue(update, News::RoleChange, nowMs);
+  enqueue(update, UpdateKind::RoleChange, nowMs);
 }
 
 bool GossipScheduler::changesRole(const GossipUpdate& update) const {
   if (update.role == GossipRole::Unknown) return false;
-  const auto told = endpointStatuses_.find(update.endpointTag);
-  if (told == endpointStatuses_.end() || told->second.role == GossipRole::Unknown)
+  const auto known = endpointStatuses_.find(update.endpointTag);
+  if (known == endpointStatuses_.end() || known->second.role == GossipRole::Unknown)
     return update.role == GossipRole::Primary;
-  return told->second.role != update.role && update.positionMs >= told->second.positionMs;
+  return known->second.role != update.role && update.positionMs >= known->second.positionMs;
 }
 
-std::optional<GossipScheduler::News> GossipScheduler::newsIn(const GossipUpdate& update,
-                                                             std::int64_t nowMs) const {
-  if (changesRole(update)) return News::RoleChange;
-  const auto told = endpointStatuses_.find(update.endpointTag);
-  if (told == endpointStatuses_.end()) return News::Position;
+std::optional<GossipScheduler::UpdateKind> GossipScheduler::classify(const GossipUpdate& update,
+                                                                     std::int64_t nowMs) const {
+  if (changesRole(update)) return UpdateKind::RoleChange;
+  const auto known = endpointStatuses_.find(update.endpointTag);
+  if (known == endpointStatuses_.end()) return UpdateKind::Position;
   const bool tooOld = nowMs - update.positionMs >= policy_.boundMs;
-  if (tooOld && update.role == GossipRole::Replica && !told->second.lagging &&
-      update.positionMs >= told->second.positionMs)
-    return News::Lag;
-  // A position too old for any read proves nothing useful.
-  if (tooOld || update.positionMs - told->second.positionMs < policy_.boundMs / kPositionAdvanceDivisor)
+  if (tooOld && update.role == GossipRole::Replica && !known->second.lagging &&
+      update.positionMs >= known->second.positionMs)
+    return UpdateKind::Lag;
+  // A position too old for any read is not worth sending.
+  if (tooOld || update.positionMs - known->second.positionMs < policy_.boundMs / kPositionAdvanceDivisor)
     return std::nullopt;
-  return News::Position;
+  return UpdateKind::Position;
 }
 
-void GossipScheduler::enqueue(const GossipUpdate& update, News news, std::int64_t nowMs) {
+void GossipScheduler::enqueue(const GossipUpdate& update, UpdateKind kind, std::int64_t nowMs) {
   auto entry = find(update.endpointTag);
   if (entry == pending_.end()) {
     evictPending(nowMs);
-    entry = pending_.insert(pending_.end(), PendingUpdate{update, news});
+    entry = pending_.insert(pending_.end(), PendingUpdate{update, kind});
   } else {
     if (update.positionMs < entry->update.positionMs) return;
     const GossipRole role = update.role != GossipRole::Unknown ? update.role : entry->update.role;
-    const bool sameChange = entry->news == News::RoleChange && entry->update.role == role;
+    const bool sameChange = entry->kind == UpdateKind::RoleChange && entry->update.role == role;
     entry->update = update;
     entry->update.role = role;
     if (sameChange) return;
-    entry->news = news;
+    entry->kind = kind;
   }
-  if (news != News::RoleChange) return;
+  if (kind != UpdateKind::RoleChange) return;
   entry->dueMs = nowMs + urgentDelayMs();
-  entry->sendsLeft = sampled() ? 1 : kUrgentSends;
+  entry->sendsLeft = sendsToSample() ? 1 : kUrgentSends;
 }
 
 std::vector<GossipScheduler::PendingUpdate>::iterator GossipScheduler::find(std::uint64_t tag) {
@@ -168,9 +174,10 @@
   if (pending_.size() >= kMaxPending) pending_.erase(pending_.begin());  // the oldest
 }
 
-// Where in its interval a proxy starts, as if it had always been sending (the stationary distribution of a
-// renewal process): long intervals are met more often than short ones. With a plain uniform draw a fleet that
-// starts together would exceed the budget later on.
+// Returns the first delay as a fraction of the interval, drawn as if the proxy had always been
+// sending (the stationary distribution of a renewal process, in which long intervals are more
+// likely to be sendsToSample). With a plain uniform draw, a fleet that starts at once would exceed
+// the budget later.
 double GossipScheduler::firstPhase() {
   std::uniform_real_distribution<> unit(0, 1);
   const double interval = std::sqrt(kMinJitter * kMinJitter +
@@ -185,22 +192,22 @@
 
 bool GossipScheduler::worthSending(const PendingUpdate& p, std::int64_t nowMs) const {
   const std::int64_t age = nowMs - p.update.positionMs;
-  const auto told = endpointStatuses_.find(p.update.endpointTag);
-  switch (p.news) {
-    case News::RoleChange: {
-      const bool outdated = told != endpointStatuses_.end() &&
-                            told->second.positionMs > p.update.positionMs &&
-                            told->second.role != p.update.role;
-      return !outdated && age < std::max(kUrgentForMs, policy_.boundMs);
+  const auto known = endpointStatuses_.find(p.update.endpointTag);
+  switch (p.kind) {
+    case UpdateKind::RoleChange: {
+      const bool outdated = known != endpointStatuses_.end() &&
+                            known->second.positionMs > p.update.positionMs &&
+                            known->second.role != p.update.role;
+      return !outdated && age < std::max(kUrgentLifetimeMs, policy_.boundMs);
     }
-    case News::Lag:
-      return told == endpointStatuses_.end() || !told->second.lagging;
-    case News::Position:
+    case UpdateKind::Lag:
+      return known == endpointStatuses_.end() || !known->second.lagging;
+    case UpdateKind::Position:
       break;
   }
-  if (told == endpointStatuses_.end()) return true;
-  return age * kFreshDenominator < policy_.boundMs * kFreshNumerator &&
-         p.update.positionMs - told->second.positionMs >= policy_.boundMs / kPositionAdvanceDivisor;
+  if (known == endpointStatuses_.end()) return true;
+  return age * kMaxSendAgeDenominator < policy_.boundMs * kMaxSendAgeNumerator &&
+         p.update.positionMs - known->second.positionMs >= policy_.boundMs / kPositionAdvanceDivisor;
 }
 
 void GossipScheduler::dropOutdated(std::int64_t nowMs) {
@@ -210,37 +217,38 @@
 }
 
 bool GossipScheduler::urgentDue(std::int64_t nowMs) const {
-  return urgent_.allows(nowMs) && std::any_of(pending_.begin(), pending_.end(), [&](const PendingUpdate& p) {
-           return p.news == News::RoleChange && p.dueMs <= nowMs;
+  return urgentLimiter_.allows(nowMs) &&
+         std::any_of(pending_.begin(), pending_.end(), [&](const PendingUpdate& p) {
+           return p.kind == UpdateKind::RoleChange && p.dueMs <= nowMs;
          });
 }
 
 std::optional<std::size_t> GossipScheduler::takeForRelay(std::int64_t nowMs,
                                                          std::vector<GossipUpdate>& datagram) {
   datagram.clear();
-  if (!relays_ || pending_.empty() || !toRelay_.allows(nowMs)) return std::nullopt;
-  const std::optional<std::size_t> relay = relays_->relay(nowMs);
+  if (!relaySelection_ || pending_.empty() || !toRelayLimiter_.allows(nowMs)) return std::nullopt;
+  const std::optional<std::size_t> relay = relaySelection_->relay(nowMs);
   if (!relay) return std::nullopt;
   dropOutdated(nowMs);
-  std::vector<PendingUpdate> kept;
+  std::vector<PendingUpdate> remaining;
   for (const PendingUpdate& p : pending_) {
-    if (p.news == News::RoleChange || datagram.size() == kGossipUpdatesPerDatagram) {
-      kept.push_back(p);
+    if (p.kind == UpdateKind::RoleChange || datagram.size() == kGossipUpdatesPerDatagram) {
+      remaining.push_back(p);
       continue;
     }
     datagram.push_back(p.update);
     recordStatus(p.update, nowMs);
   }
-  pending_.swap(kept);
+  pending_.swap(remaining);
   if (datagram.empty()) return std::nullopt;
-  toRelay_.spend(nowMs, std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_));
-  relays_->sentTo(*relay, nowMs);
+  toRelayLimiter_.spend(nowMs, std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_));
+  relaySelection_->sentTo(*relay, nowMs);
   return relay;
 }
 
 bool GossipScheduler::broadcastAllowed(std::int64_t nowMs) {
-  if (!relays_) return ordinary_.allows(nowMs);
-  return isRelay(nowMs) && relayed_.allows(nowMs);
+  if (!relaySelection_) return ordinaryLimiter_.allows(nowMs);
+  return isRelay(nowMs) && relayLimiter_.allows(nowMs);
 }
 
 bool GossipScheduler::takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram) {
@@ -251,59 +259,59 @@
   dropOutdated(nowMs);
   if (pending_.empty()) return false;
   const bool urgent = urgentDue(nowMs);
-  const bool paidFor =
-      relays_ || byteBudget_ >= deliveredBytes(std::min(pending_.size(), kGossipUpdatesPerDatagram));
-  if (!urgent && (!ordinary || !paidFor)) return false;
+  const bool withinByteBudget =
+      relaySelection_ || byteBudget_ >= deliveredBytes(std::min(pending_.size(), kGossipUpdatesPerDatagram));
+  if (!urgent && (!ordinary || !withinByteBudget)) return false;
   fillDatagram(nowMs, urgent, datagram);
   if (datagram.empty()) return false;
   const double jitter = std::uniform_real_distribution<>(kMinJitter, kMaxJitter)(random_);
-  RateLimiter& ordinaryLimiter = relays_ ? relayed_ : ordinary_;
-  (urgent ? urgent_ : ordinaryLimiter).spend(nowMs, jitter);
-  if (!urgent && !relays_) byteBudget_ -= deliveredBytes(datagram.size());
+  RateLimiter& broadcastLimiter = relaySelection_ ? relayLimiter_ : ordinaryLimiter_;
+  (urgent ? urgentLimiter_ : broadcastLimiter).spend(nowMs, jitter);
+  if (!urgent && !relaySelection_) byteBudget_ -= deliveredBytes(datagram.size());
   return true;
 }
 
-// Changes of role first, then lag, then the newest positions.
+// Adds changes of role first, then replicas that started to lag, then positions, the newest first.
 void GossipScheduler::fillDatagram(std::int64_t nowMs, bool urgent, std::vector<GossipUpdate>& datagram) {
   std::sort(pending_.begin(), pending_.end(), [](const PendingUpdate& a, const PendingUpdate& b) {
-    return a.news != b.news ? a.news > b.news : a.update.positionMs > b.update.positionMs;
+    return a.kind != b.kind ? a.kind > b.kind : a.update.positionMs > b.update.positionMs;
   });
   const std::size_t count = std::min(pending_.size(), kGossipUpdatesPerDatagram);
-  std::vector<PendingUpdate> kept;
+  std::vector<PendingUpdate> remaining;
   for (std::size_t k = 0; k < count; ++k) {
     PendingUpdate& p = pending_[k];
-    const bool change = p.news == News::RoleChange;
+    const bool change = p.kind == UpdateKind::RoleChange;
     if (change && !urgent && p.dueMs > nowMs) {
-      kept.push_back(p);
+      remaining.push_back(p);
       continue;
     }
     datagram.push_back(p.update);
     recordStatus(p.update, nowMs);
     if (!change || --p.sendsLeft <= 0) continue;
     p.dueMs = nowMs + kRepeatAfterMs;
-    kept.push_back(p);
+    remaining.push_back(p);
   }
   pending_.erase(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(count));
-  pending_.insert(pending_.end(), kept.begin(), kept.end());
+  pending_.insert(pending_.end(), remaining.begin(), remaining.end());
 }
 
 std::optional<std::int64_t> GossipScheduler::urgentAtMs() const {
   std::optional<std::int64_t> first;
   for (const PendingUpdate& p : pending_)
-    if (p.news == News::RoleChange) first = std::min(first.value_or(p.dueMs), p.dueMs);
-  if (first) first = std::max(*first, urgent_.allowedFromMs());
+    if (p.kind == UpdateKind::RoleChange) first = std::min(first.value_or(p.dueMs), p.dueMs);
+  if (first) first = std::max(*first, urgentLimiter_.allowedFromMs());
   return first;
 }
 
 std::optional<std::int64_t> GossipScheduler::relayAtMs(std::int64_t nowMs) {
   if (pending_.empty() || !isRelay(nowMs)) return std::nullopt;
-  return relayed_.allowedFromMs();
+  return relayLimiter_.allowedFromMs();
 }
 
 const std::vector<std::size_t>& GossipScheduler::drawReceivers() {
   drawnPeers_.clear();
   for (std::size_t k = 0; k < receivers_; ++k) {
-    if (sampled())
+    if (sendsToSample())
       std::swap(order_[k], order_[std::uniform_int_distribution<std::size_t>(k, order_.size() - 1)(random_)]);
     drawnPeers_.push_back(order_[k]);
   }
@@ -323,11 +331,11 @@
   } else if (update.positionMs < it->second.positionMs) {
     return;
   }
-  EndpointStatus& told = it->second;
-  told.positionMs = update.positionMs;
-  told.atMs = nowMs;
-  if (update.role != GossipRole::Unknown) told.role = update.role;
-  told.lagging = nowMs - update.positionMs >= policy_.boundMs;
+  EndpointStatus& known = it->second;
+  known.positionMs = update.positionMs;
+  known.atMs = nowMs;
+  if (update.role != GossipRole::Unknown) known.role = update.role;
+  known.lagging = nowMs - update.positionMs >= policy_.boundMs;
 }
 
 void GossipScheduler::expireStatuses(std::int64_t nowMs) {
--- a/src/cluster/scheduler.hpp
+++ b/src/cluster/scheduler.hpp
@@ -1,13 +1,17 @@
-// Decides which gossip updates a proxy sends to its peers and when. Pure: no sockets, no clock.
+// Decides which gossip updates a proxy sends to its peers and when. Uses no sockets and reads no
+// clock.
 //
-// What one proxy receives stays within a budget however many proxies there are. Each proxy sends one
-// datagram in an interval that grows with the number of receivers, and that datagram carries all updates
-// gathered meanwhile. Updates that a peer has sent already are left out. A change of role may go out sooner,
-// from a small budget of its own, after a random delay in which another proxy may send it first.
-//
-// In a fleet of more than kMaxDirectPeers with a broadcast address, that interval would be longer than a
-// position is of use. There each proxy sends what it has at once to one of them, the relay (RelaySelection),
-// and the relay alone broadcasts, in datagrams that are nearly full.
+// The number of datagrams that a proxy receives stays within a budget, whatever the size of the
+// fleet:
+//   Ordinary updates: each proxy sends one datagram per interval, with all updates gathered in it.
+//     The interval grows with the number of receivers. Updates that a peer has already sent are
+//     left out.
+//   Changes of role: may be sent earlier, from a small budget of their own, after a random delay.
+//     They are dropped if another proxy broadcasts them first.
+//   Relay: in a fleet of more than kMaxDirectPeers with a broadcast address, the interval would be
+//     longer than a position stays useful. There each proxy sends its updates without that delay to
+//     one proxy, the relay (RelaySelection), and only the relay broadcasts them, in nearly full
+//     datagrams.
 #pragma once
 
 #include <cstdint>
@@ -21,20 +25,22 @@
 
 namespace sablespur::cluster {
 
-// Datagrams a second that a proxy receives from all its peers together if each of them has updates. One
-// costs about 10 us, so 80 take under a thousandth of a core; with a few positions in each, every member of a
-// group of twenty is reported more than ten times a second.
+// Datagrams per second that a proxy receives from all peers together if each of them has updates.
+// One costs about 10 us, so 80 take under a thousandth of a core; with a few positions in each,
+// every endpoint of a group of twenty is reported more than ten times a second.
 constexpr double kReceivedPerSecond = 80;
-// The same for changes of role; rare, and most are suppressed because a peer was first.
+// The same limit for changes of role. They are rare, and most are suppressed because a peer sent
+// them first.
 constexpr double kUrgentReceivedPerSecond = 20;
-// Receivers of one datagram if no broadcast address reaches all peers; drawn anew each time.
+// Receivers of one datagram if there is no broadcast address; drawn at random for each datagram.
 constexpr std::size_t kFanout = 16;
-// Datagrams a second that a relay receives from all others together; about 2% of a core.
+// Datagrams per second that a relay receives from all other proxies together; about 2% of a core.
 constexpr double kRelayReceivedPerSecond = 2000;
-// Up to here each proxy broadcasts by itself: its interval is at most a quarter of a second.
+// Up to this number of peers each proxy broadcasts its own updates; its interval is then at most a
+// quarter of a second.
 constexpr std::size_t kMaxDirectPeers = 20;
 
-// A sender's share of a budget: one datagram an interval on average, some in a row after a pause (the generic
+// Limits a sender to one datagram per interval on average, with bursts after a pause (the generic
 // cell rate algorithm, ITU-T I.371).
 class RateLimiter {
  public:
@@ -42,7 +48,8 @@
   void startAt(double ms) { nextMs_ = ms; }
   std::int64_t allowedFromMs() const;
   bool allows(std::int64_t nowMs) const { return nowMs >= allowedFromMs(); }
-  void spend(std::int64_t nowMs, double jitter);  // jitter: factor of the interval, 1 in the mean
+  // Records that a datagram was sent. `jitter` is a factor of the interval, 1 on average.
+  void spend(std::int64_t nowMs, double jitter);
   double intervalMs() const { return intervalMs_; }
 
  private:
@@ -53,39 +60,46 @@
 class GossipScheduler {
  public:
   struct Policy {
-    std::size_t peers = 0;       // the other proxies
-    std::int64_t boundMs = 200;  // data older than this serve no read
+    std::size_t peers = 0;       // number of other proxies
+    std::int64_t boundMs = 200;  // staleness bound: older data serve no read
     bool broadcast = true;       // one address reaches all peers
     std::uint64_t seed = 0;      // has to differ between proxies
-    // The peers that rank before this proxy as relays; nothing: its place among them is not known.
+    // The peers that rank before this proxy as relays; std::nullopt if this proxy's rank is not
+    // known.
     std::optional<std::vector<std::size_t>> rankedBefore = std::nullopt;
   };
   explicit GossipScheduler(const Policy&);
 
-  // A status from a response or a health check. Each call adds to the byte budget.
+  // Handles a status from a response or a health check of this proxy. Each call adds to the byte
+  // budget.
   void observedLocally(const GossipUpdate&, std::int64_t nowMs);
-  // An update from a peer.
+  // Handles an update from a peer.
   void receivedFromPeer(const GossipUpdate&, std::int64_t nowMs);
-  // A datagram came from `peer`.
+  // Records that a datagram arrived from `peer`.
   void datagramReceived(std::size_t peer);
-  // Fills `datagram` with updates for the relay, at most kGossipUpdatesPerDatagram, and returns its index
-  // among the peers. Nothing: there are none, or this proxy is the relay, or there is no relay.
+  // Fills `datagram` with at most kGossipUpdatesPerDatagram updates for the relay and returns the
+  // relay's index among the peers. Returns std::nullopt if no updates are due, if this proxy is the
+  // relay, or if the fleet uses no relay.
   std::optional<std::size_t> takeForRelay(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
-  // Fills `datagram` with the updates of one to all receivers that is due now, at most
-  // kGossipUpdatesPerDatagram. False: none is due.
+  // Fills `datagram` with at most kGossipUpdatesPerDatagram updates for the receivers of
+  // drawReceivers(). Returns false if no datagram is due.
   bool takeDatagram(std::int64_t nowMs, std::vector<GossipUpdate>& datagram);
-  // When a change of role is due next; other updates wait for the first turn in which the budget allows them.
+  // Returns when the next change of role is due. Other updates need no timer: they are sent in the
+  // first event-loop turn in which the budget allows them.
   std::optional<std::int64_t> urgentAtMs() const;
-  // When this proxy, as the relay, sends its next datagram.
+  // Returns when this proxy sends its next datagram as the relay; std::nullopt if it is not the
+  // relay or has no updates.
   std::optional<std::int64_t> relayAtMs(std::int64_t nowMs);
-  // Receivers of the next datagram: all peers, or kFanout of them drawn at random. Valid until the next call.
+  // Returns the receivers of the next datagram: all peers, or kFanout of them drawn at random. The
+  // reference is valid until the next call.
   const std::vector<std::size_t>& drawReceivers();
 
   std::size_t knownEndpoints() const { return endpointStatuses_.size(); }
 
  private:
-  enum class News { Position, Lag, RoleChange };
-  struct EndpointStatus {  // last sent by this proxy or any peer
+  // The reason to send an update, by increasing priority. Lag: a replica has fallen behind the bound.
+  enum class UpdateKind { Position, Lag, RoleChange };
+  struct EndpointStatus {  // as last sent by this proxy or a peer
     std::int64_t positionMs = 0;
     std::int64_t atMs = 0;
     GossipRole role = GossipRole::Unknown;
@@ -93,18 +107,19 @@
   };
   struct PendingUpdate {
     GossipUpdate update;
-    News news = News::Position;
-    std::int64_t dueMs = 0;  // RoleChange
-    int sendsLeft = 0;       // RoleChange: datagrams that still have to carry it
+    UpdateKind kind = UpdateKind::Position;
+    std::int64_t dueMs = 0;  // RoleChange only: earliest time to send
+    int sendsLeft = 0;       // RoleChange only: datagrams in which it still has to be sent
   };
 
-  bool sampled() const { return receivers_ < policy_.peers; }
-  bool isRelay(std::int64_t nowMs) { return relays_ && !relays_->relay(nowMs); }
+  bool sendsToSample() const { return receivers_ < policy_.peers; }
+  bool isRelay(std::int64_t nowMs) { return relaySelection_ && !relaySelection_->relay(nowMs); }
   bool broadcastAllowed(std::int64_t nowMs);
   void receivedByRelay(const GossipUpdate&, std::int64_t nowMs);
   bool changesRole(const GossipUpdate&) const;
-  std::optional<News> newsIn(const GossipUpdate&, std::int64_t nowMs) const;
-  void enqueue(const GossipUpdate&, News, std::int64_t nowMs);
+  // Returns why the update is worth sending; std::nullopt if it is not.
+  std::optional<UpdateKind> classify(const GossipUpdate&, std::int64_t nowMs) const;
+  void enqueue(const GossipUpdate&, UpdateKind, std::int64_t nowMs);
   std::vector<PendingUpdate>::iterator find(std::uint64_t tag);
   void evictPending(std::int64_t nowMs);
   void dropOutdated(std::int64_t nowMs);
@@ -120,17 +135,17 @@
   const Policy policy_;
   const std::size_t receivers_;  // of one datagram
   std::mt19937_64 random_;
-  RateLimiter ordinary_;
-  RateLimiter urgent_;
-  RateLimiter toRelay_;
-  RateLimiter relayed_;                   // of the relay, which has the whole budget
-  std::optional<RelaySelection> relays_;  // nothing: each proxy broadcasts by itself
+  RateLimiter ordinaryLimiter_;
+  RateLimiter urgentLimiter_;
+  RateLimiter toRelayLimiter_;
+  RateLimiter relayLimiter_;  // for the relay's broadcasts, which may use the whole budget
+  std::optional<RelaySelection> relaySelection_;  // std::nullopt: each proxy broadcasts its own updates
   bool started_ = false;
-  double byteBudget_;                   // bytes that may still be delivered, counted at the receivers
-  std::vector<PendingUpdate> pending_;  // at most one an endpoint
+  double byteBudget_;                   // bytes that may still be sent, counted once per receiver
+  std::vector<PendingUpdate> pending_;  // at most one per endpoint
   std::unordered_map<std::uint64_t, EndpointStatus> endpointStatuses_;
   std::int64_t lastExpiryMs_ = 0;
-  std::vector<std::size_t> order_;  // of the peers; shuffled as far as needed
+  std::vector<std::size_t> order_;  // peer indices, partially shuffled by drawReceivers()
   std::vector<std::size_t> drawnPeers_;
 };
 
--- a/src/cluster/udp/datagrams.cpp
+++ b/src/cluster/udp/datagrams.cpp
@@ -8,12 +8,13 @@
 namespace sablespur {
 namespace {
 
-constexpr int kReceivesPerTurn = 64;  // in one pass of the loop, so that requests are not held up
-constexpr int kErrorsPerTurn = 16;    // skipped in one pass
-// After an error of the socket itself: without a pause the loop would spin while it stays readable.
+constexpr int kReceivesPerTurn = 64;  // per pass of the event loop, so that requests are not delayed
+constexpr int kErrorsPerTurn = 16;    // transient errors skipped in one pass
+// Pause after any other error, or after more transient errors: a socket that stays readable would
+// otherwise make the event loop spin.
 constexpr std::chrono::milliseconds kErrorPause(100);
 
-// Errors left by an earlier datagram or a signal; the next call may succeed.
+// Returns true for errors caused by an earlier datagram or a signal; the next call may succeed.
 bool isTransient(int error) {
   return error == EINTR || error == ECONNREFUSED || error == EHOSTUNREACH || error == ENETUNREACH ||
          error == EHOSTDOWN || error == ENETDOWN || error == EMSGSIZE || error == EPERM;
@@ -49,9 +50,10 @@
   return it == indices_.end() ? kUnknown : it->second;
 }
 
-DatagramSocket::DatagramSocket(event_base* base, const Address& listen, std::size_t longest,
+DatagramSocket::DatagramSocket(event_base* base, const Address& listen, std::size_t maxBytes,
                                Receiver receiver)
-    : receiver_(std::move(receiver)), buffer_(longest + 1) {  // one more byte reveals an overlong datagram
+    : receiver_(std::move(receiver)),
+      buffer_(maxBytes + 1) {  // one more byte, to detect datagrams that are too long
   fd_ = socket(listen.v6() ? AF_INET6 : AF_INET, SOCK_DGRAM, 0);
   if (fd_ < 0 || evutil_make_socket_nonblocking(fd_) != 0 || evutil_make_socket_closeonexec(fd_) != 0 ||
       bind(fd_, listen.data(), listen.size()) != 0) {
@@ -81,7 +83,8 @@
     return datagramCalls().send(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT, to.data(), to.size());
   };
   if (attempt() >= 0) return true;
-  // A signal came between, or the error is an earlier datagram's: the call took it and sent nothing.
+  // A signal interrupted the call, or it returned the pending error of an earlier datagram. In both
+  // cases it sent nothing, so it is repeated once.
   if ((errno == EINTR || errno == ECONNREFUSED) && attempt() >= 0) return true;
   return isTransient(errno);
 }
@@ -91,9 +94,9 @@
   for (int calls = 0; calls < kReceivesPerTurn; ++calls) {
     sockaddr_storage from{};
     socklen_t length = sizeof from;
-    const ssize_t got = datagramCalls().receive(fd_, buffer_.data(), buffer_.size(), MSG_DONTWAIT,
-                                                reinterpret_cast<sockaddr*>(&from), &length);
-    if (got < 0) {
+    const ssize_t received = datagramCalls().receive(fd_, buffer_.data(), buffer_.size(), MSG_DONTWAIT,
+                                                     reinterpret_cast<sockaddr*>(&from), &length);
+    if (received < 0) {
       if (isTransient(errno) && ++errors <= kErrorsPerTurn) continue;
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       event_del(readable_.get());
@@ -101,8 +104,8 @@
       return;
     }
     const std::size_t sender = senders_.find(reinterpret_cast<const sockaddr*>(&from));
-    if (sender == SenderTable::kUnknown || got == 0) continue;
-    receiver_(sender, std::string_view(buffer_.data(), static_cast<std::size_t>(got)));
+    if (sender == SenderTable::kUnknown || received == 0) continue;
+    receiver_(sender, std::string_view(buffer_.data(), static_cast<std::size_t>(received)));
   }
 }
 
--- a/src/cluster/udp/datagrams.hpp
+++ b/src/cluster/udp/datagrams.hpp
@@ -1,4 +1,5 @@
-// The UDP socket between proxies. No error of a datagram ends it; it does not interpret their contents.
+// The UDP socket between proxies. Errors of single datagrams do not close it, and it does not
+// interpret their contents.
 #pragma once
 
 #include <sys/socket.h>
@@ -15,14 +16,15 @@
 
 namespace sablespur {
 
-// The system calls on datagram sockets, replaceable by tests (see also SystemCalls and FileCalls).
+// The system calls on datagram sockets, which tests can replace (see also SystemCalls and
+// FileCalls).
 struct DatagramCalls {
   ssize_t (*receive)(int fd, void* bytes, std::size_t size, int flags, sockaddr* from,
                      socklen_t* length) = ::recvfrom;
   ssize_t (*send)(int fd, const void* bytes, std::size_t size, int flags, const sockaddr* to,
                   socklen_t length) = ::sendto;
 };
-// Replaced by tests alone.
+// Returns the calls in use; only tests modify them.
 inline DatagramCalls& datagramCalls() {
   static DatagramCalls calls;
   return calls;
@@ -32,8 +34,8 @@
 class SenderTable {
  public:
   static constexpr std::size_t kUnknown = static_cast<std::size_t>(-1);
-  bool add(const Address&, std::size_t index);  // false: it is there already
-  std::size_t find(const sockaddr*) const;
+  bool add(const Address&, std::size_t index);  // false if the address is already in the table
+  std::size_t find(const sockaddr*) const;      // kUnknown if the address is not in the table
 
  private:
   struct Key {
@@ -54,8 +56,9 @@
  public:
   // Called for each datagram from a known sender; the bytes are valid during the call.
   using Receiver = std::function<void(std::size_t sender, std::string_view datagram)>;
-  // Binds to `listen`; on failure ready() is false and error() the errno. `longest` bytes a datagram at most.
-  DatagramSocket(event_base*, const Address& listen, std::size_t longest, Receiver);
+  // Binds to `listen`. On failure ready() is false and error() returns the errno. Datagrams may
+  // have up to `maxBytes` bytes.
+  DatagramSocket(event_base*, const Address& listen, std::size_t maxBytes, Receiver);
   ~DatagramSocket();
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
@@ -63,7 +66,8 @@
   bool ready() const { return readable_ != nullptr; }
   int error() const { return error_; }
   SenderTable& senders() { return senders_; }
-  // Best effort. False: the machine sends nothing at the moment, so further datagrams need not be tried.
+  // Sends a datagram, best effort. Returns false if the machine cannot send at the moment, so the
+  // caller can skip further datagrams.
   bool send(const Address& to, std::string_view datagram) const;
 
  private:
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -25,27 +25,28 @@
   return peer == config.peerListen || peer == config.peerOwn;
 }
 
-std::vector<Address> othersOf(const Config& config, SenderTable& senders) {
+std::vector<Address> otherProxies(const Config& config, SenderTable& senders) {
   std::vector<Address> others;
   for (const Address& peer : config.peers)
     if (!isOwn(config, peer) && senders.add(peer, others.size())) others.push_back(peer);
   return others;
 }
 
-// The same update with its position on a clock that is ahead by `byMs`.
-cluster::GossipUpdate moved(cluster::GossipUpdate update, std::int64_t byMs) {
-  update.positionMs += byMs;
+// Converts the update's position to a clock that is ahead by `offsetMs`.
+cluster::GossipUpdate withClockOffset(cluster::GossipUpdate update, std::int64_t offsetMs) {
+  update.positionMs += offsetMs;
   return update;
 }
 
-// A place in the order of relays that all proxies compute alike.
+// Returns the sort key of a proxy in the ranking of relays, the same at every proxy.
 std::pair<std::uint64_t, std::string> rankOf(const Address& address) {
   constexpr std::uint64_t kMultiplier = 0x9e3779b97f4a7c15ull;  // 2^64 over the golden ratio
   const std::uint64_t hash = cluster::endpointTag(address.text()) * kMultiplier;
   return {hash ^ hash >> 29, address.text()};
 }
 
-// The peers that rank before this proxy; nothing if its own address among them is not known.
+// Returns the peers that rank before this proxy in rank order, or std::nullopt if the configured
+// peers do not include this proxy.
 std::optional<std::vector<std::size_t>> peersRankedBefore(const Config& config,
                                                           const std::vector<Address>& others) {
   const auto own = std::find_if(config.peers.begin(), config.peers.end(),
@@ -63,7 +64,7 @@
 }
 
 cluster::GossipScheduler::Policy policyOf(const Config& config, const std::vector<Address>& others) {
-  // The proxies of a fleet may be given one seed; their addresses differ.
+  // The proxies of a fleet may share a configured seed, so the address, which differs, is mixed in.
   const std::uint64_t seed = config.seed ^ cluster::endpointTag(config.peerListen.text());
   return {others.size(), tightestBoundMs(config.settings), !config.peersAll.none(), seed,
           peersRankedBefore(config, others)};
@@ -76,7 +77,7 @@
       config_(config),
       socket_(base, config.peerListen, cluster::kMaxDatagramBytes,
               [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
-      others_(othersOf(config, socket_.senders())),
+      others_(otherProxies(config, socket_.senders())),
       scheduler_(std::in_place, policyOf(config, others_)),
       sendTimer_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->flush(); },
@@ -92,20 +93,21 @@
 
 void PeerLink::statusObserved(const cluster::GossipUpdate& update) {
   if (!config_.hints) return;
-  followReference();
-  scheduler_->observedLocally(moved(update, -offsetMs_), nowMs());
+  updateClockOffset();
+  scheduler_->observedLocally(withClockOffset(update, -offsetMs_), nowMs());
 }
 
 void PeerLink::flush() {
-  followReference();
+  updateClockOffset();
   while (const auto relay = scheduler_->takeForRelay(nowMs(), due_))
     socket_.send(others_[*relay], encodeDue());
   while (scheduler_->takeDatagram(nowMs(), due_)) transmit();
   armTimer();
 }
 
-// Updates sent under another reference say nothing about what peers still need.
-void PeerLink::followReference() {
+// Replaces the scheduler when the reference clock's offset changes: updates sent with another
+// offset do not show which positions peers still need.
+void PeerLink::updateClockOffset() {
   const std::int64_t offsetMs = engine_.clockOffset().count() / 1000;
   if (offsetMs == offsetMs_) return;
   offsetMs_ = offsetMs;
@@ -124,7 +126,7 @@
 }
 
 std::string PeerLink::encodeDue() {
-  for (cluster::GossipUpdate& update : due_) update = moved(update, offsetMs_);
+  for (cluster::GossipUpdate& update : due_) update = withClockOffset(update, offsetMs_);
   return cluster::encode(due_);
 }
 
@@ -142,13 +144,13 @@
     return;
   }
   if (!config_.hints) return;
-  followReference();
+  updateClockOffset();
   scheduler_->datagramReceived(peer);
   const std::int64_t now = nowMs();
   const std::size_t count = cluster::gossipUpdateCount(datagram);
   for (std::size_t k = 0; k < count; ++k) {
     const cluster::GossipUpdate update = cluster::gossipUpdateAt(datagram, k, now + offsetMs_);
-    scheduler_->receivedFromPeer(moved(update, -offsetMs_), now);
+    scheduler_->receivedFromPeer(withClockOffset(update, -offsetMs_), now);
     engine_.gossipReceived(update);
   }
 }
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -1,4 +1,4 @@
-// Gossip between proxies over UDP. Lost, late and repeated datagrams are harmless.
+// Exchanges gossip between proxies over UDP. Lost, late and repeated datagrams are harmless.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 
 namespace sablespur {
 
-// Sends what the GossipScheduler decides, and passes the updates of known peers on to the engine. If its
-// address cannot be bound, that is logged and the proxy works without gossip, which is never needed for
-// correctness.
+// Sends the datagrams that the GossipScheduler decides on and forwards updates from known peers to
+// the engine. If the listen address cannot be bound, the error is logged and the proxy runs without
+// gossip, which is not needed for correctness.
 class PeerLink final : public ReplicationObserver {
  public:
   PeerLink(event_base*, Engine&, const Config&);
@@ -29,7 +29,8 @@
   void statusObserved(const cluster::GossipUpdate&) override;
   void flush() override;
 
-  // Receives the datagrams that are not gossip; `peer` is the sender's index among the other proxies.
+  // Called for each datagram that is not gossip; `peer` is the sender's index among the other
+  // proxies.
   using SnapshotHeaderHandler = std::function<void(std::size_t peer, std::string_view datagram)>;
   void onHead(SnapshotHeaderHandler handler) { snapshotHeaderHandler_ = std::move(handler); }
   void send(std::size_t peer, const std::string& datagram);  // best effort
@@ -40,17 +41,19 @@
   void transmit();
   std::string encodeDue();
   void armTimer();
-  void followReference();
+  void updateClockOffset();
   std::int64_t nowMs() const { return engine_.now().count() / 1000; }
 
   Engine& engine_;
   const Config& config_;
   DatagramSocket socket_;
   std::vector<Address> others_;
-  std::optional<cluster::GossipScheduler> scheduler_;  // never empty; replaced when the reference clock moves
-  std::int64_t offsetMs_ = 0;               // of the reference clock; scheduler_ counts positions without it
+  std::optional<cluster::GossipScheduler> scheduler_;  // never empty; replaced when the offset changes
+  // Offset of the reference clock. Positions in scheduler_ are on the local clock, without this
+  // offset.
+  std::int64_t offsetMs_ = 0;
   std::vector<cluster::GossipUpdate> due_;  // the datagram that is being sent
-  Event sendTimer_;                         // neither a change of role nor the relay waits for the next turn
+  Event sendTimer_;  // for changes of role and relay datagrams that are due before the next turn
   SnapshotHeaderHandler snapshotHeaderHandler_;
 };
 
