--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -41,7 +41,7 @@
   if (!recovery) return nullptr;
   RecoveryCoordinator* const coordinator = recovery.get();
   if (peers)
-    peers->onHead([coordinator](std::size_t from, std::string_view datagram) {
+    peers->onSnapshotHeader([coordinator](std::size_t from, std::string_view datagram) {
       coordinator->peerDatagramReceived(from, datagram);
     });
   backends.setDialDelay([&engine, coordinator](EndpointId endpoint) {
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -32,7 +32,7 @@
   // Called for each datagram that is not gossip; `peer` is the sender's index among the other
   // proxies.
   using SnapshotHeaderHandler = std::function<void(std::size_t peer, std::string_view datagram)>;
-  void onHead(SnapshotHeaderHandler handler) { snapshotHeaderHandler_ = std::move(handler); }
+  void onSnapshotHeader(SnapshotHeaderHandler handler) { snapshotHeaderHandler_ = std::move(handler); }
   void send(std::size_t peer, const std::string& datagram);  // best effort
   std::size_t others() const { return others_.size(); }
 
