--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -20,7 +20,7 @@
 PeerTransport peerTransport(PeerLink* peers) {
   PeerTransport transport;
   if (!peers) return transport;
-  transport.peers = peers->others();
+  transport.peers = peers->peerCount();
   transport.send = [peers](std::size_t to, const std::string& datagram) { peers->send(to, datagram); };
   return transport;
 }
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -34,7 +34,7 @@
   using SnapshotHeaderHandler = std::function<void(std::size_t peer, std::string_view datagram)>;
   void onSnapshotHeader(SnapshotHeaderHandler handler) { snapshotHeaderHandler_ = std::move(handler); }
   void send(std::size_t peer, const std::string& datagram);  // best effort
-  std::size_t others() const { return others_.size(); }
+  std::size_t peerCount() const { return others_.size(); }
 
  private:
   void receive(std::size_t peer, std::string_view datagram);
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -432,7 +432,7 @@
     many.peersAll = a;
     Engine engine(base.get(), many);
     PeerLink link(base.get(), engine, many);
-    EXPECT_EQ(link.others(), peers.size() - 1) << "without itself";
+    EXPECT_EQ(link.peerCount(), peers.size() - 1) << "without itself";
     link.statusObserved({1, engine.now().count() / 1000, GossipRole::Replica, 0, 1000});
     link.flush();
     ASSERT_EQ(receivers.size(), 1u);
