--- a/src/cluster/scheduler.cpp
+++ b/src/cluster/scheduler.cpp
@@ -176,7 +176,7 @@
 
 // Returns the first delay as a fraction of the interval, drawn as if the proxy had always been
 // sending (the stationary distribution of a renewal process, in which long intervals are more
-// likely to be sendsToSample). With a plain uniform draw, a fleet that starts at once would exceed
+// likely to be sampled). With a plain uniform draw, a fleet that starts at once would exceed
 // the budget later.
 double GossipScheduler::firstPhase() {
   std::uniform_real_distribution<> unit(0, 1);
--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -77,8 +77,8 @@
       config_(config),
       socket_(base, config.peerListen, cluster::kMaxDatagramBytes,
               [this](std::size_t peer, std::string_view datagram) { receive(peer, datagram); }),
-      others_(otherProxies(config, socket_.senders())),
-      scheduler_(std::in_place, policyOf(config, others_)),
+      peers_(otherProxies(config, socket_.senders())),
+      scheduler_(std::in_place, policyOf(config, peers_)),
       sendTimer_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void* self) { static_cast<PeerLink*>(self)->flush(); },
           this)) {
@@ -87,8 +87,8 @@
 }
 
 void PeerLink::send(std::size_t peer, const std::string& datagram) {
-  if (peer >= others_.size() || datagram.size() > cluster::kMaxDatagramBytes) return;
-  socket_.send(others_[peer], datagram);
+  if (peer >= peers_.size() || datagram.size() > cluster::kMaxDatagramBytes) return;
+  socket_.send(peers_[peer], datagram);
 }
 
 void PeerLink::statusObserved(const cluster::GossipUpdate& update) {
@@ -100,7 +100,7 @@
 void PeerLink::flush() {
   updateClockOffset();
   while (const auto relay = scheduler_->takeForRelay(nowMs(), due_))
-    socket_.send(others_[*relay], encodeDue());
+    socket_.send(peers_[*relay], encodeDue());
   while (scheduler_->takeDatagram(nowMs(), due_)) transmit();
   armTimer();
 }
@@ -111,7 +111,7 @@
   const std::int64_t offsetMs = engine_.clockOffset().count() / 1000;
   if (offsetMs == offsetMs_) return;
   offsetMs_ = offsetMs;
-  scheduler_.emplace(policyOf(config_, others_));
+  scheduler_.emplace(policyOf(config_, peers_));
 }
 
 void PeerLink::transmit() {
@@ -122,7 +122,7 @@
     return;
   }
   for (const std::size_t peer : scheduler_->drawReceivers())
-    if (!socket_.send(others_[peer], datagram)) return;
+    if (!socket_.send(peers_[peer], datagram)) return;
 }
 
 std::string PeerLink::encodeDue() {
--- a/src/cluster/udp/link.hpp
+++ b/src/cluster/udp/link.hpp
@@ -34,7 +34,7 @@
   using SnapshotHeaderHandler = std::function<void(std::size_t peer, std::string_view datagram)>;
   void onSnapshotHeader(SnapshotHeaderHandler handler) { snapshotHeaderHandler_ = std::move(handler); }
   void send(std::size_t peer, const std::string& datagram);  // best effort
-  std::size_t peerCount() const { return others_.size(); }
+  std::size_t peerCount() const { return peers_.size(); }
 
  private:
   void receive(std::size_t peer, std::string_view datagram);
@@ -47,7 +47,7 @@
   Engine& engine_;
   const Config& config_;
   DatagramSocket socket_;
-  std::vector<Address> others_;
+  std::vector<Address> peers_;                         // the other proxies
   std::optional<cluster::GossipScheduler> scheduler_;  // never empty; replaced when the offset changes
   // Offset of the reference clock. Positions in scheduler_ are on the local clock, without this
   // offset.
--- a/tests/gossip_fleet_test.cpp
+++ b/tests/gossip_fleet_test.cpp
@@ -1,5 +1,6 @@
-// A fleet of gossip schedulers on a simulated network: what each proxy receives stays flat as the fleet
-// grows, the positions it knows stay fresh, and a change of role reaches everyone.
+// Runs a fleet of gossip schedulers on a simulated network. As the fleet grows, the datagrams that
+// each proxy receives stay bounded, the positions that it knows stay fresh, and a change of role
+// reaches all proxies.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,22 +18,23 @@
 namespace {
 
 constexpr std::int64_t kStartMs = 1767225600000;
-constexpr std::uint64_t kMembers = 12;
+constexpr std::uint64_t kEndpoints = 12;
 constexpr std::int64_t kBoundMs = 200;
-constexpr double kAnswersPerSecond = 35;  // of each proxy
-constexpr double kLoss = 0.02;            // of a datagram, at each receiver by itself
-constexpr int kLeastDelayMs = 1, kMostDelayMs = 40;
-// Measured: the span after the warm-up, or after a change of role.
-constexpr std::int64_t kWarmMs = 1000, kSpanMs = 1500;
+constexpr double kResponsesPerSecond = 35;  // at each proxy
+constexpr double kLoss = 0.02;              // probability per datagram and receiver
+constexpr int kMinDelayMs = 1, kMaxDelayMs = 40;
+// Figures are measured in the span after the warm-up, or after a change of role.
+constexpr std::int64_t kWarmUpMs = 1000, kSpanMs = 1500;
 constexpr std::int64_t kFailOverMs = 1000, kFailOverSpanMs = 600;
 
 struct Figures {
-  double datagrams = 0, bytes = 0;  // received a second, a proxy in the mean
-  double busiest = 0;               // datagrams a second, the proxy that received most
-  std::int64_t p50 = 0, p99 = 0;    // ms: age of the newest position known, at each answer
+  double datagrams = 0, bytes = 0;  // received per second, mean over proxies
+  double busiest = 0;               // datagrams per second at the proxy that received most
+  std::int64_t p50 = 0, p99 = 0;    // ms: age of the newest known position, sampled at each response
 };
 
-// How a datagram reaches others: one address for all, the same with relays, or a sample of the peers.
+// How datagrams reach other proxies: a broadcast address, a broadcast address and a relay, or a
+// sample of the peers.
 enum class Reach { All, Relay, Sample };
 constexpr Reach kReaches[] = {Reach::All, Reach::Relay, Reach::Sample};
 const char* nameOf(Reach reach) {
@@ -50,20 +52,21 @@
         std::iota(policy.rankedBefore->begin(), policy.rankedBefore->end(), std::size_t{0});
       }
       schedulers_.push_back(std::make_unique<GossipScheduler>(policy));
-      answers_.push({kStartMs + uniform(0, 28), k});
+      nextResponses_.push({kStartMs + uniform(0, 28), k});
     }
-    newest_.assign(proxies * kMembers, 0);
-    knowsPrimary_.assign(proxies, kMembers);
+    newestPositions_.assign(proxies * kEndpoints, 0);
+    knowsPrimary_.assign(proxies, kEndpoints);
     received_.assign(proxies, 0);
     turn_.assign(proxies, false);
     wakeMs_.assign(proxies, std::numeric_limits<std::int64_t>::max());
   }
 
-  // From `atMs` on member `to` says that it is the primary, and the one before that it is none.
-  void failOver(std::int64_t atMs, std::uint64_t to, bool onlyOneProxySeesIt) {
+  // From `atMs` on, endpoint `to` responds as the primary and the previous primary as a replica. With
+  // `onlyFirstProxyObserves`, only proxy 0 gets responses of these two.
+  void failOver(std::int64_t atMs, std::uint64_t to, bool onlyFirstProxyObserves) {
     failOverMs_ = kStartMs + atMs;
     newPrimary_ = to;
-    lonely_ = onlyOneProxySeesIt;
+    onlyFirstProxyObserves_ = onlyFirstProxyObserves;
   }
 
   // From `atMs` on the first `count` proxies are down.
@@ -73,17 +76,18 @@
   }
 
   Figures run() {
-    const std::int64_t endMs = failOverMs_ > 0 ? failOverMs_ + kFailOverSpanMs : kStartMs + kWarmMs + kSpanMs;
+    const std::int64_t endMs =
+        failOverMs_ > 0 ? failOverMs_ + kFailOverSpanMs : kStartMs + kWarmUpMs + kSpanMs;
     for (now_ = kStartMs; now_ < endMs; ++now_) {
       if (downCount_ > 0 && now_ == downAtMs_)
         for (std::size_t k = 0; k < downCount_; ++k) down_[k] = true;
-      deliver();
-      if (lonely_ && now_ == failOverMs_) {
-        schedulers_[0]->observedLocally(answerOf(newPrimary_), now_);
-        know(0, answerOf(newPrimary_));
+      deliverDatagrams();
+      if (onlyFirstProxyObserves_ && now_ == failOverMs_) {
+        schedulers_[0]->observedLocally(statusOf(newPrimary_), now_);
+        learn(0, statusOf(newPrimary_));
         turn_[0] = true;
       }
-      answer();
+      deliverResponses();
       for (std::size_t k = 0; k < proxies_; ++k)
         if (!down_[k] && (turn_[k] || wakeMs_[k] <= now_)) turn(k);
       countInformed();
@@ -91,7 +95,8 @@
     return figures();
   }
 
-  // Ms from the change of role until so many of the proxies knew of it; -1: never.
+  // Returns the time in ms from the change of role until this share of the proxies knew of it; -1
+  // if never.
   std::int64_t informedAfterMs(double share) const {
     for (const auto& [ms, n] : informed_)
       if (static_cast<double>(n) >= share * static_cast<double>(proxies_)) return ms - failOverMs_;
@@ -100,14 +105,14 @@
   std::size_t urgentDatagrams() const { return sentAtFailOver_; }
 
  private:
-  struct Answer {
+  struct Response {
     std::int64_t atMs;
     std::size_t proxy;
-    bool operator<(const Answer& o) const { return atMs > o.atMs; }
+    bool operator<(const Response& o) const { return atMs > o.atMs; }
   };
   struct Delivery {
-    std::size_t proxy, author;
-    std::shared_ptr<const std::vector<GossipUpdate>> hints;
+    std::size_t proxy, sender;
+    std::shared_ptr<const std::vector<GossipUpdate>> updates;
   };
 
   std::int64_t uniform(std::int64_t least, std::int64_t most) {
@@ -117,38 +122,40 @@
   std::uint64_t primary() const { return failedOver() ? newPrimary_ : 0; }
 
   // Replicas lag by 5 to 45 ms.
-  GossipUpdate answerOf(std::uint64_t member) {
-    const bool isPrimary = member == primary();
-    return {member, now_ - (isPrimary ? 0 : uniform(5, 45)),
+  GossipUpdate statusOf(std::uint64_t endpoint) {
+    const bool isPrimary = endpoint == primary();
+    return {endpoint, now_ - (isPrimary ? 0 : uniform(5, 45)),
             isPrimary ? GossipRole::Primary : GossipRole::Replica, 0, 20000};
   }
-  void answer() {
-    while (!answers_.empty() && answers_.top().atMs <= now_) {
-      const Answer a = answers_.top();
-      answers_.pop();
-      const auto gap = std::exponential_distribution<>(kAnswersPerSecond / 1000)(random_);
-      answers_.push({now_ + 1 + static_cast<std::int64_t>(gap), a.proxy});
+  void deliverResponses() {
+    while (!nextResponses_.empty() && nextResponses_.top().atMs <= now_) {
+      const Response a = nextResponses_.top();
+      nextResponses_.pop();
+      const auto gap = std::exponential_distribution<>(kResponsesPerSecond / 1000)(random_);
+      nextResponses_.push({now_ + 1 + static_cast<std::int64_t>(gap), a.proxy});
       if (down_[a.proxy]) continue;
-      auto member = static_cast<std::uint64_t>(uniform(0, kMembers - 1));
-      // Where one proxy alone is to see the change, no other gets an answer of the two that changed.
-      if (lonely_ && failedOver() && a.proxy != 0 && (member == newPrimary_ || member == 0))
-        member = newPrimary_ + 1;
-      const std::int64_t position = newest_[a.proxy * kMembers + member];
-      if (now_ >= kStartMs + kWarmMs && position > 0) ages_.push_back(now_ - position);
-      const GossipUpdate hint = answerOf(member);
-      schedulers_[a.proxy]->observedLocally(hint, now_);
-      know(a.proxy, hint);
+      auto endpoint = static_cast<std::uint64_t>(uniform(0, kEndpoints - 1));
+      // If only one proxy observes the change, no other gets a response of the two endpoints that
+      // changed.
+      if (onlyFirstProxyObserves_ && failedOver() && a.proxy != 0 &&
+          (endpoint == newPrimary_ || endpoint == 0))
+        endpoint = newPrimary_ + 1;
+      const std::int64_t position = newestPositions_[a.proxy * kEndpoints + endpoint];
+      if (now_ >= kStartMs + kWarmUpMs && position > 0) ages_.push_back(now_ - position);
+      const GossipUpdate update = statusOf(endpoint);
+      schedulers_[a.proxy]->observedLocally(update, now_);
+      learn(a.proxy, update);
       turn_[a.proxy] = true;
     }
   }
-  void know(std::size_t proxy, const GossipUpdate& hint) {
-    std::int64_t& newest = newest_[proxy * kMembers + hint.endpointTag];
-    newest = std::max(newest, hint.positionMs);
-    if (hint.role == GossipRole::Primary && hint.endpointTag == primary())
-      knowsPrimary_[proxy] = hint.endpointTag;
+  void learn(std::size_t proxy, const GossipUpdate& update) {
+    std::int64_t& newest = newestPositions_[proxy * kEndpoints + update.endpointTag];
+    newest = std::max(newest, update.positionMs);
+    if (update.role == GossipRole::Primary && update.endpointTag == primary())
+      knowsPrimary_[proxy] = update.endpointTag;
   }
 
-  // As a proxy's loop: after an answer or a datagram, and by the timer of a change of role.
+  // A turn of the proxy's event loop: after a response or a datagram, or when its timer is due.
   void turn(std::size_t proxy) {
     turn_[proxy] = false;
     send(proxy);
@@ -157,10 +164,10 @@
                               schedulers_[proxy]->relayAtMs(now_).value_or(never));
   }
   void transmit(std::size_t proxy, std::size_t peer,
-                const std::shared_ptr<const std::vector<GossipUpdate>>& hints) {
+                const std::shared_ptr<const std::vector<GossipUpdate>>& updates) {
     if (std::uniform_real_distribution<>(0, 1)(random_) < kLoss) return;
-    arrivals_[static_cast<std::size_t>(now_ + uniform(kLeastDelayMs, kMostDelayMs)) % kSlots].push_back(
-        {peer < proxy ? peer : peer + 1, proxy, hints});
+    arrivals_[static_cast<std::size_t>(now_ + uniform(kMinDelayMs, kMaxDelayMs)) % kSlots].push_back(
+        {peer < proxy ? peer : peer + 1, proxy, updates});
   }
   void send(std::size_t proxy) {
     std::vector<GossipUpdate> datagram;
@@ -170,28 +177,28 @@
     }
     while (schedulers_[proxy]->takeDatagram(now_, datagram)) {
       EXPECT_LE(datagram.size(), kGossipUpdatesPerDatagram);
-      const auto hints = std::make_shared<const std::vector<GossipUpdate>>(datagram);
-      const bool tellsChange =
+      const auto updates = std::make_shared<const std::vector<GossipUpdate>>(datagram);
+      const bool hasRoleChange =
           failedOver() && std::any_of(datagram.begin(), datagram.end(), [&](const GossipUpdate& h) {
             return h.endpointTag == newPrimary_ && h.role == GossipRole::Primary;
           });
-      sentAtFailOver_ += tellsChange && now_ < failOverMs_ + 250;
-      for (const std::size_t peer : schedulers_[proxy]->drawReceivers()) transmit(proxy, peer, hints);
+      sentAtFailOver_ += hasRoleChange && now_ < failOverMs_ + 250;
+      for (const std::size_t peer : schedulers_[proxy]->drawReceivers()) transmit(proxy, peer, updates);
     }
   }
-  void deliver() {
+  void deliverDatagrams() {
     std::vector<Delivery>& due = arrivals_[static_cast<std::size_t>(now_) % kSlots];
     for (const Delivery& d : due) {
       if (down_[d.proxy]) continue;
-      if (now_ >= kStartMs + kWarmMs) {
+      if (now_ >= kStartMs + kWarmUpMs) {
         ++received_[d.proxy];
-        bytes_ += static_cast<double>(1 + d.hints->size() * kGossipUpdateBytes);
+        bytes_ += static_cast<double>(1 + d.updates->size() * kGossipUpdateBytes);
       }
       turn_[d.proxy] = true;
-      schedulers_[d.proxy]->datagramReceived(d.author < d.proxy ? d.author : d.author - 1);
-      for (const GossipUpdate& hint : *d.hints) {
-        schedulers_[d.proxy]->receivedFromPeer(hint, now_);
-        know(d.proxy, hint);
+      schedulers_[d.proxy]->datagramReceived(d.sender < d.proxy ? d.sender : d.sender - 1);
+      for (const GossipUpdate& update : *d.updates) {
+        schedulers_[d.proxy]->receivedFromPeer(update, now_);
+        learn(d.proxy, update);
       }
     }
     due.clear();
@@ -218,32 +225,33 @@
     return f;
   }
 
-  static constexpr std::size_t kSlots = kMostDelayMs + 1;  // a slot of arrivals for each ms ahead
+  static constexpr std::size_t kSlots = kMaxDelayMs + 1;  // of arrivals, one per ms of delay
   std::mt19937_64 random_;
   const std::size_t proxies_;
   std::vector<bool> down_;
   std::size_t downCount_ = 0;
   std::int64_t downAtMs_ = 0;
   std::vector<std::unique_ptr<GossipScheduler>> schedulers_;
-  std::priority_queue<Answer> answers_;
+  std::priority_queue<Response> nextResponses_;
   std::vector<Delivery> arrivals_[kSlots];
-  std::vector<std::int64_t> newest_;  // by proxy and member
+  std::vector<std::int64_t> newestPositions_;  // by proxy and endpoint
   std::vector<std::uint64_t> knowsPrimary_;
   std::vector<std::size_t> received_;
-  std::vector<bool> turn_;            // something has come since the proxy's last turn
-  std::vector<std::int64_t> wakeMs_;  // its timer
+  std::vector<bool> turn_;            // a response or datagram has arrived since the last turn
+  std::vector<std::int64_t> wakeMs_;  // when the proxy's timer is due
   double bytes_ = 0;
   std::vector<std::int64_t> ages_;
   std::int64_t now_ = 0, failOverMs_ = 0;
   std::uint64_t newPrimary_ = 0;
-  bool lonely_ = false;
-  std::vector<std::pair<std::int64_t, std::size_t>> informed_;  // when, how many know
+  bool onlyFirstProxyObserves_ = false;
+  // Time in ms and the number of proxies that knew the new primary at that time.
+  std::vector<std::pair<std::int64_t, std::size_t>> informed_;
   std::size_t sentAtFailOver_ = 0;
 };
 
 constexpr std::size_t kSizes[] = {6, 60, 350, 900};
 
-TEST(GossipFleet, WhatAProxyReceivesIsFlatAndPositionsStayFresh) {
+TEST(GossipFleet, ReceivedDatagramsStayBoundedAndPositionsFresh) {
   std::printf("proxies  reach   datagrams/s  busiest  bytes/s  age p50  p99 ms\n");
   for (const Reach reach : kReaches) {
     Figures at60;
@@ -257,9 +265,10 @@
       const double busiest = kReceivedPerSecond + kUrgentReceivedPerSecond;
       EXPECT_LE(f.busiest, 1.5 * (relayed ? busiest + kRelayReceivedPerSecond : busiest)) << n;
       EXPECT_LE(f.p50, kBoundMs) << n;
-      EXPECT_LE(f.p99, n == 6 ? 1200 : 600) << n;  // six proxies have few answers to tell of
+      EXPECT_LE(f.p99, n == 6 ? 1200 : 600) << n;  // six proxies get few responses to share
       if (relayed) {
-        EXPECT_LE(f.p99, kBoundMs) << n << ": all that is observed is of use to all";
+        EXPECT_LE(f.p99, kBoundMs) << n
+                                   << ": with a relay each observed position reaches all proxies in time";
       }
       if (n <= 60) continue;
       EXPECT_LE(f.datagrams, 1.4 * at60.datagrams) << n;
@@ -268,10 +277,10 @@
   }
 }
 
-TEST(GossipFleet, PositionsStayFreshWhereTheRelayAndThoseAfterItGoDown) {
+TEST(GossipFleet, PositionsStayFreshIfTheRelayAndItsSuccessorsGoDown) {
   for (const std::size_t n : {60, 350}) {
     FleetSimulation fleet(n, Reach::Relay, n + 3);
-    fleet.takeDown(3, kWarmMs - 200);  // each of them is suspected after 300 ms
+    fleet.takeDown(3, kWarmUpMs - 200);  // each of them is suspected after 300 ms
     const Figures f = fleet.run();
     std::printf("%7zu proxies, three relays down: %.1f datagrams/s, age p50 %lld ms, p99 %lld ms\n", n,
                 f.datagrams, static_cast<long long>(f.p50), static_cast<long long>(f.p99));
@@ -281,7 +290,7 @@
   }
 }
 
-TEST(GossipFleet, AChangeOfRoleThatOneProxySeesReachesAllButOneInAHundredWithinHalfASecond) {
+TEST(GossipFleet, AChangeOfRoleObservedByOneProxyReaches99PercentWithinHalfASecond) {
   std::printf("proxies  reach   99%% informed after ms  datagrams\n");
   for (const Reach reach : kReaches)
     for (const std::size_t n : kSizes) {
@@ -296,7 +305,7 @@
     }
 }
 
-TEST(GossipFleet, AChangeOfRoleThatAllSeeIsToldByFew) {
+TEST(GossipFleet, AChangeOfRoleObservedByAllProxiesIsSentByFew) {
   for (const Reach reach : {Reach::All, Reach::Relay})
     for (const std::size_t n : kSizes) {
       FleetSimulation fleet(n, reach, n + 11);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,5 +1,5 @@
-// Recovery's decisions: what a snapshot's bytes are worth, what is trusted, whose word is taken, in which
-// order service returns. All in simulated time.
+// Tests of recovery in simulated time: decoding and validating snapshots, exchanging state with
+// peers, admitting requests, and connect delays.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,12 +23,12 @@
 
 constexpr std::int64_t kNowMs = 1796000000000;
 
-Snapshot snapshot(int members = 6) {
+Snapshot snapshot(int endpointCount = 6) {
   Snapshot s;
   s.epoch = 4;
   s.sequence = 17;
   s.wallMs = kNowMs - 1000;
-  for (int k = 0; k < members; ++k) {
+  for (int k = 0; k < endpointCount; ++k) {
     EndpointRecord m;
     m.name = "s-" + std::to_string(k);
     m.address = "127.0.1." + std::to_string(k + 1) + ":5432";
@@ -44,8 +44,8 @@
   return s;
 }
 
-// ---- the file --------------------------------------------------------------------------------------------
-TEST(Snapshot, ReadsBackWhatWasWritten) {
+// ---- Snapshot encoding --------------------------------------------------------------------------
+TEST(Snapshot, DecodesWhatWasEncoded) {
   const Snapshot s = snapshot(), r = decode(encode(s));
   EXPECT_EQ(r.epoch, 4u);
   EXPECT_EQ(r.sequence, 17u);
@@ -58,21 +58,21 @@
   ASSERT_EQ(r.primaries.size(), 2u);
   EXPECT_EQ(r.primaries[1].endpoint, "s-3");
 }
-TEST(Snapshot, ACutAtAnyByteIsNoticed) {
+TEST(Snapshot, RejectsTruncationAtAnyByteAndTrailingBytes) {
   const std::string whole = encode(snapshot());
   for (std::size_t n = 0; n < whole.size(); ++n)
     EXPECT_THROW(decode(std::string_view(whole).substr(0, n)), SnapshotError) << n;
   EXPECT_THROW(decode(whole + "x"), SnapshotError);
 }
-TEST(Snapshot, ABitFlippedAnywhereIsNoticed) {
+TEST(Snapshot, RejectsAnyFlippedBit) {
   const std::string whole = encode(snapshot(2));
   for (std::size_t bit = 0; bit < 8 * whole.size(); ++bit) {
-    std::string spoilt = whole;
-    spoilt[bit / 8] = static_cast<char>(spoilt[bit / 8] ^ 1 << bit % 8);
-    EXPECT_THROW(decode(spoilt), SnapshotError) << bit;
+    std::string corrupt = whole;
+    corrupt[bit / 8] = static_cast<char>(corrupt[bit / 8] ^ 1 << bit % 8);
+    EXPECT_THROW(decode(corrupt), SnapshotError) << bit;
   }
 }
-TEST(Snapshot, ALaterVersionIsTurnedDownRatherThanMisread) {
+TEST(Snapshot, RejectsALaterVersion) {
   std::string later = encode(snapshot());
   later.replace(later.find(" 01 "), 4, " 02 ");
   try {
@@ -83,8 +83,8 @@
   }
 }
 
-// ---- trust -----------------------------------------------------------------------------------------------
-TEST(Trust, NamesAreKeptPositionsNeverAndPrimariesOnlyToBeAskedFirst) {
+// ---- Snapshot validation ------------------------------------------------------------------------
+TEST(SnapshotValidation, KeepsNamesAndPrimaryCandidatesAndDropsPositions) {
   const RecoveredState b = validateSnapshot(snapshot(), kNowMs, {});
   ASSERT_EQ(b.endpoints.size(), 6u);
   for (const EndpointRecord& m : b.endpoints) EXPECT_EQ(m.positionMs, 0) << m.name;
@@ -93,20 +93,20 @@
   EXPECT_EQ(b.epoch, 4u);
   EXPECT_FALSE(b.fromFuture);
 }
-TEST(Trust, FiguresDrawTowardsTheirKinAsTheyAge) {
+TEST(SnapshotValidation, OlderFiguresMoveTowardTheGroupMean) {
   Snapshot s = snapshot();
-  s.endpoints[0].latencyUs = 400000;  // ten times its kin
-  double was = 400000;
+  s.endpoints[0].latencyUs = 400000;  // ten times the others of its group
+  double previousUs = 400000;
   for (const auto age : {seconds(1), seconds(600), seconds(3600), seconds(36000)}) {
     s.wallMs = kNowMs - std::chrono::duration_cast<milliseconds>(age).count();
-    const double now = validateSnapshot(s, kNowMs, {}).endpoints[0].latencyUs;
-    EXPECT_LT(now, was);
-    was = now;
+    const double latencyUs = validateSnapshot(s, kNowMs, {}).endpoints[0].latencyUs;
+    EXPECT_LT(latencyUs, previousUs);
+    previousUs = latencyUs;
   }
-  const double kin = std::cbrt(400000.0 * 41000 * 42000);
-  EXPECT_NEAR(was, kin, kin / 100) << "after ten hours nothing of its own is left";
+  const double groupMean = std::cbrt(400000.0 * 41000 * 42000);
+  EXPECT_NEAR(previousUs, groupMean, groupMean / 100) << "after ten hours the own figure has no weight left";
 }
-TEST(Trust, ASnapshotFromTheFutureHasNoAgeAndItsFiguresCountAsTheirKins) {
+TEST(SnapshotValidation, ASnapshotFromTheFutureHasNoAgeAndUsesGroupMeans) {
   Snapshot s = snapshot();
   s.wallMs = kNowMs + 3600000;
   s.endpoints[0].latencyUs = 400000;
@@ -114,18 +114,19 @@
   const RecoveredState b = validateSnapshot(s, kNowMs, {});
   EXPECT_TRUE(b.fromFuture);
   EXPECT_DOUBLE_EQ(b.endpoints[0].latencyUs, b.endpoints[2].latencyUs);
-  EXPECT_EQ(b.endpoints[1].startedMs, kNowMs) << "counts as just started: cold, not warm since tomorrow";
-  EXPECT_EQ(b.endpoints.size(), 6u) << "names are kept all the same";
+  EXPECT_EQ(b.endpoints[1].startedMs, kNowMs) << "counts as just started, not as warm";
+  EXPECT_EQ(b.endpoints.size(), 6u) << "names are kept nevertheless";
 }
-TEST(Trust, AMemberWithoutFiguresHasItsKins) {
+TEST(SnapshotValidation, AnEndpointWithoutFiguresGetsTheGroupMean) {
   Snapshot s = snapshot();
   s.endpoints[0].latencyUs = 0;
   const RecoveredState b = validateSnapshot(s, kNowMs, {});
   EXPECT_GT(b.endpoints[0].latencyUs, 40000);
   EXPECT_LT(b.endpoints[0].latencyUs, 43000);
 }
-// Any snapshot, any clock: figures stay within what was measured, and nothing of a position is left.
-TEST(Trust, ForAnySnapshotNothingIsMadeUp) {
+// For random snapshots and clocks, figures stay within the range that was measured and positions
+// are dropped.
+TEST(SnapshotValidation, FiguresStayWithinTheMeasuredRangeForRandomSnapshots) {
   std::mt19937_64 random(7);
   for (int round = 0; round < 500; ++round) {
     Snapshot s = snapshot(1 + static_cast<int>(random() % 12));
@@ -148,9 +149,9 @@
   }
 }
 
-// ---- whose word is taken ---------------------------------------------------------------------------------
-SnapshotHeader encodeFirstLine(std::uint64_t epoch, std::uint64_t primaryOf0, bool serving = false,
-                               std::int64_t wallMs = kNowMs) {
+// ---- Snapshot headers and the exchange with peers -----------------------------------------------
+SnapshotHeader headerWith(std::uint64_t epoch, std::uint64_t primaryOf0, bool serving = false,
+                          std::int64_t wallMs = kNowMs) {
   SnapshotHeader h;
   h.epoch = epoch;
   h.serving = serving;
@@ -158,18 +159,18 @@
   h.primaries = {{0, primaryOf0}};
   return h;
 }
-PeerStateExchangePolicy among(std::size_t peers) {
+PeerStateExchangePolicy policyWithPeers(std::size_t peers) {
   PeerStateExchangePolicy p;
   p.peers = peers;
   return p;
 }
-bool answer(PeerStateExchange& q, std::size_t peer, SnapshotHeader h) {
+bool respond(PeerStateExchange& q, std::size_t peer, SnapshotHeader h) {
   h.nonce = q.nonce();
   return q.responseReceived(peer, h, kNowMs);
 }
 
-TEST(Head, ReadsBackAndTurnsAwayWhatIsNone) {
-  SnapshotHeader h = encodeFirstLine(9, 0x1234567890, true);
+TEST(SnapshotHeader, DecodesWhatWasEncodedAndRejectsMalformedDatagrams) {
+  SnapshotHeader h = headerWith(9, 0x1234567890, true);
   h.isRequest = true;
   h.nonce = 77;
   h.sequence = 3;
@@ -184,75 +185,78 @@
   const std::string d = encode(h);
   for (std::size_t n = 0; n < d.size(); ++n)
     EXPECT_EQ(decodeSnapshotHeader(d.substr(0, n)).has_value(), n == d.size() - 9)
-        << n;  // a head without a primary
-  EXPECT_FALSE(decodeSnapshotHeader(std::string(1, 1) + d.substr(1))) << "a hint";
+        << n;  // valid only with or without the whole primary
+  EXPECT_FALSE(decodeSnapshotHeader(std::string(1, 1) + d.substr(1))) << "a gossip datagram";
   for (int k = 0; k < 100; ++k) h.primaries.push_back({1, 2});
   EXPECT_LE(encode(h).size(), kMaxSnapshotHeaderBytes);
   EXPECT_TRUE(decodeSnapshotHeader(encode(h)));
 }
-TEST(Inquiry, AsksAFewOthersInEachRoundAndThenNoMore) {
-  PeerStateExchange q(among(20), 5, Time(0), encodeFirstLine(1, 1));
-  std::set<std::size_t> asked;
-  std::size_t questions = 0;
+TEST(PeerStateExchange, QueriesAFewOtherPeersInEachRoundAndThenStops) {
+  PeerStateExchange q(policyWithPeers(20), 5, Time(0), headerWith(1, 1));
+  std::set<std::size_t> queried;
+  std::size_t requests = 0;
   for (Time now{}; now < seconds(5); now += milliseconds(1))
-    for (const std::size_t p : q.duePeers(now)) asked.insert(p), ++questions;
-  EXPECT_EQ(questions, 9u);
-  EXPECT_EQ(asked.size(), 9u);
+    for (const std::size_t p : q.duePeers(now)) queried.insert(p), ++requests;
+  EXPECT_EQ(requests, 9u);
+  EXPECT_EQ(queried.size(), 9u);
   EXPECT_TRUE(q.finished(seconds(5)));
 }
-TEST(Inquiry, WithoutPeersItIsOverAtOnceInANewEpoch) {
-  PeerStateExchange q(among(0), 5, seconds(3), encodeFirstLine(4, 1));
+TEST(PeerStateExchange, WithoutPeersItFinishesAtOnceWithANewEpoch) {
+  PeerStateExchange q(policyWithPeers(0), 5, seconds(3), headerWith(4, 1));
   EXPECT_TRUE(q.duePeers(seconds(3)).empty());
   EXPECT_TRUE(q.finished(seconds(3)));
   EXPECT_EQ(q.epoch(), 5u);
   EXPECT_EQ(q.primaryClaims(0), (std::vector<std::uint64_t>{1}));
 }
-TEST(Inquiry, AnOlderEpochTheFutureAnotherNonceAndASecondAnswerAreNotBelieved) {
-  PeerStateExchange q(among(5), 5, Time(0), encodeFirstLine(4, 1));
-  EXPECT_FALSE(answer(q, 0, encodeFirstLine(3, 2))) << "older";
-  EXPECT_FALSE(answer(q, 1, encodeFirstLine(9, 2, true, kNowMs + 3600000))) << "from the future";
-  SnapshotHeader h = encodeFirstLine(9, 2);
+TEST(PeerStateExchange, RejectsOlderEpochsFutureHeadersOtherNoncesAndRepeatedResponses) {
+  PeerStateExchange q(policyWithPeers(5), 5, Time(0), headerWith(4, 1));
+  EXPECT_FALSE(respond(q, 0, headerWith(3, 2))) << "older epoch";
+  EXPECT_FALSE(respond(q, 1, headerWith(9, 2, true, kNowMs + 3600000))) << "from the future";
+  SnapshotHeader h = headerWith(9, 2);
   h.nonce = q.nonce() + 1;
-  EXPECT_FALSE(q.responseReceived(2, h, kNowMs)) << "nobody asked that";
-  EXPECT_TRUE(answer(q, 2, encodeFirstLine(4, 3)));
-  EXPECT_FALSE(answer(q, 2, encodeFirstLine(9, 4))) << "again";
-  EXPECT_FALSE(answer(q, 7, encodeFirstLine(9, 4))) << "no peer";
+  EXPECT_FALSE(q.responseReceived(2, h, kNowMs)) << "nonce of another request";
+  EXPECT_TRUE(respond(q, 2, headerWith(4, 3)));
+  EXPECT_FALSE(respond(q, 2, headerWith(9, 4))) << "second response of the same peer";
+  EXPECT_FALSE(respond(q, 7, headerWith(9, 4))) << "index beyond the peers";
   EXPECT_EQ(q.rejectedResponses(), 2u);
   EXPECT_EQ(q.epoch(), 5u);
   EXPECT_EQ(q.primaryClaims(0), (std::vector<std::uint64_t>{1, 3}));
 }
-TEST(Inquiry, WhoComesBackAloneJoinsTheEpochOfThoseThatServe) {
-  PeerStateExchange q(among(5), 5, Time(0), encodeFirstLine(4, 1));
-  answer(q, 0, encodeFirstLine(6, 2, true));
-  answer(q, 1, encodeFirstLine(7, 2));  // itself coming back
+TEST(PeerStateExchange, ASingleRestartJoinsTheEpochOfServingPeers) {
+  PeerStateExchange q(policyWithPeers(5), 5, Time(0), headerWith(4, 1));
+  respond(q, 0, headerWith(6, 2, true));
+  respond(q, 1, headerWith(7, 2));  // recovering as well
   EXPECT_TRUE(q.joined());
   EXPECT_EQ(q.epoch(), 6u);
 }
-TEST(Inquiry, TheNewestClaimThatADataServerConfirmsWins) {
-  PeerStateExchange q(among(5), 5, Time(0), encodeFirstLine(4, 1));
-  answer(q, 0, encodeFirstLine(5, 2));
-  answer(q, 1, encodeFirstLine(6, 3));
-  EXPECT_EQ(q.primaryClaims(0), (std::vector<std::uint64_t>{3, 2, 1})) << "the newest first";
-  EXPECT_FALSE(q.confirmedPrimary(0)) << "a claim makes no primary";
+TEST(PeerStateExchange, TheNewestClaimConfirmedByAnEndpointWins) {
+  PeerStateExchange q(policyWithPeers(5), 5, Time(0), headerWith(4, 1));
+  respond(q, 0, headerWith(5, 2));
+  respond(q, 1, headerWith(6, 3));
+  EXPECT_EQ(q.primaryClaims(0), (std::vector<std::uint64_t>{3, 2, 1})) << "sorted from newest to oldest";
+  EXPECT_FALSE(q.confirmedPrimary(0)) << "a claim alone confirms no primary";
   EXPECT_EQ(q.confirmPrimary(0, 2), std::optional<std::uint64_t>(5));
   EXPECT_EQ(q.confirmedPrimary(0), std::optional<std::uint64_t>(2));
   EXPECT_EQ(q.confirmPrimary(0, 1), std::optional<std::uint64_t>(4));
-  EXPECT_EQ(q.confirmedPrimary(0), std::optional<std::uint64_t>(2)) << "an older claim does not replace it";
+  EXPECT_EQ(q.confirmedPrimary(0), std::optional<std::uint64_t>(2))
+      << "an older claim does not replace a newer one";
   EXPECT_EQ(q.confirmPrimary(0, 3), std::optional<std::uint64_t>(6));
   EXPECT_EQ(q.confirmedPrimary(0), std::optional<std::uint64_t>(3));
-  EXPECT_EQ(q.confirmPrimary(1, 8), std::nullopt) << "nobody had named it";
-  EXPECT_EQ(q.confirmedPrimary(1), std::optional<std::uint64_t>(8)) << "its own word is enough";
+  EXPECT_EQ(q.confirmPrimary(1, 8), std::nullopt) << "no claim named this endpoint";
+  EXPECT_EQ(q.confirmedPrimary(1), std::optional<std::uint64_t>(8))
+      << "the endpoint's own response is sufficient";
 }
-// All proxies of a fleet that lost power at once: questions a second stay bounded, and all end in one epoch.
-TEST(Inquiry, AFleetThatStartsAtOnceIsBoundedAndAgreesOnItsEpoch) {
+// All proxies of a fleet restart at once after a power loss, with 20% of the datagrams lost: the
+// requests per second stay bounded, and all proxies enter the same epoch.
+TEST(PeerStateExchange, AFleetThatStartsAtOnceBoundsItsRequestsAndAgreesOnTheEpoch) {
   for (const std::size_t n : {2u, 20u, 300u, 1000u})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       std::mt19937_64 random(seed);
       std::vector<PeerStateExchange> fleet;
       std::vector<SnapshotHeader> own;
       for (std::size_t k = 0; k < n; ++k) {
-        own.push_back(encodeFirstLine(6, 1 + random() % 2));  // their snapshots may disagree on the primary
-        fleet.emplace_back(among(n - 1), seed * 100000 + k, Time(0), own.back());
+        own.push_back(headerWith(6, 1 + random() % 2));  // their snapshots may disagree on the primary
+        fleet.emplace_back(policyWithPeers(n - 1), seed * 100000 + k, Time(0), own.back());
       }
       std::map<std::int64_t, std::size_t> perSecond;
       for (Time now{}; now < seconds(20); now += milliseconds(1))
@@ -265,8 +269,8 @@
             h.nonce = fleet[k].nonce();
             fleet[k].responseReceived(p, h, kNowMs);
           }
-      for (const auto& [second, questions] : perSecond)
-        EXPECT_LE(questions, 1000 * 6 / 5) << n << " proxies, second " << second;
+      for (const auto& [second, requests] : perSecond)
+        EXPECT_LE(requests, 1000 * 6 / 5) << n << " proxies, second " << second;
       for (const PeerStateExchange& q : fleet) {
         EXPECT_TRUE(q.finished(seconds(20)));
         EXPECT_EQ(q.epoch(), 7u) << n;
@@ -274,11 +278,12 @@
     }
 }
 
-// ---- the order of return ---------------------------------------------------------------------------------
-TEST(Order, GoesFromWakingToReturnedByWhatDataServersAnswer) {
+// ---- Admission during recovery ------------------------------------------------------------------
+TEST(RecoveryAdmission, PhasesAdvanceWithResponsesOfEndpoints) {
   RecoveryAdmission o({}, 1, Time(0));
   EXPECT_EQ(o.phase(3), RecoveryPhase::AwaitingEndpoints);
-  for (int k = 0; k < 4; ++k) EXPECT_TRUE(o.admit(Time(0), 3, false).admitted) << "four go on to find out";
+  for (int k = 0; k < 4; ++k)
+    EXPECT_TRUE(o.admit(Time(0), 3, false).admitted) << "the initial window admits four";
   const RecoveryAdmission::Decision fifth = o.admit(Time(0), 3, false);
   EXPECT_FALSE(fifth.admitted);
   EXPECT_GE(fifth.retryAfter, milliseconds(40));
@@ -291,46 +296,46 @@
   for (Time now = milliseconds(60); o.phase(3) != RecoveryPhase::Complete && rounds < 20;
        now += milliseconds(50), ++rounds) {
     for (int k = 0; k < 200; ++k) o.admit(now, 3, false);
-    const int out = static_cast<int>(o.window(3));
-    for (int k = 0; k < out; ++k) o.requestEnded(now, 3, false, RequestEnd::Served);
+    const int inFlight = static_cast<int>(o.window(3));
+    for (int k = 0; k < inFlight; ++k) o.requestEnded(now, 3, false, RequestEnd::Served);
   }
   EXPECT_EQ(o.phase(3), RecoveryPhase::Complete);
-  EXPECT_LE(rounds, 8) << "doubles with each answer time";
+  EXPECT_LE(rounds, 8) << "the window doubles per round trip";
   for (int k = 0; k < 1000; ++k) EXPECT_TRUE(o.admit(seconds(2), 3, k % 2 == 0).admitted);
   EXPECT_TRUE(o.finished(seconds(2)));
-  std::vector<RecoveryPhase> steps;
-  for (const RecoveryAdmission::PhaseChange& c : o.takePhaseChanges()) steps.push_back(c.phase);
-  EXPECT_EQ(steps, (std::vector<RecoveryPhase>{RecoveryPhase::Reading, RecoveryPhase::Writing,
-                                               RecoveryPhase::Complete}));
+  std::vector<RecoveryPhase> phases;
+  for (const RecoveryAdmission::PhaseChange& c : o.takePhaseChanges()) phases.push_back(c.phase);
+  EXPECT_EQ(phases, (std::vector<RecoveryPhase>{RecoveryPhase::Reading, RecoveryPhase::Writing,
+                                                RecoveryPhase::Complete}));
 }
-TEST(Order, WritesWaitForADataServersWordButForAScout) {
+TEST(RecoveryAdmission, OnlyOccasionalWritesAreAdmittedBeforeThePrimaryResponds) {
   RecoveryAdmissionPolicy p;
   p.proxies = 20;
   RecoveryAdmission o(p, 1, Time(0));
   o.endpointResponded(Time(0), 3);
-  int went = 0;
+  int admitted = 0;
   for (Time now{}; now < seconds(4); now += milliseconds(5))
-    if (o.admit(now, 3, true).admitted) ++went, o.requestEnded(now, 3, true, RequestEnd::Rejected);
-  EXPECT_GE(went, 8);
-  EXPECT_LE(went, 34) << "about one in 240 ms";
+    if (o.admit(now, 3, true).admitted) ++admitted, o.requestEnded(now, 3, true, RequestEnd::Rejected);
+  EXPECT_GE(admitted, 8);
+  EXPECT_LE(admitted, 34) << "about one per 240 ms";
   EXPECT_EQ(o.phase(3), RecoveryPhase::Reading);
   o.primaryResponded(seconds(4), 3);
   EXPECT_TRUE(o.admit(seconds(4), 3, true).admitted);
 }
-TEST(Order, TroubleShrinksTheWindowOnceAndNeverBelowItsLeast) {
+TEST(RecoveryAdmission, FailuresDecreaseTheWindowOncePerIntervalAndNeverBelowTheMinimum) {
   RecoveryAdmission o({}, 1, Time(0));
   o.endpointResponded(Time(0), 3);
   for (int k = 0; k < 30; ++k)
     o.admit(Time(0), 3, false), o.requestEnded(Time(0), 3, false, RequestEnd::Served);
-  const double was = o.window(3);
+  const double before = o.window(3);
   for (int k = 0; k < 5; ++k) o.requestEnded(milliseconds(10), 3, false, RequestEnd::Failed);
-  EXPECT_DOUBLE_EQ(o.window(3), 0.7 * was) << "one trouble, told five times";
+  EXPECT_DOUBLE_EQ(o.window(3), 0.7 * before) << "five failures of one fault";
   for (int k = 1; k < 60; ++k) o.requestEnded(milliseconds(500) * k, 3, false, RequestEnd::Rejected);
   EXPECT_DOUBLE_EQ(o.window(3), 4);
   o.requestEnded(seconds(40), 3, false, RequestEnd::ClientDisconnected);
   EXPECT_DOUBLE_EQ(o.window(3), 4);
 }
-TEST(Order, WhatWasUsualIsWhereItBeginsAndWhereItEnds) {
+TEST(RecoveryAdmission, TheUsualConcurrencySetsTheFirstWindowAndTheWindowThatCompletes) {
   RecoveryAdmission o({}, 1, Time(0));
   o.setUsualConcurrency(3, 24);
   EXPECT_DOUBLE_EQ(o.window(3), 6);
@@ -338,24 +343,25 @@
   int served = 0;
   while (o.phase(3) != RecoveryPhase::Complete && served < 100)
     o.admit(Time(0), 3, false), o.requestEnded(Time(0), 3, false, RequestEnd::Served), ++served;
-  EXPECT_EQ(served, 46) << "to twice the usual and what any start may have";
+  EXPECT_EQ(served, 46) << "the window grows from 6 to twice the usual concurrency plus the initial window";
 }
-TEST(Order, NothingIsHeldBackBeyondTheLongestTime) {
+TEST(RecoveryAdmission, EveryRequestIsAdmittedAfterTheTimeout) {
   RecoveryAdmission o({}, 1, Time(0));
   for (int k = 0; k < 10; ++k) o.admit(Time(0), 3, true);
-  int went = 0;
-  for (int k = 0; k < 10; ++k) went += o.admit(seconds(19), 3, false).admitted;
-  EXPECT_LE(went, 4);
+  int admitted = 0;
+  for (int k = 0; k < 10; ++k) admitted += o.admit(seconds(19), 3, false).admitted;
+  EXPECT_LE(admitted, 4);
   for (int k = 0; k < 10; ++k) EXPECT_TRUE(o.admit(seconds(20), 3, k % 2 == 0).admitted) << k;
   EXPECT_TRUE(o.finished(seconds(20)));
 }
-// Whatever comes, in whatever order: no more out than the window, never below the least, steps only forward.
-TEST(Order, ForAnyRunOfEventsItsBoundsHold) {
+// Random events in random order: retry delays stay within their bounds, the window never shrinks
+// below the minimum, and phases only advance.
+TEST(RecoveryAdmission, BoundsHoldForRandomEvents) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     RecoveryAdmission o({}, seed, Time(0));
-    std::map<std::uint32_t, int> out;
-    std::map<std::uint32_t, RecoveryPhase> was;
+    std::map<std::uint32_t, int> inFlight;
+    std::map<std::uint32_t, RecoveryPhase> previous;
     Time now{};
     for (int k = 0; k < 800; ++k) {
       now += Time(static_cast<std::int64_t>(random() % 20000));
@@ -369,49 +375,49 @@
           if (random() % 20 == 0) o.primaryResponded(now, group);
           break;
         case 2:
-          if (out[group] > 0)
-            --out[group], o.requestEnded(now, group, write, static_cast<RequestEnd>(random() % 4));
+          if (inFlight[group] > 0)
+            --inFlight[group], o.requestEnded(now, group, write, static_cast<RequestEnd>(random() % 4));
           break;
         default: {
-          const RecoveryPhase step = o.phase(group);
+          const RecoveryPhase phase = o.phase(group);
           const RecoveryAdmission::Decision d = o.admit(now, group, write);
           if (!d.admitted) {
             EXPECT_GE(d.retryAfter, milliseconds(40));
             EXPECT_LE(d.retryAfter, seconds(1));
-          } else if (step != RecoveryPhase::Complete && now < seconds(20)) {
-            ++out[group];
+          } else if (phase != RecoveryPhase::Complete && now < seconds(20)) {
+            ++inFlight[group];
           }
           EXPECT_GE(o.window(group), 4);
         }
       }
-      EXPECT_GE(o.phase(group), was[group]);
-      was[group] = o.phase(group);
+      EXPECT_GE(o.phase(group), previous[group]);
+      previous[group] = o.phase(group);
     }
   }
 }
 
-// ---- dials -----------------------------------------------------------------------------------------------
-TEST(DialTurn, AllProxiesTogetherDialAMemberAtItsRateWithNoWordAmongThem) {
+// ---- Connect delays -----------------------------------------------------------------------------
+TEST(ConnectDelay, AllProxiesTogetherConnectAtTheConfiguredRateWithoutCommunication) {
   std::vector<std::string> proxies;
   for (int k = 0; k < 100; ++k) proxies.push_back("127.0.0.1:" + std::to_string(7000 + k));
   std::map<std::string, Time> sums;
   for (int m = 0; m < 20; ++m) {
-    std::set<Time> turns;
+    std::set<Time> delays;
     for (const std::string& p : proxies) {
       const Time t = connectDelay("s-" + std::to_string(m), p, proxies, 50);
-      turns.insert(t);
+      delays.insert(t);
       sums[p] += t;
     }
-    ASSERT_EQ(turns.size(), 100u) << "each has a turn of its own";
-    EXPECT_EQ(*turns.begin(), Time(0));
-    EXPECT_EQ(*turns.rbegin(), milliseconds(1980));
+    ASSERT_EQ(delays.size(), 100u) << "each proxy has a different delay";
+    EXPECT_EQ(*delays.begin(), Time(0));
+    EXPECT_EQ(*delays.rbegin(), milliseconds(1980));
   }
   for (const auto& [p, sum] : sums) EXPECT_NEAR(static_cast<double>(sum.count()) / 20e6, 1, 0.5) << p;
-  // One that is gone moves the others forward by one place at the most.
+  // Without one of the proxies, the others move forward by at most one rank.
   std::vector<std::string> fewer(proxies.begin() + 1, proxies.end());
   for (const std::string& p : fewer) {
-    const Time was = connectDelay("s-1", p, proxies, 50), is = connectDelay("s-1", p, fewer, 50);
-    EXPECT_TRUE(is == was || is == was - milliseconds(20)) << p;
+    const Time before = connectDelay("s-1", p, proxies, 50), after = connectDelay("s-1", p, fewer, 50);
+    EXPECT_TRUE(after == before || after == before - milliseconds(20)) << p;
   }
 }
 
