--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -20,7 +20,7 @@
 PeerTransport peerTransport(PeerLink* peers) {
   PeerTransport transport;
   if (!peers) return transport;
-  transport.peers = peers->others();
+  transport.peers = peers->peerCount();
   transport.send = [peers](std::size_t to, const std::string& datagram) { peers->send(to, datagram); };
   return transport;
 }
@@ -41,7 +41,7 @@
   if (!recovery) return nullptr;
   RecoveryCoordinator* const coordinator = recovery.get();
   if (peers)
-    peers->onHead([coordinator](std::size_t from, std::string_view datagram) {
+    peers->onSnapshotHeader([coordinator](std::size_t from, std::string_view datagram) {
       coordinator->peerDatagramReceived(from, datagram);
     });
   backends.setDialDelay([&engine, coordinator](EndpointId endpoint) {
