--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -14,17 +14,18 @@
 
 using Text = fmt::memory_buffer;
 
-bool plain(std::string_view v) {
+bool needsNoQuotes(std::string_view v) {
   return !v.empty() && std::all_of(v.begin(), v.end(), [](unsigned char c) {
     return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
   });
 }
 
-// One escaping for both forms, that of JSON. Bytes beyond ASCII come from anywhere and need not be UTF-8, so
-// they are written as the code points of Latin-1: the line stays valid whatever it quotes.
-void quoted(Text& to, std::string_view v) {
+// Appends a quoted value. Both formats use the escaping of JSON. Bytes beyond ASCII may not be
+// valid UTF-8, so they are escaped as Latin-1 code points, which keeps the line valid for any
+// input.
+void appendQuoted(Text& to, std::string_view v) {
   to.push_back('"');
-  for (const char c : v.substr(0, kLongestValue)) {
+  for (const char c : v.substr(0, kMaxValueLength)) {
     const auto byte = static_cast<unsigned char>(c);
     if (c == '"' || c == '\\') {
       to.push_back('\\');
@@ -37,11 +38,11 @@
       to.push_back(c);
     }
   }
-  if (v.size() > kLongestValue) fmt::format_to(std::back_inserter(to), "...");
+  if (v.size() > kMaxValueLength) fmt::format_to(std::back_inserter(to), "...");
   to.push_back('"');
 }
 
-struct Value {
+struct ValueAppender {
   LogForm form;
   Text& to;
   void operator()(std::int64_t v) const { fmt::format_to(std::back_inserter(to), "{}", v); }
@@ -50,22 +51,23 @@
     if (std::isfinite(v))
       fmt::format_to(std::back_inserter(to), "{:.6g}", v);
     else
-      quoted(to, fmt::format("{}", v));  // JSON has no number for it
+      appendQuoted(to, fmt::format("{}", v));  // JSON has no literal for infinity and NaN
   }
   void operator()(std::string_view v) const {
-    if (form == LogForm::Logfmt && v.size() <= kLongestValue && plain(v))
+    if (form == LogForm::Logfmt && v.size() <= kMaxValueLength && needsNoQuotes(v))
       to.append(v.data(), v.data() + v.size());
     else
-      quoted(to, v);
+      appendQuoted(to, v);
   }
 };
 
-void write(Text& to, LogForm form, std::string_view event, const LogField* first, const LogField* last) {
+void appendEvent(Text& to, LogForm form, std::string_view event, const LogField* first,
+                 const LogField* last) {
   const bool json = form == LogForm::Json;
   fmt::format_to(std::back_inserter(to), json ? "\"event\":\"{}\"" : "event={}", event);
   for (; first != last; ++first) {
     fmt::format_to(std::back_inserter(to), json ? ",\"{}\":" : " {}=", first->name);
-    std::visit(Value{form, to}, first->value);
+    std::visit(ValueAppender{form, to}, first->value);
   }
 }
 
@@ -88,74 +90,74 @@
  public:
   Log() : logger_("sablespur", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
     logger_.flush_on(spdlog::level::trace);
-    set(LogForm::Logfmt, LogLevel::Info);
+    configure(LogForm::Logfmt, LogLevel::Info);
   }
-  void set(LogForm form, LogLevel least) {
+  void configure(LogForm form, LogLevel minLevel) {
     form_ = form;
-    logger_.set_level(toSpdlog(least));
-    tracing_ = least == LogLevel::Trace;
+    logger_.set_level(toSpdlog(minLevel));
+    tracing_ = minLevel == LogLevel::Trace;
     const char* const pattern = form == LogForm::Json
                                     ? "{\"ts\":\"%Y-%m-%dT%H:%M:%S.%eZ\",\"level\":\"%l\",%v}"
                                     : "ts=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v";
     logger_.set_pattern(pattern, spdlog::pattern_time_type::utc);
   }
   bool tracing() const { return tracing_; }
-  void line(LogLevel level, std::string_view event, const LogField* first, const LogField* last) {
+  void writeLimited(LogLevel level, std::string_view event, const LogField* first, const LogField* last) {
     if (!logger_.should_log(toSpdlog(level))) return;
-    if (level == LogLevel::Trace) return put(level, event, first, last);
+    if (level == LogLevel::Trace) return write(level, event, first, last);
     const Clock::time_point now = Clock::now();
-    allowance_ =
-        std::min(kBurst, allowance_ + kPerSecond * std::chrono::duration<double>(now - last_).count());
-    last_ = now;
-    if (allowance_ < 1) {
+    tokens_ = std::min(kBurst,
+                       tokens_ + kLinesPerSecond * std::chrono::duration<double>(now - refilledAt_).count());
+    refilledAt_ = now;
+    if (tokens_ < 1) {
       ++dropped_;
       return;
     }
-    allowance_ -= 1;
+    tokens_ -= 1;
     if (dropped_ > 0) {
       const LogField count("count", dropped_);
-      put(LogLevel::Warning, "log_lines_dropped", &count, &count + 1);
+      write(LogLevel::Warning, "log_lines_dropped", &count, &count + 1);
       dropped_ = 0;
     }
-    put(level, event, first, last);
+    write(level, event, first, last);
   }
 
  private:
   using Clock = std::chrono::steady_clock;
-  static constexpr double kBurst = 50, kPerSecond = 10;
+  static constexpr double kBurst = 50, kLinesPerSecond = 10;
 
-  void put(LogLevel level, std::string_view event, const LogField* first, const LogField* last) {
+  void write(LogLevel level, std::string_view event, const LogField* first, const LogField* last) {
     Text text;
-    write(text, form_, event, first, last);
+    appendEvent(text, form_, event, first, last);
     logger_.log(toSpdlog(level), spdlog::string_view_t(text.data(), text.size()));
   }
 
   spdlog::logger logger_;
   LogForm form_ = LogForm::Logfmt;
   bool tracing_ = false;
-  double allowance_ = kBurst;
+  double tokens_ = kBurst;
   std::int64_t dropped_ = 0;
-  Clock::time_point last_ = Clock::now();
+  Clock::time_point refilledAt_ = Clock::now();
 };
 
-Log& theLog() {
+Log& globalLog() {
   static Log log;
   return log;
 }
 
 }  // namespace
 
-void setLog(LogForm form, LogLevel least) { theLog().set(form, least); }
+void setLog(LogForm form, LogLevel minLevel) { globalLog().configure(form, minLevel); }
 
-bool tracing() { return theLog().tracing(); }
+bool tracing() { return globalLog().tracing(); }
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  theLog().line(level, event, fields.begin(), fields.end());
+  globalLog().writeLimited(level, event, fields.begin(), fields.end());
 }
 
 std::string formatEvent(LogForm form, std::string_view event, std::initializer_list<LogField> fields) {
   Text text;
-  write(text, form, event, fields.begin(), fields.end());
+  appendEvent(text, form, event, fields.begin(), fields.end());
   return fmt::to_string(text);
 }
 
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,9 +1,10 @@
-// The program's log, on spdlog: one function, a line an event, on standard error, rate-limited.
+// The program's log, written with spdlog to standard error: one line per event, rate-limited.
 //
-// An event has a name (lower case, words joined by _, its subject first: "discovery_watch_closed") and
-// fields. A value may hold anything, bytes from the network included: what would break the line or its form
-// is escaped, and what is longer than kLongestValue is cut. Secrets are never fields. Not thread-safe: the
-// loop's thread logs, workers hand their events to it.
+// An event has a name (lower case, words joined by _, subject first: "discovery_watch_closed") and
+// fields. Values may contain arbitrary bytes, also from the network: characters that would break
+// the line or its format are escaped, and values longer than kMaxValueLength are truncated. Secrets
+// must never be fields. Not thread-safe: only the event loop's thread logs, and worker threads pass
+// their events to it.
 #pragma once
 
 #include <cstdint>
@@ -31,19 +32,20 @@
   std::variant<std::int64_t, double, bool, std::string_view> value;
 };
 
-constexpr std::size_t kLongestValue = 400;
+constexpr std::size_t kMaxValueLength = 400;  // in bytes, before escaping
 
-// Until the first call: logfmt, from Info on. May be called again; later lines follow it.
-void setLog(LogForm, LogLevel least);
+// Sets the format and the lowest level of the lines that follow. The defaults are Logfmt and Info.
+void setLog(LogForm, LogLevel minLevel);
 
-// Writes one line. Guards against a log that grows with a trouble's size: beyond a burst of 50, lines over 10
-// a second are counted, and the count goes out as an event of its own ("log_lines_dropped") before the next
-// line. Lines of level Trace are what a day is counted from: they are all written, or none, and whoever has
-// them to write asks tracing() first.
+// Returns whether lines of level Trace are written. Callers check it before they log such lines.
 bool tracing();
+// Writes one line. So that the log does not grow with the size of an incident, a burst of 50 lines
+// and then 10 lines per second are written; further lines are counted, and the count is logged as
+// an event ("log_lines_dropped") before the next line. Lines of level Trace are exempt from this
+// limit, since tools count requests by them and need all of them.
 void logEvent(LogLevel, std::string_view event, std::initializer_list<LogField> = {});
 
-// The line without time and level, as both forms write it; for tests and tools.
+// Returns the line without time and level, in the given format; for tests and tools.
 std::string formatEvent(LogForm, std::string_view event, std::initializer_list<LogField>);
 
 }  // namespace sablespur
