--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -10,7 +10,8 @@
 
 constexpr const char* kOthers = "others";
 constexpr const char* kSection = "[admission]";
-// By default an eighth of the connections of clients is for those that are not admitted, and at least this.
+// By default, an eighth of the client connections is set aside for connections that are not
+// admitted, but at least kMinUnadmitted.
 constexpr std::size_t kUnadmittedDivisor = 8;
 constexpr std::size_t kMinUnadmitted = 8;
 
@@ -20,7 +21,8 @@
   return admission::LimitKind::Gradient;
 }
 
-// `others` comes last: it matches what no other group does.
+// Returns the configured groups with `others` last, since it holds the clients that match no other
+// group. Adds `others` if it is not configured.
 std::vector<AdmissionGroupDraft> groupsInOrder(const AdmissionDraft& draft) {
   std::vector<AdmissionGroupDraft> groups = draft.groups;
   const auto others =
@@ -34,7 +36,7 @@
   return groups;
 }
 
-// A line of a networks file without its comment and the blanks around it.
+// Returns a line of a networks file without its comment and surrounding whitespace.
 std::string strippedLine(std::string line) {
   line.erase(std::min(line.find('#'), line.size()));
   line.erase(0, line.find_first_not_of(" \t\r"));
@@ -67,12 +69,14 @@
       const AdmissionGroupDraft& group = groups_[index];
       const std::string title = "[admission_group " + group.name + "]";
       if (group.name == kOthers && !group.clients.none())
-        document_.report(document_.titleLine(title), title,
-                         {"it is whoever is in no other group", "leave out its networks and users"});
+        document_.report(
+            document_.titleLine(title), title,
+            {"it holds the clients that are in no other group", "remove its networks and users"});
       addNetworks(group, index, title, *networks);
       addUsers(group, index, title);
       if (group.maxConnections > 0 && group.reservedConnections > group.maxConnections)
-        report(title, "reserve", {"it is more than the group may hold", "make it at most connections"});
+        report(title, "reserve",
+               {"it is more than the connections of the group", "make it at most connections"});
       addGroupLimits(group);
     }
     settings_->networks = networks;
@@ -92,7 +96,7 @@
     const auto text = readTextFile(document_.resolvePath(group.clients.networksFile));
     if (!text)
       report(title, "networks_file",
-             {"'" + group.clients.networksFile + "' cannot be read", "see that it exists"});
+             {"'" + group.clients.networksFile + "' cannot be read", "check that it exists"});
     std::istringstream lines(text.value_or(""));
     std::string problem;
     int number = 0;
@@ -102,22 +106,22 @@
       if (network.empty() || networks.add(network, index, problem)) continue;
       report(title, "networks_file",
              {group.clients.networksFile + ":" + std::to_string(number) + ": " + problem,
-              "write a network a line, such as 10.1.0.0/16"});
-      return;  // one fault a file: a file of another form would fill the screen
+              "write one network per line, such as 10.1.0.0/16"});
+      return;  // one fault per file: a file in another format would report every line
     }
   }
 
   void addUsers(const AdmissionGroupDraft& group, std::size_t index, const std::string& title) {
     if (!group.clients.users.empty() && !wantsPassword(config_))
-      report(
-          title, "users",
-          {"a name proves nothing without a password", "write [clients] login = scram, or leave users out"});
+      report(title, "users",
+             {"a user name is not verified without a password",
+              "write [clients] login = scram, or remove users"});
     for (const std::string& user : group.clients.users) {
       const auto [entry, isNew] = settings_->users.emplace(user, index);
       if (!isNew && entry->second != index)
         report(title, "users",
                {"'" + user + "' belongs to [admission_group " + groups_[entry->second].name + "] already",
-                "keep it in one"});
+                "list it in one group only"});
     }
   }
 
@@ -150,7 +154,7 @@
       settings_->recentClientsGroup = static_cast<std::size_t>(group - groups_.begin());
   }
 
-  // False where no connection is left for admitted clients.
+  // Returns false if no connections remain for admitted clients.
   bool setConnectionLimits() {
     const std::size_t clients = config_.clientConnections;
     const std::size_t unadmitted = draft_.connections.maxUnadmitted;
@@ -169,9 +173,9 @@
     for (const AdmissionGroupDraft& group : groups_) reserved += group.reservedConnections;
     if (reserved > settings_->connections.maxConnections)
       report(kSection, "connections",
-             {"the groups' reserves come to " + std::to_string(reserved) + ", and there are " +
-                  std::to_string(settings_->connections.maxConnections) + " places",
-              "make reserves smaller, or raise connections and [limits] descriptors"});
+             {"the groups reserve " + std::to_string(reserved) + " connections, and only " +
+                  std::to_string(settings_->connections.maxConnections) + " are available",
+              "lower the reserves, or raise connections and [limits] descriptors"});
     return true;
   }
 
--- a/src/config/admission.hpp
+++ b/src/config/admission.hpp
@@ -1,4 +1,5 @@
-// From [admission] and its groups to the settings of admission control. In builds with admission.
+// Converts [admission] and its groups to the settings of admission control. Compiled only with
+// SABLESPUR_ADMISSION.
 #pragma once
 
 #include <memory>
@@ -9,8 +10,9 @@
 
 namespace sablespur {
 
-// The last group is `others`, whether or not it has a section. What is wrong is reported to the document; the
-// settings are then incomplete. Of the Config, the bounds on clients and their logins are read.
+// Builds the settings of admission control. The last group is `others`, even without a section of
+// its own. Errors are reported to the document, and the result is then incomplete. The Config must
+// already contain the limits on clients and their login methods.
 std::shared_ptr<const admission::Settings> makeAdmission(const AdmissionDraft&, const Config&,
                                                          SettingsDocument&);
 
--- a/src/config/admission_checks.cpp
+++ b/src/config/admission_checks.cpp
@@ -1,4 +1,5 @@
-// Whether [admission] is enabled, and what follows where it is not or where this build has none.
+// Completes the settings of [admission], and reports admission settings that are disabled or that
+// this build does not support.
 #include "config/settings_checks.hpp"
 #ifdef SABLESPUR_ADMISSION
 #include "config/admission.hpp"
@@ -12,13 +13,14 @@
     if (admission.groups.empty()) return;
     const AdmissionGroupDraft& first = admission.groups.front();
     document.report(first.line, "[admission_group " + first.name + "]",
-                    {"there is no door to keep it apart", "write door = yes in [admission]"});
+                    {"admission control is off", "write door = yes in [admission]"});
     return;
   }
 #ifdef SABLESPUR_ADMISSION
   draft.config.admission = makeAdmission(admission, draft.config, document);
 #else
-  document.reportKey("admission", "door", {"this build has no admission", "build with SABLESPUR_ADMISSION"});
+  document.reportKey("admission", "door",
+                     {"this build has no admission control", "build with SABLESPUR_ADMISSION"});
 #endif
 }
 
--- a/src/config/adopt.cpp
+++ b/src/config/adopt.cpp
@@ -1,4 +1,4 @@
-// What a reloaded configuration changes in the running one.
+// Applies a reloaded configuration to the running one.
 #include <optional>
 #include <string>
 #include <tuple>
@@ -10,10 +10,10 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kMaxClasses = 1024;  // those that were removed since the start included
-const std::string kRemovedClass(1, '\0');  // a name that no statement can carry
+constexpr std::size_t kMaxClasses = 1024;  // includes classes that were removed since the start
+const std::string kRemovedClass(1, '\0');  // a name that no statement can contain
 
-bool same(const balancer::ClassSettings& a, const balancer::ClassSettings& b) {
+bool haveSameValues(const balancer::ClassSettings& a, const balancer::ClassSettings& b) {
   const auto all = [](const balancer::ClassSettings& c) {
     return std::tie(c.requirement, c.idempotency, c.idempotencyScope, c.deduplicationWindow, c.maxStaleness,
                     c.latencyObjective, c.deadline, c.priorityWeight, c.lateWeight);
@@ -21,11 +21,12 @@
   return all(a) == all(b);
 }
 
-// The index of the running class of this name and these settings.
+// Returns the index of the running class with this name and these settings, or std::nullopt.
 std::optional<std::size_t> findUnchangedClass(const Config& running, const std::string& name,
                                               const balancer::ClassSettings& settings) {
   for (std::size_t index = 0; index < running.classes.size(); ++index)
-    if (running.classes[index] == name && same(running.settings.classes[index], settings)) return index;
+    if (running.classes[index] == name && haveSameValues(running.settings.classes[index], settings))
+      return index;
   return std::nullopt;
 }
 
@@ -45,15 +46,16 @@
     classes.push_back(settings);
   }
   if (classes.size() > kMaxClasses)
-    throw BadInput("key settings.classes: too many have come and gone; a restart is needed");
-  const balancer::Settings before = std::exchange(running.settings, read.settings);
+    throw BadInput(
+        "key settings.classes: too many were removed or changed since the start; a restart is needed");
+  const balancer::Settings previous = std::exchange(running.settings, read.settings);
   running.settings.classes = std::move(classes);
-  // What load reports hold and how the list comes is settled at the start.
-  running.settings.reportFields = before.reportFields;
-  running.settings.loadReportMode = before.loadReportMode;
-  running.settings.discoveryMode = before.discoveryMode;
-  running.settings.listedRolePolicy = before.listedRolePolicy;
-  running.settings.proxyCount = before.proxyCount;
+  // The fields of load reports and the discovery mode cannot change while the program runs.
+  running.settings.reportFields = previous.reportFields;
+  running.settings.loadReportMode = previous.loadReportMode;
+  running.settings.discoveryMode = previous.discoveryMode;
+  running.settings.listedRolePolicy = previous.listedRolePolicy;
+  running.settings.proxyCount = previous.proxyCount;
   running.classes = std::move(names);
   running.sessions = running.sessions || read.sessions;
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,14 +7,15 @@
 namespace sablespur {
 namespace {
 
-// The process itself: code, the loop, the listener, discovery, standard streams, connections about to be
-// closed.
-constexpr std::size_t kOwnDescriptors = 24;
-constexpr std::size_t kOwnMemory = std::size_t{12} << 20;
-constexpr std::size_t kStoreMemory = std::size_t{6} << 20;  // twice the measured figure
-// A client without large statements: what is read ahead, and an answer that it has not read yet.
+// Reserved for the process itself: code, event loop, listener, discovery, standard streams and
+// connections that are about to be closed.
+constexpr std::size_t kProcessDescriptors = 24;
+constexpr std::size_t kProcessMemory = std::size_t{12} << 20;
+constexpr std::size_t kStoreMemory = std::size_t{6} << 20;  // twice the measured use
+// A client without large statements needs its read-ahead buffer and an answer that it has not read
+// yet.
 constexpr std::size_t kClientMemory = 96 << 10;
-constexpr std::size_t kClientShareOfDescriptors = 45;  // percent
+constexpr std::size_t kClientDescriptorPercent = 45;
 
 std::string summary(const std::vector<Fault>& faults) {
   if (faults.empty()) return "no fault";
@@ -24,20 +25,21 @@
 
 }  // namespace
 
-// A client has one request in flight at most, so with fewer clients than server connections every attempt
-// finds a connection. Of the memory beyond the process itself a quarter is for large statements of all
-// clients, a half for what each client may hold at any time, the rest for answers on their way.
+// A client has at most one request in flight, so with fewer clients than server connections every
+// attempt gets a connection. Of the memory that the process itself does not need, a quarter is for
+// the large statements of all clients, a half for the buffers of clients, and the rest for answers
+// in transit.
 void deriveBounds(Config& c, std::size_t descriptors, std::uint64_t memory) {
   c.descriptors = descriptors;
   c.memory = memory;
-  const std::size_t free = static_cast<std::size_t>(memory) - kOwnMemory - (c.store ? kStoreMemory : 0);
-  const std::size_t connections = descriptors - kOwnDescriptors - (c.store ? kStoreDescriptors : 0);
-  c.clientConnections = std::min(connections * kClientShareOfDescriptors / 100, free / 2 / kClientMemory);
-  // Clients together hold a third of the descriptors at most. Idle ones are evicted below that, while a new
-  // client can still be accepted.
+  const std::size_t free = static_cast<std::size_t>(memory) - kProcessMemory - (c.store ? kStoreMemory : 0);
+  const std::size_t connections = descriptors - kProcessDescriptors - (c.store ? kStoreDescriptors : 0);
+  c.clientConnections = std::min(connections * kClientDescriptorPercent / 100, free / 2 / kClientMemory);
+  // Clients hold at most a third of the descriptors. Eviction of idle clients starts below that, so
+  // that a new client can still be accepted.
   c.askingClients = std::min(c.clientConnections, descriptors / 4);
   c.largeStatements = free / 4;
-  c.serverConnections = connections - connections * kClientShareOfDescriptors / 100;
+  c.serverConnections = connections - connections * kClientDescriptorPercent / 100;
 }
 
 bool operator==(const DnsSdSettings& a, const DnsSdSettings& b) {
--- a/src/config/credentials.cpp
+++ b/src/config/credentials.cpp
@@ -1,4 +1,5 @@
-// Login methods of clients and data servers, and the files of secrets that they need.
+// Checks the login methods of clients and data servers, and reads the files of secrets that they
+// need.
 #include <sys/stat.h>
 
 #include <algorithm>
@@ -19,7 +20,8 @@
   return std::count(methods.begin(), methods.end(), auth::Method::Trust) > 0;
 }
 
-// Reports values of `login` with words that are no method: fewer methods were read than words are given.
+// Reports values of `login` that contain unknown methods: fewer methods were read than the value
+// has words.
 void checkMethodWords(SettingsDocument& document, const char* sectionType, std::size_t methodsRead,
                       const std::string& allowed) {
   for (const IniSection& section : document.sections())
@@ -37,9 +39,9 @@
   checkMethodWords(document, "clients", config.logins.size(), "trust, or " + withPassword);
   checkMethodWords(document, "data_servers", config.serverLogins.size(), withPassword);
   if (containsTrust(config.logins) && config.logins.size() > 1)
-    document.reportKey(
-        "clients", "login",
-        {"trust stands beside ways with a password", "with trust nobody needs one: write one or the other"});
+    document.reportKey("clients", "login",
+                       {"trust stands beside methods that need a password",
+                        "with trust no client needs a password: write one or the other"});
   if (containsTrust(config.serverLogins))
     document.reportKey("data_servers", "login",
                        {"trust needs no word", "leave it out: without a password_file no password is sent"});
@@ -49,7 +51,8 @@
 constexpr std::size_t kMaxSecretsSize = std::size_t{4} << 20;
 constexpr mode_t kOtherUsersBits = 077;
 
-// The text of a file that only its owner may read, or nothing after a report.
+// Returns the text of a file that only its owner may read. Otherwise reports an error and returns
+// std::nullopt.
 std::optional<std::string> readSecrets(SettingsDocument& document, const char* sectionType, const char* key,
                                        const std::string& name) {
   const auto report = [&](const char* problem, const std::string& fix) {
@@ -60,10 +63,10 @@
   std::optional<std::string> text = readTextFile(path);
   struct stat status {};
   if (!text || text->empty() || stat(path.c_str(), &status) != 0)
-    return report("cannot be read or is empty", "see that it exists and may be read");
+    return report("cannot be read or is empty", "check that it exists and may be read");
   if ((status.st_mode & kOtherUsersBits) != 0) return report("may be read by others", "chmod 600 it");
   if (text->size() > kMaxSecretsSize)
-    return report("is longer than 4 MiB", "give each proxy its users alone");
+    return report("is larger than 4 MiB", "list only the users of this proxy");
   return text;
 }
 
@@ -71,7 +74,8 @@
   const std::string& file = draft.files.users;
   if (file.empty()) {
     document.report(document.keyLine("clients", "login"), "[clients] users",
-                    {"logins with a password need it", "name the file that `sablespur password` fills"});
+                    {"logins with a password need it",
+                     "name the file with the lines that `sablespur password` generates"});
     return;
   }
   const auto text = readSecrets(document, "clients", "users", file);
@@ -79,7 +83,8 @@
   std::vector<auth::Users::Fault> faults;
   draft.config.users = std::make_shared<const auth::Users>(auth::Users::parse(*text, faults));
   for (const auto& fault : faults)
-    document.reportInFile({file, fault.line, "", fault.problem, "make the line by sablespur password NAME"});
+    document.reportInFile(
+        {file, fault.line, "", fault.problem, "generate the line by sablespur password NAME"});
 }
 
 void loadServerPassword(SettingsDocument& document, SettingsDraft& draft) {
--- a/src/config/discovery_checks.cpp
+++ b/src/config/discovery_checks.cpp
@@ -20,11 +20,11 @@
     document.report(line, std::string("[dnssd] ") + key, std::move(wrong));
   };
   if (dnssd.domain.empty())
-    report("domain", {"source = dnssd needs it", "say which, such as domain = ruwi.example.org"});
+    report("domain", {"source = dnssd needs it", "write a domain, such as domain = ruwi.example.org"});
   if (dnssd.service.empty()) report("service", {"it is empty", "write a service such as _postgresql._tcp"});
   if (dnssd.servers.empty())
     report("name_servers",
-           {"source = dnssd needs one", "say where name servers listen, such as 10.2.0.1:53"});
+           {"source = dnssd needs one", "write the addresses of name servers, such as 10.2.0.1:53"});
   if (dnssd.maxRefresh < dnssd.minRefresh)
     report("refresh_most", {"it is shorter than refresh_least", "make it at least refresh_least"});
   if (dnssd.flapDamping.reuseThreshold >= dnssd.flapDamping.suppressThreshold)
@@ -51,8 +51,9 @@
 void checkDiscovery(SettingsDocument& document, SettingsDraft& draft) {
   const Config& config = draft.config;
   if (config.source == Source::Registry && config.discovery.none())
-    document.report(document.sectionLine("discovery"), "[discovery] registry",
-                    {"source = registry needs it", "say where the registry listens, or set source = fixed"});
+    document.report(
+        document.sectionLine("discovery"), "[discovery] registry",
+        {"source = registry needs it", "write the address of the registry, or set source = fixed"});
   if (config.source == Source::DnsSd) checkDnsSd(document, draft);
   if (config.source == Source::Fixed && config.known.instances.empty())
     document.report(document.sectionLine("discovery"), "[discovery] source",
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -1,5 +1,5 @@
-// Our form of the settings: an INI file by the table of keys, read section by section and then checked as a
-// whole.
+// Reads the INI settings file section by section, as the key table describes it, and then checks
+// the settings as a whole.
 #include <algorithm>
 #include <fstream>
 #include <random>
@@ -29,7 +29,7 @@
     checkTitles(document_);
     for (const SectionInfo& info : sectionTable())
       if (!info.named) readSection(document_, info.type, document_.unnamedSection(info.type), draft_);
-    // Members name groups, so those come first.
+    // Groups are read before members, since members refer to them.
     readEach("class", &SettingsReader::readClass);
     readEach("group", &SettingsReader::readGroup);
     readEach("member", &SettingsReader::readMember);
@@ -62,10 +62,10 @@
       document_.reportKey(section, "give_up", {"it is shorter than the aim", "make it at least the aim"});
     if (requestClass.requirement == Requirement::BoundedStaleness && requestClass.maxStaleness == Time(0))
       document_.reportKey(section, "max_age",
-                          {"data = bounded needs it", "say how old data may be, such as max_age = 200ms"});
+                          {"data = bounded needs it", "write the maximum age, such as max_age = 200ms"});
     if (requestClass.idempotency == Idempotency::WithKey && requestClass.deduplicationWindow == Time(0))
       document_.reportKey(section, "repeats_dropped_for",
-                          {"repeats = keyed needs it", "say how long a key is known, such as 2s"});
+                          {"repeats = keyed needs it", "write the deduplication window, such as 2s"});
     if (requestClass.requirement == Requirement::Write && requestClass.idempotency == Idempotency::Idempotent)
       document_.reportKey(section, "repeats",
                           {"a write that is safe to repeat would be sent twice", "write keyed or unsafe"});
@@ -78,7 +78,7 @@
     for (const GroupName& other : config_.groups)
       if (other.id == group.id)
         document_.reportKey(section, "number",
-                            {"[group " + other.name + "] has this number", "give each group one of its own"});
+                            {"[group " + other.name + "] has this number", "give each group its own number"});
     config_.groups.push_back(group);
   }
 
@@ -99,7 +99,7 @@
       if (!endpoint.address.none() && other.address == endpoint.address)
         document_.reportKey(
             section, "address",
-            {"[member " + other.name + "] has this address", "give each member one of its own"});
+            {"[member " + other.name + "] has this address", "give each member its own address"});
     config_.known.instances.push_back(endpoint);
   }
 
@@ -122,14 +122,14 @@
 
   void checkSections() {
     if (config_.classes.empty())
-      document_.report(
-          0, "", {"there is no [class NAME]", "add one for each class of requests that clients name (c=)"});
+      document_.report(0, "",
+                       {"there is no [class NAME]", "add one for each class that statements name (c=)"});
     checkDiscovery(document_, draft_);
     loadCredentials(document_, draft_);
   }
 
-  // What follows from several keys, once each is right by itself. Bounds need the store, admission the
-  // bounds.
+  // Derives the settings that depend on several keys, once every key is valid. The order matters:
+  // the bounds depend on the store, and admission depends on the bounds.
   void complete() {
     completeBalancerSettings();
     for (const auto& requestClass : config_.settings.classes)
@@ -173,7 +173,8 @@
 Config readSettings(const std::string& path) {
   std::stringstream text;
   {
-    // Closed before other files are opened: one descriptor is enough to read all settings.
+    // Close this file before others are opened, so that one descriptor is enough to read all
+    // settings.
     std::ifstream file(path);
     text << file.rdbuf();
     if (!file || !text)
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -1,4 +1,5 @@
-// The platform's form of the settings: JSON, whose `settings` the simulator's wire carries too.
+// Reads the platform's JSON settings. Their `settings` object is also part of the simulator's
+// protocol.
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
@@ -15,8 +16,9 @@
 using simdjson::dom::element;
 using simdjson::dom::element_type;
 
-// The text of a plain value; the wire separates by blanks, commas and line ends.
-std::string plain(const element& e) {
+// Returns the text of a scalar value. Spaces, commas and newlines become '_', since the simulator's
+// protocol uses them as separators.
+std::string scalarText(const element& e) {
   switch (e.type()) {
     case element_type::BOOL:
       return bool(e) ? "true" : "false";
@@ -39,8 +41,8 @@
   }
 }
 
-// The settings as the simulator's wire carries them: a line path=value for each plain value, so that one
-// reader of settings serves both.
+// Appends one line path=value for each scalar value, as in the simulator's protocol, so that both
+// formats share one parser.
 void flatten(const element& e, const std::string& path, std::string& lines) {
   const std::string under = path.empty() ? "" : path + ".";
   if (e.is_object()) {
@@ -48,7 +50,7 @@
     return;
   }
   if (!e.is_array()) {
-    lines += path + "=" + plain(e) + "\n";
+    lines += path + "=" + scalarText(e) + "\n";
     return;
   }
   const simdjson::dom::array items(e);
@@ -60,7 +62,7 @@
     if (objects)
       flatten(item, under + std::to_string(n), lines);
     else
-      joined += (n > 0 ? "," : "") + plain(item);
+      joined += (n > 0 ? "," : "") + scalarText(item);
     ++n;
   }
   lines += objects ? under + "count=" + std::to_string(n) + "\n" : path + "=" + joined + "\n";
@@ -70,7 +72,7 @@
   std::vector<std::string> v;
   for (const element e : jsonField<simdjson::dom::array>(object, key, path)) {
     std::string_view text;
-    if (e.get(text)) throw BadInput("key " + path + key + ": not all are strings");
+    if (e.get(text)) throw BadInput("key " + path + key + ": not all values are strings");
     v.emplace_back(text);
   }
   return v;
@@ -92,7 +94,7 @@
   const auto seed = jsonField<std::string_view>(root, "seed", "");
   const auto [stop, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (error != std::errc() || stop != seed.data() + seed.size())
-    throw BadInput("key seed: '" + std::string(seed) + "' is no hexadecimal number");
+    throw BadInput("key seed: '" + std::string(seed) + "' is not a hexadecimal number");
 }
 
 void readLimits(const element& root, Config& config) {
@@ -130,7 +132,7 @@
   config.idleClose = Time(integer(allowed, "idleCloseUs", path, 1000000, 2000000000));
 }
 
-// Proxies gossip where that is allowed and there is an address for it.
+// Enables gossip if it is allowed and has an address.
 void readGossip(const element& root, const element& allowed, Config& config) {
   bool gossips = false;
   if (allowed["peers"].get(gossips) != simdjson::SUCCESS || !gossips) return;
@@ -152,7 +154,8 @@
     const balancer::ClassSettings& requestClass = config.settings.classes[index];
     config.sessions = config.sessions || requestClass.requirement == balancer::Requirement::Session;
     if (requestClass.latencyObjective <= Time(0) || requestClass.deadline < requestClass.latencyObjective)
-      throw BadInput("key settings.classes[" + std::to_string(index) + "].promiseUs: 0 or past deadlineUs");
+      throw BadInput("key settings.classes[" + std::to_string(index) +
+                     "].promiseUs: must be above 0 and at most deadlineUs");
   }
 }
 
@@ -169,7 +172,7 @@
   config.known = readEndpointList(jsonField<element>(root, "known", ""), "known.");
   const auto settings = jsonField<element>(root, "settings", "");
   readBalancerSettings(settings, config);
-  // Where lists are asked for, the settings say how long a proxy may go by the one that it has.
+  // With DiscoveryMode::Automatic the settings bound how long a proxy may use its cached list.
   config.settings.knownListMayBeOld = config.settings.discoveryMode == balancer::DiscoveryMode::Automatic;
   readNames(settings, config);
   const auto allowed = jsonField<element>(settings, "allowed", "settings.");
@@ -179,7 +182,7 @@
   if (root["control"].get(control) == simdjson::SUCCESS) config.control = parseAddress(control, "control");
   checkClasses(config);
   if (config.settings.warmUpStartCapacity <= 0 || config.settings.warmUpStartCapacity > 1)
-    throw BadInput("key settings.obligations.startCapacity: not above 0 and at most 1");
+    throw BadInput("key settings.obligations.startCapacity: must be above 0 and at most 1");
   return config;
 }
 
--- a/src/config/key_setters.hpp
+++ b/src/config/key_setters.hpp
@@ -1,5 +1,5 @@
-// What the tables of keys share: units of their bounds, and the values of a key as the types that setters
-// want.
+// Helpers of the key tables: units for bounds, and conversions of key values to the types of the
+// settings.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,12 @@
 
 namespace sablespur::key_tables {
 
-// Durations are bounded in microseconds.
+// Bounds of durations are in microseconds.
 constexpr double kMillisecond = 1e3;
 constexpr double kSecond = 1e6;
 constexpr double kHour = 3600e6;
 
-// The value as the type that its KeyKind is read into.
+// Returns the value as T, which must be the type that its KeyKind is read into.
 template <typename T>
 const T& as(const KeyValue& value) {
   return std::get<T>(value);
@@ -28,13 +28,14 @@
 inline std::size_t byteCount(const KeyValue& value) {
   return static_cast<std::size_t>(as<std::uint64_t>(value));
 }
-// KeyKind::Count; the key's bounds keep it within T.
+// Converts a KeyKind::Count. The bounds of the key must guarantee that it fits into T.
 template <typename T>
 T integer(const KeyValue& value) {
   return static_cast<T>(as<std::int64_t>(value));
 }
 
-// The login methods among the words. Unknown words are left out; the check of the whole file reports them.
+// Returns the login methods named in the list. Unknown words are skipped; loadCredentials() reports
+// them.
 std::vector<auth::Method> loginMethods(const KeyValue& value);
 
 }  // namespace sablespur::key_tables
--- a/src/config/key_tables.hpp
+++ b/src/config/key_tables.hpp
@@ -1,4 +1,4 @@
-// The keys of each section of the INI form; keyTable() in keys.hpp joins them.
+// The keys of each section of the INI format; keyTable() in keys.hpp joins them.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace sablespur::key_tables {
 
-// The rows of one section. They have static storage duration.
+// The keys of one section, which have static storage duration.
 class KeyRange {
  public:
   template <std::size_t Count>
--- a/src/config/key_values.cpp
+++ b/src/config/key_values.cpp
@@ -1,4 +1,4 @@
-// Reads the text of a value by the kind of its key.
+// Parses the text of a value according to the kind of its key.
 #include <algorithm>
 #include <charconv>
 #include <sstream>
@@ -19,7 +19,7 @@
   return KeyValue(std::get<T>(read));
 }
 
-// The non-empty items between separators, without the blanks around them.
+// Splits a list and returns its non-empty items without surrounding whitespace.
 std::vector<std::string> splitItems(const std::string& text, char separator) {
   std::vector<std::string> items;
   std::istringstream in(text);
@@ -33,8 +33,8 @@
 
 Read<KeyValue> readAddress(const std::string& text) {
   if (const auto address = Address::parse(text)) return KeyValue(*address);
-  return ValueError{"'" + text + "' is no address with a port",
-                    "write it as 10.1.0.18:5432 or [fd00::18]:5432; names are not looked up here"};
+  return ValueError{"'" + text + "' is not an address with a port",
+                    "write it as 10.1.0.18:5432 or [fd00::18]:5432; host names are not resolved"};
 }
 
 Read<KeyValue> readAddresses(const std::string& text) {
@@ -47,15 +47,15 @@
   return KeyValue(addresses);
 }
 
-// 0 stands for `random`.
+// Reads a hexadecimal number; `random` is returned as 0.
 Read<KeyValue> readHex(const std::string& text) {
   if (text == "random") return KeyValue(std::uint64_t{0});
   std::uint64_t value = 0;
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value, 16);
   if (error == std::errc() && stop == end) return KeyValue(value);
-  return ValueError{"'" + text + "' is no hexadecimal number",
-                    "write up to 16 of 0 to 9 and a to f, or random"};
+  return ValueError{"'" + text + "' is not a hexadecimal number",
+                    "write up to 16 hexadecimal digits, or random"};
 }
 
 Read<KeyValue> readChoice(const std::string& text, const char* choices) {
@@ -64,7 +64,7 @@
   std::string list;
   for (const std::string& word : words) list += (list.empty() ? "" : ", ") + word;
   const std::string near = nearestWord(text, words.data(), words.data() + words.size());
-  return ValueError{"'" + text + "' is none of " + list,
+  return ValueError{"'" + text + "' is not one of " + list,
                     near.empty() ? "write one of them" : "did you mean '" + near + "'?"};
 }
 
@@ -86,8 +86,8 @@
 
 Read<KeyValue> readDomain(const std::string& text) {
   if (isDomainName(text)) return KeyValue(text);
-  return ValueError{"'" + text + "' is no domain name",
-                    "write labels of letters, digits, - and _ with dots between, such as ruwi.example.org"};
+  return ValueError{"'" + text + "' is not a domain name",
+                    "write labels of letters, digits, - and _ separated by dots, such as ruwi.example.org"};
 }
 
 Read<KeyValue> readText(const Key& key, const std::string& text) {
@@ -127,7 +127,7 @@
   return readText(key, text);
 }
 
-// The number that the bounds of a key apply to.
+// Converts a value to the number that is compared with the bounds of its key.
 struct BoundedNumber {
   double operator()(Time time) const { return static_cast<double>(time.count()); }
   double operator()(std::uint64_t value) const { return static_cast<double>(value); }
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -1,5 +1,5 @@
-// The table of all INI keys: section, kind and unit, default, bounds, description, and where the value goes.
-// The reader, `sablespur check` and the operators' page are all driven by it.
+// The table of all INI keys: section, name, kind, default, bounds, description and setter. The
+// reader, `sablespur check` and the operators' page are all driven by it.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace sablespur {
 
-// How the text of a value is read, and what it becomes in KeyValue.
+// How the text of a value is parsed, and which type of KeyValue it becomes.
 enum class KeyKind {
   Text,
   Address,
@@ -33,14 +33,14 @@
 using KeyValue = std::variant<std::string, Address, std::vector<Address>, Time, std::uint64_t, std::int64_t,
                               double, bool, std::vector<std::string>>;
 
-// The least and the greatest value of a key, both allowed: in microseconds, bytes or the plain number.
+// The inclusive bounds of a key's value, in microseconds, bytes or as a plain number.
 struct Bounds {
   double min;
   double max;
 };
 constexpr std::nullopt_t kUnbounded = std::nullopt;
 
-// What a key that is no KeyKind::Choice has in place of choices.
+// The choices of a key that is not a KeyKind::Choice.
 constexpr const char* kNoChoices = "";
 
 // One key of a section. All text has static storage duration.
@@ -48,16 +48,16 @@
   const char* section = "";
   const char* name = "";
   KeyKind kind = KeyKind::Text;
-  const char* defaultText = nullptr;  // as a file would have it; null: the key is required
+  const char* defaultText = nullptr;  // as written in a file; null: the key is required
   std::optional<Bounds> bounds;
-  const char* choices = kNoChoices;  // KeyKind::Choice: the allowed words, separated by blanks
+  const char* choices = kNoChoices;  // KeyKind::Choice: the allowed words, separated by spaces
   void (*set)(SettingsDraft&, const KeyValue&) = nullptr;
   const char* description = "";
 };
 
 struct SectionInfo {
   const char* type;
-  bool named;  // [class NAME], any number of them
+  bool named;  // such as [class NAME], which may occur any number of times
   const char* description;
 };
 
@@ -66,10 +66,11 @@
 // All keys, grouped by section.
 const std::vector<Key>& keyTable();
 
-// Reads a value by its key's kind and checks its bounds; else says what is wrong and how to write it.
+// Parses a value according to its key's kind and checks its bounds. Returns a ValueError if it is
+// invalid.
 Read<KeyValue> readValue(const Key&, const std::string& text);
 
-// A bound of a key as settings write it, with its unit.
+// Formats a bound of a key as a settings file would contain it, with its unit.
 std::string writeBound(KeyKind, double bound);
 
 }  // namespace sablespur
--- a/src/config/keys_proxy.cpp
+++ b/src/config/keys_proxy.cpp
@@ -8,41 +8,41 @@
 constexpr Key kProxyKeys[] = {
     {"proxy", "name", KeyKind::Text, nullptr, kUnbounded, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.name = text(v); },
-     "Its name in the log, the same after a restart."},
+     "Name of this proxy in the log; the same after a restart."},
     {"proxy", "listen", KeyKind::Address, nullptr, kUnbounded, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.listen = as<Address>(v); },
-     "Where clients connect. Port 0 lets the system choose; the log tells which."},
+     "Address on which clients connect. With port 0 the system chooses a port, which is logged."},
     {"proxy", "proxies", KeyKind::Count, "1", Bounds{1, 10000}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.settings.proxyCount = integer<int>(v); },
-     "How many proxies stand before the same data servers, this one included. Each takes its part of what a "
-     "cold server may be sent, so a number that is too small can fell one."},
+     "Number of proxies in front of the same data servers, this one included. Each proxy uses its share of "
+     "what a warming-up data server may be sent, so a number that is too small can overload one."},
     {"proxy", "zones", KeyKind::Words, "", kUnbounded, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.zones = as<std::vector<std::string>>(v); },
-     "The buildings, with commas between. Data servers name theirs."},
+     "Names of the zones (buildings), separated by commas. Each data server names its zone."},
     {"proxy", "seed", KeyKind::Hex, "random", kUnbounded, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.seed = as<std::uint64_t>(v); },
-     "Of its random numbers; hexadecimal, or `random` for a new one at each start. Fix it only to repeat a "
-     "run."},
+     "Seed of the random numbers, in hexadecimal; `random` draws a new one at each start. Set it only to "
+     "repeat a run."},
 };
 
 constexpr Key kLimitsKeys[] = {
     {"limits", "memory", KeyKind::Size, "64MB", Bounds{double(kLeastMemory), double(kMostMemory)}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.limits.memory = as<std::uint64_t>(v); },
-     "Resident memory that the process keeps to."},
+     "Limit on the resident memory of the process."},
     {"limits", "descriptors", KeyKind::Count, "1024", Bounds{kLeastDescriptors, kMostDescriptors}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.limits.descriptors = integer<std::size_t>(v); },
-     "Descriptors that it may open. 45% go to clients, the rest to data servers, but for 24 of its own. Not "
-     "above `ulimit -n`."},
+     "Limit on open file descriptors, at most `ulimit -n`. The process itself takes 24; 45% of the others "
+     "are for clients and the rest for data servers."},
     {"limits", "attempts", KeyKind::Count, "8", Bounds{1, 255}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.settings.maxAttempts = integer<int>(v); },
-     "The most attempts for one request, its first included."},
+     "Maximum number of attempts for one request, the first included."},
     {"limits", "dial_timeout", KeyKind::Duration, "250ms", Bounds{kMillisecond, 60 * kSecond}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.dialTimeout = duration(v); },
-     "A connection to a data server that is not up by then has failed; a probe not answered by then too."},
+     "Timeout for connecting to a data server and for the answer to a health check."},
     {"limits", "idle_close", KeyKind::Duration, "15s", Bounds{kSecond, kHour / 2}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.idleClose = duration(v); },
-     "Data servers close what stands idle for so long. The proxy retires its connections at 0.7 of it; with "
-     "a figure that is too high, requests run into connections that have just been closed."},
+     "Time after which data servers close idle connections. The proxy retires its connections at 0.7 of it. "
+     "If the value is too high, requests are sent on connections that have just been closed."},
 };
 
 constexpr Key kLogKeys[] = {
@@ -50,7 +50,7 @@
      [](SettingsDraft& d, const KeyValue& v) {
        d.config.logForm = text(v) == "json" ? LogForm::Json : LogForm::Logfmt;
      },
-     "A line an event, as `name=value` pairs or as a JSON object."},
+     "Format of the log: one line per event, as `name=value` pairs or as a JSON object."},
     {"log", "level", KeyKind::Choice, "info", kUnbounded, "trace debug info warning error",
      [](SettingsDraft& d, const KeyValue& v) {
        d.config.logLevel = text(v) == "trace"     ? LogLevel::Trace
@@ -59,14 +59,14 @@
                            : text(v) == "warning" ? LogLevel::Warning
                                                   : LogLevel::Error;
      },
-     "The least level that is written. `trace` writes a line for each request, attempt, probe and "
-     "connection, without a limit: for `tools/fleet-table`, not for service."},
+     "Lowest level that is written. `trace` writes a line for each request, attempt, health check and "
+     "connection, without a rate limit; it is meant for `tools/fleet-table`, not for production."},
 };
 
 constexpr Key kStatusKeys[] = {
     {"status", "socket", KeyKind::Text, "", kUnbounded, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.statusSocket = text(v); },
-     "The path of a local socket that only the proxy's own user may open. Empty: there is none."},
+     "Path of a local socket that only the proxy's own user may open. Empty: none."},
 };
 
 }  // namespace
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -37,15 +37,14 @@
   }
 }
 
-// The first entry of the key, or null; reports the others.
+// Returns the first entry of the key, or null, and reports every further entry.
 const IniEntry* findEntry(SettingsDocument& document, const IniSection& section, const std::string& key) {
   const IniEntry* found = nullptr;
   for (const IniEntry& entry : section.entries) {
     if (entry.key != key) continue;
     if (found)
-      document.report(
-          entry.line, section.title() + " " + key,
-          {"it stands on line " + std::to_string(found->line) + " already", "keep one of the two"});
+      document.report(entry.line, section.title() + " " + key,
+                      {"it is already set on line " + std::to_string(found->line), "remove one of the two"});
     else
       found = &entry;
   }
@@ -89,9 +88,8 @@
     checkTitle(document, section, types);
     const auto [first, isFirst] = firstLines.emplace(section.title(), section.line);
     if (!isFirst)
-      document.report(
-          section.line, section.title(),
-          {"it stands on line " + std::to_string(first->second) + " already", "put its keys there"});
+      document.report(section.line, section.title(),
+                      {"it already occurs on line " + std::to_string(first->second), "move its keys there"});
   }
 }
 
--- a/src/config/section_reader.hpp
+++ b/src/config/section_reader.hpp
@@ -1,4 +1,5 @@
-// Sections of an INI file against the table of keys: titles, unknown and repeated keys, defaults.
+// Reads the sections of an INI file according to the key table: checks titles, reports unknown and
+// repeated keys, and applies defaults.
 #pragma once
 
 #include <string>
@@ -8,11 +9,12 @@
 
 namespace sablespur {
 
-// Reports titles that are unknown, repeated, or have a name too many or too few.
+// Reports titles that are unknown or repeated, lack a required name or have a name that is not
+// allowed.
 void checkTitles(SettingsDocument&);
 
-// Sets every key of the section type, by its value in the section or by its default, and reports what is
-// wrong. Null: the file has no such section.
+// Sets every key of the section type from the section or from its default, and reports invalid,
+// missing and unknown keys. The section is null if the file does not contain it.
 void readSection(SettingsDocument&, const std::string& type, const IniSection*, SettingsDraft&);
 
 }  // namespace sablespur
--- a/src/config/settings_checks.hpp
+++ b/src/config/settings_checks.hpp
@@ -1,5 +1,5 @@
-// Checks of an INI file that span several keys or sections, one function a concern. Each reports what is
-// wrong to the document, and completes the settings where nothing is.
+// Checks of an INI file that span several keys or sections. Each function reports errors to the
+// document, and completes the settings if there are none.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,18 @@
 
 namespace sablespur {
 
-// By its name or its number.
+// Returns the group with this name or number, or std::nullopt if there is none.
 std::optional<balancer::GroupId> findGroup(const Config&, const std::string& nameOrNumber);
 
-// Sets the group of DNS-SD instances whose records name none.
+// Checks [discovery] and [dnssd], and sets the default group of DNS-SD instances.
 void checkDiscovery(SettingsDocument&, SettingsDraft&);
-// Login methods of both sides; reads the files of users and of the password for data servers.
+// Checks the login methods of clients and data servers, and reads the users file and the password
+// file.
 void loadCredentials(SettingsDocument&, SettingsDraft&);
 void checkPeers(SettingsDocument&, const Config&);
-// Sets Config::store where the file names a directory.
+// Sets Config::store if the file names a directory.
 void completeStore(SettingsDocument&, SettingsDraft&);
-// Sets Config::admission where it is enabled. The bounds on clients have to be known.
+// Sets Config::admission if it is enabled. Requires the bounds on clients; see deriveBounds().
 void completeAdmission(SettingsDocument&, SettingsDraft&);
 
 }  // namespace sablespur
--- a/src/config/settings_document.hpp
+++ b/src/config/settings_document.hpp
@@ -1,4 +1,4 @@
-// An INI settings file with the faults found in it, and where its sections and keys stand.
+// An INI settings file, the line numbers of its sections and keys, and the faults found in it.
 #pragma once
 
 #include <cstddef>
@@ -11,38 +11,39 @@
 
 namespace sablespur {
 
-// The parsed file. Checks read its sections and report what is wrong; throwIfFaulty() ends the reading.
+// The parsed file. Checks read its sections and report errors; throwIfFaulty() throws them all at
+// the end.
 class SettingsDocument {
  public:
-  // The faults of the file itself come first.
+  // The faults of the parser are the first ones reported.
   SettingsDocument(IniFile, std::string path);
 
   const std::vector<IniSection>& sections() const { return file_.sections; }
   // The first section of the type without a name, or null.
   const IniSection* unnamedSection(const std::string& type) const;
 
-  // `where` is "[section] key"; line 0 is the file as a whole.
+  // Reports an error. `where` is "[section] key"; line 0 stands for the file as a whole.
   void report(int line, std::string where, ValueError);
-  // At the key's line, or its section's where the key is missing.
+  // Reports an error at the line of the key, or of its section if the key is missing.
   void reportKey(const IniSection&, const char* key, ValueError);
   void reportKey(const std::string& sectionType, const char* key, ValueError);
-  // In a file that the settings name.
+  // Reports an error in a file that the settings name.
   void reportInFile(Fault);
-  // Of all faults so far, those of the file itself included.
+  // Returns the number of faults so far, including those of the parser.
   std::size_t faultCount() const { return faults_.size(); }
-  // In the order of the lines. Throws BadSettings if there is any.
+  // Throws BadSettings with all faults, ordered by line, if there are any.
   void throwIfFaulty();
 
-  // The line of the key, or of its section where the key is missing.
+  // Returns the line of the key, or of its section if the key is missing.
   static int keyLine(const IniSection&, const char* key);
-  // 0 where there is no such section.
+  // These return 0 if there is no such section.
   int keyLine(const std::string& sectionType, const char* key) const;
   int sectionLine(const std::string& type) const;
-  // `title` is as IniSection::title() has it.
+  // `title` has the form of IniSection::title().
   int titleLine(const std::string& title) const;
   int titleKeyLine(const std::string& title, const char* key) const;
 
-  // A path as it is opened: relative ones start from the directory of this file.
+  // Resolves a relative path against the directory of this file.
   std::string resolvePath(const std::string& path) const;
 
  private:
@@ -51,7 +52,7 @@
   std::vector<Fault> faults_;
 };
 
-// The text of a file, or nothing where it cannot be read.
+// Returns the text of a file, or std::nullopt if it cannot be read.
 std::optional<std::string> readTextFile(const std::string& path);
 
 }  // namespace sablespur
--- a/src/config/settings_draft.hpp
+++ b/src/config/settings_draft.hpp
@@ -1,4 +1,4 @@
-// The settings of an INI file while its sections are read: what the setters of the key tables fill.
+// Intermediate settings that the setters of the key tables fill while an INI file is read.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,12 @@
 // The clients of an [admission_group NAME].
 struct AdmissionGroupClients {
   std::vector<std::string> networks;
-  std::string networksFile;  // more networks, a line each; empty: none
+  std::string networksFile;  // more networks, one per line; empty: none
   std::vector<std::string> users;
   bool none() const { return networks.empty() && networksFile.empty() && users.empty(); }
 };
 
-// [admission_group NAME] as it stands in the file. Limits of 0 mean no limit.
+// [admission_group NAME] as configured. A limit of 0 means unlimited.
 struct AdmissionGroupDraft {
   std::string name;
   int line = 0;
@@ -33,7 +33,7 @@
   double weight = 1;
 };
 
-// The keys of [admission] on connections. A count of 0 is derived from the limits of the process.
+// Keys of [admission] about connections. A count of 0 is derived from the limits of the process.
 struct ConnectionAdmissionDraft {
   std::size_t maxConnections = 0;
   std::size_t maxUnadmitted = 0;
@@ -44,14 +44,14 @@
   Time minIdle{};
 };
 
-// The keys of [admission] on clients that are known by their address.
+// Keys of [admission] about clients that are identified by their address.
 struct ClientIdentityDraft {
   std::vector<std::string> proxyProtocolNetworks;
   std::string recentClientsGroup;
   std::size_t maxRecentClients = 0;
 };
 
-// The keys of [admission] on the limit on concurrent requests.
+// Keys of [admission] about the limit on concurrent requests.
 struct RequestLimitDraft {
   std::string algorithm;  // off, fixed, aimd, gradient
   std::size_t initial = 0;
@@ -64,7 +64,7 @@
   Time maxRetryAfter{};
 };
 
-// [admission] and its groups; makeAdmission checks them and makes admission::Settings of them.
+// [admission] and its groups; makeAdmission() checks them and converts them to admission::Settings.
 struct AdmissionDraft {
   bool enabled = false;
   ConnectionAdmissionDraft connections;
@@ -73,19 +73,19 @@
   std::vector<AdmissionGroupDraft> groups;
 };
 
-// [limits] as given; deriveBounds makes the bounds of Config of them.
+// [limits] as configured; deriveBounds() derives the bounds of Config from them.
 struct LimitsDraft {
   std::uint64_t memory = 0;  // bytes
   std::size_t descriptors = 0;
 };
 
-// Files that settings name; they are read once all sections are known.
+// Files named in the settings, which are read after all sections.
 struct CredentialFiles {
   std::string users;
   std::string serverPassword;
 };
 
-// The named section that is being read; only the member of its type is in use.
+// The named section that is being read; only the member for its type is in use.
 struct NamedSectionDraft {
   balancer::ClassSettings requestClass;
   DiscoveredEndpoint endpoint;
@@ -94,7 +94,7 @@
   AdmissionGroupDraft admissionGroup;
 };
 
-// What the keys of an INI file are set on.
+// The target of the setters of the key tables.
 struct SettingsDraft {
   Config& config;
   LimitsDraft limits;
--- a/src/config/settings_page.cpp
+++ b/src/config/settings_page.cpp
@@ -1,4 +1,4 @@
-// The operators' page of settings, written from the table of keys.
+// Generates the operators' page of settings from the key table.
 #include <sstream>
 
 #include "config/keys.hpp"
@@ -39,7 +39,7 @@
 }
 
 std::string defaultOf(const Key& key) {
-  if (!key.defaultText) return "must be given";
+  if (!key.defaultText) return "required";
   const std::string text = key.defaultText;
   return text.empty() ? "none" : "`" + text + "`";
 }
--- a/src/config/state_checks.cpp
+++ b/src/config/state_checks.cpp
@@ -13,24 +13,25 @@
   if (!config.peerListen.none() && !listed)
     document.reportKey(
         "peers", "listen",
-        {"no [peer] has this address", "add a [peer] for this proxy; the list is the same at each"});
+        {"no [peer] has this address", "add a [peer] for this proxy; the list is the same on every proxy"});
   if (config.peerListen.none() && !config.peers.empty())
-    document.report(0, "[peers] listen",
-                    {"there are [peer]s and this proxy hears none", "write where it listens"});
+    document.report(
+        0, "[peers] listen",
+        {"there are [peer] sections, but this proxy does not listen for gossip", "write its address"});
 }
 
 #ifdef SABLESPUR_STORE
 namespace {
 
-// A key that is forgotten while its client may still retry would let a write run twice.
+// A key that expires while its client may still retry would let a write run twice.
 void checkKeyRetention(SettingsDocument& document, const Config& config, Time retention) {
   for (std::size_t index = 0; index < config.classes.size(); ++index) {
     const balancer::ClassSettings& requestClass = config.settings.classes[index];
     if (requestClass.idempotency != balancer::Idempotency::WithKey) continue;
     if (retention >= requestClass.deadline + requestClass.deduplicationWindow) continue;
     document.reportKey("store", "keep",
-                       {"class " + config.classes[index] + " may be asked for again after that",
-                        "at least its give_up and repeats_dropped_for together"});
+                       {"requests of class " + config.classes[index] + " may be retried after that",
+                        "write at least its give_up and repeats_dropped_for together"});
   }
 }
 
@@ -45,11 +46,11 @@
   while (store.directory.size() > 1 && store.directory.back() == '/') store.directory.pop_back();
   if (store.comeBackMost < store.comeBackLeast)
     document.reportKey("store", "come_back_most",
-                       {"it is below come_back_least", "raise it, or lower the other"});
+                       {"it is shorter than come_back_least", "make it at least come_back_least"});
   checkKeyRetention(document, draft.config, store.keep);
   if (draft.limits.descriptors < leastDescriptors(true))
     document.reportKey("limits", "descriptors",
-                       {std::to_string(draft.limits.descriptors) + " are too few beside a store",
+                       {std::to_string(draft.limits.descriptors) + " are too few with a store",
                         "write at least " + std::to_string(leastDescriptors(true))});
   draft.config.store = std::make_shared<const StoreConfig>(store);
 #else
--- a/src/support/address.hpp
+++ b/src/support/address.hpp
@@ -1,5 +1,5 @@
-// An IPv4 or IPv6 address with a port, as a value that converts from and to text, DNS data and socket
-// addresses.
+// An IPv4 or IPv6 address with a port, as a value that converts from and to text, DNS data and
+// socket addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,8 +18,8 @@
 
   // Parses "10.1.0.18:5432" or "[fe80::1]:5432"; std::nullopt for any other text.
   static std::optional<Address> parse(std::string_view text);
-  // `bytes` in network byte order, as DNS carries them: 4 for IPv4, 16 for IPv6. Any other length gives an
-  // unspecified address.
+  // `bytes` in network byte order, as DNS carries them: 4 for IPv4, 16 for IPv6. Any other length
+  // gives an unspecified address.
   static Address fromBytes(std::string_view bytes, std::uint16_t port);
   // Copies an AF_INET or AF_INET6 socket address; any other family gives an unspecified address.
   static Address fromSocket(const sockaddr* from);
@@ -32,7 +32,7 @@
   std::uint16_t port() const;
   // For system calls; valid while this object lives.
   const sockaddr* data() const { return &socketAddress_.any; }
-  // The length that belongs to data().
+  // The length of data().
   socklen_t size() const { return v6() ? sizeof socketAddress_.v6 : sizeof socketAddress_.v4; }
   // In the form that parse() reads; empty for the unspecified address.
   std::string text() const;
@@ -41,7 +41,7 @@
   friend bool operator!=(const Address& a, const Address& b) { return !(a == b); }
 
  private:
-  // The family, the first member of each form, tells which one is in use.
+  // The family, which is the first member of each alternative, determines the active one.
   union SocketAddress {
     sockaddr any;
     sockaddr_in v4;
--- a/src/support/ini.cpp
+++ b/src/support/ini.cpp
@@ -20,13 +20,13 @@
   return text;
 }
 
-// Gives inih one line after another, and collects what inih and the lines themselves tell.
+// Passes the text to inih line by line, and collects sections, entries and faults.
 class LineReader {
  public:
   LineReader(std::string_view text, std::string path, const std::set<std::string>& rawTypes)
       : rest_(text), path_(std::move(path)), rawTypes_(rawTypes) {}
 
-  // The reader that inih calls, with the contract of fgets.
+  // Called by inih for the next line, with the contract of fgets.
   char* readLine(char* buffer, int capacity) {
     if (rest_.empty()) return nullptr;
     ++line_;
@@ -43,7 +43,7 @@
     return buffer;
   }
 
-  // The handler that inih calls for each "key = value".
+  // Called by inih for each "key = value".
   void addEntry(const char* key, const char* value) {
     if (file_.sections.empty())
       addFault("a key before the first section", "begin with a section such as [proxy]");
@@ -51,13 +51,13 @@
       file_.sections.back().entries.push_back({key, value, line_});
   }
 
-  // `status` is what inih returned: 0, the first line that it could not parse, or a negative value for
-  // exhausted memory.
+  // `status` is what inih returned: 0, the first line that it could not parse, or a negative value
+  // for exhausted memory.
   IniFile finish(int status) {
     if (status > 0)
       file_.faults.push_back({path_, status, "", "neither a [section] nor key = value",
-                              "mend this line, then check again for more like it"});
-    if (status < 0) file_.faults.push_back({path_, 0, "", "there is no memory to read it", ""});
+                              "correct this line, then check again: only the first such line is reported"});
+    if (status < 0) file_.faults.push_back({path_, 0, "", "there is not enough memory to read it", ""});
     return std::move(file_);
   }
 
@@ -66,8 +66,8 @@
     file_.faults.push_back({path_, line_, "", std::move(problem), std::move(fix)});
   }
 
-  // The next line, without its newline and indentation: inih would take an indented line for the continuation
-  // of a value.
+  // Returns the next line without its newline and indentation, since inih treats an indented line
+  // as the continuation of a value.
   std::string_view takeLine() {
     const std::size_t end = std::min(rest_.find('\n'), rest_.size());
     const std::string_view text = rest_.substr(0, end);
@@ -75,11 +75,12 @@
     return trimLeft(text);
   }
 
-  // The line, or an empty one and a fault where inih can't take it. The newline and the NUL need room, too.
+  // Returns the line, or reports a fault and returns an empty line if inih cannot read it. The
+  // buffer must also have room for the newline and the NUL.
   std::string_view checkedLine(std::string_view text, int capacity) {
     const int maxLength = capacity - 2;
     if (text.find('\0') != std::string_view::npos) {
-      addFault("a NUL byte", "this is no text file");
+      addFault("a NUL byte", "this is not a text file");
       return {};
     }
     if (static_cast<int>(text.size()) > maxLength) {
@@ -100,7 +101,8 @@
     file_.sections.back().entries.push_back({"", std::string(entry), line_});
   }
 
-  // inih names a section only along with a key, so that an empty one would be missed.
+  // Sections are collected here because inih reports a section only with a key, so an empty one
+  // would be missed.
   void beginSection(std::string_view text) {
     const std::size_t end = text.find(']');
     if (end == std::string_view::npos) return;  // inih reports this line
@@ -126,7 +128,7 @@
 
 int addEntry(void* reader, const char* /*section*/, const char* key, const char* value) {
   static_cast<LineReader*>(reader)->addEntry(key, value);
-  return 1;  // inih: go on
+  return 1;  // tells inih to continue
 }
 
 }  // namespace
--- a/src/support/ini.hpp
+++ b/src/support/ini.hpp
@@ -1,9 +1,9 @@
-// Reads an INI file, with inih, into sections and entries that know their lines. It does not interpret
-// values.
+// Reads an INI file with inih into sections and entries with their line numbers. Values are not
+// interpreted.
 //
-// inih reports neither line numbers nor a section that is repeated; the reader that gives inih its lines
-// counts both. Indentation has no meaning. A comment begins with ; or # at the start of a line, or with ;
-// after a blank.
+// inih reports neither line numbers nor repeated sections, so the function that passes the lines to
+// inih records both. Indentation has no meaning. A comment begins with ; or # at the start of a
+// line, or with ; after a space.
 #pragma once
 
 #include <set>
@@ -25,21 +25,21 @@
 // One section. "[class tour-read]" has the type "class" and the name "tour-read".
 struct IniSection {
   std::string type;
-  std::string name;  // empty where the header has none
+  std::string name;  // empty if the header has none
   int line = 0;      // of the header
   std::vector<IniEntry> entries;
 
-  // The header as it is written in canonical form.
+  // Returns the header in canonical form.
   std::string title() const { return "[" + type + (name.empty() ? "" : " " + name) + "]"; }
 };
 
 struct IniFile {
   std::vector<IniSection> sections;  // in the order of the file; a title may occur more than once
-  std::vector<Fault> faults;         // one for each line that is not INI
+  std::vector<Fault> faults;         // one for each line that could not be read
 };
 
-// Parses `text`; faults name `file`. In sections whose type is in `rawTypes` each line that is not a header
-// becomes an entry with the key "" and, as its value, the line without its comment.
+// Parses `text`; faults name `file`. In sections whose type is in `rawTypes`, each line that is not
+// a header becomes an entry with an empty key whose value is the line without its comment.
 IniFile parseIni(std::string_view text, const std::string& file, const std::set<std::string>& rawTypes = {});
 
 }  // namespace sablespur
--- a/src/support/nearest_word.cpp
+++ b/src/support/nearest_word.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxDistance = 2;
 
-// Levenshtein's distance; one row of the matrix is kept.
+// Returns the Levenshtein distance, computed with a single row of the matrix.
 std::size_t editDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
--- a/src/support/nearest_word.hpp
+++ b/src/support/nearest_word.hpp
@@ -1,4 +1,4 @@
-// Finds the word that an operator may have meant, for suggestions in error messages. Pure.
+// Finds the word that an operator may have meant, for suggestions in error messages.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 
 namespace sablespur {
 
-// The word in [first, last) with the least edit distance from `word`, if that is at most 2; otherwise an
-// empty text. The first one wins among equals.
+// Returns the word in [first, last) with the smallest edit distance from `word`, or an empty string
+// if that distance is above 2. If several words are equally near, the first one is returned.
 std::string nearestWord(std::string_view word, const std::string* first, const std::string* last);
 
 }  // namespace sablespur
--- a/src/support/secret.cpp
+++ b/src/support/secret.cpp
@@ -15,7 +15,7 @@
     if (got > 0)
       filled += static_cast<std::size_t>(got);
     else if (errno != EINTR)
-      throw std::runtime_error("the system has no random numbers for keys");
+      throw std::runtime_error("the system's random number generator failed");
   }
   return bytes;
 }
--- a/src/support/secret.hpp
+++ b/src/support/secret.hpp
@@ -7,9 +7,10 @@
 
 namespace sablespur {
 
-// `count` bytes of the system's cryptographic generator. Throws std::runtime_error where it is missing.
+// Returns `count` bytes from the system's cryptographic random number generator. Throws
+// std::runtime_error if it is not available.
 std::string randomBytes(std::size_t count);
-// Whether both are equal, in a time that depends on the lengths alone.
+// Returns whether both are equal, in a time that depends only on their lengths.
 bool sameSecret(std::string_view a, std::string_view b);
 
 }  // namespace sablespur
--- a/src/support/units.cpp
+++ b/src/support/units.cpp
@@ -19,7 +19,7 @@
 constexpr const char* kTimeFix = "write a number with us, ms, s, min, h or d, such as 250ms";
 constexpr const char* kSizeFix = "write a whole number with B, KB, MB or GB, such as 64MB";
 
-// Bounds that keep a value exact as a double.
+// Up to these bounds a double represents every whole number exactly.
 constexpr double kMaxMicroseconds = 9e15;
 constexpr double kMaxBytes = 1e15;
 
@@ -28,8 +28,8 @@
   std::string_view unit;  // empty: none
 };
 
-// Splits a text into the number at its start and the unit after it.
-std::optional<Quantity> split(std::string_view text) {
+// Splits a text into its leading number and the unit after it.
+std::optional<Quantity> splitQuantity(std::string_view text) {
   Quantity quantity;
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, quantity.number, std::chars_format::fixed);
@@ -41,13 +41,13 @@
 }
 
 template <std::size_t N>
-const Unit* find(const Unit (&units)[N], std::string_view name) {
+const Unit* findUnit(const Unit (&units)[N], std::string_view name) {
   for (const Unit& unit : units)
     if (unit.name == name) return &unit;
   return nullptr;
 }
 
-ValueError wrong(std::string_view text, const std::string& why, const char* fix) {
+ValueError valueError(std::string_view text, const std::string& why, const char* fix) {
   return {"'" + std::string(text) + "' " + why, fix};
 }
 
@@ -55,38 +55,38 @@
 
 Read<std::chrono::microseconds> readTime(std::string_view text) {
   if (text == "0") return std::chrono::microseconds(0);
-  const std::optional<Quantity> quantity = split(text);
-  if (!quantity) return wrong(text, "is no time", kTimeFix);
+  const std::optional<Quantity> quantity = splitQuantity(text);
+  if (!quantity) return valueError(text, "is not a time", kTimeFix);
   const std::string_view name = quantity->unit;
-  if (name.empty()) return wrong(text, "has no unit", kTimeFix);
-  const Unit* const unit = find(kTimes, name);
-  if (!unit && find(kSizes, name)) return wrong(text, "is a size, and a time is wanted", kTimeFix);
-  if (!unit) return wrong(text, "has the unknown unit '" + std::string(name) + "'", kTimeFix);
+  if (name.empty()) return valueError(text, "has no unit", kTimeFix);
+  const Unit* const unit = findUnit(kTimes, name);
+  if (!unit && findUnit(kSizes, name)) return valueError(text, "is a size, and a time is expected", kTimeFix);
+  if (!unit) return valueError(text, "has the unknown unit '" + std::string(name) + "'", kTimeFix);
   const double microseconds = quantity->number * unit->factor;
-  if (microseconds < 0) return wrong(text, "is negative", kTimeFix);
-  if (microseconds > kMaxMicroseconds) return wrong(text, "is too long", kTimeFix);
+  if (microseconds < 0) return valueError(text, "is negative", kTimeFix);
+  if (microseconds > kMaxMicroseconds) return valueError(text, "is too long", kTimeFix);
   return std::chrono::microseconds(static_cast<std::int64_t>(std::llround(microseconds)));
 }
 
 Read<std::uint64_t> readSize(std::string_view text) {
-  const std::optional<Quantity> quantity = split(text);
-  if (!quantity) return wrong(text, "is no size", kSizeFix);
+  const std::optional<Quantity> quantity = splitQuantity(text);
+  if (!quantity) return valueError(text, "is not a size", kSizeFix);
   const std::string_view name = quantity->unit;
-  if (name.empty()) return wrong(text, "has no unit", kSizeFix);
-  const Unit* const unit = find(kSizes, name);
-  if (!unit && find(kTimes, name)) return wrong(text, "is a time, and a size is wanted", kSizeFix);
-  if (!unit) return wrong(text, "has the unknown unit '" + std::string(name) + "'", kSizeFix);
+  if (name.empty()) return valueError(text, "has no unit", kSizeFix);
+  const Unit* const unit = findUnit(kSizes, name);
+  if (!unit && findUnit(kTimes, name)) return valueError(text, "is a time, and a size is expected", kSizeFix);
+  if (!unit) return valueError(text, "has the unknown unit '" + std::string(name) + "'", kSizeFix);
   const double bytes = quantity->number * unit->factor;
-  if (bytes < 0) return wrong(text, "is negative", kSizeFix);
-  if (bytes > kMaxBytes) return wrong(text, "is too large", kSizeFix);
-  if (bytes != std::floor(bytes)) return wrong(text, "is no whole number of bytes", kSizeFix);
+  if (bytes < 0) return valueError(text, "is negative", kSizeFix);
+  if (bytes > kMaxBytes) return valueError(text, "is too large", kSizeFix);
+  if (bytes != std::floor(bytes)) return valueError(text, "is not a whole number of bytes", kSizeFix);
   return static_cast<std::uint64_t>(bytes);
 }
 
 Read<double> readShare(std::string_view text) {
-  const std::optional<Quantity> quantity = split(text);
+  const std::optional<Quantity> quantity = splitQuantity(text);
   if (!quantity || (!quantity->unit.empty() && quantity->unit != "%"))
-    return wrong(text, "is no share", "write a share such as 21% or 0.21");
+    return valueError(text, "is not a share", "write a share such as 21% or 0.21");
   return quantity->unit == "%" ? quantity->number / 100 : quantity->number;
 }
 
@@ -95,12 +95,13 @@
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, count);
   if (error == std::errc() && stop == end) return count;
-  return wrong(text, "is no whole number", "write digits alone, such as 8");
+  return valueError(text, "is not a whole number", "write only digits, such as 8");
 }
 
 Read<double> readNumber(std::string_view text) {
-  const std::optional<Quantity> quantity = split(text);
-  if (!quantity || !quantity->unit.empty()) return wrong(text, "is no number", "write a number such as 2.5");
+  const std::optional<Quantity> quantity = splitQuantity(text);
+  if (!quantity || !quantity->unit.empty())
+    return valueError(text, "is not a number", "write a number such as 2.5");
   return quantity->number;
 }
 
@@ -109,7 +110,7 @@
     if (text == yes) return true;
   for (const char* no : {"no", "off", "false"})
     if (text == no) return false;
-  return wrong(text, "is neither yes nor no", "write yes or no");
+  return valueError(text, "is neither yes nor no", "write yes or no");
 }
 
 std::string writeTime(std::chrono::microseconds time) {
--- a/src/support/units.hpp
+++ b/src/support/units.hpp
@@ -1,6 +1,6 @@
-// Values with units, such as 250ms or 64MB: parsing and formatting. Pure.
+// Parsing and formatting of values with units, such as 250ms or 64MB.
 //
-// Each reader gives the value, or what is wrong with the text and how to write it.
+// Each parser returns the value, or a ValueError that says what is wrong and how to write it.
 #pragma once
 
 #include <chrono>
@@ -19,7 +19,7 @@
 template <typename T>
 using Read = std::variant<T, ValueError>;
 
-// 200us, 1.5s, 2min, 3h, 1d. "0" alone needs no unit. Never negative.
+// 200us, 1.5s, 2min, 3h, 1d. Only "0" needs no unit. Negative values are rejected.
 Read<std::chrono::microseconds> readTime(std::string_view text);
 // 512B, 64KB, 32MB, 1GB, in powers of 1024; a whole number of bytes.
 Read<std::uint64_t> readSize(std::string_view text);
@@ -32,9 +32,9 @@
 // yes, no, on, off, true, false.
 Read<bool> readFlag(std::string_view text);
 
-// The text with the largest unit, up to hours, that readTime reads as the same time.
+// Formats a time with the largest unit, up to hours, from which readTime() restores the same time.
 std::string writeTime(std::chrono::microseconds time);
-// The text with the largest unit that readSize reads as the same size.
+// Formats a size with the largest unit from which readSize() restores the same size.
 std::string writeSize(std::uint64_t bytes);
 
 }  // namespace sablespur
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Settings as INI: every fault is named with its line, its key and what to write instead.
+// INI settings: parsing, defaults, and faults that name their line, their key and the correction.
 #include "config/config.hpp"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
   EXPECT_NE(at, std::string::npos) << from;
   return text.replace(at, from.size(), to);
 }
-// All faults, a line each.
+// Returns all faults, one per line.
 std::string faults(const std::string& text) {
   try {
     parseSettings(text, "f.ini");
@@ -69,7 +69,7 @@
   return "";
 }
 
-TEST(Settings, FillTheSameConfigAsThePlatformsForm) {
+TEST(Settings, IniFileProducesTheSameConfigAsJson) {
   const Config c = parseSettings(kGood, "f.ini");
   EXPECT_EQ(c.name, "desk-1");
   EXPECT_EQ(c.discovery.text(), "127.0.0.1:8500");
@@ -83,7 +83,7 @@
   EXPECT_EQ(write.deduplicationWindow, microseconds(2000000));
   EXPECT_EQ(write.lateWeight, 0.5);
 
-  // The defaults are those that the platform's settings state today.
+  // The INI defaults equal the values in the platform's JSON settings.
   test::Setting limits;
   limits.memoryMb = 64;
   const Config j = parseConfig(test::configuration(limits, 8500, {}));
@@ -122,7 +122,7 @@
        "f.ini:22: [class tour-read] aim: '400' has no unit; write a number with us, ms, s, min, h or d, such "
        "as 250ms"},
       {with("aim = 400ms", "aim = 4MB"),
-       "f.ini:22: [class tour-read] aim: '4MB' is a size, and a time is wanted"},
+       "f.ini:22: [class tour-read] aim: '4MB' is a size, and a time is expected"},
       {with("aim = 400ms", "aim = -4ms"), "f.ini:22: [class tour-read] aim: '-4ms' is negative"},
       {with("aim = 400ms", "aim = 5000h"),
        "f.ini:22: [class tour-read] aim: '5000h' is out of range; write 1ms to 1h"},
@@ -130,7 +130,8 @@
        "f.ini:23: [class tour-read] give_up: it is shorter than the aim; make it at least the aim"},
       {with("max_age = 200ms\n", ""), "f.ini:18: [class tour-read] max_age: data = bounded needs it"},
       {with("data = bounded", "data = bonded"),
-       "f.ini:19: [class tour-read] data: 'bonded' is none of any, bounded, session, fresh, write; did you "
+       "f.ini:19: [class tour-read] data: 'bonded' is not one of any, bounded, session, fresh, write; did "
+       "you "
        "mean "
        "'bounded'?"},
       {with("repeats = keyed", "repeats = safe"),
@@ -147,21 +148,23 @@
       {with("[proxy]", "[proxy east]"), "f.ini:2: [proxy east]: it takes no name; write [proxy]"},
       {with("name = desk-1\n", ""), "f.ini:2: [proxy] name: it is missing; add name = ... to [proxy]"},
       {with("listen = 127.0.0.1:0", "listen = desk.example:5432"),
-       "f.ini:4: [proxy] listen: 'desk.example:5432' is no address with a port; write it as 10.1.0.18:5432 "
+       "f.ini:4: [proxy] listen: 'desk.example:5432' is not an address with a port; write it as "
+       "10.1.0.18:5432 "
        "or "
-       "[fd00::18]:5432; names are not looked up here"},
+       "[fd00::18]:5432; host names are not resolved"},
       {with("registry = 127.0.0.1:8500", ""), "f.ini:7: [discovery] registry: source = registry needs it"},
       {with("group = rentals", "group = rental"),
        "f.ini:13: [member s-1] group: 'rental' is neither a [group] nor a number up to 65535; add [group "
        "rental]"},
       {with("[::1]:6002", "127.0.0.1:6001"), "f.ini:16: [member s-2] address: [member s-1] has this address"},
       {with("[member s-2]", "[member s-1]"),
-       "f.ini:15: [member s-1]: it stands on line 11 already; put its keys there"},
+       "f.ini:15: [member s-1]: it already occurs on line 11; move its keys there"},
       {with("zones = ruwi, seeb", "zones = ruwi, seeb\nname = other"),
-       "f.ini:6: [proxy] name: it stands on line 3 already; keep one of the two"},
-      {with("number = 3", "number = three"), "f.ini:10: [group rentals] number: 'three' is no whole number"},
+       "f.ini:6: [proxy] name: it is already set on line 3; remove one of the two"},
+      {with("number = 3", "number = three"),
+       "f.ini:10: [group rentals] number: 'three' is not a whole number"},
       {with("seed = 8c1f30d27a5be964", "seed = twelve"),
-       "f.ini:6: [proxy] seed: 'twelve' is no hexadecimal number"},
+       "f.ini:6: [proxy] seed: 'twelve' is not a hexadecimal number"},
       {with("late_worth = 50%", "late_worth = 150%"),
        "f.ini:31: [class handset-write] late_worth: '150%' is out of range; write 0% to 100%"},
       {with("zones = ruwi, seeb", "zones"), "f.ini:5: neither a [section] nor key = value"},
@@ -174,8 +177,8 @@
         << "wanted " << wanted << "\ngot " << faults(text);
 }
 
-// The door's: what a person gets wrong in it, each named by its line.
-TEST(Settings, FaultsOfTheDoorNameFileLineKeyAndFix) {
+// Typical mistakes in the settings of admission control.
+TEST(Settings, AdmissionFaultsNameFileLineKeyAndFix) {
   const auto door = [](const std::string& more) {
     return faults(kGood + "\n[admission]\ndoor = yes\n" + more);
   };
@@ -186,15 +189,17 @@
       {door("[admission_group a]\nnetworks = 10.1.0.0/16\n[admission_group b]\nnetworks = 10.1.0.0/16\n"),
        "[admission_group b] networks: '10.1.0.0/16' belongs to another group already"},
       {door("[admission_group desks]\nnetworks_file = none.txt\n"),
-       "[admission_group desks] networks_file: 'none.txt' cannot be read; see that it exists"},
+       "[admission_group desks] networks_file: 'none.txt' cannot be read; check that it exists"},
       {door("[admission_group desks]\nusers = desk\n"),
-       "[admission_group desks] users: a name proves nothing without a password; write [clients] login"},
+       "[admission_group desks] users: a user name is not verified without a password; write [clients] "
+       "login"},
       {door("[admission_group others]\nnetworks = 10.1.0.0/16\n"),
-       "[admission_group others]: it is whoever is in no other group; leave out its networks and users"},
+       "[admission_group others]: it holds the clients that are in no other group; remove its networks and "
+       "users"},
       {door("[admission_group desks]\nconnections = 3\nreserve = 4\n"),
-       "[admission_group desks] reserve: it is more than the group may hold"},
+       "[admission_group desks] reserve: it is more than the connections of the group"},
       {door("connections = 10\n[admission_group desks]\nreserve = 11\n"),
-       "[admission] connections: the groups' reserves come to 11, and there are 10 places"},
+       "[admission] connections: the groups reserve 11 connections, and only 10 are available"},
       {door("antechamber = 5000\n"), "[admission] antechamber: it leaves no room"},
       {door("fronts = desk\n"), "[admission] fronts: 'desk' is no network"},
       {door("served_before = desks\n"), "[admission] served_before: there is no [admission_group desks]"},
@@ -202,12 +207,13 @@
       {door("requests = gradient\nlimit_least = 20\nlimit_most = 10\n"),
        "[admission] limit_most: it is less than limit_least"},
       {faults(kGood + "\n[admission_group desks]\n"),
-       "[admission_group desks]: there is no door to keep it apart; write door = yes in [admission]"},
+       "[admission_group desks]: admission control is off; write door = yes in [admission]"},
   };
   for (const auto& [got, wanted] : cases)
     EXPECT_NE(got.find(wanted), std::string::npos) << "wanted " << wanted << "\ngot " << got;
 }
-TEST(Settings, ThousandsOfNetworksComeFromAFileAndAFaultInItHasItsLine) {
+
+TEST(Settings, NetworksFileIsReadAndItsFaultsNameTheirLine) {
   const std::string path = "/tmp/sablespur-networks-" + std::to_string(getpid());
   const auto read = [&](const std::string& text) {
     std::ofstream(path) << text;
@@ -224,8 +230,8 @@
   unlink(path.c_str());
 }
 
-// One round of mending has to do: all faults are told, in the order of the lines, not the first alone.
-TEST(Settings, TellAllFaultsInTheOrderOfTheLines) {
+// All faults are reported, not only the first, so that a file can be corrected in one round.
+TEST(Settings, ReportsAllFaultsInLineOrder) {
   std::string text = with("aim = 400ms", "aim = soon");
   text.replace(text.find("worth = 6"), 9, "worth = much");
   const std::string all = faults(text);
@@ -240,7 +246,7 @@
   }
 }
 
-TEST(Units, ReadBackWhatTheyWrite) {
+TEST(Units, FormattedValuesParseToTheSameValues) {
   for (const std::int64_t us :
        {0L, 1L, 999L, 1000L, 1500L, 250000L, 60000000L, 90000000L, 3600000000L, 86400000000L})
     EXPECT_EQ(std::get<microseconds>(readTime(writeTime(microseconds(us)))), microseconds(us));
@@ -253,8 +259,8 @@
   EXPECT_TRUE(std::holds_alternative<ValueError>(readSize("0.3B")));
 }
 
-// The operators' page is printed from the table of keys; `sablespur check --keys` writes it anew.
-TEST(Settings, ThePageListsEveryKeyAsItIsNow) {
+// The operators' page is generated from the key table by `sablespur check --keys`.
+TEST(Settings, SettingsPageMatchesTheKeyTable) {
   std::ifstream file(SABLESPUR_SOURCE "/docs/operators/settings.md");
   std::stringstream page;
   page << file.rdbuf();
@@ -262,7 +268,7 @@
       << "docs/operators/settings.md differs from `sablespur check --keys`";
 }
 
-TEST(Members, AreShownAsATableAndAsJson) {
+TEST(Members, AreReportedAsATableAndAsJson) {
   const Config c = parseSettings(kGood, "f.ini");
   EndpointTable known;
   std::vector<DiscoveredEndpoint> all = c.known.instances;
