--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -68,7 +68,7 @@
   std::string directory;
   Time keep{};          // retention of a key after its last use
   Time keepSessions{};  // retention of a session's position after its last use
-  std::size_t mostKeys = 0;
+  std::size_t maxKeys = 0;
   std::size_t mostSessions = 0;
   std::size_t longestAnswer = 0;  // in bytes; longer answers are not stored with their key
   Time patience{};                // for a commit; after it the disk counts as hanging
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -20,7 +20,7 @@
      "How long the position of a session is kept after its last use. A forgotten session raises the minimum "
      "position that all unknown sessions are shown."},
     {"store", "keys", KeyKind::Count, "100000", Bounds{1, 1e9}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.mostKeys = integer<std::size_t>(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.maxKeys = integer<std::size_t>(v); },
      "Limit on the stored keys. Beyond it writes with a new key are rejected until a key may be forgotten: "
      "the keys per second times `keep` must stay below it. Each takes about 500 bytes of disk and its "
      "answer."},
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -46,7 +46,7 @@
   s.directory = c.directory;
   s.keyRetention = c.keep;
   s.sessionRetention = c.keepSessions;
-  s.maxKeys = c.mostKeys;
+  s.maxKeys = c.maxKeys;
   s.maxSessions = c.mostSessions;
   s.maxResponseBytes = c.longestAnswer;
   return s;
