--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -69,7 +69,7 @@
   Time keep{};          // retention of a key after its last use
   Time keepSessions{};  // retention of a session's position after its last use
   std::size_t maxKeys = 0;
-  std::size_t mostSessions = 0;
+  std::size_t maxSessions = 0;
   std::size_t longestAnswer = 0;  // in bytes; longer answers are not stored with their key
   Time patience{};                // for a commit; after it the disk counts as hanging
   // Retry delay of requests that are rejected while the store is unavailable: random between these
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -25,7 +25,7 @@
      "the keys per second times `keep` must stay below it. Each takes about 500 bytes of disk and its "
      "answer."},
     {"store", "sessions", KeyKind::Count, "100000", Bounds{1, 1e9}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.mostSessions = integer<std::size_t>(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.maxSessions = integer<std::size_t>(v); },
      "Limit on the stored sessions. Beyond it a new session raises the minimum position that unknown "
      "sessions are shown."},
     {"store", "answers", KeyKind::Size, "16KB", Bounds{0, 1 << 20}, kNoChoices,
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -47,7 +47,7 @@
   s.keyRetention = c.keep;
   s.sessionRetention = c.keepSessions;
   s.maxKeys = c.maxKeys;
-  s.maxSessions = c.mostSessions;
+  s.maxSessions = c.maxSessions;
   s.maxResponseBytes = c.longestAnswer;
   return s;
 }
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -110,7 +110,7 @@
     s.directory = folder.path + "/store";
     s.keep = std::chrono::minutes(1);
     s.keepSessions = std::chrono::minutes(1);
-    s.maxKeys = s.mostSessions = 1000;
+    s.maxKeys = s.maxSessions = 1000;
     s.longestAnswer = 1000;
     s.patience = std::chrono::milliseconds(100);
     s.comeBackLeast = std::chrono::milliseconds(10);
