--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -29,7 +29,7 @@
      "Limit on the stored sessions. Beyond it a new session raises the minimum position that unknown "
      "sessions are shown."},
     {"store", "answers", KeyKind::Size, "16KB", Bounds{0, 1 << 20}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.longestAnswer = byteCount(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.maxResponseBytes = byteCount(v); },
      "Answers of keyed writes up to this size are stored for retries. A retry of a write with a longer "
      "answer is told that the write may have run."},
     {"store", "patience", KeyKind::Duration, "250ms", Bounds{kMillisecond, 60 * kSecond}, kNoChoices,
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -48,7 +48,7 @@
   s.sessionRetention = c.keepSessions;
   s.maxKeys = c.maxKeys;
   s.maxSessions = c.maxSessions;
-  s.maxResponseBytes = c.longestAnswer;
+  s.maxResponseBytes = c.maxResponseBytes;
   return s;
 }
 
@@ -359,11 +359,11 @@
     durability::CompleteRequest f{
         e.message.key, e.message.id, Outcome::Served, {}, e.positionMs, e.session ? e.request.session : 0,
         true};
-    if (length <= config_.longestAnswer) {
+    if (length <= config_.maxResponseBytes) {
       f.response.resize(length);
       evbuffer_copyout(from, f.response.data(), length);
     } else {
-      f.response.assign(config_.longestAnswer + 1, '\0');  // too long to keep, whatever it is
+      f.response.assign(config_.maxResponseBytes + 1, '\0');  // too long to keep, whatever it is
     }
     e.ticket = writer_.submit(std::move(f), done);
   }
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -111,7 +111,7 @@
     s.keep = std::chrono::minutes(1);
     s.keepSessions = std::chrono::minutes(1);
     s.maxKeys = s.maxSessions = 1000;
-    s.longestAnswer = 1000;
+    s.maxResponseBytes = 1000;
     s.patience = std::chrono::milliseconds(100);
     s.comeBackLeast = std::chrono::milliseconds(10);
     s.comeBackMost = std::chrono::milliseconds(20);
