--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -74,7 +74,7 @@
   Time patience{};                   // for a commit; after it the disk counts as hanging
   // Retry delay of requests that are rejected while the store is unavailable: random between these
   // two.
-  Time comeBackLeast{};
+  Time minRetryAfter{};
   Time comeBackMost{};
   // Whether a damaged store is renamed and a new one created; otherwise the proxy does not start.
   bool setAside = false;
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -37,7 +37,7 @@
      "Time limit for a commit. Beyond it the disk counts as hanging, and keyed writes are rejected until the "
      "commit has ended."},
     {"store", "come_back_least", KeyKind::Duration, "200ms", Bounds{kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.comeBackLeast = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.minRetryAfter = duration(v); },
      "Minimum retry delay for requests that are rejected while the store is unavailable."},
     {"store", "come_back_most", KeyKind::Duration, "2s", Bounds{kMillisecond, kHour}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.store.comeBackMost = duration(v); },
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -184,7 +184,7 @@
   bool acceptsWrites() const { return writer_.state() == GroupCommitWriter::State::Up && !slow_; }
   Time randomRetryAfter() {
     if (!retryAfterAllowed_) return Time(0);
-    return Time(std::uniform_int_distribution<std::int64_t>(config_.comeBackLeast.count(),
+    return Time(std::uniform_int_distribution<std::int64_t>(config_.minRetryAfter.count(),
                                                             config_.comeBackMost.count())(random_));
   }
   void startWaiting(PendingRequest& e, WaitReason what) {
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -113,7 +113,7 @@
     s.maxKeys = s.maxSessions = 1000;
     s.maxResponseBytes = 1000;
     s.patience = std::chrono::milliseconds(100);
-    s.comeBackLeast = std::chrono::milliseconds(10);
+    s.minRetryAfter = std::chrono::milliseconds(10);
     s.comeBackMost = std::chrono::milliseconds(20);
     config.store = std::make_shared<const StoreConfig>(s);
     open();
