--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -75,7 +75,7 @@
   // Retry delay of requests that are rejected while the store is unavailable: random between these
   // two.
   Time minRetryAfter{};
-  Time comeBackMost{};
+  Time maxRetryAfter{};
   // Whether a damaged store is renamed and a new one created; otherwise the proxy does not start.
   bool setAside = false;
 };
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -40,7 +40,7 @@
      [](SettingsDraft& d, const KeyValue& v) { d.store.minRetryAfter = duration(v); },
      "Minimum retry delay for requests that are rejected while the store is unavailable."},
     {"store", "come_back_most", KeyKind::Duration, "2s", Bounds{kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.comeBackMost = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.maxRetryAfter = duration(v); },
      "Maximum retry delay for requests that are rejected while the store is unavailable; the delay is random "
      "between the two."},
     {"store", "damaged", KeyKind::Choice, "refuse", kUnbounded, "refuse set_aside",
--- a/src/config/state_checks.cpp
+++ b/src/config/state_checks.cpp
@@ -44,7 +44,7 @@
 #ifdef SABLESPUR_STORE
   store.directory = document.resolvePath(store.directory);
   while (store.directory.size() > 1 && store.directory.back() == '/') store.directory.pop_back();
-  if (store.comeBackMost < store.minRetryAfter)
+  if (store.maxRetryAfter < store.minRetryAfter)
     document.reportKey("store", "come_back_most",
                        {"it is shorter than come_back_least", "make it at least come_back_least"});
   checkKeyRetention(document, draft.config, store.keep);
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -185,7 +185,7 @@
   Time randomRetryAfter() {
     if (!retryAfterAllowed_) return Time(0);
     return Time(std::uniform_int_distribution<std::int64_t>(config_.minRetryAfter.count(),
-                                                            config_.comeBackMost.count())(random_));
+                                                            config_.maxRetryAfter.count())(random_));
   }
   void startWaiting(PendingRequest& e, WaitReason what) {
     e.waitReason = what;
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -114,7 +114,7 @@
     s.maxResponseBytes = 1000;
     s.patience = std::chrono::milliseconds(100);
     s.minRetryAfter = std::chrono::milliseconds(10);
-    s.comeBackMost = std::chrono::milliseconds(20);
+    s.maxRetryAfter = std::chrono::milliseconds(20);
     config.store = std::make_shared<const StoreConfig>(s);
     open();
   }
