--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -77,7 +77,7 @@
   Time minRetryAfter{};
   Time maxRetryAfter{};
   // Whether a damaged store is renamed and a new one created; otherwise the proxy does not start.
-  bool setAside = false;
+  bool renameDamaged = false;
 };
 
 // Which parts of a recovery snapshot are used.
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -44,7 +44,7 @@
      "Maximum retry delay for requests that are rejected while the store is unavailable; the delay is random "
      "between the two."},
     {"store", "damaged", KeyKind::Choice, "refuse", kUnbounded, "refuse set_aside",
-     [](SettingsDraft& d, const KeyValue& v) { d.store.setAside = text(v) == "set_aside"; },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.renameDamaged = text(v) == "set_aside"; },
      "What happens to a store that fails its checks at the start. `refuse`: the proxy does not start; "
      "`set_aside`: the proxy renames it to NAME.damaged-TIME and creates a new one, which knows no key."},
 };
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -537,7 +537,7 @@
     try {
       return std::make_unique<DurableWriteHandler>(base, engine, next, c, reader, hook);
     } catch (const durability::StoreError& e) {
-      if (e.kind != durability::StoreError::Kind::Damaged || !c.store->setAside) throw;
+      if (e.kind != durability::StoreError::Kind::Damaged || !c.store->renameDamaged) throw;
       setAsideDamagedStore(c.store->directory, e.what());
       return std::make_unique<DurableWriteHandler>(base, engine, next, c, reader, hook);
     }
