--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -66,8 +66,8 @@
 // The store of idempotency keys and session positions; see src/durability.
 struct StoreConfig {
   std::string directory;
-  Time keep{};          // retention of a key after its last use
-  Time keepSessions{};  // retention of a session's position after its last use
+  Time keep{};              // retention of a key after its last use
+  Time sessionRetention{};  // retention of a session's position after its last use
   std::size_t maxKeys = 0;
   std::size_t maxSessions = 0;
   std::size_t maxResponseBytes = 0;  // in bytes; longer answers are not stored with their key
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -16,7 +16,7 @@
      "new one, so this must be longer than any client retries: at least give_up and repeats_dropped_for of "
      "each keyed class together."},
     {"store", "keep_sessions", KeyKind::Duration, "10min", Bounds{kSecond, 24 * 30 * kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.keepSessions = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.sessionRetention = duration(v); },
      "How long the position of a session is kept after its last use. A forgotten session raises the minimum "
      "position that all unknown sessions are shown."},
     {"store", "keys", KeyKind::Count, "100000", Bounds{1, 1e9}, kNoChoices,
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -45,7 +45,7 @@
   durability::IdempotencyStoreSettings s;
   s.directory = c.directory;
   s.keyRetention = c.keep;
-  s.sessionRetention = c.keepSessions;
+  s.sessionRetention = c.sessionRetention;
   s.maxKeys = c.maxKeys;
   s.maxSessions = c.maxSessions;
   s.maxResponseBytes = c.maxResponseBytes;
@@ -105,7 +105,7 @@
     e.arrived = engine_.now();
     if (keyed) {
       enqueueForKey(e);
-    } else if (sessionRead && engine_.now() - startedAt_ < config_.keepSessions) {
+    } else if (sessionRead && engine_.now() - startedAt_ < config_.sessionRetention) {
       readSessionPosition(e);
     } else {
       forward(e);
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -109,7 +109,7 @@
     StoreConfig s;
     s.directory = folder.path + "/store";
     s.keep = std::chrono::minutes(1);
-    s.keepSessions = std::chrono::minutes(1);
+    s.sessionRetention = std::chrono::minutes(1);
     s.maxKeys = s.maxSessions = 1000;
     s.maxResponseBytes = 1000;
     s.patience = std::chrono::milliseconds(100);
