--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -66,7 +66,7 @@
 // The store of idempotency keys and session positions; see src/durability.
 struct StoreConfig {
   std::string directory;
-  Time keep{};              // retention of a key after its last use
+  Time keyRetention{};      // retention of a key after its last use
   Time sessionRetention{};  // retention of a session's position after its last use
   std::size_t maxKeys = 0;
   std::size_t maxSessions = 0;
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -11,7 +11,7 @@
      "Directory that only this proxy uses, on a disk that outlives it. A relative path starts from the "
      "directory of this file. It is created if it does not exist. Empty: nothing is stored."},
     {"store", "keep", KeyKind::Duration, "10min", Bounds{kSecond, 24 * 30 * kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.keep = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.keyRetention = duration(v); },
      "How long an idempotency key is kept after its last use. A key that is repeated later is taken for a "
      "new one, so this must be longer than any client retries: at least give_up and repeats_dropped_for of "
      "each keyed class together."},
--- a/src/config/state_checks.cpp
+++ b/src/config/state_checks.cpp
@@ -47,7 +47,7 @@
   if (store.maxRetryAfter < store.minRetryAfter)
     document.reportKey("store", "come_back_most",
                        {"it is shorter than come_back_least", "make it at least come_back_least"});
-  checkKeyRetention(document, draft.config, store.keep);
+  checkKeyRetention(document, draft.config, store.keyRetention);
   if (draft.limits.descriptors < leastDescriptors(true))
     document.reportKey("limits", "descriptors",
                        {std::to_string(draft.limits.descriptors) + " are too few with a store",
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -44,7 +44,7 @@
 durability::IdempotencyStoreSettings storeSettings(const StoreConfig& c) {
   durability::IdempotencyStoreSettings s;
   s.directory = c.directory;
-  s.keyRetention = c.keep;
+  s.keyRetention = c.keyRetention;
   s.sessionRetention = c.sessionRetention;
   s.maxKeys = c.maxKeys;
   s.maxSessions = c.maxSessions;
--- a/src/durability/rules.cpp
+++ b/src/durability/rules.cpp
@@ -42,7 +42,7 @@
 }
 
 KeyRecord beginRequest(const std::optional<KeyRecord>& was, const KeyedRequest& a, const KeyDecision& j,
-                       Time now, Time keep, std::uint64_t epoch, std::int64_t wallMs) {
+                       Time now, Time keyRetention, std::uint64_t epoch, std::int64_t wallMs) {
   KeyRecord r;
   if (was && j.disposition != Disposition::Execute) r = *was;
   if (j.disposition == Disposition::Execute) {
@@ -53,7 +53,7 @@
     r.wallMs = wallMs;
   }
   r.epoch = epoch;
-  r.expiresAt = now + keep;
+  r.expiresAt = now + keyRetention;
   if (j.disposition == Disposition::Execute || j.disposition == Disposition::Retry)
     r.outcome = Outcome::Pending;
   // Nobody will say how that request ended.
@@ -79,11 +79,11 @@
 }
 // What another request of the same key has brought stands: served is final, and a failure says less than
 // nothing of an attempt that is still out.
-void recordOutcome(KeyRecord& r, const std::string& id, Outcome o, Time now, Time keep) {
+void recordOutcome(KeyRecord& r, const std::string& id, Outcome o, Time now, Time keyRetention) {
   const bool others =
       std::any_of(r.pendingIds.begin(), r.pendingIds.end(), [&](const std::string& x) { return x != id; });
   if (r.outcome != Outcome::Served && (o == Outcome::Served || !others)) r.outcome = o;
-  r.expiresAt = std::max(r.expiresAt, now + keep);
+  r.expiresAt = std::max(r.expiresAt, now + keyRetention);
 }
 void recordResponseDelivered(KeyRecord& r, const std::string& id) {
   eraseId(r.pendingIds, id);
--- a/src/durability/rules.hpp
+++ b/src/durability/rules.hpp
@@ -33,11 +33,11 @@
 
 // The record after the decision is applied. Execute begins it anew.
 KeyRecord beginRequest(const std::optional<KeyRecord>&, const KeyedRequest&, const KeyDecision&, Time now,
-                       Time keep, std::uint64_t epoch, std::int64_t wallMs);
+                       Time keyRetention, std::uint64_t epoch, std::int64_t wallMs);
 
 void recordAttemptSent(KeyRecord&, Attempt);
 void recordAttemptEnd(KeyRecord&, const std::string& id, int attempt, AttemptEffect);
-void recordOutcome(KeyRecord&, const std::string& id, Outcome, Time now, Time keep);
+void recordOutcome(KeyRecord&, const std::string& id, Outcome, Time now, Time keyRetention);
 void recordResponseDelivered(KeyRecord&, const std::string& id);
 void abandonRequest(KeyRecord&, const std::string& id);  // its client has gone
 
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -108,7 +108,7 @@
   KeeperTest() {
     StoreConfig s;
     s.directory = folder.path + "/store";
-    s.keep = std::chrono::minutes(1);
+    s.keyRetention = std::chrono::minutes(1);
     s.sessionRetention = std::chrono::minutes(1);
     s.maxKeys = s.maxSessions = 1000;
     s.maxResponseBytes = 1000;
