--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -71,7 +71,7 @@
   std::size_t maxKeys = 0;
   std::size_t maxSessions = 0;
   std::size_t maxResponseBytes = 0;  // in bytes; longer answers are not stored with their key
-  Time patience{};                   // for a commit; after it the disk counts as hanging
+  Time commitTimeout{};              // for a commit; after it the disk counts as hanging
   // Retry delay of requests that are rejected while the store is unavailable: random between these
   // two.
   Time minRetryAfter{};
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -33,7 +33,7 @@
      "Answers of keyed writes up to this size are stored for retries. A retry of a write with a longer "
      "answer is told that the write may have run."},
     {"store", "patience", KeyKind::Duration, "250ms", Bounds{kMillisecond, 60 * kSecond}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.store.patience = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.store.commitTimeout = duration(v); },
      "Time limit for a commit. Beyond it the disk counts as hanging, and keyed writes are rejected until the "
      "commit has ended."},
     {"store", "come_back_least", KeyKind::Duration, "200ms", Bounds{kMillisecond, kHour}, kNoChoices,
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -428,7 +428,7 @@
   // Who has waited longer than the patience is answered, whatever becomes of the commit.
   void tick() {
     const Time now = engine_.now();
-    const bool slow = writer_.currentCommitAge() > config_.patience;
+    const bool slow = writer_.currentCommitAge() > config_.commitTimeout;
     if (slow != slow_) {
       slow_ = slow;
       if (slow)
@@ -441,7 +441,7 @@
     for (const auto& [id, e] : pending_) {
       if (e->waitReason == WaitReason::None) continue;
       any = true;
-      if ((e->waitReason != WaitReason::SameKey && now - e->waitingSince > config_.patience) ||
+      if ((e->waitReason != WaitReason::SameKey && now - e->waitingSince > config_.commitTimeout) ||
           now >= e->request.deadline)
         over.push_back(id);
     }
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -112,7 +112,7 @@
     s.sessionRetention = std::chrono::minutes(1);
     s.maxKeys = s.maxSessions = 1000;
     s.maxResponseBytes = 1000;
-    s.patience = std::chrono::milliseconds(100);
+    s.commitTimeout = std::chrono::milliseconds(100);
     s.minRetryAfter = std::chrono::milliseconds(10);
     s.maxRetryAfter = std::chrono::milliseconds(20);
     config.store = std::make_shared<const StoreConfig>(s);
@@ -329,7 +329,7 @@
 TEST_F(KeeperTest, ASlowCommitDoesNotLengthenTheWindow) {
   config.settings.classes[1].deduplicationWindow = std::chrono::milliseconds(300);
   StoreConfig s = *config.store;
-  s.patience = std::chrono::seconds(5);
+  s.commitTimeout = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(s);
   open();
   Asker a, b;
@@ -354,7 +354,7 @@
   replicaBehind = std::chrono::seconds(2);
   // A busy machine's commit must not count as a hanging disk's, after which sessions read at the primary.
   StoreConfig patient = *config.store;
-  patient.patience = std::chrono::seconds(5);
+  patient.commitTimeout = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
   open();
   Asker w, mine, other;
@@ -423,7 +423,7 @@
   config.sessions = true;
   replicaBehind = std::chrono::seconds(2);
   StoreConfig patient = *config.store;
-  patient.patience = std::chrono::seconds(5);
+  patient.commitTimeout = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
   open();
   disk.fail(true);
@@ -465,7 +465,7 @@
 // alone: a busy machine only adds to them.
 TEST_F(KeeperTest, ADiskWithRoomForTheOpeningAloneIsOpenedEverMoreRarely) {
   StoreConfig patient = *config.store;
-  patient.patience = std::chrono::seconds(5);
+  patient.commitTimeout = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
   open();
   disk.failLongerThan(2500);
