--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -98,10 +98,10 @@
 // Identity, log and administration of the process.
 struct ProcessConfig {
   std::string name;
-  std::uint64_t seed = 0;    // of the random number generators
-  std::string statusSocket;  // path of the local socket; empty: none
-  Address control;           // where admin commands are accepted; unspecified: they are not
-  std::string bans;          // file of suspended endpoints; empty: none
+  std::uint64_t seed = 0;       // of the random number generators
+  std::string statusSocket;     // path of the local socket; empty: none
+  Address control;              // where admin commands are accepted; unspecified: they are not
+  std::string suspensionsFile;  // file of suspended endpoints; empty: none
   LogForm logForm = LogForm::Logfmt;
   LogLevel logLevel = LogLevel::Info;
 };
