--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -37,7 +37,7 @@
   c.clientConnections = std::min(connections * kClientDescriptorPercent / 100, free / 2 / kClientMemory);
   // Clients hold at most a third of the descriptors. Eviction of idle clients starts below that, so
   // that a new client can still be accepted.
-  c.askingClients = std::min(c.clientConnections, descriptors / 4);
+  c.maxActiveClients = std::min(c.clientConnections, descriptors / 4);
   c.largeStatements = free / 4;
   c.serverConnections = connections - connections * kClientDescriptorPercent / 100;
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -111,7 +111,7 @@
   std::size_t descriptors = 0;
   std::uint64_t memory = 0;           // bytes
   std::size_t clientConnections = 0;  // at most
-  std::size_t askingClients = 0;      // of these, clients that have sent a query, also idle ones
+  std::size_t maxActiveClients = 0;   // of these, clients that have sent a query, also idle ones
   std::size_t serverConnections = 0;  // at most
   std::size_t largeStatements = 0;    // bytes of all statements too long for read-ahead buffers
 };
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -207,7 +207,7 @@
 // the configured number the longest idle one is closed for each that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
   ++activeSessions_;
-  if (activeSessions_ <= services_.config.askingClients || services_.admission) return;
+  if (activeSessions_ <= services_.config.maxActiveClients || services_.admission) return;
   const Time now = services_.engine.now();
   Session* longestIdle = nullptr;
   for (const auto& [session, owned] : sessions_) {
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -832,7 +832,7 @@
 // Room is made for those that ask by ending one that rests: not one whose request has just come.
 TEST_F(SessionTest, WhoseRequestHasJustComeIsNotEndedForAnother) {
   std::vector<std::unique_ptr<Peer>> all;
-  for (std::size_t k = 0; k < config.askingClients; ++k) {
+  for (std::size_t k = 0; k < config.maxActiveClients; ++k) {
     all.push_back(welcomed());
     all.back()->put(postgres::query(""));
     ASSERT_TRUE(until([&] { return !all.back()->take().empty(); }));
