--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -283,7 +283,7 @@
     return false;
   }
   if (!dialing_) {
-    answer_->takeError(error, body, context_.config.tellStatementErrors);
+    answer_->takeError(error, body, context_.config.forwardStatementErrors);
     if (!error.fatal) return true;
   }
   listener_.connectionLost(*this, error.result);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -121,7 +121,7 @@
   Address listen;
   bool extended = false;                     // the extended query protocol is supported
   bool version2 = false;                     // protocol 2.0 is supported
-  bool tellStatementErrors = false;          // errors about an invalid statement are forwarded
+  bool forwardStatementErrors = false;       // errors about an invalid statement are forwarded
   std::vector<auth::Method> logins;          // in order of preference; Trust or empty: no password
   std::shared_ptr<const auth::Users> users;  // null unless logins require a password
   // A client is disconnected if it exceeds one of these limits: for its first query, for the rest
--- a/src/config/keys_clients.cpp
+++ b/src/config/keys_clients.cpp
@@ -36,7 +36,7 @@
      "Whether clients with protocol 2.0 are accepted. They receive no SQLSTATE and nothing else that 2.0 "
      "cannot represent."},
     {"clients", "statement_errors", KeyKind::Choice, "told", kUnbounded, "told hidden",
-     [](SettingsDraft& d, const KeyValue& v) { d.config.tellStatementErrors = text(v) == "told"; },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.forwardStatementErrors = text(v) == "told"; },
      "What a client receives when a data server rejects its statement as invalid (classes 22 and 42): "
      "`told`: that error, in the client's protocol version; `hidden`: 40003."},
     {"clients", "first_query", KeyKind::Duration, "2s", Bounds{10 * kMillisecond, kHour}, kNoChoices,
