--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -126,7 +126,7 @@
   std::shared_ptr<const auth::Users> users;  // null unless logins require a password
   // A client is disconnected if it exceeds one of these limits: for its first query, for the rest
   // of a message that has begun to arrive, for reading any part of an answer.
-  Time firstQuery = std::chrono::milliseconds(2000);
+  Time firstQueryTimeout = std::chrono::milliseconds(2000);
   Time halfMessage = std::chrono::milliseconds(1500);
   Time unreadAnswer = std::chrono::seconds(10);
 };
--- a/src/config/keys_clients.cpp
+++ b/src/config/keys_clients.cpp
@@ -40,7 +40,7 @@
      "What a client receives when a data server rejects its statement as invalid (classes 22 and 42): "
      "`told`: that error, in the client's protocol version; `hidden`: 40003."},
     {"clients", "first_query", KeyKind::Duration, "2s", Bounds{10 * kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.firstQuery = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.firstQueryTimeout = duration(v); },
      "Time limit for the login and the first query together. A client that exceeds it is disconnected."},
     {"clients", "half_message", KeyKind::Duration, "1500ms", Bounds{10 * kMillisecond, kHour}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.config.halfMessage = duration(v); },
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -200,7 +200,7 @@
   if (draining() && !extended_.awaitingSync && now - lastActive_ >= kNewClientGraceInDrain &&
       !hasUnreadInput())
     return false;
-  if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQuery) return false;
+  if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQueryTimeout) return false;
   return !inputState_.partialMessageSince ||
          now - *inputState_.partialMessageSince < services_.config.halfMessage;
 }
