--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -127,7 +127,7 @@
   // A client is disconnected if it exceeds one of these limits: for its first query, for the rest
   // of a message that has begun to arrive, for reading any part of an answer.
   Time firstQueryTimeout = std::chrono::milliseconds(2000);
-  Time halfMessage = std::chrono::milliseconds(1500);
+  Time partialMessageTimeout = std::chrono::milliseconds(1500);
   Time unreadAnswer = std::chrono::seconds(10);
 };
 
--- a/src/config/keys_clients.cpp
+++ b/src/config/keys_clients.cpp
@@ -43,7 +43,7 @@
      [](SettingsDraft& d, const KeyValue& v) { d.config.firstQueryTimeout = duration(v); },
      "Time limit for the login and the first query together. A client that exceeds it is disconnected."},
     {"clients", "half_message", KeyKind::Duration, "1500ms", Bounds{10 * kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.halfMessage = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.partialMessageTimeout = duration(v); },
      "Time limit for the rest of a message that has begun to arrive. A client that exceeds it is "
      "disconnected."},
     {"clients", "unread_answer", KeyKind::Duration, "10s", Bounds{100 * kMillisecond, kHour}, kNoChoices,
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -202,7 +202,7 @@
     return false;
   if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQueryTimeout) return false;
   return !inputState_.partialMessageSince ||
-         now - *inputState_.partialMessageSince < services_.config.halfMessage;
+         now - *inputState_.partialMessageSince < services_.config.partialMessageTimeout;
 }
 
 void Session::onIdleTimeout() {
@@ -292,7 +292,7 @@
 // When the message at the input's front was begun, possibly behind a request that was being processed; what
 // of it is still in the system has kRestOfMessageTime to be read.
 Time Session::partialMessageStart() const {
-  const Time allowed = std::max(services_.config.halfMessage - kRestOfMessageTime, Time(0));
+  const Time allowed = std::max(services_.config.partialMessageTimeout - kRestOfMessageTime, Time(0));
   return std::max(inputState_.timestamps.receivedAt(1), services_.engine.now() - allowed);
 }
 
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -478,7 +478,7 @@
 // ---- clients that stop midway
 struct StoppedMidway : SessionTest {
   void SetUp() override {
-    config.halfMessage = 100ms;
+    config.partialMessageTimeout = 100ms;
     config.version2 = true;
     SessionTest::SetUp();
   }
@@ -590,7 +590,7 @@
 }
 // It has stood there for its whole time while the request before it was out: it is not given that anew.
 TEST_F(StoppedMidway, TheTimeOfHalfAMessageRunsWhileItStandsBehindARequest) {
-  config.halfMessage = 2s;
+  config.partialMessageTimeout = 2s;
   const auto c = welcomed();
   c->put(query("1") + query("2").substr(0, 12));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
