--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -128,7 +128,7 @@
   // of a message that has begun to arrive, for reading any part of an answer.
   Time firstQueryTimeout = std::chrono::milliseconds(2000);
   Time partialMessageTimeout = std::chrono::milliseconds(1500);
-  Time unreadAnswer = std::chrono::seconds(10);
+  Time unreadAnswerTimeout = std::chrono::seconds(10);
 };
 
 // Connections to data servers.
--- a/src/config/keys_clients.cpp
+++ b/src/config/keys_clients.cpp
@@ -47,7 +47,7 @@
      "Time limit for the rest of a message that has begun to arrive. A client that exceeds it is "
      "disconnected."},
     {"clients", "unread_answer", KeyKind::Duration, "10s", Bounds{100 * kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.unreadAnswer = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.unreadAnswerTimeout = duration(v); },
      "A client that has read nothing of its answer for this long is disconnected."},
 };
 
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -42,7 +42,7 @@
       [](bufferevent*, short what, void* self) { static_cast<Session*>(self)->onEvent(what); }, this);
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
   evbuffer_add_cb(input(), onInputChanged, this);
-  const auto us = services_.config.unreadAnswer.count();
+  const auto us = services_.config.unreadAnswerTimeout.count();
   const timeval unread{static_cast<time_t>(us / 1000000), static_cast<suseconds_t>(us % 1000000)};
   bufferevent_set_timeouts(bev_.get(), nullptr, &unread);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
