--- a/src/cluster/udp/link.cpp
+++ b/src/cluster/udp/link.cpp
@@ -22,7 +22,7 @@
 }
 
 bool isOwn(const Config& config, const Address& peer) {
-  return peer == config.peerListen || peer == config.peerOwn;
+  return peer == config.peerListen || peer == config.ownPeerAddress;
 }
 
 std::vector<Address> othersOf(const Config& config, SenderTable& senders) {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -149,7 +149,7 @@
 
 // Gossip between proxies.
 struct GossipConfig {
-  Address peerOwn;             // this proxy's entry in `peers`, if it differs from peerListen
+  Address ownPeerAddress;      // this proxy's entry in `peers`, if it differs from peerListen
   Address peerListen;          // unspecified: this proxy does not gossip
   std::vector<Address> peers;  // every proxy of the tier, this one included
   // One address that reaches all peers; unspecified: each peer is sent its own datagram.
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -144,7 +144,7 @@
   std::int64_t own = 0;
   if (root["settings"]["slotNo"].get(own) == simdjson::SUCCESS && own >= 0 &&
       static_cast<std::size_t>(own) < config.peers.size())
-    config.peerOwn = config.peers[static_cast<std::size_t>(own)];
+    config.ownPeerAddress = config.peers[static_cast<std::size_t>(own)];
   if (root["peers_all"].get(address) == simdjson::SUCCESS)
     config.peersAll = parseAddress(address, "peers_all");
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -428,7 +428,7 @@
   std::map<std::string, int> sent;
   for (const Address& peer : peers) {
     Config many = config(own(), peers);
-    many.peerOwn = peer;  // as others see it
+    many.ownPeerAddress = peer;  // as others see it
     many.peersAll = a;
     Engine engine(base.get(), many);
     PeerLink link(base.get(), engine, many);
