--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -172,7 +172,7 @@
   Connection& connection = *operation.connection;
   if (!connection.flushed() || !connections_.ensureRoom() || !connection.sendCancelRequest()) return false;
   attempt->cancelledAs = endsAs;
-  startTimer(operation.deadlineTimer.get(), config_.giveUpWait);
+  startTimer(operation.deadlineTimer.get(), config_.cancelResponseTimeout);
   return true;
 }
 
--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -134,7 +134,7 @@
   if (!key_ || cancelRequest_) return false;
   cancelDescriptor_ = ResourceBudget::DescriptorPermit(context_.resources, DescriptorHolder::Servers);
   cancelRequest_ = std::make_unique<CancelRequest>(context_.base, address_, postgres::cancel(*key_),
-                                                   context_.config.giveUpWait, [this](bool taken) {
+                                                   context_.config.cancelResponseTimeout, [this](bool taken) {
                                                      const auto ended = std::move(cancelRequest_);
                                                      cancelDescriptor_ = ResourceBudget::DescriptorPermit();
                                                      listener_.cancelRequestEnded(*this, taken);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -143,7 +143,7 @@
   std::vector<auth::Method> serverLogins;  // methods that a data server may request
   // Whether a cancelled attempt sends a CancelRequest; otherwise its connection is closed.
   bool cancelServers = false;
-  Time giveUpWait{};                     // for the data server's answer to a CancelRequest
+  Time cancelResponseTimeout{};          // for the data server's answer to a CancelRequest
   std::vector<std::string> reportNames;  // load report fields, in the order of settings.reportFields
 };
 
--- a/src/config/keys_data_servers.cpp
+++ b/src/config/keys_data_servers.cpp
@@ -84,7 +84,7 @@
      "How an abandoned attempt is ended: its connection is closed, or the data server is sent a "
      "CancelRequest and the connection is reused once it is synchronized again."},
     {"data_servers", "give_up_wait", KeyKind::Duration, "200ms", Bounds{kMillisecond, 10 * kSecond},
-     kNoChoices, [](SettingsDraft& d, const KeyValue& v) { d.config.giveUpWait = duration(v); },
+     kNoChoices, [](SettingsDraft& d, const KeyValue& v) { d.config.cancelResponseTimeout = duration(v); },
      "With `give_up = cancel`: how long the proxy waits for the data server's answer before it closes the "
      "connection. No second attempt is sent before that."},
     {"data_servers", "database", KeyKind::Text, "ledger", kUnbounded, kNoChoices,
