--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -190,7 +190,7 @@
 
 // The range of limits that a proxy can run with, in both file formats.
 constexpr std::uint64_t kMinMemory = 24u << 20;
-constexpr std::uint64_t kMostMemory = std::uint64_t{1} << 40;
+constexpr std::uint64_t kMaxMemory = std::uint64_t{1} << 40;
 constexpr std::size_t kLeastDescriptors = 128;
 constexpr std::size_t kMostDescriptors = 1 << 20;
 
--- a/src/config/keys_proxy.cpp
+++ b/src/config/keys_proxy.cpp
@@ -26,7 +26,7 @@
 };
 
 constexpr Key kLimitsKeys[] = {
-    {"limits", "memory", KeyKind::Size, "64MB", Bounds{double(kMinMemory), double(kMostMemory)}, kNoChoices,
+    {"limits", "memory", KeyKind::Size, "64MB", Bounds{double(kMinMemory), double(kMaxMemory)}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.limits.memory = as<std::uint64_t>(v); },
      "Limit on the resident memory of the process."},
     {"limits", "descriptors", KeyKind::Count, "1024", Bounds{kLeastDescriptors, kMostDescriptors}, kNoChoices,
