--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -191,15 +191,13 @@
 // The range of limits that a proxy can run with, in both file formats.
 constexpr std::uint64_t kMinMemory = 24u << 20;
 constexpr std::uint64_t kMaxMemory = std::uint64_t{1} << 40;
-constexpr std::size_t kLeastDescriptors = 128;
+constexpr std::size_t kMinDescriptors = 128;
 constexpr std::size_t kMostDescriptors = 1 << 20;
 
 // Additional descriptors that a store may use: LevelDB's own minimum.
 constexpr std::size_t kStoreDescriptors = 74;
 // Returns the minimum number of descriptors for a proxy with or without a store.
-inline std::size_t leastDescriptors(bool store) {
-  return kLeastDescriptors + (store ? kStoreDescriptors : 0);
-}
+inline std::size_t leastDescriptors(bool store) { return kMinDescriptors + (store ? kStoreDescriptors : 0); }
 
 // Fills LimitsConfig from limits within the range above. Config::store must already be set, since a
 // store uses part of both limits.
