--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -192,7 +192,7 @@
 constexpr std::uint64_t kMinMemory = 24u << 20;
 constexpr std::uint64_t kMaxMemory = std::uint64_t{1} << 40;
 constexpr std::size_t kMinDescriptors = 128;
-constexpr std::size_t kMostDescriptors = 1 << 20;
+constexpr std::size_t kMaxDescriptors = 1 << 20;
 
 // Additional descriptors that a store may use: LevelDB's own minimum.
 constexpr std::size_t kStoreDescriptors = 74;
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -99,7 +99,7 @@
 
 void readLimits(const element& root, Config& config) {
   const auto limits = jsonField<element>(root, "limits", "");
-  const int sockets = integer(limits, "sockets", "limits.", kMinDescriptors, kMostDescriptors);
+  const int sockets = integer(limits, "sockets", "limits.", kMinDescriptors, kMaxDescriptors);
   const int megabytes = integer(limits, "memory_mb", "limits.", kMinMemory >> 20, kMaxMemory >> 20);
   deriveBounds(config, static_cast<std::size_t>(sockets), static_cast<std::uint64_t>(megabytes) << 20);
 }
--- a/src/config/keys_proxy.cpp
+++ b/src/config/keys_proxy.cpp
@@ -29,7 +29,7 @@
     {"limits", "memory", KeyKind::Size, "64MB", Bounds{double(kMinMemory), double(kMaxMemory)}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.limits.memory = as<std::uint64_t>(v); },
      "Limit on the resident memory of the process."},
-    {"limits", "descriptors", KeyKind::Count, "1024", Bounds{kMinDescriptors, kMostDescriptors}, kNoChoices,
+    {"limits", "descriptors", KeyKind::Count, "1024", Bounds{kMinDescriptors, kMaxDescriptors}, kNoChoices,
      [](SettingsDraft& d, const KeyValue& v) { d.limits.descriptors = integer<std::size_t>(v); },
      "Limit on open file descriptors, at most `ulimit -n`. The process itself takes 24; 45% of the others "
      "are for clients and the rest for data servers."},
