--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -17,7 +17,7 @@
 Config limitToSystem(const Config& given) {
   const std::size_t allowed = descriptorsAllowed(given.descriptors);
   if (allowed >= given.descriptors) return given;
-  const std::size_t least = leastDescriptors(given.store != nullptr);
+  const std::size_t least = minDescriptors(given.store != nullptr);
   if (allowed < least)
     throw std::runtime_error("key descriptors: the system allows this process " + std::to_string(allowed) +
                              ", and " + std::to_string(least) + " are needed (ulimit -n)");
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -197,7 +197,7 @@
 // Additional descriptors that a store may use: LevelDB's own minimum.
 constexpr std::size_t kStoreDescriptors = 74;
 // Returns the minimum number of descriptors for a proxy with or without a store.
-inline std::size_t leastDescriptors(bool store) { return kMinDescriptors + (store ? kStoreDescriptors : 0); }
+inline std::size_t minDescriptors(bool store) { return kMinDescriptors + (store ? kStoreDescriptors : 0); }
 
 // Fills LimitsConfig from limits within the range above. Config::store must already be set, since a
 // store uses part of both limits.
--- a/src/config/state_checks.cpp
+++ b/src/config/state_checks.cpp
@@ -48,10 +48,10 @@
     document.reportKey("store", "come_back_most",
                        {"it is shorter than come_back_least", "make it at least come_back_least"});
   checkKeyRetention(document, draft.config, store.keyRetention);
-  if (draft.limits.descriptors < leastDescriptors(true))
+  if (draft.limits.descriptors < minDescriptors(true))
     document.reportKey("limits", "descriptors",
                        {std::to_string(draft.limits.descriptors) + " are too few with a store",
-                        "write at least " + std::to_string(leastDescriptors(true))});
+                        "write at least " + std::to_string(minDescriptors(true))});
   draft.config.store = std::make_shared<const StoreConfig>(store);
 #else
   document.reportKey("store", "directory", {"this build has no store", "build with SABLESPUR_STORE"});
