--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -97,7 +97,7 @@
 void Proxy::apply(const Config& config) {
   // Admission and the store hold the classes of the start.
   if (!config_.admission && !config_.store) {
-    adopt(config_, config);
+    applyReload(config_, config);
     engine_.updateSettings(config_.settings);
   }
   discovery_->updateSettings(config);
--- a/src/config/adopt.cpp
+++ b/src/config/adopt.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void adopt(Config& running, const Config& read) {
+void applyReload(Config& running, const Config& read) {
   std::vector<balancer::ClassSettings> classes = running.settings.classes;
   std::vector<std::string> names(running.classes.size(), kRemovedClass);
   for (std::size_t index = 0; index < read.classes.size(); ++index) {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -219,7 +219,7 @@
 // requests in flight refer to them: the index of a removed or changed class loses its name, and new
 // classes are appended. Throws BadInput if too many classes were removed since the start; the
 // running configuration is then unchanged.
-void adopt(Config& running, const Config& read);
+void applyReload(Config& running, const Config& read);
 
 // Returns whether clients need a password to log in.
 inline bool wantsPassword(const Config& c) {
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -187,7 +187,7 @@
   read.settings.classes[0].idempotency = balancer::Idempotency::NonIdempotent;  // stricter
   read.classes.push_back("fresh");
   read.settings.classes.push_back(read.settings.classes[1]);
-  adopt(running, read);
+  applyReload(running, read);
   ASSERT_EQ(running.classes.size(), running.settings.classes.size());
   EXPECT_EQ(running.settings.maxAttempts, 1);
   EXPECT_EQ(running.settings.classes[0].idempotency, start.settings.classes[0].idempotency)
@@ -201,7 +201,7 @@
   EXPECT_EQ(running.settings.classes[place("read")].idempotency, balancer::Idempotency::NonIdempotent);
   EXPECT_EQ(place(start.classes[1]), 1u) << "what is as it was stays";
   EXPECT_LT(place("fresh"), running.classes.size());
-  adopt(running, start);
+  applyReload(running, start);
   EXPECT_EQ(place("fresh"), running.classes.size()) << "it is gone";
   EXPECT_LT(place("read"), running.classes.size());
 }
@@ -213,7 +213,7 @@
     read.settings.classes[0].latencyObjective += Time(1);
     const Config before = running;
     try {
-      adopt(running, read);
+      applyReload(running, read);
     } catch (const BadInput&) {
       thrown = true;
       EXPECT_EQ(running.classes, before.classes);
