--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -84,7 +84,7 @@
     faults_.push_back({path_, line, std::move(where), std::move(problem), std::move(fix)});
   }
   template <typename T, typename V>
-  Setter put(T& to, Read<V> (*read)(std::string_view)) {
+  Setter put(T& to, ParseResult<V> (*read)(std::string_view)) {
     return [this, &to, read](const IniEntry& e) {
       const auto v = read(e.value);
       if (const ValueError* w = std::get_if<ValueError>(&v))
--- a/src/config/key_values.cpp
+++ b/src/config/key_values.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxLabelLength = 63;
 
 template <typename T>
-Read<KeyValue> asKeyValue(const Read<T>& read) {
+ParseResult<KeyValue> asKeyValue(const ParseResult<T>& read) {
   if (const ValueError* error = std::get_if<ValueError>(&read)) return *error;
   return KeyValue(std::get<T>(read));
 }
@@ -31,13 +31,13 @@
   return items;
 }
 
-Read<KeyValue> readAddress(const std::string& text) {
+ParseResult<KeyValue> readAddress(const std::string& text) {
   if (const auto address = Address::parse(text)) return KeyValue(*address);
   return ValueError{"'" + text + "' is not an address with a port",
                     "write it as 10.1.0.18:5432 or [fd00::18]:5432; host names are not resolved"};
 }
 
-Read<KeyValue> readAddresses(const std::string& text) {
+ParseResult<KeyValue> readAddresses(const std::string& text) {
   std::vector<Address> addresses;
   for (const std::string& item : splitItems(text, ',')) {
     const auto address = readAddress(item);
@@ -48,7 +48,7 @@
 }
 
 // Reads a hexadecimal number; `random` is returned as 0.
-Read<KeyValue> readHex(const std::string& text) {
+ParseResult<KeyValue> readHex(const std::string& text) {
   if (text == "random") return KeyValue(std::uint64_t{0});
   std::uint64_t value = 0;
   const char* const end = text.data() + text.size();
@@ -58,7 +58,7 @@
                     "write up to 16 hexadecimal digits, or random"};
 }
 
-Read<KeyValue> readChoice(const std::string& text, const char* choices) {
+ParseResult<KeyValue> readChoice(const std::string& text, const char* choices) {
   const std::vector<std::string> words = splitItems(choices, ' ');
   if (std::find(words.begin(), words.end(), text) != words.end()) return KeyValue(text);
   std::string list;
@@ -84,21 +84,21 @@
   return true;
 }
 
-Read<KeyValue> readDomain(const std::string& text) {
+ParseResult<KeyValue> readDomain(const std::string& text) {
   if (isDomainName(text)) return KeyValue(text);
   return ValueError{"'" + text + "' is not a domain name",
                     "write labels of letters, digits, - and _ separated by dots, such as ruwi.example.org"};
 }
 
-Read<KeyValue> readText(const Key& key, const std::string& text) {
+ParseResult<KeyValue> readText(const Key& key, const std::string& text) {
   if (text.empty() && !key.defaultText) return ValueError{"it is empty", "give it a value"};
   return KeyValue(text);
 }
 
-Read<KeyValue> readUnbounded(const Key& key, const std::string& text) {
+ParseResult<KeyValue> readUnbounded(const Key& key, const std::string& text) {
   switch (key.kind) {
     case KeyKind::Address:
-      return text.empty() ? Read<KeyValue>(KeyValue(Address())) : readAddress(text);
+      return text.empty() ? ParseResult<KeyValue>(KeyValue(Address())) : readAddress(text);
     case KeyKind::Addresses:
       return readAddresses(text);
     case KeyKind::Duration:
@@ -141,8 +141,8 @@
 
 }  // namespace
 
-Read<KeyValue> readValue(const Key& key, const std::string& text) {
-  Read<KeyValue> value = readUnbounded(key, text);
+ParseResult<KeyValue> readValue(const Key& key, const std::string& text) {
+  ParseResult<KeyValue> value = readUnbounded(key, text);
   if (std::holds_alternative<ValueError>(value) || !key.bounds) return value;
   const double number = std::visit(BoundedNumber{}, std::get<KeyValue>(value));
   const auto [min, max] = *key.bounds;
--- a/src/config/keys.hpp
+++ b/src/config/keys.hpp
@@ -68,7 +68,7 @@
 
 // Parses a value according to its key's kind and checks its bounds. Returns a ValueError if it is
 // invalid.
-Read<KeyValue> readValue(const Key&, const std::string& text);
+ParseResult<KeyValue> readValue(const Key&, const std::string& text);
 
 // Formats a bound of a key as a settings file would contain it, with its unit.
 std::string writeBound(KeyKind, double bound);
--- a/src/support/units.cpp
+++ b/src/support/units.cpp
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-Read<std::chrono::microseconds> readTime(std::string_view text) {
+ParseResult<std::chrono::microseconds> readTime(std::string_view text) {
   if (text == "0") return std::chrono::microseconds(0);
   const std::optional<Quantity> quantity = splitQuantity(text);
   if (!quantity) return valueError(text, "is not a time", kTimeFix);
@@ -68,7 +68,7 @@
   return std::chrono::microseconds(static_cast<std::int64_t>(std::llround(microseconds)));
 }
 
-Read<std::uint64_t> readSize(std::string_view text) {
+ParseResult<std::uint64_t> readSize(std::string_view text) {
   const std::optional<Quantity> quantity = splitQuantity(text);
   if (!quantity) return valueError(text, "is not a size", kSizeFix);
   const std::string_view name = quantity->unit;
@@ -83,14 +83,14 @@
   return static_cast<std::uint64_t>(bytes);
 }
 
-Read<double> readShare(std::string_view text) {
+ParseResult<double> readShare(std::string_view text) {
   const std::optional<Quantity> quantity = splitQuantity(text);
   if (!quantity || (!quantity->unit.empty() && quantity->unit != "%"))
     return valueError(text, "is not a share", "write a share such as 21% or 0.21");
   return quantity->unit == "%" ? quantity->number / 100 : quantity->number;
 }
 
-Read<std::int64_t> readCount(std::string_view text) {
+ParseResult<std::int64_t> readCount(std::string_view text) {
   std::int64_t count = 0;
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, count);
@@ -98,14 +98,14 @@
   return valueError(text, "is not a whole number", "write only digits, such as 8");
 }
 
-Read<double> readNumber(std::string_view text) {
+ParseResult<double> readNumber(std::string_view text) {
   const std::optional<Quantity> quantity = splitQuantity(text);
   if (!quantity || !quantity->unit.empty())
     return valueError(text, "is not a number", "write a number such as 2.5");
   return quantity->number;
 }
 
-Read<bool> readFlag(std::string_view text) {
+ParseResult<bool> readFlag(std::string_view text) {
   for (const char* yes : {"yes", "on", "true"})
     if (text == yes) return true;
   for (const char* no : {"no", "off", "false"})
--- a/src/support/units.hpp
+++ b/src/support/units.hpp
@@ -17,20 +17,20 @@
 };
 
 template <typename T>
-using Read = std::variant<T, ValueError>;
+using ParseResult = std::variant<T, ValueError>;
 
 // 200us, 1.5s, 2min, 3h, 1d. Only "0" needs no unit. Negative values are rejected.
-Read<std::chrono::microseconds> readTime(std::string_view text);
+ParseResult<std::chrono::microseconds> readTime(std::string_view text);
 // 512B, 64KB, 32MB, 1GB, in powers of 1024; a whole number of bytes.
-Read<std::uint64_t> readSize(std::string_view text);
+ParseResult<std::uint64_t> readSize(std::string_view text);
 // 21% or 0.21.
-Read<double> readShare(std::string_view text);
+ParseResult<double> readShare(std::string_view text);
 // A whole number, which may be negative.
-Read<std::int64_t> readCount(std::string_view text);
+ParseResult<std::int64_t> readCount(std::string_view text);
 // A finite number without a unit.
-Read<double> readNumber(std::string_view text);
+ParseResult<double> readNumber(std::string_view text);
 // yes, no, on, off, true, false.
-Read<bool> readFlag(std::string_view text);
+ParseResult<bool> readFlag(std::string_view text);
 
 // Formats a time with the largest unit, up to hours, from which readTime() restores the same time.
 std::string writeTime(std::chrono::microseconds time);
