--- a/src/app/discovery_source.cpp
+++ b/src/app/discovery_source.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Whether the new settings name the running kind of source. Another one needs a restart, which is logged.
-bool keepsSource(const Config& config, Source running) {
+bool keepsSource(const Config& config, DiscoveryKind running) {
   if (config.source == running) return true;
   logEvent(LogLevel::Warning, "config_restart_needed", {{"key", "[discovery] source"}});
   return false;
@@ -22,7 +22,7 @@
   void watch(std::uint64_t after) override { watch_.watch(after); }
   std::optional<RegistryWatch::View> registryView() const override { return watch_.view(); }
   void updateSettings(const Config& config) override {
-    if (keepsSource(config, Source::Registry)) watch_.changeAddress(config.discovery);
+    if (keepsSource(config, DiscoveryKind::Registry)) watch_.changeAddress(config.discovery);
   }
 
  private:
@@ -33,7 +33,7 @@
 class FixedSource final : public ConfiguredDiscovery {
  public:
   void watch(std::uint64_t) override {}
-  void updateSettings(const Config& config) override { keepsSource(config, Source::Fixed); }
+  void updateSettings(const Config& config) override { keepsSource(config, DiscoveryKind::Fixed); }
 };
 
 #ifdef SABLESPUR_DNSSD
@@ -43,7 +43,7 @@
       : updater_(updater), dnssd_(base, clock, updater, config) {}
   void watch(std::uint64_t) override {}  // it queries from its construction on
   void updateSettings(const Config& config) override {
-    if (!keepsSource(config, Source::DnsSd)) return;
+    if (!keepsSource(config, DiscoveryKind::DnsSd)) return;
     updater_.setPolicy(endpointTablePolicy(config));
     dnssd_.updateSettings(config);
   }
@@ -59,7 +59,7 @@
 
 EndpointTablePolicy endpointTablePolicy(const Config& config) {
   EndpointTablePolicy policy;
-  if (config.source != Source::DnsSd) {
+  if (config.source != DiscoveryKind::DnsSd) {
     policy.flapDamping = false;
     return policy;
   }
@@ -75,15 +75,15 @@
 std::unique_ptr<ConfiguredDiscovery> createDiscoverySource(event_base* base, const Clock& clock,
                                                            EndpointUpdater& updater, const Config& config) {
   switch (config.source) {
-    case Source::Fixed:
+    case DiscoveryKind::Fixed:
       return std::make_unique<FixedSource>();
-    case Source::DnsSd:
+    case DiscoveryKind::DnsSd:
 #ifdef SABLESPUR_DNSSD
       return std::make_unique<DnsSdSource>(base, clock, updater, config);
 #else
       throw BadInput("key [discovery] source: this build has no DNS-SD; build it with -DSABLESPUR_DNSSD=ON");
 #endif
-    case Source::Registry:
+    case DiscoveryKind::Registry:
       break;
   }
   return std::make_unique<RegistrySource>(base, clock, updater, config);
--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -72,7 +72,7 @@
   EndpointUpdater updater(base.get(), clock, firstList, endpointTablePolicy(config));
   const std::unique_ptr<ConfiguredDiscovery> source =
       createDiscoverySource(base.get(), clock, updater, config);
-  if (config.source == Source::Fixed) {
+  if (config.source == DiscoveryKind::Fixed) {
     updater.found(config.known.instances, true);
   } else {
     source->watch(0);
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -42,7 +42,7 @@
                config_),
       status_(openStatus()),
       adminHandler_(createAdminHandler(base, config_, engine_, clients_)) {
-  if (config_.source == Source::Registry) endpointUpdater_.adoptKnown(config_.known);
+  if (config_.source == DiscoveryKind::Registry) endpointUpdater_.adoptKnown(config_.known);
   backends_.onShortage([this] { clients_.onExhaustion(); });
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -27,7 +27,7 @@
 using balancer::Time;
 
 // Where the list of data servers comes from.
-enum class Source { Registry, DnsSd, Fixed };
+enum class DiscoveryKind { Registry, DnsSd, Fixed };
 
 struct GroupName {
   std::string name;
@@ -159,10 +159,10 @@
 
 // The list of data servers.
 struct DiscoveryConfig {
-  Source source = Source::Registry;
+  DiscoveryKind source = DiscoveryKind::Registry;
   Address discovery;              // address of the registry
-  DnsSdSettings dnssd;            // used with Source::DnsSd
-  EndpointList known;             // endpoints known at the start; with Source::Fixed the whole list
+  DnsSdSettings dnssd;            // used with DiscoveryKind::DnsSd
+  EndpointList known;             // endpoints known at the start; with DiscoveryKind::Fixed the whole list
   std::vector<GroupName> groups;  // named groups only
 };
 
--- a/src/config/discovery_checks.cpp
+++ b/src/config/discovery_checks.cpp
@@ -50,12 +50,12 @@
 
 void checkDiscovery(SettingsDocument& document, SettingsDraft& draft) {
   const Config& config = draft.config;
-  if (config.source == Source::Registry && config.discovery.none())
+  if (config.source == DiscoveryKind::Registry && config.discovery.none())
     document.report(
         document.sectionLine("discovery"), "[discovery] registry",
         {"source = registry needs it", "write the address of the registry, or set source = fixed"});
-  if (config.source == Source::DnsSd) checkDnsSd(document, draft);
-  if (config.source == Source::Fixed && config.known.instances.empty())
+  if (config.source == DiscoveryKind::DnsSd) checkDnsSd(document, draft);
+  if (config.source == DiscoveryKind::Fixed && config.known.instances.empty())
     document.report(document.sectionLine("discovery"), "[discovery] source",
                     {"source = fixed needs a [member NAME]", "add one for each data server"});
 }
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -147,7 +147,7 @@
 
   void completeBalancerSettings() {
     balancer::Settings& settings = config_.settings;
-    const bool fromRegistry = config_.source == Source::Registry;
+    const bool fromRegistry = config_.source == DiscoveryKind::Registry;
     settings.cancelAllowed = true;
     settings.timerResolution = kTimerResolution;
     settings.discoveryMode =
--- a/src/config/keys_discovery.cpp
+++ b/src/config/keys_discovery.cpp
@@ -8,9 +8,9 @@
 constexpr Key kDiscoveryKeys[] = {
     {"discovery", "source", KeyKind::Choice, "registry", kUnbounded, "registry dnssd fixed",
      [](SettingsDraft& d, const KeyValue& v) {
-       d.config.source = text(v) == "registry" ? Source::Registry
-                         : text(v) == "dnssd"  ? Source::DnsSd
-                                               : Source::Fixed;
+       d.config.source = text(v) == "registry" ? DiscoveryKind::Registry
+                         : text(v) == "dnssd"  ? DiscoveryKind::DnsSd
+                                               : DiscoveryKind::Fixed;
      },
      "The HTTP registry, service records in the DNS, or only the `[member]` sections."},
     {"discovery", "registry", KeyKind::Address, "", kUnbounded, kNoChoices,
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -99,7 +99,8 @@
     logStarted();
     // A first start recovers nothing: there was no service before it.
     if (!settings_.order || !isRestart()) requests_.finish();
-    assumeFreshStarts_ = isRestart() && config.source == Source::DnsSd && settings_.trust != Trust::All;
+    assumeFreshStarts_ =
+        isRestart() && config.source == DiscoveryKind::DnsSd && settings_.trust != Trust::All;
     startTimer(tick_.get(), kTickInterval);
     startTimer(snapshotTimer_.get(), settings_.every);
   }
@@ -204,7 +205,7 @@
 // discovery replaces both.
 void FleetRecoveryCoordinator::loadKnownEndpoints(Config& config) {
   std::vector<DiscoveredEndpoint>& known = config.known.instances;
-  if (settings_.trust != Trust::Nothing && config.source != Source::Fixed &&
+  if (settings_.trust != Trust::Nothing && config.source != DiscoveryKind::Fixed &&
       !recoveredState_.endpoints.empty()) {
     known.clear();
     for (const EndpointRecord& record : recoveredState_.endpoints) {
