--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -89,7 +89,7 @@
   bool on = true;
   bool order = true;  // requests are admitted as data servers prove ready; otherwise all at once
   Trust trust = Trust::ByKind;
-  Time every = std::chrono::seconds(1);  // interval between snapshots
+  Time snapshotInterval = std::chrono::seconds(1);  // interval between snapshots
   double dials = 50;  // connections per second to a new data server, from all proxies together
   // Maximum duration of recovery, after which no request is held back.
   Time longest = std::chrono::seconds(20);
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -84,7 +84,7 @@
      "primaries only after a data server has confirmed them; `nothing`: no part. `all` breaks rules and "
      "exists for experiments in the lab."},
     {"recovery", "snapshot_every", KeyKind::Duration, "1s", Bounds{10 * kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.every = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.snapshotInterval = duration(v); },
      "Interval between snapshots. A snapshot takes about 150 bytes per data server, and is written and "
      "synced by a separate thread."},
     {"recovery", "dials", KeyKind::Number, "50", Bounds{0.1, 1e6}, kNoChoices,
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -102,7 +102,7 @@
     assumeFreshStarts_ =
         isRestart() && config.source == DiscoveryKind::DnsSd && settings_.trust != Trust::All;
     startTimer(tick_.get(), kTickInterval);
-    startTimer(snapshotTimer_.get(), settings_.every);
+    startTimer(snapshotTimer_.get(), settings_.snapshotInterval);
   }
 
   RequestId request(ResponseHandler& handler, balancer::Request request, RequestMessage message) override {
