--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -87,7 +87,7 @@
 // src/recovery. Requires a store.
 struct RecoveryConfig {
   bool on = true;
-  bool order = true;  // requests are admitted as data servers prove ready; otherwise all at once
+  bool gradualAdmission = true;  // requests are admitted as data servers prove ready; otherwise all at once
   Trust trust = Trust::ByKind;
   Time snapshotInterval = std::chrono::seconds(1);  // interval between snapshots
   double dials = 50;  // connections per second to a new data server, from all proxies together
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -71,7 +71,7 @@
      "Whether snapshots are written and read beside the store (DIRECTORY.snapshot) and other proxies are "
      "queried."},
     {"recovery", "order", KeyKind::Flag, "yes", kUnbounded, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.order = as<bool>(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.gradualAdmission = as<bool>(v); },
      "After a start requests are admitted as data servers prove ready; the others are rejected at once with "
      "a retry delay. `no`: all are admitted, and wait or fail."},
     {"recovery", "trust", KeyKind::Choice, "by_kind", kUnbounded, "by_kind nothing all",
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -98,7 +98,7 @@
     loadKnownEndpoints(config);
     logStarted();
     // A first start recovers nothing: there was no service before it.
-    if (!settings_.order || !isRestart()) requests_.finish();
+    if (!settings_.gradualAdmission || !isRestart()) requests_.finish();
     assumeFreshStarts_ =
         isRestart() && config.source == DiscoveryKind::DnsSd && settings_.trust != Trust::All;
     startTimer(tick_.get(), kTickInterval);
