--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -92,7 +92,7 @@
   Time snapshotInterval = std::chrono::seconds(1);  // interval between snapshots
   double dials = 50;  // connections per second to a new data server, from all proxies together
   // Maximum duration of recovery, after which no request is held back.
-  Time longest = std::chrono::seconds(20);
+  Time maxDuration = std::chrono::seconds(20);
 };
 
 // Identity, log and administration of the process.
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -92,7 +92,7 @@
      "Connections per second that all proxies together open in advance to a data server that has just been "
      "listed. Hashing decides each proxy's turn, so the `[peer]` sections must be the same on every proxy."},
     {"recovery", "longest", KeyKind::Duration, "20s", Bounds{kMillisecond, kHour}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.longest = duration(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.maxDuration = duration(v); },
      "Longest duration of recovery. After it no request is held back, whatever has been confirmed."},
 };
 
--- a/src/recovery/recovery_request_handler.cpp
+++ b/src/recovery/recovery_request_handler.cpp
@@ -13,7 +13,7 @@
 RecoveryAdmissionPolicy admissionPolicy(const Config& config) {
   RecoveryAdmissionPolicy policy;
   policy.proxies = config.settings.proxyCount;
-  policy.timeout = config.recovery.longest;
+  policy.timeout = config.recovery.maxDuration;
   return policy;
 }
 
