--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -90,7 +90,7 @@
   bool gradualAdmission = true;  // requests are admitted as data servers prove ready; otherwise all at once
   Trust trust = Trust::ByKind;
   Time snapshotInterval = std::chrono::seconds(1);  // interval between snapshots
-  double dials = 50;  // connections per second to a new data server, from all proxies together
+  double dialsPerSecond = 50;  // connections per second to a new data server, from all proxies together
   // Maximum duration of recovery, after which no request is held back.
   Time maxDuration = std::chrono::seconds(20);
 };
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -88,7 +88,7 @@
      "Interval between snapshots. A snapshot takes about 150 bytes per data server, and is written and "
      "synced by a separate thread."},
     {"recovery", "dials", KeyKind::Number, "50", Bounds{0.1, 1e6}, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.dials = as<double>(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.dialsPerSecond = as<double>(v); },
      "Connections per second that all proxies together open in advance to a data server that has just been "
      "listed. Hashing decides each proxy's turn, so the `[peer]` sections must be the same on every proxy."},
     {"recovery", "longest", KeyKind::Duration, "20s", Bounds{kMillisecond, kHour}, kNoChoices,
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -121,7 +121,7 @@
 
   void peerDatagramReceived(std::size_t peer, std::string_view datagram) override;
   Time connectDelay(const std::string& endpoint) const override {
-    return recovery::connectDelay(endpoint, ownName_, proxyNames_, settings_.dials);
+    return recovery::connectDelay(endpoint, ownName_, proxyNames_, settings_.dialsPerSecond);
   }
 
   RecoveryView view() const override;
