--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -86,7 +86,7 @@
 // Use of the state of the previous run, and the order in which service is restored; see
 // src/recovery. Requires a store.
 struct RecoveryConfig {
-  bool on = true;
+  bool enabled = true;
   bool gradualAdmission = true;  // requests are admitted as data servers prove ready; otherwise all at once
   Trust trust = Trust::ByKind;
   Time snapshotInterval = std::chrono::seconds(1);  // interval between snapshots
--- a/src/config/keys_durability.cpp
+++ b/src/config/keys_durability.cpp
@@ -67,7 +67,7 @@
 
 constexpr Key kRecoveryKeys[] = {
     {"recovery", "on", KeyKind::Flag, "yes", kUnbounded, kNoChoices,
-     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.on = as<bool>(v); },
+     [](SettingsDraft& d, const KeyValue& v) { d.config.recovery.enabled = as<bool>(v); },
      "Whether snapshots are written and read beside the store (DIRECTORY.snapshot) and other proxies are "
      "queried."},
     {"recovery", "order", KeyKind::Flag, "yes", kUnbounded, kNoChoices,
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -375,7 +375,7 @@
                                                                WorkerPool& workers, Config& config,
                                                                const PeerTransport& transport,
                                                                ReplicationObserver* next) {
-  if (!config.store || !config.recovery.on) return nullptr;
+  if (!config.store || !config.recovery.enabled) return nullptr;
   return std::make_unique<FleetRecoveryCoordinator>(base, engine, workers, config, transport, next);
 }
 
