--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -66,12 +66,12 @@
 // The store of idempotency keys and session positions; see src/durability.
 struct StoreConfig {
   std::string directory;
-  Time keyRetention{};      // retention of a key after its last use
-  Time sessionRetention{};  // retention of a session's position after its last use
+  Time keyRetention{};      // after the last use of a key
+  Time sessionRetention{};  // after the last use of a session's position
   std::size_t maxKeys = 0;
   std::size_t maxSessions = 0;
-  std::size_t maxResponseBytes = 0;  // in bytes; longer answers are not stored with their key
-  Time commitTimeout{};              // for a commit; after it the disk counts as hanging
+  std::size_t maxResponseBytes = 0;  // longer answers are not stored with their key
+  Time commitTimeout{};              // after it the disk counts as hanging
   // Retry delay of requests that are rejected while the store is unavailable: random between these
   // two.
   Time minRetryAfter{};
@@ -87,10 +87,11 @@
 // src/recovery. Requires a store.
 struct RecoveryConfig {
   bool enabled = true;
-  bool gradualAdmission = true;  // requests are admitted as data servers prove ready; otherwise all at once
+  // Whether requests are admitted as data servers prove ready; otherwise all at once.
+  bool gradualAdmission = true;
   Trust trust = Trust::ByKind;
-  Time snapshotInterval = std::chrono::seconds(1);  // interval between snapshots
-  double dialsPerSecond = 50;  // connections per second to a new data server, from all proxies together
+  Time snapshotInterval = std::chrono::seconds(1);
+  double dialsPerSecond = 50;  // to a new data server, by all proxies together
   // Maximum duration of recovery, after which no request is held back.
   Time maxDuration = std::chrono::seconds(20);
 };
@@ -162,7 +163,7 @@
   DiscoveryKind source = DiscoveryKind::Registry;
   Address discovery;              // address of the registry
   DnsSdSettings dnssd;            // used with DiscoveryKind::DnsSd
-  EndpointList known;             // endpoints known at the start; with DiscoveryKind::Fixed the whole list
+  EndpointList known;             // at the start; with DiscoveryKind::Fixed the whole list
   std::vector<GroupName> groups;  // named groups only
 };
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -179,32 +179,35 @@
 
 // Typical mistakes in the settings of admission control.
 TEST(Settings, AdmissionFaultsNameFileLineKeyAndFix) {
-  const auto door = [](const std::string& more) {
+  const auto admissionFaults = [](const std::string& more) {
     return faults(kGood + "\n[admission]\ndoor = yes\n" + more);
   };
-  EXPECT_EQ(door("[admission_group desks]\nnetworks = 10.1.0.0/16\nreserve = 4\n"), "");
+  EXPECT_EQ(admissionFaults("[admission_group desks]\nnetworks = 10.1.0.0/16\nreserve = 4\n"), "");
   const std::vector<std::pair<std::string, std::string>> cases{
-      {door("[admission_group desks]\nnetworks = 10.1.0.7/16\n"),
+      {admissionFaults("[admission_group desks]\nnetworks = 10.1.0.7/16\n"),
        "[admission_group desks] networks: '10.1.0.7/16' has bits beyond its prefix; write networks such as"},
-      {door("[admission_group a]\nnetworks = 10.1.0.0/16\n[admission_group b]\nnetworks = 10.1.0.0/16\n"),
+      {admissionFaults(
+           "[admission_group a]\nnetworks = 10.1.0.0/16\n[admission_group b]\nnetworks = 10.1.0.0/16\n"),
        "[admission_group b] networks: '10.1.0.0/16' belongs to another group already"},
-      {door("[admission_group desks]\nnetworks_file = none.txt\n"),
+      {admissionFaults("[admission_group desks]\nnetworks_file = none.txt\n"),
        "[admission_group desks] networks_file: 'none.txt' cannot be read; check that it exists"},
-      {door("[admission_group desks]\nusers = desk\n"),
+      {admissionFaults("[admission_group desks]\nusers = desk\n"),
        "[admission_group desks] users: a user name is not verified without a password; write [clients] "
        "login"},
-      {door("[admission_group others]\nnetworks = 10.1.0.0/16\n"),
+      {admissionFaults("[admission_group others]\nnetworks = 10.1.0.0/16\n"),
        "[admission_group others]: it holds the clients that are in no other group; remove its networks and "
        "users"},
-      {door("[admission_group desks]\nconnections = 3\nreserve = 4\n"),
+      {admissionFaults("[admission_group desks]\nconnections = 3\nreserve = 4\n"),
        "[admission_group desks] reserve: it is more than the connections of the group"},
-      {door("connections = 10\n[admission_group desks]\nreserve = 11\n"),
+      {admissionFaults("connections = 10\n[admission_group desks]\nreserve = 11\n"),
        "[admission] connections: the groups reserve 11 connections, and only 10 are available"},
-      {door("antechamber = 5000\n"), "[admission] antechamber: it leaves no room"},
-      {door("fronts = desk\n"), "[admission] fronts: 'desk' is no network"},
-      {door("served_before = desks\n"), "[admission] served_before: there is no [admission_group desks]"},
-      {door("come_back_least = 20s\n"), "[admission] come_back_most: it is shorter than come_back_least"},
-      {door("requests = gradient\nlimit_least = 20\nlimit_most = 10\n"),
+      {admissionFaults("antechamber = 5000\n"), "[admission] antechamber: it leaves no room"},
+      {admissionFaults("fronts = desk\n"), "[admission] fronts: 'desk' is no network"},
+      {admissionFaults("served_before = desks\n"),
+       "[admission] served_before: there is no [admission_group desks]"},
+      {admissionFaults("come_back_least = 20s\n"),
+       "[admission] come_back_most: it is shorter than come_back_least"},
+      {admissionFaults("requests = gradient\nlimit_least = 20\nlimit_most = 10\n"),
        "[admission] limit_most: it is less than limit_least"},
       {faults(kGood + "\n[admission_group desks]\n"),
        "[admission_group desks]: admission control is off; write door = yes in [admission]"},
