--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -42,7 +42,7 @@
                config_),
       status_(openStatus()),
       adminHandler_(createAdminHandler(base, config_, engine_, clients_)) {
-  if (config_.source == Source::Registry) endpointUpdater_.adoptKnown(config_.known);
+  if (config_.source == DiscoveryKind::Registry) endpointUpdater_.adoptKnown(config_.known);
   backends_.onShortage([this] { clients_.onExhaustion(); });
 }
 
@@ -97,7 +97,7 @@
 void Proxy::apply(const Config& config) {
   // Admission and the store hold the classes of the start.
   if (!config_.admission && !config_.store) {
-    adopt(config_, config);
+    applyReload(config_, config);
     engine_.updateSettings(config_.settings);
   }
   discovery_->updateSettings(config);
--- a/src/backend/postgres/backend_pool.cpp
+++ b/src/backend/postgres/backend_pool.cpp
@@ -167,7 +167,7 @@
   finish(operation, endedAs(operation.written ? AttemptResult::Cancelled : AttemptResult::NotSent));
 }
 
-// The attempt ends when the data server has answered, or after giveUpWait. Until then no other
+// The attempt ends when the data server has answered, or after cancelResponseTimeout. Until then no other
 // attempt of the request is sent.
 bool BackendPool::requestCancel(Operation& operation, AttemptResult endsAs) {
   Attempt* const attempt = operation.attempt();
@@ -175,7 +175,7 @@
   Connection& connection = *operation.connection;
   if (!connection.flushed() || !connections_.ensureRoom() || !connection.sendCancelRequest()) return false;
   attempt->cancelledAs = endsAs;
-  startTimer(operation.deadlineTimer.get(), config_.giveUpWait);
+  startTimer(operation.deadlineTimer.get(), config_.cancelResponseTimeout);
   return true;
 }
 
--- a/src/backend/postgres/connection.cpp
+++ b/src/backend/postgres/connection.cpp
@@ -135,12 +135,13 @@
 bool Connection::sendCancelRequest() {
   if (!key_ || cancelRequest_) return false;
   cancelDescriptor_ = ResourceBudget::DescriptorPermit(context_.resources, DescriptorHolder::Servers);
-  cancelRequest_ = std::make_unique<CancelRequest>(context_.base, address_, postgres::cancel(*key_),
-                                                   context_.config.giveUpWait, [this](bool delivered) {
-                                                     const auto ended = std::move(cancelRequest_);
-                                                     cancelDescriptor_ = ResourceBudget::DescriptorPermit();
-                                                     listener_.cancelRequestEnded(*this, delivered);
-                                                   });
+  cancelRequest_ =
+      std::make_unique<CancelRequest>(context_.base, address_, postgres::cancel(*key_),
+                                      context_.config.cancelResponseTimeout, [this](bool delivered) {
+                                        const auto ended = std::move(cancelRequest_);
+                                        cancelDescriptor_ = ResourceBudget::DescriptorPermit();
+                                        listener_.cancelRequestEnded(*this, delivered);
+                                      });
   return true;
 }
 
@@ -287,7 +288,7 @@
     return false;
   }
   if (!dialing_) {
-    answer_->takeError(error, body, context_.config.tellStatementErrors);
+    answer_->takeError(error, body, context_.config.forwardStatementErrors);
     if (!error.fatal) return true;
   }
   listener_.connectionLost(*this, error.result);
--- a/src/durability/idempotency_handler.cpp
+++ b/src/durability/idempotency_handler.cpp
@@ -44,11 +44,11 @@
 durability::IdempotencyStoreSettings storeSettings(const StoreConfig& c) {
   durability::IdempotencyStoreSettings s;
   s.directory = c.directory;
-  s.keyRetention = c.keep;
-  s.sessionRetention = c.keepSessions;
-  s.maxKeys = c.mostKeys;
-  s.maxSessions = c.mostSessions;
-  s.maxResponseBytes = c.longestAnswer;
+  s.keyRetention = c.keyRetention;
+  s.sessionRetention = c.sessionRetention;
+  s.maxKeys = c.maxKeys;
+  s.maxSessions = c.maxSessions;
+  s.maxResponseBytes = c.maxResponseBytes;
   return s;
 }
 
@@ -105,7 +105,7 @@
     e.arrived = engine_.now();
     if (keyed) {
       enqueueForKey(e);
-    } else if (sessionRead && engine_.now() - startedAt_ < config_.keepSessions) {
+    } else if (sessionRead && engine_.now() - startedAt_ < config_.sessionRetention) {
       readSessionPosition(e);
     } else {
       forward(e);
@@ -184,8 +184,8 @@
   bool acceptsWrites() const { return writer_.state() == GroupCommitWriter::State::Up && !slow_; }
   Time randomRetryAfter() {
     if (!retryAfterAllowed_) return Time(0);
-    return Time(std::uniform_int_distribution<std::int64_t>(config_.comeBackLeast.count(),
-                                                            config_.comeBackMost.count())(random_));
+    return Time(std::uniform_int_distribution<std::int64_t>(config_.minRetryAfter.count(),
+                                                            config_.maxRetryAfter.count())(random_));
   }
   void startWaiting(PendingRequest& e, WaitReason reason) {
     e.waitReason = reason;
@@ -360,11 +360,11 @@
     durability::CompleteRequest f{
         e.message.key, e.message.id, Outcome::Served, {}, e.positionMs, e.session ? e.request.session : 0,
         true};
-    if (length <= config_.longestAnswer) {
+    if (length <= config_.maxResponseBytes) {
       f.response.resize(length);
       evbuffer_copyout(from, f.response.data(), length);
     } else {
-      f.response.assign(config_.longestAnswer + 1, '\0');  // exceeds the limit, so it is not stored
+      f.response.assign(config_.maxResponseBytes + 1, '\0');  // exceeds the limit, so it is not stored
     }
     e.ticket = writer_.submit(std::move(f), done);
   }
@@ -431,7 +431,7 @@
   // deadline has passed, whatever becomes of the commit.
   void tick() {
     const Time now = engine_.now();
-    const bool slow = writer_.currentCommitAge() > config_.patience;
+    const bool slow = writer_.currentCommitAge() > config_.commitTimeout;
     if (slow != slow_) {
       slow_ = slow;
       if (slow)
@@ -444,7 +444,7 @@
     for (const auto& [id, e] : pending_) {
       if (e->waitReason == WaitReason::None) continue;
       any = true;
-      if ((e->waitReason != WaitReason::SameKey && now - e->waitingSince > config_.patience) ||
+      if ((e->waitReason != WaitReason::SameKey && now - e->waitingSince > config_.commitTimeout) ||
           now >= e->request.deadline)
         timedOut.push_back(id);
     }
@@ -540,7 +540,7 @@
     try {
       return std::make_unique<DurableWriteHandler>(base, engine, next, c, reader, hook);
     } catch (const durability::StoreError& e) {
-      if (e.kind != durability::StoreError::Kind::Damaged || !c.store->setAside) throw;
+      if (e.kind != durability::StoreError::Kind::Damaged || !c.store->renameDamaged) throw;
       setAsideDamagedStore(c.store->directory, e.what());
       return std::make_unique<DurableWriteHandler>(base, engine, next, c, reader, hook);
     }
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -7,7 +7,7 @@
 //                          sent
 //   session write          its position is durable before its response is sent
 //   without a key
-//   session read           the position it read at is recorded without waiting; for `keepSessions`
+//   session read           the position it read at is recorded without waiting; for `sessionRetention`
 //                          after startup, the session's position is first read from the store
 //   any other request      passes unchanged
 //
--- a/src/frontend/postgres/clients.cpp
+++ b/src/frontend/postgres/clients.cpp
@@ -219,7 +219,7 @@
 // that has been idle the longest is closed for each further client that sends its first request.
 void Clients::onFirstRequest(const Session& by) {
   ++activeSessions_;
-  if (activeSessions_ <= services_.config.askingClients || services_.admission) return;
+  if (activeSessions_ <= services_.config.maxActiveClients || services_.admission) return;
   const Time now = services_.engine.now();
   Session* longestIdle = nullptr;
   for (const auto& [session, owned] : sessions_) {
--- a/src/frontend/postgres/session.cpp
+++ b/src/frontend/postgres/session.cpp
@@ -44,7 +44,7 @@
       [](bufferevent*, short what, void* self) { static_cast<Session*>(self)->onEvent(what); }, this);
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
   evbuffer_add_cb(input(), onInputChanged, this);
-  const auto us = services_.config.unreadAnswer.count();
+  const auto us = services_.config.unreadAnswerTimeout.count();
   const timeval unread{static_cast<time_t>(us / 1000000), static_cast<suseconds_t>(us % 1000000)};
   bufferevent_set_timeouts(bev_.get(), nullptr, &unread);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
@@ -206,9 +206,9 @@
   if (draining() && !extended_.awaitingSync && now - lastActive_ >= kNewClientGraceInDrain &&
       !hasUnreadInput())
     return false;
-  if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQuery) return false;
+  if (!firstRequestReceived_ && now - lastActive_ >= services_.config.firstQueryTimeout) return false;
   return !inputState_.partialMessageSince ||
-         now - *inputState_.partialMessageSince < services_.config.halfMessage;
+         now - *inputState_.partialMessageSince < services_.config.partialMessageTimeout;
 }
 
 void Session::onIdleTimeout() {
@@ -303,7 +303,7 @@
 // been while an earlier request was being processed. The result is limited so that at least
 // kMinRestOfMessageTime remains for reading the rest from the socket.
 Time Session::partialMessageStart() const {
-  const Time allowed = std::max(services_.config.halfMessage - kMinRestOfMessageTime, Time(0));
+  const Time allowed = std::max(services_.config.partialMessageTimeout - kMinRestOfMessageTime, Time(0));
   return std::max(inputState_.timestamps.receivedAt(1), services_.engine.now() - allowed);
 }
 
--- a/src/recovery/coordinator.cpp
+++ b/src/recovery/coordinator.cpp
@@ -99,10 +99,11 @@
     loadKnownEndpoints(config);
     logStarted();
     // Without a snapshot file this is the first start, and there is nothing to recover.
-    if (!settings_.order || !isRestart()) requests_.finish();
-    assumeFreshStarts_ = isRestart() && config.source == Source::DnsSd && settings_.trust != Trust::All;
+    if (!settings_.gradualAdmission || !isRestart()) requests_.finish();
+    assumeFreshStarts_ =
+        isRestart() && config.source == DiscoveryKind::DnsSd && settings_.trust != Trust::All;
     startTimer(tick_.get(), kTickInterval);
-    startTimer(snapshotTimer_.get(), settings_.every);
+    startTimer(snapshotTimer_.get(), settings_.snapshotInterval);
   }
 
   RequestId request(ResponseHandler& handler, balancer::Request request, RequestMessage message) override {
@@ -121,7 +122,7 @@
 
   void peerDatagramReceived(std::size_t peer, std::string_view datagram) override;
   Time connectDelay(const std::string& endpoint) const override {
-    return recovery::connectDelay(endpoint, ownName_, proxyNames_, settings_.dials);
+    return recovery::connectDelay(endpoint, ownName_, proxyNames_, settings_.dialsPerSecond);
   }
 
   RecoveryView view() const override;
@@ -205,7 +206,7 @@
 // list from discovery replaces both.
 void FleetRecoveryCoordinator::loadKnownEndpoints(Config& config) {
   std::vector<DiscoveredEndpoint>& known = config.known.instances;
-  if (settings_.trust != Trust::Nothing && config.source != Source::Fixed &&
+  if (settings_.trust != Trust::Nothing && config.source != DiscoveryKind::Fixed &&
       !recoveredState_.endpoints.empty()) {
     known.clear();
     for (const EndpointRecord& record : recoveredState_.endpoints) {
@@ -379,7 +380,7 @@
                                                                WorkerPool& workers, Config& config,
                                                                const PeerTransport& transport,
                                                                ReplicationObserver* next) {
-  if (!config.store || !config.recovery.on) return nullptr;
+  if (!config.store || !config.recovery.enabled) return nullptr;
   return std::make_unique<FleetRecoveryCoordinator>(base, engine, workers, config, transport, next);
 }
 
--- a/src/recovery/recovery_request_handler.cpp
+++ b/src/recovery/recovery_request_handler.cpp
@@ -15,7 +15,7 @@
 RecoveryAdmissionPolicy admissionPolicy(const Config& config) {
   RecoveryAdmissionPolicy policy;
   policy.proxies = config.settings.proxyCount;
-  policy.timeout = config.recovery.longest;
+  policy.timeout = config.recovery.maxDuration;
   return policy;
 }
 
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -433,7 +433,7 @@
   std::map<std::string, int> sent;
   for (const Address& peer : peers) {
     Config many = config(own(), peers);
-    many.peerOwn = peer;  // the address under which the other proxies know this one
+    many.ownPeerAddress = peer;  // the address under which the other proxies know this one
     many.peersAll = a;
     Engine engine(base.get(), many);
     PeerLink link(base.get(), engine, many);
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -478,7 +478,7 @@
 // ---- clients that stop midway
 struct StoppedMidway : SessionTest {
   void SetUp() override {
-    config.halfMessage = 100ms;
+    config.partialMessageTimeout = 100ms;
     config.version2 = true;
     SessionTest::SetUp();
   }
@@ -590,7 +590,7 @@
 }
 // It has stood there for its whole time while the request before it was out: it is not given that anew.
 TEST_F(StoppedMidway, TheTimeOfHalfAMessageRunsWhileItStandsBehindARequest) {
-  config.halfMessage = 2s;
+  config.partialMessageTimeout = 2s;
   const auto c = welcomed();
   c->put(query("1") + query("2").substr(0, 12));
   ASSERT_TRUE(until([&] { return members.out.size() == 1; }));
@@ -832,7 +832,7 @@
 // Room is made for those that ask by ending one that rests: not one whose request has just come.
 TEST_F(SessionTest, WhoseRequestHasJustComeIsNotEndedForAnother) {
   std::vector<std::unique_ptr<Peer>> all;
-  for (std::size_t k = 0; k < config.askingClients; ++k) {
+  for (std::size_t k = 0; k < config.maxActiveClients; ++k) {
     all.push_back(welcomed());
     all.back()->put(postgres::query(""));
     ASSERT_TRUE(until([&] { return !all.back()->take().empty(); }));
