--- a/tests/logins_test.cpp
+++ b/tests/logins_test.cpp
@@ -1,4 +1,5 @@
-// Logins by password on both sides, and cancels that reach a data server; scenario.hpp tells the language.
+// Password logins of clients and to data servers, and cancels that reach a data server.
+// scenario.hpp documents the scenario language.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -12,18 +13,18 @@
 namespace sablespur::test {
 namespace {
 
-// A file of secrets that lives as long as the test.
-class Secret {
+// A temporary file of passwords or verifiers, removed by the destructor.
+class SecretFile {
  public:
-  explicit Secret(const std::string& text, mode_t mode = 0600) {
+  explicit SecretFile(const std::string& text, mode_t mode = 0600) {
     char path[] = "/tmp/sablespur-secret-XXXXXX";
     close(mkstemp(path));
     path_ = path;
     write(text);
     chmod(path, mode);
   }
-  ~Secret() { unlink(path_.c_str()); }
-  Secret(const Secret&) = delete;
+  ~SecretFile() { unlink(path_.c_str()); }
+  SecretFile(const SecretFile&) = delete;
   void write(const std::string& text) const { std::ofstream(path_) << text; }
   const std::string& path() const { return path_; }
 
@@ -31,20 +32,20 @@
   std::string path_;
 };
 
-std::string line(const std::string& user, const std::string& password, bool md5 = false) {
+std::string userLine(const std::string& user, const std::string& password, bool md5 = false) {
   return user + ":" +
          (md5 ? auth::md5Stored(user, password)
               : auth::makeVerifier(password, "0123456789abcdef", 4096).text()) +
          "\n";
 }
-Setting ini(const std::string& dataServers, const std::string& clients) {
+Setting iniSetting(const std::string& dataServers, const std::string& clients) {
   Setting s;
   s.ini = true;
   s.dataServers = dataServers;
   s.clients = clients;
   return s;
 }
-constexpr const char* kServes = R"(
+constexpr const char* kServedReadSteps = R"(
     o1 gets in
     o1 asks SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -53,10 +54,11 @@
 )";
 
 // ---- clients ------------------------------------------------------------------------------------------
-TEST(Logins, EachVersionLogsInByWhatItKnows) {
-  const Secret users(line("desk", "pencil") + line("desk", "pencil", true) + line("till", "pencil"));
-  Scenario t(ini("", "login = scram, md5, cleartext\nusers = " + users.path() + "\n"));
-  t.run(std::string("o1 speaks 2.0 user=desk password=pencil") + kServes + R"(
+TEST(Logins, EachProtocolVersionUsesAMethodItSupports) {
+  const SecretFile users(userLine("desk", "pencil") + userLine("desk", "pencil", true) +
+                         userLine("till", "pencil"));
+  Scenario t(iniSetting("", "login = scram, md5, cleartext\nusers = " + users.path() + "\n"));
+  t.run(std::string("o1 speaks 2.0 user=desk password=pencil") + kServedReadSteps + R"(
     o2 speaks 3.0 user=desk password=pencil
     o2 gets seen RRRRSSSSSSKZ
     o3 speaks 3.2 user=till password=pencil
@@ -76,9 +78,9 @@
     o8 gets error password authentication failed
   )");
 }
-TEST(Logins, NobodyAsksBeforeHeIsLetIn) {
-  const Secret users(line("desk", "pencil"));
-  Scenario t(ini("", "login = scram\nusers = " + users.path() + "\n"));
+TEST(Logins, NoQueryIsAcceptedBeforeAuthentication) {
+  const SecretFile users(userLine("desk", "pencil"));
+  Scenario t(iniSetting("", "login = scram\nusers = " + users.path() + "\n"));
   t.run(R"(
     o1 speaks 2.0 user=desk password=pencil
     o1 gets error no way to log in that this client and this user have in common
@@ -89,9 +91,9 @@
     c2 expect closed
   )");
 }
-TEST(Logins, SighupTakesNewUsersAndAFileThatIsBadChangesNothing) {
-  const Secret users(line("desk", "pencil"));
-  Scenario t(ini("", "login = scram\nusers = " + users.path() + "\n"));
+TEST(Logins, SighupReloadsUsersAndKeepsThemIfTheFileIsInvalid) {
+  const SecretFile users(userLine("desk", "pencil"));
+  Scenario t(iniSetting("", "login = scram\nusers = " + users.path() + "\n"));
   t.run(R"(
     o1 speaks 3.0 user=desk password=pencil
     o1 gets in
@@ -103,7 +105,7 @@
     o2 speaks 3.0 user=desk password=pencil
     o2 gets in
   )");
-  users.write(line("desk", "chalk"));
+  users.write(userLine("desk", "chalk"));
   t.run(R"(
     proxy reload same
     proxy expect log event=config_reloaded
@@ -113,7 +115,7 @@
     o4 gets error 28P01
   )");
 }
-TEST(Logins, ASecretIsInNoLogAndNoFault) {
+TEST(Logins, SecretsAppearInNoErrorMessage) {
   std::vector<auth::Users::Fault> faults;
   auth::Users::parse("desk:md5geheim\n\n#x\n:y\ndesk:" + auth::md5Stored("desk", "a") +
                          "\ndesk:" + auth::md5Stored("desk", "b"),
@@ -124,10 +126,11 @@
   EXPECT_EQ(faults[2].problem, "'desk' has such a secret already");
   for (const auto& f : faults) EXPECT_EQ(f.problem.find("geheim"), std::string::npos);
 }
-// What an unknown user sees is what a known one with another password sees.
-TEST(Logins, AnUnknownUserLooksLikeAKnownOne) {
+// An unknown user sees the same exchange as a known user with a wrong password, so that user names
+// cannot be probed.
+TEST(Logins, AnUnknownUserIsIndistinguishableFromAKnownOne) {
   std::vector<auth::Users::Fault> faults;
-  const auth::Users users = auth::Users::parse(line("desk", "pencil"), faults);
+  const auth::Users users = auth::Users::parse(userLine("desk", "pencil"), faults);
   const std::string secret(32, 's');
   const auto first = [&](const std::string& name) {
     auth::ServerAuthenticator h(users, name, {auth::Method::Scram}, true, secret, "nonce", "salt");
@@ -141,59 +144,62 @@
 }
 
 // ---- settings -----------------------------------------------------------------------------------------
-TEST(Logins, SettingsThatCannotBeAreFaults) {
+TEST(Logins, InvalidSettingsAreReported) {
   const auto fault = [](const std::string& dataServers, const std::string& clients) {
     try {
-      parseSettings(settingsFile(ini(dataServers, clients), 1, {2}), "x.ini");
+      parseSettings(settingsFile(iniSetting(dataServers, clients), 1, {2}), "x.ini");
       return std::string("none");
     } catch (const BadSettings& e) {
       return std::string(e.what());
     }
   };
-  const auto has = [](const std::string& said, const std::string& part) {
-    EXPECT_NE(said.find(part), std::string::npos) << said;
+  const auto expectContains = [](const std::string& text, const std::string& part) {
+    EXPECT_NE(text.find(part), std::string::npos) << text;
   };
-  const Secret open("inner\n", 0644), users("desk:x\n");
+  const SecretFile open("inner\n", 0644), users("desk:x\n");
   EXPECT_EQ(fault("", ""), "none");
-  has(fault("", "login = scram\n"), "[clients] users: logins with a password need it");
-  has(fault("", "login = scram\nusers = /nowhere\n"),
-      "[clients] users: '/nowhere' cannot be read or is empty");
-  has(fault("", "login = scram\nusers = " + open.path() + "\n"), "may be read by others; chmod 600 it");
-  has(fault("", "login = scram\nusers = " + users.path() + "\n"), ":1: the secret of 'desk' is neither");
-  has(fault("", "login = trust, md5\n"), "[clients] login: trust stands beside");
-  has(fault("", "login = kerberos\n"), "[clients] login: 'kerberos' names what is no way to log in");
-  has(fault("login = trust\n", ""), "[data_servers] login: trust needs no word");
-  has(fault("password_file = " + open.path() + "\n", ""), "[data_servers] password_file: ");
+  expectContains(fault("", "login = scram\n"), "[clients] users: logins with a password need it");
+  expectContains(fault("", "login = scram\nusers = /nowhere\n"),
+                 "[clients] users: '/nowhere' cannot be read or is empty");
+  expectContains(fault("", "login = scram\nusers = " + open.path() + "\n"),
+                 "may be read by others; chmod 600 it");
+  expectContains(fault("", "login = scram\nusers = " + users.path() + "\n"),
+                 ":1: the secret of 'desk' is neither");
+  expectContains(fault("", "login = trust, md5\n"), "[clients] login: trust stands beside");
+  expectContains(fault("", "login = kerberos\n"),
+                 "[clients] login: 'kerberos' names what is no way to log in");
+  expectContains(fault("login = trust\n", ""), "[data_servers] login: trust needs no word");
+  expectContains(fault("password_file = " + open.path() + "\n", ""), "[data_servers] password_file: ");
 }
 
 // ---- data servers -------------------------------------------------------------------------------------
-TEST(Logins, TheProxyLogsInWhereTheDeskCouldNot) {
-  const Secret password("inner\n");
-  for (const std::string asks : {"trust", "cleartext", "md5", "scram"}) {
-    SCOPED_TRACE(asks);
-    Scenario t(ini("login = scram, md5, cleartext\npassword_file = " + password.path() + "\n", ""));
-    t.run("s2 asks " + asks + R"(
+TEST(Logins, TheProxyLogsInByMethodsThatTheClientLacks) {
+  const SecretFile password("inner\n");
+  for (const std::string method : {"trust", "cleartext", "md5", "scram"}) {
+    SCOPED_TRACE(method);
+    Scenario t(iniSetting("login = scram, md5, cleartext\npassword_file = " + password.path() + "\n", ""));
+    t.run("s2 asks " + method + R"(
       s2 close idle
       s2 wait idle 2
       s2 close idle
       s2 wait idle 2
       o1 speaks 2.0)" +
-          kServes);
+          kServedReadSteps);
   }
 }
-// None of these is believed: the request goes to the other server instead.
-TEST(Logins, AServerThatCheatsIsNotBelieved) {
-  const Secret password("inner\n");
-  for (const auto& [asks, why] :
+// The proxy rejects each of these logins and sends the request to the other server.
+TEST(Logins, AServerThatViolatesTheLoginProtocolIsNotUsed) {
+  const SecretFile password("inner\n");
+  for (const auto& [method, why] :
        {std::pair<std::string, std::string>{"signature", "the server's signature is wrong"},
         {"nonce", "a nonce that is not ours"},
         {"iterations", "an iteration count out of range"},
         {"skip", "it lets us in without having proved itself"},
         {"kerberos", "it wants a login that is not spoken here: 7"},
         {"cleartext", "it wants the password in cleartext"}}) {
-    SCOPED_TRACE(asks);
-    Scenario t(ini("password_file = " + password.path() + "\n", ""));
-    t.run("s2 asks " + asks + R"(
+    SCOPED_TRACE(method);
+    Scenario t(iniSetting("password_file = " + password.path() + "\n", ""));
+    t.run("s2 asks " + method + R"(
       s2 close idle
       proxy expect log )" +
           why + R"(
@@ -207,8 +213,8 @@
   }
 }
 TEST(Logins, AWrongOrMissingPasswordIsLogged) {
-  const Secret password("outer\n");
-  Scenario t(ini("password_file = " + password.path() + "\n", ""));
+  const SecretFile password("outer\n");
+  Scenario t(iniSetting("password_file = " + password.path() + "\n", ""));
   t.run(R"(
     s2 asks scram
     s2 close idle
@@ -220,7 +226,7 @@
     s1 send row v
     o1 gets row v
   )");
-  Scenario none(ini("", ""));
+  Scenario none(iniSetting("", ""));
   none.run(R"(
     s2 asks md5
     s2 close idle
@@ -228,11 +234,11 @@
   )");
 }
 
-// ---- cancels that reach the server --------------------------------------------------------------------
-Setting cancelling(const std::string& more = "") { return ini("give_up = cancel\n" + more, ""); }
+// ---- cancels at the data server -----------------------------------------------------------------------
+Setting cancelSetting(const std::string& more = "") { return iniSetting("give_up = cancel\n" + more, ""); }
 
-TEST(Cancels, ReachTheServerAndTheConnectionIsUsedAgain) {
-  Scenario t(cancelling("give_up_wait = 5s\n"));
+TEST(Cancels, ReachTheServerAndTheConnectionIsReused) {
+  Scenario t(cancelSetting("give_up_wait = 5s\n"));
   t.run(R"(
     o1 speaks 2.0
     o1 gets in
@@ -248,9 +254,10 @@
     o1 gets row v
   )");
 }
-// The answer was on its way: it is thrown away, and whoever asks next gets its own.
-TEST(Cancels, ThatCrossTheAnswerLeaveOneAnswer) {
-  Scenario t(cancelling("give_up_wait = 5s\n"));
+// The server's answer crosses the cancel: it is discarded, and the next request on the connection
+// gets its own answer.
+TEST(Cancels, ThatCrossTheAnswerProduceOneFinalAnswer) {
+  Scenario t(cancelSetting("give_up_wait = 5s\n"));
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -266,10 +273,10 @@
     o1 gets row v
   )");
 }
-// The answer is there, but the server is not done with the CancelRequest: it could still strike what runs
-// next.
-TEST(Cancels, AConnectionIsNotUsedWhileItsCancelIsOnTheWay) {
-  Scenario t(cancelling("give_up_wait = 9s\n"));
+// The answer has arrived, but the server is still processing the CancelRequest, which could cancel
+// the next query on the same connection.
+TEST(Cancels, AConnectionIsNotReusedWhileItsCancelIsPending) {
+  Scenario t(cancelSetting("give_up_wait = 9s\n"));
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -291,8 +298,8 @@
     o1 gets row w
   )");
 }
-TEST(Cancels, AServerThatIgnoresThemLosesTheConnection) {
-  Scenario t(cancelling("give_up_wait = 100ms\n"));
+TEST(Cancels, AConnectionIsClosedIfTheServerIgnoresTheCancel) {
+  Scenario t(cancelSetting("give_up_wait = 100ms\n"));
   t.run(R"(
     o1 speaks 3.2
     o1 gets in
@@ -304,9 +311,9 @@
     s2 expect closed
   )");
 }
-// A time-out is told in the server's terms as well.
-TEST(Cancels, ATimeOutReachesTheServer) {
-  Scenario t(cancelling("give_up_wait = 5s\n"));
+// The server is also sent a CancelRequest when a request times out.
+TEST(Cancels, ATimeoutCancelsTheQueryAtTheServer) {
+  Scenario t(cancelSetting("give_up_wait = 5s\n"));
   t.run(R"(
     o1 speaks 3.0
     o1 gets in
@@ -321,8 +328,8 @@
     o1 gets row v
   )");
 }
-TEST(Cancels, AClientThatLeavesIsOne) {
-  Scenario t(cancelling("give_up_wait = 5s\n"));
+TEST(Cancels, AClientDisconnectCancelsTheQueryAtTheServer) {
+  Scenario t(cancelSetting("give_up_wait = 5s\n"));
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
