--- a/tests/logins_test.cpp
+++ b/tests/logins_test.cpp
@@ -188,7 +188,7 @@
   }
 }
 // The proxy rejects each of these logins and sends the request to the other server.
-TEST(Logins, AServerThatViolatesTheLoginProtocolIsNotUsed) {
+TEST(Logins, AServerWithAnUnacceptableLoginIsNotUsed) {
   const SecretFile password("inner\n");
   for (const auto& [method, why] :
        {std::pair<std::string, std::string>{"signature", "the server's signature is wrong"},
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,4 +1,5 @@
-// Scenarios of the whole program on loopback sockets; scenario.hpp tells the language.
+// End-to-end scenarios of the sablespur process on loopback sockets. scenario.hpp documents the
+// language.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -15,7 +16,7 @@
 namespace sablespur::test {
 namespace {
 
-TEST(Proxy, ServesAReadFromAReplicaAndPassesTheStatementOn) {
+TEST(Proxy, ServesAReadFromAReplicaAndForwardsTheStatement) {
   Scenario t;
   t.run(R"(
     c1 send query
@@ -45,8 +46,9 @@
     c1 expect empty
   )");
 }
-// Found by a profile: libevent calls back without end while an input stands at its high watermark.
-TEST(Proxy, WaitsQuietlyWhileAClientPipelinesMoreThanIsReadAhead) {
+// libevent calls the read callback repeatedly while an input buffer is at its high watermark; a
+// profile showed the loop spinning.
+TEST(Proxy, SleepsWhileAClientPipelinesMoreThanIsReadAhead) {
   Scenario t;
   std::string many = "c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */\n";
   for (int k = 0; k < 400; ++k) many += "c1 send query " + std::string(100, ';') + "\n";
@@ -58,7 +60,7 @@
   )");
   for (int k = 0; k < 400; ++k) t.run("c1 expect empty");
 }
-TEST(Proxy, NeverRelaysARefusalOfADataServer) {
+TEST(Proxy, NeverRelaysARejectionByADataServer) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -69,8 +71,8 @@
     c1 expect row v
   )");
 }
-// A value broken midway was not passed on in part: the module decides on the next attempt.
-TEST(Proxy, AValueBrokenMidwayIsAReset) {
+// No part of a truncated value has been forwarded, so the balancer may retry on another server.
+TEST(Proxy, ATruncatedValueIsAReset) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -82,8 +84,8 @@
     c1 expect row whole
   )");
 }
-// What cannot be the answer ends the attempt at once, as one that may have run, and its connection.
-TEST(Proxy, PassesOnNothingSpoilt) {
+// A malformed answer ends the attempt at once, as one that may have run, and closes its connection.
+TEST(Proxy, ForwardsNoMalformedAnswer) {
   for (const std::string kind :
        {"noise", "huge", "column", "columns", "endless", "rows", "order", "none", "count"}) {
     SCOPED_TRACE(kind);
@@ -100,8 +102,8 @@
     )");
   }
 }
-// The answer is good; what stands behind it must not be taken for the next one.
-TEST(Proxy, UsesNoConnectionAgainOnWhichMoreCameThanTheAnswer) {
+// The answer is valid; the surplus bytes after it must not be taken for the next answer.
+TEST(Proxy, ReusesNoConnectionWithBytesAfterTheAnswer) {
   for (const std::string kind : {"twice", "behind"}) {
     Scenario t;
     t.run(R"(
@@ -118,7 +120,7 @@
     )");
   }
 }
-TEST(Proxy, AStatementThatADataServerTurnsAwayIsNotTriedElsewhere) {
+TEST(Proxy, AStatementRejectedByADataServerIsNotRetriedElsewhere) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -131,8 +133,8 @@
     c1 expect row v
   )");
 }
-// x1=inf, read as a number, would make a replica the primary.
-TEST(Proxy, BelievesNothingOfASpoiltReport) {
+// Accepting x1=inf as a number would make a replica the primary.
+TEST(Proxy, IgnoresAMalformedReport) {
   Scenario t;
   t.run("s2 report x0=" + std::to_string(time(nullptr)) + R"(,x1=inf,inflight=0
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -145,7 +147,7 @@
     c1 expect row w
   )");
 }
-TEST(Proxy, AWriteThatMayHaveRunIsFailedNotRefused) {
+TEST(Proxy, AWriteThatMayHaveRunFailsAndIsNotRejected) {
   Scenario t;
   t.run(R"(
     c1 send query INSERT 1 /* id=1,c=write,d=700,k=1,cluster=3 */
@@ -156,7 +158,7 @@
     c1 expect empty
   )");
 }
-TEST(Proxy, AReadThatNobodyAnswersIsRefusedAtItsDeadlineAndItsConnectionClosed) {
+TEST(Proxy, AnUnansweredReadIsRejectedAtItsDeadlineAndItsConnectionClosed) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=300,cluster=3 */
@@ -165,8 +167,8 @@
     s2 expect closed
   )");
 }
-// Data servers drop what has no time left without a word.
-TEST(Proxy, RequestsWithHardlyAnyTimeHaveOneFinalAnswerEachInOrder) {
+// Data servers silently drop queries that have no time left.
+TEST(Proxy, RequestsWithTinyDeadlinesGetOneFinalAnswerEachInOrder) {
   Scenario t;
   t.run(R"(
     s1 serves v
@@ -185,7 +187,7 @@
     c1 expect empty
   )");
 }
-TEST(Proxy, AClientThatLeavesEndsItsAttempt) {
+TEST(Proxy, AClientDisconnectEndsItsAttempt) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -194,9 +196,10 @@
     s2 expect closed
   )");
 }
-// Both data servers take connections and do not greet: the attempt waits for its connection. Its client
-// leaves, and an answer to another client shows that its end was read.
-TEST(Proxy, AnAttemptThatWaitsForItsConnectionIsNotBegunForAClientThatLeft) {
+// Both data servers accept connections but send no greeting, so the attempt waits for its
+// connection. Its client disconnects; the answer to another client shows that the proxy has read
+// the end of the stream.
+TEST(Proxy, AnAttemptWaitingForAConnectionIsNotSentForADisconnectedClient) {
   Scenario t;
   t.run(R"(
     s1 wait idle 2
@@ -219,7 +222,7 @@
     c2 expect row v
   )");
 }
-TEST(Proxy, ADeadProcessAndClosedIdleConnectionsCostNoRequest) {
+TEST(Proxy, ADeadProcessAndClosedIdleConnectionsFailNoRequest) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -237,14 +240,14 @@
     c1 expect row w
   )");
 }
-// A hundred proxies that keep two connections to each member, all dialed at its start, cost it more than
-// their requests do: 0.5 handshakes a request on the days of a large fleet.
-TEST(Proxy, OfALargeFleetKeepsOneConnectionInAdvance) {
+// A hundred proxies that each keep two connections to a data server, all dialed when it starts,
+// cost it more than their requests do: 0.5 handshakes per request in runs with a large fleet.
+TEST(Proxy, InALargeFleetKeepsOneConnectionInAdvance) {
   Setting large;
   large.balancers = 100;
   Scenario t(large);
   t.run("s2 wait idle 1");
-  t.serveFor(std::chrono::milliseconds(600));  // upkeep has passed twice
+  t.serveFor(std::chrono::milliseconds(600));  // pool maintenance has run twice
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -253,20 +256,20 @@
   )");
   EXPECT_EQ(t.connectionsOf(2), 1u);
 }
-// Found on the full fleet (herd+mass): a data server that had just started got a dial from every proxy in
-// advance, beside what it was sent, and fell over.
-TEST(Proxy, OfALargeFleetDialsOneThatHasJustStartedOnlyForARequest) {
+// Guards against a failure of the full fleet (herd+mass): every proxy opened connections in advance
+// to a data server that had just started, in addition to those for requests, and overloaded it.
+TEST(Proxy, InALargeFleetDialsAServerThatHasJustStartedOnlyForARequest) {
   Setting large;
   large.balancers = 100;
   large.justStarted = true;
   Scenario t(large);
-  t.serveFor(std::chrono::milliseconds(2500));  // past the moment of this proxy's own for each
+  t.serveFor(std::chrono::milliseconds(2500));  // past this proxy's scheduled dial to each server
   EXPECT_EQ(t.connectionsOf(2), 0u);
   EXPECT_EQ(t.connectionsOf(1), 0u);
 }
-// Found on a day of kept connections that are reset at the next request: a probe that met one set its member
-// aside.
-TEST(Proxy, AProbeThatLosesAKeptConnectionGoesOutOnAnother) {
+// Guards against a failure with idle connections that are reset at the next request: a health check
+// sent on such a connection failed, and its data server was no longer used.
+TEST(Proxy, AHealthCheckThatLosesAnIdleConnectionIsSentOnAnother) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -277,10 +280,11 @@
     c1 expect row v
   )");
 }
-// Found on a day with a zone cut off: sends went out on connections that stayed open and silent.
-TEST(Proxy, ASilentProbeEndsTheOtherIdleConnectionsToo) {
+// Guards against a failure with a zone cut off: requests were sent on connections that stayed open
+// and silent.
+TEST(Proxy, AnUnansweredHealthCheckClosesTheOtherIdleConnectionsToo) {
   Setting s;
-  s.idleCloseUs = "600000000";  // idleness alone ends none
+  s.idleCloseUs = "600000000";  // so that no connection is closed for its idle time
   Scenario t(s);
   t.run(R"(
     s2 wait idle 2
@@ -292,7 +296,7 @@
     s2 expect drained
   )");
 }
-TEST(Proxy, RetiresIdleConnectionsBeforeTheServerDoes) {
+TEST(Proxy, ClosesIdleConnectionsBeforeTheServerDoes) {
   Setting s;
   s.idleCloseUs = "1000000";
   Scenario t(s);
@@ -305,7 +309,7 @@
     s2 wait idle 2
   )");
 }
-TEST(Proxy, DrainsWhatTheWatchSaysInAnyChunks) {
+TEST(Proxy, DrainsAServerByAWatchUpdateInAnyChunks) {
   Scenario t;
   t.run("s2 wait idle 2\nlist send bits " + t.list(2, "leaving", 6) + R"(
     s2 expect drained
@@ -315,7 +319,7 @@
     c1 expect row v
   )");
 }
-TEST(Proxy, WatchesAgainAfterAnEndA503OrSilence) {
+TEST(Proxy, ReopensTheWatchAfterAnEndA503OrSilence) {
   Scenario t;
   t.run("list send line " + t.list(2, "leaving", 6) + R"(
     list close
@@ -330,8 +334,8 @@
     s1 expect drained
   )");
 }
-// A list may come over many lines: its end is its last brace, not the end of a line.
-TEST(Proxy, TakesAListThatComesIndented) {
+// A list may span many lines: it ends at its closing brace, not at the end of a line.
+TEST(Proxy, AcceptsAnIndentedList) {
   Scenario t;
   t.run("s2 wait idle 2\nlist send indented " + t.list(2, "leaving", 6) + R"(
     s2 expect drained
@@ -339,12 +343,12 @@
     list expect watch after=6
   )");
 }
-struct Use {
-  std::size_t resident = 0, descriptors = 0;  // bytes, number
+struct ResourceUsage {
+  std::size_t resident = 0, descriptors = 0;  // bytes; open descriptors
 };
-Use useOf(int pid) {
+ResourceUsage resourceUsageOf(int pid) {
   const std::string proc = "/proc/" + std::to_string(pid);
-  Use u;
+  ResourceUsage u;
   std::size_t pages = 0;
   std::ifstream(proc + "/statm") >> pages >> pages;
   u.resident = pages * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
@@ -352,18 +356,20 @@
     ++u.descriptors;
   return u;
 }
-// The whole fleet: 350 proxies that talk, 400 data servers, lists that come whole, indented and in pieces.
-TEST(Proxy, ManyPeersAndMembersCostBoundedMemoryAndDescriptors) {
+// The size of the whole fleet: 350 proxies that gossip, 400 data servers, lists sent whole,
+// indented and in pieces.
+TEST(Proxy, ManyPeersAndServersUseBoundedMemoryAndDescriptors) {
 #if defined(__SANITIZE_ADDRESS__)
-  constexpr std::size_t kMost = std::size_t{256} << 20;  // what is freed is kept for a while
+  // AddressSanitizer delays the reuse of freed memory.
+  constexpr std::size_t kMaxGrowth = std::size_t{256} << 20;
 #else
-  constexpr std::size_t kMost = std::size_t{16} << 20;
+  constexpr std::size_t kMaxGrowth = std::size_t{16} << 20;
 #endif
   Setting s;
   s.balancers = s.peers = 350;
   Scenario t(s);
   t.run("s2 wait idle 1");
-  const Use before = useOf(t.pid());
+  const ResourceUsage before = resourceUsageOf(t.pid());
   const std::string one = t.list(2, "active", 0);
   const std::string address =
       one.substr(one.find("127.0.0.1:"), one.find("\",\"zone") - one.find("127.0.0.1:"));
@@ -382,16 +388,16 @@
   t.run("s2 serves v\nlist send line " + many(6) +
         "\nlist close\nlist expect watch after=6\nlist send indented " + many(7) +
         "\nlist close\nlist expect watch after=7\n" + pieces + "list close\nlist expect watch after=8");
-  t.serveFor(std::chrono::seconds(8));  // each member's connection is dialed at a moment of its own
+  t.serveFor(std::chrono::seconds(8));  // dials to the servers are spread over time
   t.run("c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */\nc1 expect row v");
-  const Use after = useOf(t.pid());
-  EXPECT_LT(after.resident, before.resident + kMost);
+  const ResourceUsage after = resourceUsageOf(t.pid());
+  EXPECT_LT(after.resident, before.resident + kMaxGrowth);
   EXPECT_LE(after.descriptors, 1024u);
   std::cout << "resident " << before.resident / 1024 << " KiB, " << after.resident / 1024
             << " KiB with 400 members and 350 peers; descriptors " << before.descriptors << ", "
             << after.descriptors << std::endl;
 }
-TEST(Proxy, AListThatWasCutIsNoList) {
+TEST(Proxy, ATruncatedListIsIgnored) {
   Scenario t;
   const std::string whole = t.list(2, "leaving", 6);
   t.run("list send raw " + whole.substr(0, whole.size() - 1) + R"(
@@ -403,27 +409,31 @@
     c1 expect row v
   )");
 }
-// Bytes that say nothing are no sign of life: what the watch misses meanwhile counts as told.
-TEST(Proxy, OpensAWatchAnewOnWhichOnlyBlanksTrickle) {
+// Trickling blanks do not confirm the list, only an empty line does. Otherwise the proxy would
+// treat updates that it misses meanwhile as received.
+TEST(Proxy, ReopensAWatchThatSendsOnlyBlanks) {
   Scenario t;
   t.run(R"(
     list trickles
     list expect watch after=5
   )");
 }
-// Its name, its address, another process: what stands idle leads to one that is no more.
-TEST(Proxy, EndsIdleConnectionsToTheProcessBefore) {
+// A data server is restarted under the same name and address: idle connections lead to the previous
+// process.
+TEST(Proxy, ClosesIdleConnectionsToAServersPreviousProcess) {
   Setting s;
   s.balancers = 300;
-  s.idleCloseUs = "60000000";  // not by their age
+  s.idleCloseUs = "60000000";  // so that none is closed for its idle time
   Scenario t(s);
-  std::string anew = t.list(2, "active", 6);
-  const std::string never = "\"startedAtMs\":0";
-  anew.replace(anew.find(never), never.size(), "\"startedAtMs\":" + std::to_string(time(nullptr)) + "000");
-  t.run("s2 wait idle 1\nlist send line " + anew + "\ns2 expect drained\n");
-}
-// A program without a handler ends on SIGHUP; a file that cannot be used must not end it either.
-TEST(Proxy, ReadsTheConfigurationAnewOnHangupAndMovesItsWatch) {
+  std::string restarted = t.list(2, "active", 6);
+  const std::string zeroStart = "\"startedAtMs\":0";
+  restarted.replace(restarted.find(zeroStart), zeroStart.size(),
+                    "\"startedAtMs\":" + std::to_string(time(nullptr)) + "000");
+  t.run("s2 wait idle 1\nlist send line " + restarted + "\ns2 expect drained\n");
+}
+// Without a handler, SIGHUP would terminate the process. An invalid settings file must not
+// terminate it either.
+TEST(Proxy, ReloadsTheConfigurationOnSighupAndMovesItsWatch) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -443,8 +453,9 @@
     proxy expect exit 0
   )");
 }
-// Several within a moment, a bad one between: the last good one counts, and what is out is answered.
-TEST(Proxy, OfConfigurationsInQuickSuccessionTheLastGoodOneCounts) {
+// Several reloads in quick succession, one of them invalid: the last valid one applies, and the
+// outstanding request is answered.
+TEST(Proxy, OfReloadsInQuickSuccessionTheLastValidOneApplies) {
   Scenario t;
   t.run(R"(
     s2 wait idle 2
@@ -469,8 +480,8 @@
     c1 expect row w
   )");
 }
-// New settings, and in the next moment the discovery that they name tells of a drain.
-TEST(Proxy, ADrainRightAfterAReloadIsKept) {
+// The discovery that the new settings name announces a drain right after the reload.
+TEST(Proxy, ADrainRightAfterAReloadTakesEffect) {
   Scenario t;
   t.run("s2 wait idle 2\nproxy reload moved\nlist expect watch after=5\nlist send line " +
         t.list(2, "leaving", 6) + R"(
@@ -481,9 +492,9 @@
     c1 expect row v
   )");
 }
-// The whole of the memory that the settings may give; a statement too long to be read ahead takes its part of
-// it.
-TEST(Proxy, BoundsLongStatementsTogetherByTheMemoryConfigured) {
+// A statement too long for the read-ahead buffer takes its memory from the share of the configured
+// memory that is reserved for long statements.
+TEST(Proxy, LongStatementsTogetherStayWithinTheConfiguredMemory) {
   Setting s;
   s.memoryMb = 24;  // of which 3 MB are for long statements
   Scenario t(s);
@@ -501,7 +512,7 @@
   )" + ask(25) +
         "s2 expect query id=25,\n");
 }
-TEST(Proxy, BadInputEndsThatClientAlone) {
+TEST(Proxy, InvalidInputAffectsOnlyThatClient) {
   Scenario t;
   t.run(R"(
     c2 send query SELECT 1 /* id=9,c=nonsense,d=7000,cluster=3 */
@@ -534,7 +545,7 @@
     c1 expect row v
   )");
 }
-TEST(Proxy, TermFinishesWhatIsTakenAndExits) {
+TEST(Proxy, SigtermFinishesAcceptedRequestsAndExits) {
   Scenario t;
   t.run(R"(
     c2 send query
@@ -555,9 +566,10 @@
     proxy expect exit 0
   )");
 }
-// The data server hangs through the whole shutdown, and the request has more time than SIGKILL waits: the
-// longest deadline counts as 3 s, so its final answer comes 3.5 s after SIGTERM.
-TEST(Proxy, ARequestWhoseServerHangsThroughTheShutdownIsFailedInTime) {
+// The data server hangs through the whole shutdown, and the request's deadline is later than the
+// earliest SIGKILL. The longest deadline counts as 3 s, so the final answer is sent 3.5 s after
+// SIGTERM.
+TEST(Proxy, ARequestWhoseServerHangsThroughTheShutdownFailsInTime) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -571,8 +583,8 @@
     proxy expect exit 0
   )");
 }
-// The descriptor table is full long before the bounds that the configuration asks for: something else in the
-// process holds its part.
+// The descriptor table is full well before the configured limits are reached, as 100 of its
+// descriptors were inherited by the process.
 TEST(Proxy, AFullDescriptorTableOnlyPausesAccept) {
   Setting s;
   s.sockets = s.descriptors = 128;
@@ -588,8 +600,9 @@
     c1 expect empty
   )");
 }
-// Found on a day of bad clients: 900 silent connections filled the table and nothing was accepted any more.
-TEST(Proxy, SilentClientsMakeRoomForOnesThatAsk) {
+// Guards against a failure with bad clients: 900 silent connections filled the descriptor table,
+// and no further connection was accepted.
+TEST(Proxy, SilentClientsAreEvictedForClientsWithRequests) {
   Setting s;
   s.sockets = 128;  // 46 clients
   Scenario t(s);
@@ -603,9 +616,10 @@
     d1 expect closed
   )");
 }
-// Incident r892791: clients that asked once and kept their connections had no other left to ask on; all they
-// may hold is a third of the descriptors, and the table here was not full.
-TEST(Proxy, EndsTheLongestIdleClientBeforeClientsHoldAThirdOfTheDescriptors) {
+// Guards against incident r892791: clients sent one request each and kept their connections, until
+// none was left for further requests. Clients may hold only a third of the descriptors, so the
+// descriptor table is not full when they reach this limit.
+TEST(Proxy, EvictsTheLongestIdleClientBeforeClientsHoldAThirdOfTheDescriptors) {
   Setting s;
   s.sockets = 128;
   Scenario t(s);
@@ -617,7 +631,7 @@
     c42 expect empty
   )");
 }
-TEST(Proxy, EndsClientsThatSayNothingOrHalfAMessage) {
+TEST(Proxy, ClosesClientsThatSendNothingOrAPartialMessage) {
   Scenario t;
   t.run(R"(
     c1 send bytes
@@ -634,7 +648,7 @@
     c4 expect empty
   )");
 }
-TEST(Proxy, RefusesTheIdOfAnOpenRequest) {
+TEST(Proxy, RejectsTheIdOfAnOutstandingRequest) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -649,7 +663,7 @@
     c2 expect row w
   )");
 }
-TEST(Proxy, AnswersAnOversizedLengthOnItsHeadWhateverStillComes) {
+TEST(Proxy, RejectsAnOversizedLengthFromTheHeaderAlone) {
   Scenario t;
   t.run(R"(
     c1 send query
@@ -665,7 +679,7 @@
     c2 expect closed
   )");
 }
-TEST(Proxy, AtItsBoundItClosesTheClientThatHasBeenIdleLongest) {
+TEST(Proxy, AtTheClientLimitClosesTheLongestIdleClient) {
   Setting s;
   s.sockets = 128;  // 46 clients
   Scenario t(s);
@@ -676,60 +690,64 @@
 }
 
 // ---- configuration ---------------------------------------------------------------------------------------
-std::string complaint(const std::string& text) {
+// Starts the program with `text` as its configuration, expects it to exit with status 1 and one
+// line of output, and returns that line.
+std::string startupError(const std::string& text) {
   char path[] = "/tmp/sablespur-test-XXXXXX";
   close(mkstemp(path));
   std::ofstream(path) << text;
   int err = -1, status = 0;
   const int pid = spawn(path, 0, err);
-  std::string said;
+  std::string output;
   char part[512];
-  for (ssize_t n; (n = read(err, part, sizeof part)) > 0;) said.append(part, static_cast<std::size_t>(n));
+  for (ssize_t n; (n = read(err, part, sizeof part)) > 0;) output.append(part, static_cast<std::size_t>(n));
   waitpid(pid, &status, 0);
   close(err);
   unlink(path);
-  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 1) << said;
-  EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
-  return said;
+  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 1) << output;
+  EXPECT_EQ(std::count(output.begin(), output.end(), '\n'), 1) << output;
+  return output;
 }
-// What a command prints, both streams together, and its exit status.
-std::pair<int, std::string> command(const std::vector<std::string>& arguments) {
+// Runs the program with `arguments`; returns its exit status (-1: ended by a signal) and its
+// combined standard output and standard error.
+std::pair<int, std::string> runProgram(const std::vector<std::string>& arguments) {
   int out = -1, status = 0;
   const int pid = spawn("", 0, out, arguments);
-  std::string said;
+  std::string output;
   char part[4096];
-  for (ssize_t n; (n = read(out, part, sizeof part)) > 0;) said.append(part, static_cast<std::size_t>(n));
+  for (ssize_t n; (n = read(out, part, sizeof part)) > 0;) output.append(part, static_cast<std::size_t>(n));
   waitpid(pid, &status, 0);
   close(out);
-  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, said};
-}
-TEST(CommandLine, SaysWhatIsWrongAndExitsByIt) {
-  EXPECT_EQ(command({"--version"}).first, 0);
-  EXPECT_EQ(command({"--help"}).first, 0);
-  EXPECT_EQ(command({"serv"}).first, 2);
-  EXPECT_EQ(command({"check"}).first, 2);
-  EXPECT_EQ(command({"members", "--config", "/nonexistent", "--wait", "never"}).first, 2);
-  const auto [unread, why] = command({"check", "/nonexistent"});
+  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, output};
+}
+TEST(CommandLine, PrintsErrorsAndSetsTheExitStatus) {
+  EXPECT_EQ(runProgram({"--version"}).first, 0);
+  EXPECT_EQ(runProgram({"--help"}).first, 0);
+  EXPECT_EQ(runProgram({"serv"}).first, 2);
+  EXPECT_EQ(runProgram({"check"}).first, 2);
+  EXPECT_EQ(runProgram({"members", "--config", "/nonexistent", "--wait", "never"}).first, 2);
+  const auto [unread, why] = runProgram({"check", "/nonexistent"});
   EXPECT_EQ(unread, 1);
   EXPECT_EQ(why, "/nonexistent: it cannot be read; see that it exists and may be read\n");
-  EXPECT_EQ(command({"serve", "--config", "/nonexistent"}).first, 1);
+  EXPECT_EQ(runProgram({"serve", "--config", "/nonexistent"}).first, 1);
 
   char path[] = "/tmp/sablespur-test-XXXXXX";
   close(mkstemp(path));
   std::ofstream(path) << settingsFile({}, 1, {2});
-  EXPECT_EQ(command({"check", path}).first, 0);
-  // Discovery refuses: what the settings know is shown, and the exit tells.
-  const auto [shown, table] = command({"members", "--config", path, "--wait", "5"});
+  EXPECT_EQ(runProgram({"check", path}).first, 0);
+  // Discovery refuses the connection: the servers known from the settings are shown, and the status
+  // is 1.
+  const auto [shown, table] = runProgram({"members", "--config", path, "--wait", "5"});
   EXPECT_EQ(shown, 1);
   EXPECT_NE(table.find("127.0.0.1:2"), std::string::npos) << table;
   EXPECT_NE(table.find("shown is what the settings know"), std::string::npos) << table;
   std::ofstream(path) << settingsFile({}, 1, {2}) << "[log]\nlevel = loud\n[rules]\nfall_for = 3\n";
-  const auto [faulty, faults] = command({"check", path});
+  const auto [faulty, faults] = runProgram({"check", path});
   EXPECT_EQ(faulty, 1);
   EXPECT_EQ(std::count(faults.begin(), faults.end(), '\n'), 2) << faults;
   unlink(path);
 }
-TEST(Proxy, ServesAndReloadsBySettingsOfOurOwnForm) {
+TEST(Proxy, ServesAndReloadsWithIniSettings) {
   Setting s;
   s.ini = true;
   Scenario t(s);
@@ -747,14 +765,14 @@
   )");
 }
 // ---- DNS-SD -------------------------------------------------------------------------------------------
-Setting byRecords(int servers = 2) {
+Setting dnssdSetting(int servers = 2) {
   Setting s;
   s.dnssd = true;
   s.servers = servers;
   return s;
 }
-TEST(DnsSdProxy, ServesWhatRecordsNameAndFinishesWhatAWithdrawnServerHas) {
-  Scenario t(byRecords(2));
+TEST(DnsSdProxy, UsesServersFromRecordsAndFinishesRequestsOnAWithdrawnServer) {
+  Scenario t(dnssdSetting(2));
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -772,10 +790,10 @@
     c2 expect row again
   )");
 }
-// The send was decided, and its connection is still coming up when the record is withdrawn: it must not go
-// out.
-TEST(DnsSdProxy, SendsNothingOnAConnectionThatComesUpAfterTheWithdrawal) {
-  Scenario t(byRecords(2));
+// The record is withdrawn after the attempt was assigned to the server, while its connection is
+// still being established: the request must not be sent on it.
+TEST(DnsSdProxy, SendsNothingOnAConnectionEstablishedAfterTheWithdrawal) {
+  Scenario t(dnssdSetting(2));
   t.run(R"(
     s1 wait idle 2
     s2 wait idle 2
@@ -790,8 +808,8 @@
     c1 expect row primary
   )");
 }
-TEST(DnsSdProxy, StandsByItsListWhileNameServersFail) {
-  Scenario t(byRecords());
+TEST(DnsSdProxy, KeepsItsListWhileNameServersFail) {
+  Scenario t(dnssdSetting());
   t.run(R"(
     dns mood silent
     proxy expect log event=discovery_failed
@@ -805,8 +823,8 @@
     proxy expect log event=endpoint_changed name=s-2 state=gone
   )");
 }
-TEST(DnsSdProxy, LeavesOutAnInstanceWhoseRecordIsFaulty) {
-  Scenario t(byRecords(3));
+TEST(DnsSdProxy, IgnoresAnInstanceWithAnInvalidRecord) {
+  Scenario t(dnssdSetting(3));
   t.run(R"(
     dns publish s3 group=nowhere
     proxy expect log event=endpoint_ignored name=s-3
@@ -818,7 +836,7 @@
   )");
 }
 TEST(DnsSdProxy, MovesToAnotherDomainOnSighup) {
-  Scenario t(byRecords(3));
+  Scenario t(dnssdSetting(3));
   t.run(R"(
     dns move seeb.example.org
     dns publish s1
@@ -834,9 +852,10 @@
   )");
 }
 
-// Guards the smallest limits in service, 32 MB and 256 descriptors, which an older bound turned down: a third
-// of the descriptors is for clients with requests, and each of them may need a connection to a data server.
-TEST(Configuration, TakesTheLimitsThatServiceSets) {
+// An earlier lower bound rejected the smallest limits used in production, 32 MB and 256
+// descriptors. A third of the descriptors is for clients with requests, and each of them may need a
+// connection to a data server.
+TEST(Configuration, AcceptsTheLimitsUsedInProduction) {
   for (const auto& [memory, sockets] : {std::pair{32, 256}, {48, 384}, {64, 512}, {192, 1024}}) {
     Setting s;
     s.memoryMb = memory;
@@ -854,23 +873,26 @@
     std::string text = good;
     const std::size_t at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
-    return complaint(text.replace(at, from.size(), to));
+    return startupError(text.replace(at, from.size(), to));
   };
-  const auto has = [](const std::string& said, const std::string& key) {
-    EXPECT_NE(said.find(key), std::string::npos) << said;
+  const auto expectContains = [](const std::string& output, const std::string& key) {
+    EXPECT_NE(output.find(key), std::string::npos) << output;
   };
-  has(complaint("{"), "JSON");
-  has(with("\"listen\"", "\"listened\""), "key listen:");
-  has(with("127.0.0.1:0", "127.0.0.1:99999"), "key listen:");
-  has(with("8c1f30d27a5be964", "xyz"), "key seed:");
-  has(with("\"sockets\":1024", "\"sockets\":7"), "key limits.sockets:");
-  has(with("\"memory_mb\":192", "\"memory_mb\":8"), "key limits.memory_mb:");
-  has(with("\"sockets\":1024", "\"sockets\":\"many\""), "key limits.sockets:");
-  has(with("\"lifecycle\":\"active\"", "\"lifecycle\":\"odd\""), "key known.instances[0].lifecycle:");
-  has(with("\"keyed\"", "\"key\""), "classes.1.effect");
-  has(with("\"promiseUs\":8000000", "\"promiseUs\":0"), "key settings.classes[0].promiseUs:");
-  has(with("\"startCapacity\":0.21", "\"startCapacity\":2"), "key settings.obligations.startCapacity:");
-  has(with("\"dialTimeoutUs\":250000", "\"dialTimeoutUs\":0"), "key settings.allowed.dialTimeoutUs:");
+  expectContains(startupError("{"), "JSON");
+  expectContains(with("\"listen\"", "\"listened\""), "key listen:");
+  expectContains(with("127.0.0.1:0", "127.0.0.1:99999"), "key listen:");
+  expectContains(with("8c1f30d27a5be964", "xyz"), "key seed:");
+  expectContains(with("\"sockets\":1024", "\"sockets\":7"), "key limits.sockets:");
+  expectContains(with("\"memory_mb\":192", "\"memory_mb\":8"), "key limits.memory_mb:");
+  expectContains(with("\"sockets\":1024", "\"sockets\":\"many\""), "key limits.sockets:");
+  expectContains(with("\"lifecycle\":\"active\"", "\"lifecycle\":\"odd\""),
+                 "key known.instances[0].lifecycle:");
+  expectContains(with("\"keyed\"", "\"key\""), "classes.1.effect");
+  expectContains(with("\"promiseUs\":8000000", "\"promiseUs\":0"), "key settings.classes[0].promiseUs:");
+  expectContains(with("\"startCapacity\":0.21", "\"startCapacity\":2"),
+                 "key settings.obligations.startCapacity:");
+  expectContains(with("\"dialTimeoutUs\":250000", "\"dialTimeoutUs\":0"),
+                 "key settings.allowed.dialTimeoutUs:");
 }
 
 }  // namespace
