--- a/src/discovery/dnssd/answer_kind.cpp
+++ b/src/discovery/dnssd/answer_kind.cpp
@@ -15,8 +15,8 @@
   return nullptr;
 }
 
-// RFC 2308 section 2: a negative answer bears the zone's SOA, or comes from the zone's own server. An empty
-// answer without either is a referral, or from one that does not serve the zone.
+// RFC 2308 section 2: a negative answer carries the zone's SOA record or has the AA flag set. An
+// empty answer with neither is a referral, or comes from a server that does not serve the zone.
 AnswerKind classifyAnswer(const Question& question, const Message& message) {
   const bool success = message.rcode == dns::Rcode::NoError;
   if (!success && message.rcode != dns::Rcode::NxDomain) return AnswerKind::Unusable;
--- a/src/discovery/dnssd/answer_kind.hpp
+++ b/src/discovery/dnssd/answer_kind.hpp
@@ -1,4 +1,4 @@
-// Whether a DNS message answers a question. Pure.
+// Classifies DNS responses: usable records, an authoritative absence, or neither. Pure.
 #pragma once
 
 #include "protocol/dns/message.hpp"
@@ -6,13 +6,13 @@
 namespace sablespur {
 
 enum class AnswerKind {
-  Records,   // it holds records of the name and type that were asked for
-  Negative,  // it says with authority that there are none (RFC 2308)
-  Unusable   // an error, or an empty answer of a server that does not know the zone: ask another one
+  Records,   // contains records of the queried name and type
+  Negative,  // authoritative denial that such records exist (RFC 2308)
+  Unusable   // an error, or an empty answer from a server without the zone; try another server
 };
 AnswerKind classifyAnswer(const dns::Question&, const dns::Message&);
 
-// The SOA record of the authority section, or null. Owned by the message.
+// Returns the SOA record of the authority section, or nullptr. Owned by the message.
 const dns::Soa* soaOf(const dns::Message&);
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -1,4 +1,4 @@
-// DnsSdDirectory: which queries are due when.
+// Scheduling of queries in DnsSdDirectory.
 #include "discovery/dnssd/directory.hpp"
 
 #include <algorithm>
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxRecordQueriesInFlight = 16;  // for single records
+constexpr std::size_t kMaxRecordQueriesInFlight = 16;  // single-record queries
 
 Name nameOf(const std::string& text) {
   const auto name = dns::parseName(text);
-  if (!name) throw BadInput("'" + text + "' is no domain name");
+  if (!name) throw BadInput("'" + text + "' is not a domain name");
   return *name;
 }
 
@@ -56,16 +56,17 @@
     ptr.inFlight = true;
     return {{ptrQuestion_, ptr_.overTcp}};
   }
-  if (ptr_.failures > 0) return {};  // the same servers would be asked in vain
+  if (ptr_.failures > 0) return {};  // other queries would go to the same failing servers
   return dueRecordQueries(now);
 }
 
 bool DnsSdDirectory::ptrQueryDue(Time now) const {
   if (sets_.at(ptrQuestion_).refreshAt <= now) return true;
-  // One question does for all, as long as it brings all: not again in the same breath.
-  const bool bringsAll =
-      ptr_.broughtAll && ptr_.failures == 0 && now - ptr_.answeredAt >= settings_.minRefresh / 2;
-  return bringsAll && std::any_of(sets_.begin(), sets_.end(), [&](const auto& entry) {
+  // While PTR answers carry all records, one PTR query refreshes any record set that is due, but
+  // not within minRefresh / 2 of the last answer.
+  const bool ptrRefreshesAll =
+      ptr_.lastAnswerComplete && ptr_.failures == 0 && now - ptr_.answeredAt >= settings_.minRefresh / 2;
+  return ptrRefreshesAll && std::any_of(sets_.begin(), sets_.end(), [&](const auto& entry) {
            return !entry.second.inFlight && entry.second.refreshAt <= now;
          });
 }
@@ -81,7 +82,8 @@
   return queries;
 }
 
-// The longest due first; what describes an instance before addresses, which its answer may bring along.
+// Returns the record sets that are due, most overdue first. SRV and TXT come before addresses,
+// which the SRV answer may carry as additionals.
 std::vector<std::pair<const Question, DnsSdDirectory::RecordSet>*> DnsSdDirectory::dueRecordSets(Time now) {
   std::vector<std::pair<const Question, RecordSet>*> due;
   for (auto& entry : sets_)
@@ -108,7 +110,7 @@
 
 void DnsSdDirectory::handleFailure(Time now, const Question& question) {
   const auto it = sets_.find(question);
-  if (it == sets_.end()) return;  // of an instance that has gone meanwhile
+  if (it == sets_.end()) return;  // the instance was removed while the query was in flight
   RecordSet& set = it->second;
   queryEnded(question, set);
   set.attempted = true;
@@ -117,8 +119,8 @@
   if (question != ptrQuestion_) return;
   ptr_.failures = set.failures;
   if (!ptr_.overTcp) return;
-  ptr_.overTcp = false;  // the next round begins with a datagram
-  ptr_.roundsWithoutTcp = kRoundsWithoutTcp;
+  ptr_.overTcp = false;  // the next query goes over UDP
+  ptr_.refreshesWithoutTcp = kRefreshesWithoutTcp;
 }
 
 void DnsSdDirectory::queryEnded(const Question& question, RecordSet& set) {
--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -1,19 +1,25 @@
-// The records of one DNS-SD service in one domain, the endpoints that they describe, and the queries that are
-// due. Pure: no sockets, no clock.
+// Caches the records of one DNS-SD service in one domain, derives the endpoints that they describe,
+// and decides which queries are due. Pure: no sockets, no clock.
 //
-// PTR names the instances, SRV and TXT describe each, A or AAAA give the target's address (RFC 6763 sections
-// 4 to 6). Records come as answers or as additionals; where the PTR answer brings all of them along, it is
-// the only question of a refresh. Where it does not for want of room in a datagram, it is asked over TCP;
-// where it does not at all, each record is asked for by itself.
+// Records (RFC 6763 sections 4 to 6): PTR lists the instances, SRV and TXT describe each instance,
+// A or AAAA hold the address of its target. They arrive as answers or in the additional section.
 //
-// A set of records is asked for again after its TTL, bounded on both sides and shortened by a random part of
-// up to `jitter`, so that proxies started together drift apart. What cannot be asked stands as it was; only
-// an answer that says "it is not there" (RFC 2308) takes it away.
+// Query strategy:
+// - PTR only: while the PTR answer carries all other records as additionals, a refresh is one PTR
+//   query.
+// - PTR over TCP: used when many records are missing from a UDP answer, as they may not fit a
+//   datagram.
+// - Single records: records that no PTR answer carries are queried individually.
 //
-// PTR is asked on time, whatever else there is. Questions for single records have a budget a second: where a
-// zone has more instances than an answer has room for, what a record says may be older than its TTL, but a
-// withdrawal is told on time. The cost of an answer grows with what it holds, not with the number of
-// instances.
+// Refresh: a record set is queried again after its TTL, clamped to [minRefresh, maxRefresh] and
+// shortened by a random fraction of up to `jitter`, so that proxies started together do not query
+// in step. If a query fails, the cached records stay in use; only a negative answer (RFC 2308)
+// removes them.
+//
+// Priority: PTR queries are never delayed by other queries. Queries for single records share a
+// budget per second. In a zone with more instances than fit into one answer, the data of a record
+// may therefore be older than its TTL, but withdrawals are still seen on time. An answer for a
+// single record is processed in time proportional to its contents, not to the number of instances.
 #pragma once
 
 #include <cstddef>
@@ -35,62 +41,66 @@
 
 class DnsSdDirectory {
  public:
-  // Throws BadInput where the settings name no domain.
+  // Throws BadInput if the service or domain of the settings is not a valid domain name.
   DnsSdDirectory(const DnsSdSettings&, const std::vector<GroupName>&, std::uint64_t seed);
 
   struct Query {
     dns::Question question;
     bool overTcp = false;
   };
-  // The queries to send now. Each ends in one call of handleAnswer or handleFailure.
+  // Returns the queries to send now. The caller must report the outcome of each with exactly one
+  // call of handleAnswer or handleFailure.
   std::vector<Query> dueQueries(Time now);
   void handleAnswer(Time now, const dns::Question&, const dns::Message&, bool overTcp);
   void handleFailure(Time now, const dns::Question&);
-  // When dueQueries has something, unless a PTR query is in flight.
+  // Returns when dueQueries next has a query; std::nullopt while a PTR query is in flight.
   std::optional<Time> nextDeadline() const;
 
-  // Whether everything has been queried at least once, with or without success.
+  // Whether the instance list is known and every record set has been received or its query has ended
+  // at least once, successfully or not. Stays true from then on.
   bool isComplete();
-  // Changes whenever instances() or faults() may have.
+  // Incremented whenever instances() or faults() may have changed.
   std::uint64_t version() const { return version_; }
-  // The instances whose records are all known and valid.
+  // Returns the endpoints of the listed instances with valid records. An endpoint whose records are
+  // being queried again, as after a change of target, is returned as it was last known.
   std::vector<DiscoveredEndpoint> instances() const;
-  // The instances that are left out, by name, and why.
+  // The reasons for which instances are ignored, by instance name.
   const std::map<std::string, std::string>& faults() const { return faults_; }
-  // Whether the last PTR query has failed.
+  // Whether the last PTR query failed.
   bool failing() const { return ptr_.failures > 0; }
 
  private:
-  // The records of a name and type.
+  // The cached records of one name and type, and the state of their queries.
   struct RecordSet {
     enum class State { Unknown, Known, Absent } state = State::Unknown;
     std::vector<dns::Data> data;
     Time refreshAt{};
     bool inFlight = false;
-    bool attempted = false;
-    int failures = 0;  // in a row
+    bool attempted = false;  // received or queried at least once
+    int failures = 0;        // consecutive
   };
-  // Records of one name and type as a message brings them.
+  // The records of one name and type in one message.
   struct ReceivedRecords {
     std::vector<dns::Data> data;
-    std::uint32_t ttl = 0;  // the shortest
+    std::uint32_t ttl = 0;  // seconds; the shortest of the records
     void add(const dns::Record&);
   };
-  // How the queries for the list of instances go.
+  // State of the PTR queries, which list the instances.
   struct PtrState {
-    int failures = 0;  // in a row
+    int failures = 0;  // consecutive
     Time answeredAt{};
-    bool broughtAll = false;   // the last answer brought all other records along
-    bool overTcp = false;      // the next query goes over TCP
-    int roundsWithoutTcp = 0;  // refreshes until TCP is tried again
+    bool lastAnswerComplete = false;  // the last answer carried the SRV records of all instances
+    bool overTcp = false;             // the next query goes over TCP
+    int refreshesWithoutTcp = 0;      // refreshes until TCP is tried again
   };
-  // What the records of an instance amount to. Neither: some are not known yet.
+  // The endpoint that the records of an instance describe, or the reason to ignore it. Neither is
+  // set while records are still unknown.
   struct Description {
     std::optional<DiscoveredEndpoint> endpoint;
     std::string fault;
   };
 
-  // Queries (directory.cpp): what is due when.
+  // Scheduling of queries (directory.cpp).
   bool ptrQueryDue(Time now) const;
   std::vector<Query> dueRecordQueries(Time now);
   std::vector<std::pair<const dns::Question, RecordSet>*> dueRecordSets(Time now);
@@ -98,7 +108,7 @@
   const RecordSet* find(const dns::Name&, dns::Type) const;
   std::vector<dns::Name> listedInstances() const;
 
-  // Answers (directory_answers.cpp): what is stored.
+  // Storing of answers (directory_answers.cpp).
   void storeRecords(Time now, const dns::Question&, ReceivedRecords);
   void storeAbsence(Time now, const dns::Question&, std::uint32_t ttl);
   void storeNegativeAnswer(Time now, const dns::Question&, const dns::Message&);
@@ -110,7 +120,7 @@
   void chooseTransport(Time now, bool answeredOverTcp);
   bool additionalsComplete() const;
 
-  // Endpoints (directory_endpoints.cpp): what the records amount to.
+  // Deriving endpoints from records (directory_endpoints.cpp).
   void resolveInstances();
   void resolveInstance(const dns::Name&);
   void resolveInstancesOf(const dns::Question&);
@@ -119,12 +129,12 @@
   Address chooseAddress(const dns::Name& instance, const std::vector<dns::Data>& records, std::uint16_t port);
   bool updateEndpoint(const dns::Name& instance, Description&);
   bool updateFault(const dns::Name& instance, const std::string& fault);
-  // Drops what belongs to instances that are no longer listed.
+  // Removes the records, targets and chosen addresses of instances that are no longer listed.
   void removeUnlisted();
   bool isNeeded(const dns::Question&, const std::set<dns::Name>& listed) const;
 
-  // After TCP failed or brought no more than a datagram, so many refreshes go without it.
-  static constexpr int kRoundsWithoutTcp = 20;
+  // Number of refreshes without TCP after TCP failed or did not return more records than UDP.
+  static constexpr int kRefreshesWithoutTcp = 20;
 
   const DnsSdSettings settings_;
   const std::vector<GroupName> groups_;
@@ -134,11 +144,11 @@
   std::map<dns::Question, RecordSet> sets_;
   RefreshSchedule schedule_;
   PtrState ptr_;
-  QueryBudget recordQueryBudget_;  // of queries for single records
+  QueryBudget recordQueryBudget_;  // for single-record queries
   std::size_t recordQueriesInFlight_ = 0;
 
   std::map<dns::Name, DiscoveredEndpoint> endpoints_;
-  std::map<dns::Name, Address> chosenAddresses_;  // of each instance: kept while it is still listed
+  std::map<dns::Name, Address> chosenAddresses_;  // by instance; reused while still listed
   TargetIndex targets_;
   std::map<std::string, std::string> faults_;
   std::uint64_t version_ = 0;
--- a/src/discovery/dnssd/directory_answers.cpp
+++ b/src/discovery/dnssd/directory_answers.cpp
@@ -1,4 +1,4 @@
-// DnsSdDirectory: what is stored of the answers.
+// Storing of answers in DnsSdDirectory.
 #include <algorithm>
 #include <utility>
 
@@ -15,16 +15,17 @@
 
 namespace {
 
-// Bounds what one answer can make the directory keep.
+// Bounds the memory that one answer can make the directory use.
 constexpr std::size_t kMaxInstances = 4096;
-// So many instances without their records in a PTR answer are worth a connection.
+// With more instances than this lacking an SRV record after a PTR answer, the query is repeated
+// over TCP.
 constexpr std::size_t kMaxMissingRecordsOverUdp = 3;
 
 bool answersQuestion(const Record& record, const Question& question) {
   return record.type == question.type && record.name == question.name;
 }
 
-// RFC 2308 section 5: the lesser of the SOA's minimum and its own TTL; 0 without an SOA.
+// RFC 2308 section 5: the lesser of the SOA's MINIMUM field and its own TTL; 0 without an SOA.
 std::uint32_t negativeTtl(const Message& message) {
   const dns::Soa* const soa = soaOf(message);
   if (!soa) return 0;
@@ -63,8 +64,8 @@
   sets_[question].failures = 0;
 }
 
-// Takes the sets that are of use, those that are known by name already. Only what stands within the domain is
-// believed; the rest may be anyone's.
+// Stores the additional records that belong to known record sets and returns these sets. Records
+// outside the domain are ignored, because the name server need not be authoritative for them.
 std::vector<Question> DnsSdDirectory::storeAdditionals(Time now, const std::vector<Record>& records) {
   std::map<Question, ReceivedRecords> received;
   for (const Record& record : records) {
@@ -81,8 +82,8 @@
   return stored;
 }
 
-// Additionals bring all addresses of a target (RFC 6763 section 12.2): where they are IPv6 alone, it has no
-// IPv4 address.
+// The additionals hold all addresses of a target (RFC 6763 section 12.2). If they hold only AAAA
+// records, the target has no IPv4 address, and its A record set is stored as absent.
 void DnsSdDirectory::storeIpv6OnlyTargets(Time now, const std::vector<Record>& records,
                                           std::vector<Question>& stored) {
   const std::set<Question> known(stored.begin(), stored.end());
@@ -102,13 +103,13 @@
 
 void DnsSdDirectory::handleAnswer(Time now, const Question& question, const Message& message, bool overTcp) {
   const auto it = sets_.find(question);
-  if (it == sets_.end()) return;  // of an instance that has gone meanwhile
+  if (it == sets_.end()) return;  // the instance was removed while the query was in flight
   if (classifyAnswer(question, message) == AnswerKind::Unusable) return handleFailure(now, question);
   queryEnded(question, it->second);
   if (question == ptrQuestion_) return handlePtrAnswer(now, message, overTcp);
   storeAnswer(now, question, message);
   resolveInstancesOf(question);
-  // A target may have become known by this, and its addresses may stand in the same answer.
+  // An SRV answer may add a target whose addresses are in the additionals of the same message.
   for (const Question& other : storeAdditionals(now, message.additionals)) resolveInstancesOf(other);
 }
 
@@ -121,7 +122,7 @@
   storeRecords(now, question, std::move(received));
 }
 
-// Returns the instances that are listed.
+// Stores the PTR records and returns the instances that they list.
 std::vector<Name> DnsSdDirectory::storePtrRecords(Time now, const Message& message) {
   ReceivedRecords received;
   std::set<Name> listed;
@@ -132,7 +133,7 @@
     if (!name) continue;
     received.ttl = received.data.empty() ? record.ttl : std::min(received.ttl, record.ttl);
     if (!dns::isWithin(*name, ptrQuestion_.name) || *name == ptrQuestion_.name)
-      faults_[*name] = "named by PTR, and no instance of the service";
+      faults_[*name] = "PTR record does not name an instance of the service";
     else if (received.data.size() < kMaxInstances && listed.insert(*name).second)
       received.data.emplace_back(*name);
   }
@@ -150,28 +151,29 @@
     for (const Type type : {Type::Srv, Type::Txt}) sets_[{name, type}];
   storeAdditionals(now, message.additionals);
   resolveInstances();
-  // Targets have become known: their addresses may stand in the same answer.
+  // The SRV records just stored add targets, whose addresses may be among the additionals as well.
   storeAdditionals(now, message.additionals);
   resolveInstances();
   removeUnlisted();
-  ptr_.broughtAll = classifyAnswer(ptrQuestion_, message) == AnswerKind::Records && additionalsComplete();
+  ptr_.lastAnswerComplete =
+      classifyAnswer(ptrQuestion_, message) == AnswerKind::Records && additionalsComplete();
   chooseTransport(now, overTcp);
 }
 
 void DnsSdDirectory::chooseTransport(Time now, bool answeredOverTcp) {
-  if (ptr_.roundsWithoutTcp > 0) --ptr_.roundsWithoutTcp;
+  if (ptr_.refreshesWithoutTcp > 0) --ptr_.refreshesWithoutTcp;
   const auto missing = std::count_if(sets_.begin(), sets_.end(), [&](const auto& entry) {
     return entry.first.type == Type::Srv && entry.second.refreshAt <= now;
   });
   const bool manyMissing = static_cast<std::size_t>(missing) > kMaxMissingRecordsOverUdp;
-  if (answeredOverTcp && manyMissing) {  // TCP brings no more than a datagram
+  if (answeredOverTcp && manyMissing) {  // TCP did not return more records than UDP
     ptr_.overTcp = false;
-    ptr_.roundsWithoutTcp = kRoundsWithoutTcp;
+    ptr_.refreshesWithoutTcp = kRefreshesWithoutTcp;
   } else if (answeredOverTcp) {
     ptr_.overTcp = true;
-  } else if (manyMissing && ptr_.roundsWithoutTcp == 0) {
+  } else if (manyMissing && ptr_.refreshesWithoutTcp == 0) {
     ptr_.overTcp = true;
-    sets_[ptrQuestion_].refreshAt = now;  // again, over TCP
+    sets_[ptrQuestion_].refreshAt = now;  // repeat the query at once, over TCP
   }
 }
 
--- a/src/discovery/dnssd/directory_endpoints.cpp
+++ b/src/discovery/dnssd/directory_endpoints.cpp
@@ -1,4 +1,4 @@
-// DnsSdDirectory: which endpoints the records of the instances amount to.
+// Deriving endpoints from records in DnsSdDirectory.
 #include <algorithm>
 #include <iterator>
 #include <tuple>
@@ -16,8 +16,9 @@
 
 namespace {
 
-// The lowest priority, then the greatest weight (RFC 2782): one target, the same at every proxy. Null where
-// the service is not available there (target ".").
+// Returns the record with the lowest priority, then the greatest weight (RFC 2782). The weighted
+// random choice of the RFC is not used, so that every proxy selects the same target. Returns
+// nullptr if there is no record or the service is not available (target "." or port 0).
 const dns::Srv* preferredTarget(const std::vector<Data>& records) {
   const auto rank = [](const dns::Srv& srv) {
     return std::make_tuple(srv.priority, 65535 - srv.weight, srv.target, srv.port);
@@ -39,7 +40,8 @@
 
 }  // namespace
 
-// Of several addresses one is chosen, and kept while it is listed: the others lead to the same server.
+// Chooses one of the addresses of an instance and returns it until it is no longer listed. All
+// addresses of an instance belong to the same server, so switching between them gains nothing.
 Address DnsSdDirectory::chooseAddress(const Name& instance, const std::vector<Data>& records,
                                       std::uint16_t port) {
   std::vector<std::string> listed;
@@ -47,14 +49,15 @@
   for (const Data& data : records) listed.push_back(std::get<dns::AddressBytes>(data).bytes);
   std::sort(listed.begin(), listed.end());
   Address& chosen = chosenAddresses_[instance];
-  const bool stays = std::any_of(listed.begin(), listed.end(), [&](const std::string& bytes) {
+  const bool stillListed = std::any_of(listed.begin(), listed.end(), [&](const std::string& bytes) {
     return Address::fromBytes(bytes, port) == chosen;
   });
-  if (!stays) chosen = Address::fromBytes(listed.front(), port);
+  if (!stillListed) chosen = Address::fromBytes(listed.front(), port);
   return chosen;
 }
 
-// IPv6 addresses are of interest, and queried, only where there is no IPv4 address.
+// Returns the A record set of a target, or its AAAA record set if it has no IPv4 address. AAAA
+// records are queried only in that case.
 const DnsSdDirectory::RecordSet& DnsSdDirectory::addressesOf(const Name& target) {
   const RecordSet& ipv4 = sets_[{target, Type::A}];
   return ipv4.state == RecordSet::State::Absent ? sets_[{target, Type::Aaaa}] : ipv4;
@@ -66,13 +69,13 @@
   const RecordSet& txt = sets_[{instance, Type::Txt}];
   const dns::Srv* const target = preferredTarget(srv.data);
   targets_.set(instance, target ? target->target : Name());
-  if (srv.state == State::Absent) return {std::nullopt, "it has no SRV record"};
+  if (srv.state == State::Absent) return {std::nullopt, "no SRV record"};
   if (!target && srv.state == State::Known)
-    return {std::nullopt, "its SRV record says that it is not to be had"};
+    return {std::nullopt, "the SRV record declares the service unavailable"};
   if (!target) return {};
   const RecordSet& addresses = addressesOf(target->target);
   if (addresses.state == State::Absent)
-    return {std::nullopt, "its target " + target->target + " has no address"};
+    return {std::nullopt, "the SRV target " + target->target + " has no address record"};
   if (addresses.state == State::Unknown) return {};
   const Address address = chooseAddress(instance, addresses.data, target->port);
   if (txt.state == State::Unknown) return {};
@@ -92,7 +95,7 @@
   if (endpointChanged || faultChanged) ++version_;
 }
 
-// True: it has changed. Moves the endpoint out of the description.
+// Returns whether the endpoint changed. Moves it out of the description.
 bool DnsSdDirectory::updateEndpoint(const Name& instance, Description& description) {
   const auto known = endpoints_.find(instance);
   if (description.endpoint) {
@@ -100,14 +103,14 @@
     endpoints_[instance] = std::move(*description.endpoint);
     return true;
   }
-  // With neither an endpoint nor a fault something has still to be queried, as after a change of target: the
-  // endpoint stays as it was.
+  // With neither an endpoint nor a fault, records are still to be queried, as after a change of
+  // target. Until then the known endpoint stays.
   if (description.fault.empty() || known == endpoints_.end()) return false;
   endpoints_.erase(known);
   return true;
 }
 
-// True: it has changed. An empty fault: there is none.
+// Returns whether the fault changed. An empty string clears it.
 bool DnsSdDirectory::updateFault(const Name& instance, const std::string& fault) {
   if (fault.empty()) return faults_.erase(instance) > 0;
   std::string& known = faults_[instance];
@@ -118,7 +121,7 @@
 
 void DnsSdDirectory::resolveInstancesOf(const Question& question) {
   if (question.type == Type::Srv || question.type == Type::Txt) return resolveInstance(question.name);
-  // A copy: resolving may change targets.
+  // A copy, because resolving may modify the index.
   const std::set<Name> instances = targets_.instancesOf(question.name);
   for (const Name& instance : instances) resolveInstance(instance);
 }
--- a/src/discovery/dnssd/exchange.cpp
+++ b/src/discovery/dnssd/exchange.cpp
@@ -5,7 +5,8 @@
 bool SentQuery::isAnsweredBy(const dns::Message& message) const {
   if (!message.response || message.id != id) return false;
   if (message.question) return *message.question == question;
-  return message.rcode == dns::Rcode::FormErr;  // a server that cannot read the question need not repeat it
+  // A server that cannot parse a query need not echo its question.
+  return message.rcode == dns::Rcode::FormErr;
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/exchange.hpp
+++ b/src/discovery/dnssd/exchange.hpp
@@ -1,4 +1,4 @@
-// One query to one name server over one transport: what UdpExchange and TcpExchange share.
+// Types shared by UdpExchange and TcpExchange, which each send one query to one name server.
 #pragma once
 
 #include <cstdint>
@@ -9,32 +9,33 @@
 
 namespace sablespur {
 
-// A query as it was sent.
+// The id and question of a query that was sent.
 struct SentQuery {
   std::uint16_t id = 0;
   dns::Question question;
 
-  // Whether a message is an answer to it by id and question (RFC 5452 section 9.1). Addresses and ports are
-  // left to the connected socket.
+  // Whether the id and question of a message match this query (RFC 5452 section 9.1). The connected
+  // socket checks the addresses and ports.
   bool isAnsweredBy(const dns::Message&) const;
 };
 
-// A system call that failed on the way to the server.
+// A failed system call of an exchange.
 struct SocketFailure {
   SocketFault fault = SocketFault::None;
   int error = 0;  // errno
 };
 
-// Receives the outcome of an exchange: one of answered(), socketFailed() and serverFailed(), after any number
-// of messageDiscarded(). It may destroy the exchange in each of the three.
+// Receives the outcome of an exchange: exactly one call of answered(), socketFailed() or
+// serverFailed(), after any number of calls of messageDiscarded(). The handler may destroy the
+// exchange in the first three.
 class ExchangeHandler {
  public:
   virtual ~ExchangeHandler() = default;
   virtual void answered(dns::Message) = 0;
   virtual void socketFailed(const SocketFailure&) = 0;
-  // The server is at fault, whatever the system calls said.
-  virtual void serverFailed(const std::string& why) = 0;
-  // A message that is malformed, or no answer to this query.
+  // A failure that is always counted against the server.
+  virtual void serverFailed(const std::string& reason) = 0;
+  // A received message was malformed or did not match the query.
   virtual void messageDiscarded() = 0;
 };
 
--- a/src/discovery/dnssd/lookup.cpp
+++ b/src/discovery/dnssd/lookup.cpp
@@ -11,7 +11,7 @@
 const char* describeRcode(dns::Rcode rcode) {
   switch (rcode) {
     case dns::Rcode::NoError:
-      return "NOERROR and nothing of use";
+      return "NOERROR without usable records";
     case dns::Rcode::FormErr:
       return "FORMERR";
     case dns::Rcode::ServFail:
@@ -23,7 +23,7 @@
     case dns::Rcode::Refused:
       return "REFUSED";
   }
-  return "an error of its own";
+  return "an unknown response code";
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
 void Resolver::Lookup::timerFired() {
   if (!started_) return queryNextServer();
   if (deferredFailure_) return socketFailed(*std::exchange(deferredFailure_, std::nullopt));
-  serverFailed("no answer in time");
+  serverFailed("no answer before the timeout");
 }
 
 void Resolver::Lookup::queryNextServer() {
@@ -83,27 +83,27 @@
   startTimer(timer_.get(), resolver_.settings_.attemptTimeout);
 }
 
-// Handles the failure from the loop, not within the call: all servers may fail like this, one within the
-// other.
+// Handles the failure from the event loop. Handled within the call, failures of several servers
+// would recurse.
 void Resolver::Lookup::deferFailure(const SocketFailure& failure) {
   deferredFailure_ = failure;
   startTimer(timer_.get(), Time(0));
 }
 
-// Not counted against the server where this machine had no socket or no route to it.
+// Not counted against the server if this machine had no socket or no route to it.
 void Resolver::Lookup::socketFailed(const SocketFailure& failure) {
   if (failure.fault == SocketFault::Peer) return serverFailed(std::strerror(failure.error));
-  leaveServer(std::strerror(failure.error));
+  failOver(std::strerror(failure.error));
 }
 
-void Resolver::Lookup::serverFailed(const std::string& why) {
+void Resolver::Lookup::serverFailed(const std::string& reason) {
   resolver_.servers_.recordFailure(serverIndex_, resolver_.clock_.now());
-  leaveServer(why);
+  failOver(reason);
 }
 
-void Resolver::Lookup::leaveServer(const std::string& why) {
+void Resolver::Lookup::failOver(const std::string& reason) {
   closeExchange();
-  lastError_ = server().text() + ": " + why;
+  lastError_ = server().text() + ": " + reason;
   queryNextServer();
 }
 
@@ -122,7 +122,7 @@
   }
   if (message.truncated && !overTcp) return sendOverTcp();
   if (classifyAnswer(question_, message) == AnswerKind::Unusable)
-    return serverFailed(std::string("it answers ") + describeRcode(message.rcode));
+    return serverFailed(std::string("the server answered ") + describeRcode(message.rcode));
   resolver_.servers_.recordAnswer(serverIndex_);
   resolver_.finish(*this, Answer{std::move(message), overTcp});
 }
--- a/src/discovery/dnssd/lookup.hpp
+++ b/src/discovery/dnssd/lookup.hpp
@@ -1,4 +1,4 @@
-// One query of the resolver, from one name server to the next until one gives a usable answer.
+// One query of the resolver. Tries one name server after another until one gives a usable answer.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,8 @@
 
 class Resolver::Lookup final : public ExchangeHandler {
  public:
-  // The first server is queried from the loop. Ends with Resolver::finish, which destroys it.
+  // Starts asynchronously: the first server is queried from the event loop. Ends with
+  // Resolver::finish, which destroys the lookup.
   Lookup(Resolver&, dns::Question, bool startsWithTcp);
 
   const dns::Question& question() const { return question_; }
@@ -27,13 +28,13 @@
   void sendOverUdp();
   void sendOverTcp();
   void deferFailure(const SocketFailure&);
-  void leaveServer(const std::string& why);
+  void failOver(const std::string& reason);
   void closeExchange();
 
   // ExchangeHandler
   void answered(dns::Message) override;
   void socketFailed(const SocketFailure&) override;
-  void serverFailed(const std::string& why) override;
+  void serverFailed(const std::string& reason) override;
   void messageDiscarded() override;
 
   const Address& server() const { return resolver_.settings_.servers[serverIndex_]; }
@@ -43,9 +44,9 @@
   Resolver& resolver_;
   const dns::Question question_;
   const bool startsWithTcp_;
-  std::vector<bool> tried_;  // by the index of the server
+  std::vector<bool> tried_;  // by server index
   bool started_ = false;
-  std::size_t serverIndex_ = 0;  // of the server that is being queried
+  std::size_t serverIndex_ = 0;  // the server being queried
   std::string lastError_ = "no name server";
   std::optional<SocketFailure> deferredFailure_;
   Event timer_;
--- a/src/discovery/dnssd/name_servers.cpp
+++ b/src/discovery/dnssd/name_servers.cpp
@@ -14,12 +14,13 @@
 }  // namespace
 
 std::optional<std::size_t> NameServers::select(Time now, const std::vector<bool>& tried) const {
-  // Servers that do not back off come first, in turn from the current one; then those that do, by its end.
+  // Servers not in backoff come first, in cyclic order from the current one, then those in backoff
+  // by its end.
   const auto rank = [&](std::size_t index) {
     const Time backoffUntil = servers_[index].backoffUntil;
-    const bool backsOff = backoffUntil > now;
-    const std::size_t turn = (index + servers_.size() - current_) % servers_.size();
-    return std::make_tuple(backsOff, backsOff ? backoffUntil : Time(0), turn);
+    const bool inBackoff = backoffUntil > now;
+    const std::size_t distance = (index + servers_.size() - current_) % servers_.size();
+    return std::make_tuple(inBackoff, inBackoff ? backoffUntil : Time(0), distance);
   };
   std::optional<std::size_t> best;
   for (std::size_t index = 0; index < servers_.size(); ++index)
--- a/src/discovery/dnssd/name_servers.hpp
+++ b/src/discovery/dnssd/name_servers.hpp
@@ -1,8 +1,9 @@
 // Selects one of several name servers for a query. Pure.
 //
-// The one that answered last is preferred: servers of one zone may hold different versions of it, and
-// alternating between them would make records flap. A server that failed backs off for a time that doubles
-// with each failure; when all do, the one whose backoff ends first is selected.
+// The server that answered last is preferred: servers may hold different versions of a zone, and
+// alternating between them would make records flap. After a failure a server is in backoff for a
+// time that doubles with each consecutive failure, up to a maximum. If all are in backoff, the one
+// whose backoff ends first is selected.
 #pragma once
 
 #include <chrono>
@@ -17,7 +18,7 @@
   using Time = std::chrono::microseconds;
   explicit NameServers(std::size_t count) : servers_(count) {}
 
-  // The index of a server that is not in `tried`; nothing when all are.
+  // Returns the index of a server that is not marked in `tried`; std::nullopt if all are.
   std::optional<std::size_t> select(Time now, const std::vector<bool>& tried) const;
   void recordFailure(std::size_t index, Time now);
   void recordAnswer(std::size_t index);
--- a/src/discovery/dnssd/query_budget.hpp
+++ b/src/discovery/dnssd/query_budget.hpp
@@ -1,4 +1,4 @@
-// A budget of queries a second; what is left of a second may be saved up for one second. Pure.
+// A token bucket for queries; holds at most the tokens of one second. Pure.
 #pragma once
 
 #include <optional>
@@ -11,14 +11,14 @@
  public:
   explicit QueryBudget(double queriesPerSecond) : queriesPerSecond_(queriesPerSecond) {}
 
-  // False: there is nothing left, and nothing is spent.
+  // Takes one token. Returns false, and takes none, if less than one is available.
   bool spend(Time now);
-  // When the budget allows the next query; an instant in the past if it does already, or is unlimited.
+  // Returns when the next token is available; Time(0) if one is now or the rate is not above 0.
   Time nextAllowedAt() const;
 
  private:
   const double queriesPerSecond_;
-  double left_ = 0;
+  double tokens_ = 0;
   std::optional<Time> updatedAt_;
 };
 
--- a/src/discovery/dnssd/records.cpp
+++ b/src/discovery/dnssd/records.cpp
@@ -10,7 +10,7 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kMaxTextLength = 63;  // of a zone or a kind
+constexpr std::size_t kMaxTextLength = 63;  // of zone and kind
 constexpr double kMaxWeight = 1e6;
 
 template <typename Number>
@@ -39,29 +39,30 @@
     }
   }
   bool has(const std::string& key) const { return values_.count(key) > 0; }
-  // Empty also where the key is missing.
+  // Returns the value of a key; empty if the key is missing.
   std::string value(const std::string& key) const { return has(key) ? values_.at(key) : std::string(); }
-  TxtFault fault(const std::string& key, const char* what) const {
-    return {key + "=" + value(key).substr(0, kMaxTextLength) + ": " + what};
+  TxtFault fault(const std::string& key, const char* problem) const {
+    return {key + "=" + value(key).substr(0, kMaxTextLength) + ": " + problem};
   }
 
  private:
   std::map<std::string, std::string> values_;
 };
 
-// Each of these reads one attribute into the endpoint, and returns what is wrong with it, if anything.
+// Each of the following functions reads one attribute into the endpoint and returns the fault, if
+// any.
 using MaybeFault = std::optional<TxtFault>;
 
 MaybeFault checkVersion(const TxtValues& values) {
   if (values.has("txtvers") && values.value("txtvers") != "1")
-    return values.fault("txtvers", "only version 1 is known");
+    return values.fault("txtvers", "only version 1 is supported");
   return std::nullopt;
 }
 
 MaybeFault readGroup(const TxtValues& values, const std::vector<GroupName>& groups,
                      std::optional<balancer::GroupId> defaultGroup, DiscoveredEndpoint& endpoint) {
   if (!values.has("group")) {
-    if (!defaultGroup) return TxtFault{"group is missing, and the settings have no default"};
+    if (!defaultGroup) return TxtFault{"group is missing, and the settings have no default group"};
     endpoint.group = *defaultGroup;
     return std::nullopt;
   }
@@ -73,14 +74,14 @@
     return std::nullopt;
   }
   const auto number = parseNumber<std::uint16_t>(text);
-  if (!number) return values.fault("group", "neither a group of the settings nor a number");
+  if (!number) return values.fault("group", "neither the name of a configured group nor a group number");
   endpoint.group = *number;
   return std::nullopt;
 }
 
 MaybeFault readText(const TxtValues& values, const char* key, std::string& text) {
   text = values.value(key);
-  if (text.size() > kMaxTextLength) return values.fault(key, "too long");
+  if (text.size() > kMaxTextLength) return values.fault(key, "longer than 63 bytes");
   return std::nullopt;
 }
 
@@ -106,7 +107,7 @@
   const std::string text = values.value("started");
   if (text.empty()) return std::nullopt;
   const auto started = parseNumber<std::int64_t>(text);
-  if (!started || *started < 0) return values.fault("started", "no Unix time in milliseconds");
+  if (!started || *started < 0) return values.fault("started", "not a Unix time in milliseconds");
   endpoint.startedMs = *started;
   return std::nullopt;
 }
--- a/src/discovery/dnssd/records.hpp
+++ b/src/discovery/dnssd/records.hpp
@@ -1,15 +1,15 @@
 // Reads the attributes of a data server from its instance's TXT record (RFC 6763 section 6). Pure.
 //
-// | key     | value                                     | where it is missing                  |
-// | group   | a group's name or number                  | the default group, or it is a fault  |
-// | zone    | the building                              | none                                 |
-// | kind    | the kind of machine                       | none                                 |
-// | weight  | its size, above 0                         | 1                                    |
-// | state   | active, or leaving: it wants nothing new  | active                               |
-// | started | its last start, Unix time in milliseconds | a return counts as a start           |
-// | txtvers | 1                                         | 1                                    |
+// | key     | value                                 | if missing                          |
+// | group   | name or number of a replication group | the default group, if any, or fault |
+// | zone    | zone of the data server               | none                                |
+// | kind    | machine type                          | none                                |
+// | weight  | relative capacity, above 0            | 1                                   |
+// | state   | active, or leaving: no new requests   | active                              |
+// | started | last start, Unix time in milliseconds | reappearing counts as a start       |
+// | txtvers | 1                                     | 1                                   |
 //
-// Keys are compared without regard to case; the first of a name counts; unknown keys are ignored.
+// Keys are case-insensitive. The first occurrence of a key counts; unknown keys are ignored.
 #pragma once
 
 #include <optional>
@@ -21,12 +21,12 @@
 
 namespace sablespur {
 
-// What is wrong with a TXT record; names the key.
+// Why a TXT record is invalid.
 struct TxtFault {
-  std::string reason;
+  std::string reason;  // names the key
 };
 
-// The attributes of the endpoint, with neither name nor address.
+// Returns the attributes of the endpoint; its name and address are left unset.
 std::variant<DiscoveredEndpoint, TxtFault> readTxt(const std::vector<std::string>& strings,
                                                    const std::vector<GroupName>& groups,
                                                    std::optional<balancer::GroupId> defaultGroup);
--- a/src/discovery/dnssd/refresh_schedule.cpp
+++ b/src/discovery/dnssd/refresh_schedule.cpp
@@ -9,7 +9,7 @@
 constexpr Time kInitialBackoff = std::chrono::milliseconds(250);
 constexpr int kMaxDoublings = 10;
 constexpr double kBackoffJitter = 0.5;
-constexpr double kRandomRange = 4294967296.0;  // of 32 bits
+constexpr double kRandomRange = 4294967296.0;  // 2^32
 
 }  // namespace
 
@@ -25,9 +25,9 @@
   return now + shorten(std::min(doubled, longest), kBackoffJitter);
 }
 
-Time RefreshSchedule::shorten(Time span, double part) {
-  const double kept = 1 - part * static_cast<double>(random_()) / kRandomRange;
-  return Time(static_cast<std::int64_t>(static_cast<double>(span.count()) * kept));
+Time RefreshSchedule::shorten(Time span, double maxFraction) {
+  const double factor = 1 - maxFraction * static_cast<double>(random_()) / kRandomRange;
+  return Time(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/refresh_schedule.hpp
+++ b/src/discovery/dnssd/refresh_schedule.hpp
@@ -1,5 +1,6 @@
-// When records are queried again: after their TTL, within the bounds of the settings, or after a backoff.
-// Both are shortened by a random part, so that proxies started together drift apart. Pure.
+// Computes when records are queried again: after their TTL, clamped to the bounds of the settings,
+// or after a backoff that doubles with each failure. Both are shortened by a random fraction, so
+// that proxies started together do not query in step. Pure.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +15,12 @@
   RefreshSchedule(const DnsSdSettings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
   Time afterAnswer(Time now, std::uint32_t ttl);
-  // `failures` in a row, at least one.
+  // `failures`: consecutive failures, at least 1.
   Time afterFailure(Time now, int failures);
 
  private:
-  // `span`, shortened by a random part of up to `part` of it.
-  Time shorten(Time span, double part);
+  // Shortens `span` by a random fraction of at most `maxFraction`.
+  Time shorten(Time span, double maxFraction);
 
   const DnsSdSettings settings_;
   pcg32 random_;
--- a/src/discovery/dnssd/resolver.cpp
+++ b/src/discovery/dnssd/resolver.cpp
@@ -23,7 +23,8 @@
 
 void Resolver::finish(const Lookup& lookup, const Reply& reply) {
   const auto it = lookups_.find(&lookup);
-  const std::unique_ptr<Lookup> ended = std::move(it->second);  // lives on: the call comes from it
+  // Kept until this function returns, because the lookup itself calls it.
+  const std::unique_ptr<Lookup> ended = std::move(it->second);
   lookups_.erase(it);
   const dns::Question question = ended->question();
   callback_(question, reply);
--- a/src/discovery/dnssd/resolver.hpp
+++ b/src/discovery/dnssd/resolver.hpp
@@ -1,6 +1,7 @@
-// Queries to name servers over UDP and, after truncation or on request, TCP (RFC 1035, 5452, 6891, 7766).
-// Each query has a random id and a socket of its own, hence a random port; a message from elsewhere, or with
-// another id or question, is counted and discarded, and the wait for the answer goes on.
+// Sends queries to name servers over UDP and, after truncation or on request, TCP (RFC 1035, 5452,
+// 6891, 7766). Each query has a random id and its own socket, hence a random port. Over UDP, a
+// message with another id or question is counted and discarded, and the query keeps waiting for its
+// answer.
 #pragma once
 
 #include <cstdint>
@@ -22,33 +23,33 @@
 
 class Resolver {
  public:
-  // Some server gave an answer that is usable (classifyAnswer).
+  // The first usable answer (see classifyAnswer).
   struct Answer {
     dns::Message message;
     bool overTcp = false;
   };
   struct Failure {
-    std::string reason;  // how the last server failed
+    std::string reason;  // the failure of the last server tried
   };
   using Reply = std::variant<Answer, Failure>;
   using Callback = std::function<void(const dns::Question&, const Reply&)>;
 
-  // The clock has to outlive it. The settings are copied.
+  // The clock must outlive the resolver. The settings are copied.
   Resolver(event_base*, const Clock&, const DnsSdSettings&, Callback);
   ~Resolver();
   Resolver(const Resolver&) = delete;
   Resolver& operator=(const Resolver&) = delete;
 
-  // Ends in one call of the callback, from the loop and never within this call. With the Resolver all queries
-  // end without one.
+  // Starts a query. Its outcome is passed to the callback once, from the event loop and never
+  // within this call. Destroying the resolver cancels all queries without calling the callback.
   void query(const dns::Question&, bool overTcp);
 
   struct Counts {
     std::uint64_t udp = 0;        // queries sent over UDP
     std::uint64_t tcp = 0;        // queries sent over TCP
-    std::uint64_t discarded = 0;  // messages that answer no query
-    std::uint64_t failovers = 0;  // from one server to the next
-    std::uint64_t failed = 0;     // queries that no server has answered
+    std::uint64_t discarded = 0;  // malformed messages, and those that match no query
+    std::uint64_t failovers = 0;  // changes to another server during a query
+    std::uint64_t failed = 0;     // queries without a usable answer from any server
   };
   const Counts& counts() const { return counts_; }
 
--- a/src/discovery/dnssd/source.cpp
+++ b/src/discovery/dnssd/source.cpp
@@ -20,7 +20,7 @@
 
 void DnsSdDiscovery::open(const Config& config) {
   auto directory = std::make_unique<DnsSdDirectory>(config.dnssd, config.groups, config.seed);
-  resolver_.reset();  // with its queries
+  resolver_.reset();  // cancels the queries in flight
   directory_ = std::move(directory);
   settings_ = config.dnssd;
   resolver_ = std::make_unique<Resolver>(
@@ -42,7 +42,7 @@
   if (const auto at = directory_->nextDeadline())
     startTimer(timer_.get(), *at - now);
   else
-    event_del(timer_.get());  // the next reply starts it
+    event_del(timer_.get());  // restarted by the next reply
 }
 
 void DnsSdDiscovery::handleReply(const dns::Question& question, const Resolver::Reply& reply) {
@@ -55,8 +55,8 @@
 
 void DnsSdDiscovery::handleAnswer(const dns::Question& question, const Resolver::Answer& answer) {
   directory_->handleAnswer(clock_.now(), question, answer.message, answer.overTcp);
-  // An answer that only confirms a single record changes nothing; the PTR answer confirms the list as a
-  // whole.
+  // An answer that only confirms a single record needs no publication. A PTR answer confirms the
+  // complete list and is always published.
   const bool changed = directory_->version() != publishedVersion_;
   if (question.type == dns::Type::Ptr || changed || !hasPublished_) publish();
 }
@@ -68,7 +68,8 @@
            {{"name", question.name}, {"type", static_cast<int>(question.type)}, {"why", failure.reason}});
 }
 
-// Not before the first list is complete: endpoints that followed it would count as just started.
+// Publishes nothing before the first list is complete: endpoints added after the first list are
+// treated as newly started.
 void DnsSdDiscovery::publish() {
   if (!hasPublished_ && !directory_->isComplete()) return;
   publishedVersion_ = directory_->version();
--- a/src/discovery/dnssd/source.hpp
+++ b/src/discovery/dnssd/source.hpp
@@ -1,5 +1,5 @@
-// Discovery by DNS-SD: sends the queries that the directory finds due, and publishes the endpoints that the
-// answers describe.
+// Discovery by DNS-SD: sends the queries that the directory has due, and publishes the endpoints
+// that the answers describe.
 #pragma once
 
 #include <map>
@@ -16,16 +16,16 @@
 
 class DnsSdDiscovery {
  public:
-  // Throws BadInput where the settings name no domain. Queries start with the loop's next pass. The clock and
-  // the updater have to outlive it.
+  // Throws BadInput if the service or domain of the settings is not a valid domain name. The first
+  // query is sent from the event loop. The clock and the updater must outlive this object.
   DnsSdDiscovery(event_base*, const Clock&, EndpointUpdater&, const Config&);
-  // The published endpoints stay until the new settings have given a whole list. Equal settings change
-  // nothing.
+  // Restarts discovery if the DNS-SD settings changed. The published endpoints stay until the first
+  // complete list under the new settings.
   void updateSettings(const Config&);
 
-  // Whether a whole list has been published since the start or the last change of settings.
+  // Whether a complete list has been published since the start or the last change of settings.
   bool hasPublished() const { return hasPublished_; }
-  // The instances that are left out, by name, and why.
+  // The reasons for which instances are ignored, by instance name.
   const std::map<std::string, std::string>& faults() const { return directory_->faults(); }
   const Resolver::Counts& counts() const { return resolver_->counts(); }
 
@@ -46,8 +46,8 @@
   std::unique_ptr<Resolver> resolver_;
   Event timer_;
   bool hasPublished_ = false;
-  std::uint64_t publishedVersion_ = 0;               // of the directory, when it was last published
-  std::map<std::string, std::string> loggedFaults_;  // faults that have been logged
+  std::uint64_t publishedVersion_ = 0;               // version of the directory last published
+  std::map<std::string, std::string> loggedFaults_;  // as of the last publication
 };
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/target_index.hpp
+++ b/src/discovery/dnssd/target_index.hpp
@@ -1,4 +1,4 @@
-// Which instances have which target (the host that an SRV record names). Pure.
+// Maps instances to targets, the hosts that their SRV records name, and back. Pure.
 #pragma once
 
 #include <map>
@@ -10,13 +10,13 @@
 
 class TargetIndex {
  public:
-  // Replaces the target of an instance; an empty one: it has none.
+  // Replaces the target of an instance; empty for none.
   void set(const dns::Name& instance, const dns::Name& target);
-  // Forgets all other instances.
+  // Removes all instances but these.
   void retain(const std::set<dns::Name>& instances);
 
   bool isTarget(const dns::Name& name) const { return instancesByTarget_.count(name) > 0; }
-  // Empty where the name is nobody's target.
+  // Returns the instances with this target; empty if there are none.
   std::set<dns::Name> instancesOf(const dns::Name& target) const;
 
  private:
--- a/src/discovery/dnssd/tcp_exchange.cpp
+++ b/src/discovery/dnssd/tcp_exchange.cpp
@@ -29,7 +29,8 @@
       [](bufferevent*, short what, void* self) { static_cast<TcpExchange*>(self)->connectionEnded(what); },
       this);
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
-  bufferevent_socket_connect(connection_.get(), nullptr, 0);  // already started: this waits for its end
+  // The socket is already connecting; this waits for the result.
+  bufferevent_socket_connect(connection_.get(), nullptr, 0);
   return std::nullopt;
 }
 
@@ -44,12 +45,12 @@
   auto message = dns::parse({bytes + kLengthSize, size});
   if (message && query_.isAnsweredBy(*message)) return handler_.answered(std::move(*message));
   handler_.messageDiscarded();
-  handler_.serverFailed("it answers over TCP what was not asked");
+  handler_.serverFailed("the TCP response is malformed or does not match the query");
 }
 
 void TcpExchange::connectionEnded(short what) {
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-    handler_.serverFailed("the TCP connection ended or never came up");
+    handler_.serverFailed("the TCP connection was closed or could not be established");
 }
 
 }  // namespace sablespur
--- a/src/discovery/dnssd/tcp_exchange.hpp
+++ b/src/discovery/dnssd/tcp_exchange.hpp
@@ -1,5 +1,5 @@
-// A query to a name server over a TCP connection of its own; messages have a length of two bytes before them
-// (RFC 1035 section 4.2.2, RFC 7766).
+// Sends one query to a name server over its own TCP connection. Each message is preceded by its
+// length in two bytes (RFC 1035 section 4.2.2, RFC 7766).
 #pragma once
 
 #include <optional>
@@ -13,12 +13,12 @@
 
 class TcpExchange {
  public:
-  // The handler has to outlive it, and is called from the loop alone.
+  // The handler must outlive the exchange. It is called only from the event loop.
   TcpExchange(event_base*, SentQuery, ExchangeHandler&);
   TcpExchange(const TcpExchange&) = delete;
   TcpExchange& operator=(const TcpExchange&) = delete;
 
-  // Connects, and sends `bytes`, the encoded query, once connected. A failure that is known at once is
+  // Connects, and sends `bytes`, the encoded query, once connected. An immediate failure is
   // returned and not passed to the handler.
   std::optional<SocketFailure> start(const Address& server, const std::string& bytes);
 
--- a/src/discovery/dnssd/udp_exchange.hpp
+++ b/src/discovery/dnssd/udp_exchange.hpp
@@ -1,4 +1,4 @@
-// A query to a name server over UDP, on a socket and thus a random port of its own.
+// Sends one query to a name server over UDP, from its own socket and thus a random port.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 class UdpExchange {
  public:
-  // The handler has to outlive it, and is called from the loop alone.
+  // The handler must outlive the exchange. It is called only from the event loop.
   UdpExchange(event_base*, SentQuery, ExchangeHandler&);
   UdpExchange(const UdpExchange&) = delete;
   UdpExchange& operator=(const UdpExchange&) = delete;
