--- a/src/protocol/dns/message.hpp
+++ b/src/protocol/dns/message.hpp
@@ -1,4 +1,4 @@
-// DNS messages as DNS-SD needs them, on ldns: queries and their responses, both ways. Pure.
+// DNS messages for DNS-SD, based on ldns: encodes and parses queries and responses. Pure.
 //
 // RFC 1035 (messages), 2782 (SRV), 6763 (DNS-SD), 6891 (EDNS0), 2308 (negative answers).
 #pragma once
@@ -48,7 +48,8 @@
   Name target;
 };
 
-// Data of an SOA record: what the lifetime of a negative answer is computed from.
+// Data of an SOA record: the fields that determine the lifetime of a negative answer, and the
+// serial.
 struct Soa {
   std::uint32_t serial = 0;
   std::uint32_t minimum = 0;  // seconds
@@ -69,7 +70,7 @@
 struct Record {
   Name name;
   Type type = Type::Ptr;
-  std::uint32_t ttl = 0;  // seconds; at most 2^31 - 1, a larger one is read as 0 (RFC 2181 section 8)
+  std::uint32_t ttl = 0;  // seconds; above 2^31 - 1 it is read as 0 (RFC 2181 section 8)
   Data data;
 };
 
@@ -79,23 +80,24 @@
   bool authoritative = false;  // AA
   bool truncated = false;      // TC
   Rcode rcode = Rcode::NoError;
-  std::optional<Question> question;  // std::nullopt: none, several, or one of another class
-  // Records of other types and classes are left out.
+  std::optional<Question> question;  // std::nullopt if none, several, or not of class IN
+  // Records of types other than those of Type and of classes other than IN are ignored.
   std::vector<Record> answers;
   std::vector<Record> authorities;
   std::vector<Record> additionals;
-  std::uint16_t udpPayload = 0;  // EDNS0: the largest datagram that the sender takes; 0: no EDNS0
+  std::uint16_t udpPayload = 0;  // EDNS0: largest datagram the sender accepts; 0: no EDNS0
 };
 
 constexpr std::size_t kMaxMessageSize = 65535;
 
-// A query with RD set. `udpPayload` as in Message.
+// Encodes a query with the RD flag set. `udpPayload` as in Message. Returns an empty string on
+// failure.
 std::string encodeQuery(std::uint16_t id, const Question& question, std::uint16_t udpPayload);
-// The message in at most `maxSize` bytes. Where it does not fit, the additionals are left out; where it still
-// does not fit, all records are, and TC is set (RFC 2181 section 9).
+// Encodes a message in at most `maxSize` bytes. If it does not fit, the additionals are omitted; if
+// it still does not fit, all records are omitted and TC is set (RFC 2181 section 9).
 std::string encode(const Message& message, std::size_t maxSize = kMaxMessageSize);
-// std::nullopt where the bytes are not a message (compression loops, wrong counts, lengths past the end);
-// `why`, where given, then says what is wrong.
+// Parses a message. Returns std::nullopt if it is malformed (compression loops, wrong counts,
+// lengths past the end) and stores the reason in `why` if it is not null.
 std::optional<Message> parse(std::string_view bytes, std::string* why = nullptr);
 
 }  // namespace sablespur::dns
--- a/src/protocol/dns/message_encoder.cpp
+++ b/src/protocol/dns/message_encoder.cpp
@@ -1,4 +1,4 @@
-// Writes DNS messages: encodeQuery() and encode() of message.hpp.
+// Encoding of DNS messages.
 #include <utility>
 
 #include "protocol/dns/ldns_handle.hpp"
@@ -10,17 +10,17 @@
 constexpr std::size_t kMaxTxtString = 255;
 constexpr std::size_t kIpv4Size = 4;
 
-// What an SOA record holds beside the fields of Soa.
+// Placeholders for the fields of an SOA record that Soa does not have.
 constexpr const char* kSoaNameServer = "ns.invalid.";
 constexpr const char* kSoaMailbox = "admin.invalid.";
 constexpr std::uint32_t kSoaRefreshSeconds = 3600;
 constexpr std::uint32_t kSoaRetrySeconds = 600;
 constexpr std::uint32_t kSoaExpireSeconds = 86400;
 
-// How much of a message is written.
-enum class Extent { Whole, WithoutAdditionals, WithoutRecords };
+// The sections of a message that are written.
+enum class Sections { All, WithoutAdditionals, WithoutRecords };
 
-// Appends a record's data to it; false: it can't be written.
+// Appends data fields to a record. Each operator returns false if the data cannot be encoded.
 class DataWriter {
  public:
   explicit DataWriter(ldns_rr* record) : record_(record) {}
@@ -49,7 +49,7 @@
   }
 
  private:
-  // The record takes the field over.
+  // The record takes ownership of the field.
   bool push(ldns_rdf* field) const { return field && ldns_rr_push_rdf(record_, field); }
   bool push16(std::uint16_t value) const { return push(ldns_native2rdf_int16(LDNS_RDF_TYPE_INT16, value)); }
   bool push32(std::uint32_t value) const { return push(ldns_native2rdf_int32(LDNS_RDF_TYPE_INT32, value)); }
@@ -63,7 +63,7 @@
   ldns_rr* const record_;
 };
 
-// The packet takes over what it accepts.
+// The packet takes ownership of the record if it accepts it.
 void push(ldns_pkt* packet, ldns_pkt_section section, LdnsHandle<ldns_rr> record) {
   if (ldns_pkt_push_rr(packet, section, record.get())) static_cast<void>(record.release());
 }
@@ -99,23 +99,23 @@
   return {reinterpret_cast<const char*>(bytes.get()), size};
 }
 
-// Empty where the message can't be written.
-std::string write(const Message& message, Extent extent) {
+// Returns an empty string if the message cannot be encoded.
+std::string write(const Message& message, Sections sections) {
   const LdnsHandle<ldns_pkt> packet(ldns_pkt_new());
   if (!packet) return {};
   ldns_pkt_set_id(packet.get(), message.id);
   ldns_pkt_set_qr(packet.get(), message.response);
   ldns_pkt_set_aa(packet.get(), message.authoritative);
-  ldns_pkt_set_tc(packet.get(), message.truncated || extent == Extent::WithoutRecords);
+  ldns_pkt_set_tc(packet.get(), message.truncated || sections == Sections::WithoutRecords);
   ldns_pkt_set_rd(packet.get(), true);
   ldns_pkt_set_rcode(packet.get(), static_cast<std::uint8_t>(message.rcode));
   if (message.question) addQuestion(packet.get(), *message.question);
   if (message.udpPayload > 0) ldns_pkt_set_edns_udp_size(packet.get(), message.udpPayload);
-  if (extent != Extent::WithoutRecords) {
+  if (sections != Sections::WithoutRecords) {
     addRecords(packet.get(), LDNS_SECTION_ANSWER, message.answers);
     addRecords(packet.get(), LDNS_SECTION_AUTHORITY, message.authorities);
   }
-  if (extent == Extent::Whole) addRecords(packet.get(), LDNS_SECTION_ADDITIONAL, message.additionals);
+  if (sections == Sections::All) addRecords(packet.get(), LDNS_SECTION_ADDITIONAL, message.additionals);
   return toWire(packet.get());
 }
 
@@ -128,13 +128,13 @@
   message.id = id;
   message.question = question;
   message.udpPayload = udpPayload;
-  return write(message, Extent::Whole);
+  return write(message, Sections::All);
 }
 
 std::string encode(const Message& message, std::size_t maxSize) {
-  std::string bytes = write(message, Extent::Whole);
-  if (!fits(bytes, maxSize)) bytes = write(message, Extent::WithoutAdditionals);
-  if (!fits(bytes, maxSize)) bytes = write(message, Extent::WithoutRecords);
+  std::string bytes = write(message, Sections::All);
+  if (!fits(bytes, maxSize)) bytes = write(message, Sections::WithoutAdditionals);
+  if (!fits(bytes, maxSize)) bytes = write(message, Sections::WithoutRecords);
   return bytes;
 }
 
--- a/src/protocol/dns/message_parser.cpp
+++ b/src/protocol/dns/message_parser.cpp
@@ -1,4 +1,4 @@
-// Reads DNS messages: parse() of message.hpp.
+// Parsing of DNS messages.
 #include <algorithm>
 #include <utility>
 
@@ -18,7 +18,7 @@
 constexpr std::size_t kSoaSerial = 2;
 constexpr std::size_t kSoaMinimum = 6;
 
-bool isKnown(ldns_rr_type type) {
+bool isSupported(ldns_rr_type type) {
   switch (type) {
     case LDNS_RR_TYPE_A:
     case LDNS_RR_TYPE_SOA:
@@ -32,7 +32,7 @@
   }
 }
 
-// The data field at this index as a number; 0 where it has another size.
+// Returns the data field at this index as a number; 0 if the field is missing or has another size.
 std::uint16_t number16(const ldns_rr* record, std::size_t index) {
   const ldns_rdf* const field = ldns_rr_rdf(record, index);
   return field && ldns_rdf_size(field) == 2 ? ldns_rdf2native_int16(field) : 0;
@@ -51,7 +51,7 @@
 TxtStrings toTxtStrings(const ldns_rr* record) {
   TxtStrings strings;
   for (std::size_t k = 0; k < ldns_rr_rd_count(record); ++k) {
-    const std::string field = bytesOf(ldns_rr_rdf(record, k));  // its length, then its bytes
+    const std::string field = bytesOf(ldns_rr_rdf(record, k));  // a length byte, then the text
     if (!field.empty()) strings.push_back(field.substr(1));
   }
   return strings;
@@ -83,7 +83,8 @@
 }
 
 std::optional<Record> toRecord(const ldns_rr* from) {
-  if (!isKnown(ldns_rr_get_type(from)) || ldns_rr_get_class(from) != LDNS_RR_CLASS_IN) return std::nullopt;
+  if (!isSupported(ldns_rr_get_type(from)) || ldns_rr_get_class(from) != LDNS_RR_CLASS_IN)
+    return std::nullopt;
   Record record;
   record.name = toName(ldns_rr_owner(from));
   record.type = static_cast<Type>(ldns_rr_get_type(from));
@@ -131,8 +132,8 @@
     if (why) *why = reason;
     return std::nullopt;
   };
-  if (bytes.size() < kHeaderSize) return fail("shorter than a head");
-  if (bytes.size() > kMaxMessageSize) return fail("longer than a message may be");
+  if (bytes.size() < kHeaderSize) return fail("shorter than a DNS header");
+  if (bytes.size() > kMaxMessageSize) return fail("longer than 65535 bytes");
   ldns_pkt* parsed = nullptr;
   const ldns_status status =
       ldns_wire2pkt(&parsed, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
--- a/src/protocol/dns/name.cpp
+++ b/src/protocol/dns/name.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxLabelLength = 63;
 constexpr std::size_t kMaxNameLength = 255;
-constexpr std::size_t kMaxEscapeLength = 4;  // "\ddd" in place of a byte
+constexpr std::size_t kMaxEscapeLength = 4;  // "\ddd" for one byte
 constexpr const char* kSpecialCharacters = ".\\();@$\"";
 
 bool needsEscape(char c) {
@@ -84,7 +84,7 @@
   if (name.compare(start, domain.size(), domain) != 0) return false;
   const std::size_t dot = start - 1;
   if (name[dot] != '.') return false;
-  // A dot after an odd number of backslashes is a character of a label.
+  // A dot after an odd number of backslashes is part of a label, not a separator.
   std::size_t backslashes = 0;
   while (dot > backslashes && name[dot - backslashes - 1] == '\\') ++backslashes;
   return backslashes % 2 == 0;
--- a/src/protocol/dns/name.hpp
+++ b/src/protocol/dns/name.hpp
@@ -7,19 +7,20 @@
 
 namespace sablespur::dns {
 
-// A name as ldns writes it: lower case, escaped, with the dot at the end. Two names are the same when their
-// texts are. The label of a service instance may hold any bytes (RFC 6763 section 4.1.1); firstLabel gives
-// them back unescaped.
+// A domain name in canonical form as written by ldns: lower case, escaped, with a trailing dot.
+// Names are equal if and only if their texts are. The label of a service instance may hold any
+// bytes (RFC 6763 section 4.1.1).
 using Name = std::string;
 
-// The canonical form of `text`; std::nullopt where it is not a name: a label over 63 bytes, a whole over 255,
-// or an empty label.
+// Returns the canonical form of `text`; std::nullopt if it is not a valid name: a label is empty or
+// longer than 63 bytes, or the name is longer than 255 bytes.
 std::optional<Name> parseName(std::string_view text);
-// The name of a service instance, from its label, which may hold any bytes, and the name of the service.
+// Returns the name of a service instance from its unescaped label and the name of the service;
+// std::nullopt if the result is not a valid name.
 std::optional<Name> instanceName(std::string_view label, const Name& service);
-// The first label, unescaped.
+// Returns the first label, unescaped.
 std::string firstLabel(const Name& name);
-// Whether `name` is `domain` or below it.
+// Whether `name` is `domain` or a subdomain of it.
 bool isWithin(const Name& name, const Name& domain);
 
 }  // namespace sablespur::dns
--- a/src/protocol/http/http.cpp
+++ b/src/protocol/http/http.cpp
@@ -9,17 +9,17 @@
 namespace sablespur::http {
 namespace {
 
-constexpr std::size_t kMaxLine = 8192;  // bytes; bounds what a peer can make us hold
+constexpr std::size_t kMaxLineLength = 8192;  // bytes; bounds the memory a peer can make us use
 
-bool sameName(std::string_view a, std::string_view b) {
+bool equalIgnoringCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
 
 std::string_view trimmed(std::string_view text) {
-  const auto blank = [](char c) { return c == ' ' || c == '\t'; };
-  while (!text.empty() && blank(text.front())) text.remove_prefix(1);
-  while (!text.empty() && blank(text.back())) text.remove_suffix(1);
+  const auto isBlank = [](char c) { return c == ' ' || c == '\t'; };
+  while (!text.empty() && isBlank(text.front())) text.remove_prefix(1);
+  while (!text.empty() && isBlank(text.back())) text.remove_suffix(1);
   return text;
 }
 
@@ -47,7 +47,7 @@
     state_ = hasLength_ ? State::SizedBody : State::BodyUntilClose;
 }
 
-// "HTTP/1.1 200 OK"
+// Example: "HTTP/1.1 200 OK"
 bool Response::parseStatusLine(std::string_view line) {
   constexpr std::size_t kCode = 9;
   constexpr std::size_t kCodeEnd = 12;
@@ -69,18 +69,18 @@
   if (colon == std::string_view::npos) return false;
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = trimmed(line.substr(colon + 1));
-  if (sameName(name, "Transfer-Encoding")) {
-    chunked_ = sameName(value, "chunked");
+  if (equalIgnoringCase(name, "Transfer-Encoding")) {
+    chunked_ = equalIgnoringCase(value, "chunked");
     return chunked_;
   }
-  if (sameName(name, "Retry-After")) {
+  if (equalIgnoringCase(name, "Retry-After")) {
     std::uint32_t seconds = 0;
     const char* const end = value.data() + value.size();
     const auto [stop, error] = std::from_chars(value.data(), end, seconds);
     if (error == std::errc() && stop == end) retryAfter_ = std::chrono::seconds(seconds);
     return true;
   }
-  if (sameName(name, "Content-Length")) {
+  if (equalIgnoringCase(name, "Content-Length")) {
     hasLength_ = true;
     const char* const end = value.data() + value.size();
     const auto [stop, error] = std::from_chars(value.data(), end, bytesLeft_);
@@ -92,7 +92,7 @@
 bool Response::parseChunkSize(std::string_view line) {
   const char* const end = line.data() + line.size();
   const auto [stop, error] = std::from_chars(line.data(), end, bytesLeft_, 16);
-  // Extensions may follow the size.
+  // Chunk extensions may follow the size.
   if (error != std::errc() || (stop != end && *stop != ';' && *stop != ' ')) return false;
   state_ = bytesLeft_ > 0 ? State::ChunkData : State::Trailer;
   return true;
@@ -121,28 +121,28 @@
   return state_ == State::ChunkData || state_ == State::SizedBody || state_ == State::BodyUntilClose;
 }
 
-std::size_t Response::takeBody(std::string_view bytes, std::string& body) {
+std::size_t Response::appendBody(std::string_view bytes, std::string& body) {
   if (state_ == State::BodyUntilClose) {
     body.append(bytes);
     return bytes.size();
   }
-  const std::size_t taken = std::min(bytesLeft_, bytes.size());
-  body.append(bytes.substr(0, taken));
-  bytesLeft_ -= taken;
+  const std::size_t size = std::min(bytesLeft_, bytes.size());
+  body.append(bytes.substr(0, size));
+  bytesLeft_ -= size;
   if (bytesLeft_ == 0) state_ = state_ == State::ChunkData ? State::ChunkEnd : State::Complete;
-  return taken;
+  return size;
 }
 
 bool Response::feed(std::string_view bytes, std::string& body) {
   while (!bytes.empty()) {
-    if (state_ == State::Complete) return false;  // only one response was asked for
+    if (state_ == State::Complete) return false;  // only one response is expected
     if (inBody()) {
-      bytes.remove_prefix(takeBody(bytes, body));
+      bytes.remove_prefix(appendBody(bytes, body));
       continue;
     }
     const std::size_t end = bytes.find('\n');
     const std::string_view part = bytes.substr(0, end);
-    if (line_.size() + part.size() > kMaxLine) return false;
+    if (line_.size() + part.size() > kMaxLineLength) return false;
     line_.append(part);
     if (end == std::string_view::npos) return true;
     bytes.remove_prefix(end + 1);
