--- a/fuzz/dns.cpp
+++ b/fuzz/dns.cpp
@@ -1,4 +1,4 @@
-// DNS answers from anyone: read, written again, and read to the same.
+// Parses DNS messages from untrusted senders, encodes them again and parses the result.
 #include <cstdlib>
 #include <string>
 
@@ -17,11 +17,11 @@
       dns::isWithin(r.name, "example.org.");
       if (const auto* name = std::get_if<dns::Name>(&r.data);
           name && !name->empty() && !dns::parseName(*name))
-        std::abort();  // a name that was read is a name
+        std::abort();  // every parsed name must be valid
     }
-  const std::string again = dns::encode(*m);
-  if (again.empty()) return 0;
-  const auto back = dns::parse(again);
-  if (!back || back->id != m->id || back->answers.size() > m->answers.size()) std::abort();
+  const std::string encoded = dns::encode(*m);
+  if (encoded.empty()) return 0;
+  const auto reparsed = dns::parse(encoded);
+  if (!reparsed || reparsed->id != m->id || reparsed->answers.size() > m->answers.size()) std::abort();
   return 0;
 }
--- a/fuzz/extended.cpp
+++ b/fuzz/extended.cpp
@@ -1,5 +1,5 @@
-// Startups, logins and the extended sub-protocol: what clients send, and answers as they are read and written
-// again.
+// PostgreSQL startup, login and extended query messages: parses client messages, and converts
+// server answers for clients of protocol versions 3 and 2.
 #include "protocol/postgres/extended.hpp"
 
 #include <cstdlib>
@@ -17,8 +17,8 @@
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   if (const auto s = postgres::parseStartup(text)) {
-    const auto again = postgres::parseStartup(postgres::startup(*s));
-    if (!again || again->user != s->user || again->settings != s->settings) std::abort();
+    const auto reparsed = postgres::parseStartup(postgres::startup(*s));
+    if (!reparsed || reparsed->user != s->user || reparsed->settings != s->settings) std::abort();
   }
   if (const auto k = postgres::parseCancel(text); k && postgres::cancel(*k) != text) std::abort();
   if (const auto k = postgres::parseKeyData(text);
@@ -33,22 +33,23 @@
   postgres::parseDescribeTarget(text);
   postgres::parseExecute(text);
   if (const auto b = postgres::parseBind(text)) {
+    // Parsing and encoding must round-trip.
     const std::string m = postgres::bindMessage(*b);
-    if (std::string_view(m).substr(postgres::kHeaderSize) != text) std::abort();  // read back, it is the same
+    if (std::string_view(m).substr(postgres::kHeaderSize) != text) std::abort();
   }
-  const postgres::Codec three(0);
-  const postgres2::Codec two;
-  for (const translation::ClientCodec* codec : {static_cast<const translation::ClientCodec*>(&three),
-                                                static_cast<const translation::ClientCodec*>(&two)})
+  const postgres::Codec version3(0);
+  const postgres2::Codec version2;
+  for (const translation::ClientCodec* codec : {static_cast<const translation::ClientCodec*>(&version3),
+                                                static_cast<const translation::ClientCodec*>(&version2)})
     for (const std::int16_t format : {0, 1}) {
       translation::AnswerConverter c(*codec, {translation::ByteaForm::Escape, {format}}, true, 4096, 3);
-      const bool good = postgres::readAnswer(text, c);
-      if (!c.failure().empty() && good) std::abort();
+      const bool ok = postgres::readAnswer(text, c);
+      if (!c.failure().empty() && ok) std::abort();
       if (c.take().size() > 4096) std::abort();
     }
   const auto p = postgres::parseErrorReport(text);
   if (!p.code.empty() &&
-      postgres::parseErrorReport(std::string_view(three.errorResponse(p)).substr(postgres::kHeaderSize))
+      postgres::parseErrorReport(std::string_view(version3.errorResponse(p)).substr(postgres::kHeaderSize))
               .code != p.code)
     std::abort();
   return 0;
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,4 +1,5 @@
-// The HTTP registry's answer, in pieces whose sizes the input chooses, and each line of it as a list.
+// Parses HTTP responses of the registry, fed in pieces of a size taken from the input, and parses
+// each line of the body as an endpoint list.
 #include <string>
 
 #include "discovery/endpoint_list.hpp"
@@ -15,7 +16,7 @@
   std::string body;
   for (std::size_t at = 0; at < text.size(); at += step)
     if (!response.feed(text.substr(at, step), body)) break;
-  if (body.empty()) body = std::string(text);  // lists themselves, too
+  if (body.empty()) body = std::string(text);  // not HTTP: parse the input itself as lists
   for (std::size_t from = 0, end; from < body.size(); from = end + 1) {
     end = std::min(body.find('\n', from), body.size());
     try {
--- a/fuzz/pg.cpp
+++ b/fuzz/pg.cpp
@@ -1,4 +1,5 @@
-// PostgreSQL messages from either side: heads, errors, parameters, rows, tags and the comment of a statement.
+// Parses PostgreSQL messages of clients and servers: headers, errors, parameters, rows, command
+// tags and statement comments.
 #include <algorithm>
 #include <cstdlib>
 #include <string>
@@ -14,8 +15,8 @@
   if (size >= postgres::kHeaderSize) {
     char bytes[postgres::kHeaderSize];
     std::copy_n(text.data(), postgres::kHeaderSize, bytes);
-    const auto head = postgres::parseHeader(bytes);
-    if (head && head->bodySize > postgres::kMaxMessage) std::abort();
+    const auto header = postgres::parseHeader(bytes);
+    if (header && header->bodySize > postgres::kMaxMessage) std::abort();
   }
   if (size >= postgres::kRowHeaderSize) {
     char bytes[postgres::kRowHeaderSize];
@@ -29,7 +30,8 @@
   postgres::isCommandTag(text, true);
   postgres::isCommandTag(text, false);
   postgres::parseKey(text);
-  const postgres::Comment c = postgres::parseComment(text);
-  if (!c.fault && (c.id.empty() || c.timeLeftOffset + c.timeLeftLength > text.size())) std::abort();
+  const postgres::Comment comment = postgres::parseComment(text);
+  if (!comment.fault && (comment.id.empty() || comment.timeLeftOffset + comment.timeLeftLength > text.size()))
+    std::abort();
   return 0;
 }
--- a/fuzz/pg2.cpp
+++ b/fuzz/pg2.cpp
@@ -1,4 +1,5 @@
-// Version 2's messages from either side. What a client sends, and what a stand-in client reads.
+// Parses messages of PostgreSQL protocol version 2: those of clients, and those of servers with the
+// reader of the simulated client.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -11,21 +12,22 @@
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   postgres2::parseCancel(text);
   if (const auto s = postgres2::parseStartup(text))
-    if (const auto again = postgres2::parseStartup(postgres2::startup(*s));
-        !again || again->user != s->user.substr(0, 31))
+    if (const auto reparsed = postgres2::parseStartup(postgres2::startup(*s));
+        !reparsed || reparsed->user != s->user.substr(0, 31))
       std::abort();
-  bool bad = false;
-  std::size_t taken = 0;
-  if (const auto p = postgres2::parsePassword(text, taken, bad); p && (taken > size || p->size() >= taken))
+  bool malformed = false;
+  std::size_t consumed = 0;
+  if (const auto p = postgres2::parsePassword(text, consumed, malformed);
+      p && (consumed > size || p->size() >= consumed))
     std::abort();
-  for (std::string_view in = text; const auto sent = postgres2::parseClientMessage(in, bad);) {
-    if (bad || sent->size == 0 || sent->size > in.size()) std::abort();
-    in.remove_prefix(sent->size);
+  for (std::string_view in = text; const auto message = postgres2::parseClientMessage(in, malformed);) {
+    if (malformed || message->size == 0 || message->size > in.size()) std::abort();
+    in.remove_prefix(message->size);
   }
   postgres2::Reader reader;
-  for (std::string_view in = text; const auto m = reader.take(in, taken, bad);) {
-    if (bad || taken == 0 || taken > in.size()) std::abort();
-    in.remove_prefix(taken);
+  for (std::string_view in = text; const auto m = reader.take(in, consumed, malformed);) {
+    if (malformed || consumed == 0 || consumed > in.size()) std::abort();
+    in.remove_prefix(consumed);
   }
   return 0;
 }
--- a/fuzz/proxy_protocol.cpp
+++ b/fuzz/proxy_protocol.cpp
@@ -1,4 +1,4 @@
-// PROXY headers, as a front or somebody else sends them.
+// Parses PROXY protocol headers from trusted and untrusted senders.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -10,19 +10,19 @@
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   const auto h = proxy_protocol::parse(text);
   if (h.length > size || (h.malformed && (h.length != 0 || h.client))) std::abort();
-  // What is one with these bytes is the same one with more behind them, and with fewer it is none yet.
+  // More input does not change a complete header, and one byte less makes it incomplete.
   if (h.length > 0) {
-    const auto more = proxy_protocol::parse(std::string(text) + "Q");
-    if (more.malformed || more.length != h.length) std::abort();
-    const auto less = proxy_protocol::parse(text.substr(0, h.length - 1));
-    if (less.malformed || less.length != 0) std::abort();
+    const auto longer = proxy_protocol::parse(std::string(text) + "Q");
+    if (longer.malformed || longer.length != h.length) std::abort();
+    const auto shorter = proxy_protocol::parse(text.substr(0, h.length - 1));
+    if (shorter.malformed || shorter.length != 0) std::abort();
   }
-  // What is read can be written and read again.
+  // Formatting and parsing must round-trip.
   if (h.client)
-    for (const std::string& again : {proxy_protocol::formatVersion1(*h.client, *h.client),
-                                     proxy_protocol::formatVersion2(*h.client, *h.client)})
-      if (const auto b = proxy_protocol::parse(again);
-          b.length != again.size() || !b.client || *b.client != *h.client)
+    for (const std::string& formatted : {proxy_protocol::formatVersion1(*h.client, *h.client),
+                                         proxy_protocol::formatVersion2(*h.client, *h.client)})
+      if (const auto reparsed = proxy_protocol::parse(formatted);
+          reparsed.length != formatted.size() || !reparsed.client || *reparsed.client != *h.client)
         std::abort();
   return 0;
 }
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,6 @@
-// Plays a folder of inputs through a target, then a fixed number of seeded mutations of each: bytes changed,
-// cut, doubled, and pieces of one put into another. The same inputs every time.
+// Runs a fuzz target on all files of a directory, then on a fixed number of seeded mutations of
+// them: bytes changed, truncated, duplicated or erased, and parts of one input inserted into
+// another. Every run uses the same inputs.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -25,35 +26,35 @@
     std::ifstream in(f, std::ios::binary);
     inputs.emplace_back(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
   }
-  const auto play = [](const std::string& s) {
+  const auto run = [](const std::string& s) {
     LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(s.data()), s.size());
   };
-  for (const std::string& s : inputs) play(s);
-  const long most = std::atol(argv[2]);
+  for (const std::string& s : inputs) run(s);
+  const long mutationCount = std::atol(argv[2]);
   pcg32 random(20261201);
-  const auto below = [&](std::size_t n) { return n == 0 ? 0 : random(static_cast<std::uint32_t>(n)); };
-  for (long k = 0; k < most && !inputs.empty(); ++k) {
-    std::string s = inputs[below(inputs.size())];
-    for (auto n = 1 + below(4); n > 0 && !s.empty(); --n) switch (below(5)) {
+  const auto randomBelow = [&](std::size_t n) { return n == 0 ? 0 : random(static_cast<std::uint32_t>(n)); };
+  for (long k = 0; k < mutationCount && !inputs.empty(); ++k) {
+    std::string s = inputs[randomBelow(inputs.size())];
+    for (auto n = 1 + randomBelow(4); n > 0 && !s.empty(); --n) switch (randomBelow(5)) {
         case 0:
-          s[below(s.size())] = static_cast<char>(random());
+          s[randomBelow(s.size())] = static_cast<char>(random());
           break;
         case 1:
-          s.resize(below(s.size()) + 1);
+          s.resize(randomBelow(s.size()) + 1);
           break;
         case 2:
-          s.insert(below(s.size()), s.substr(below(s.size()), below(64)));
+          s.insert(randomBelow(s.size()), s.substr(randomBelow(s.size()), randomBelow(64)));
           break;
         case 3:
-          s.erase(below(s.size()), below(16));
+          s.erase(randomBelow(s.size()), randomBelow(16));
           break;
         default: {
-          const std::string& other = inputs[below(inputs.size())];
-          s.insert(below(s.size()), other.substr(below(other.size()), below(64)));
+          const std::string& other = inputs[randomBelow(inputs.size())];
+          s.insert(randomBelow(s.size()), other.substr(randomBelow(other.size()), randomBelow(64)));
         }
       }
-    play(s);
+    run(s);
   }
-  std::printf("%zu inputs, %ld mutations: no fault\n", inputs.size(), inputs.empty() ? 0 : most);
+  std::printf("%zu inputs, %ld mutations: no fault\n", inputs.size(), inputs.empty() ? 0 : mutationCount);
   return inputs.empty() ? 1 : 0;
 }
--- a/fuzz/scram.cpp
+++ b/fuzz/scram.cpp
@@ -1,4 +1,5 @@
-// SCRAM messages from either side; none may log in, since nobody here knows the password.
+// Parses SCRAM messages of clients and servers. No input may authenticate, as none is derived from
+// the password.
 #include "auth/scram.hpp"
 
 #include <cstdlib>
--- a/fuzz/store.cpp
+++ b/fuzz/store.cpp
@@ -1,4 +1,4 @@
-// The store's logs and records, as they may come back from a disk.
+// Reads logs and records of the store, as they may be found on disk after corruption.
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
@@ -16,9 +16,10 @@
     if (i.wholeBytes > size || (i.laterRecordAt && (!i.incompleteTail || *i.laterRecordAt <= i.wholeBytes ||
                                                     *i.laterRecordAt >= size)))
       std::abort();
-    // What is left once the ragged end is cut off is whole, and the same.
-    const LogInspection again = inspectLog(text.substr(0, i.wholeBytes), kind);
-    if (again.incompleteTail || again.records != i.records || again.commit != i.commit) std::abort();
+    // After the incomplete tail is truncated, the log must be complete and hold the same records.
+    const LogInspection truncated = inspectLog(text.substr(0, i.wholeBytes), kind);
+    if (truncated.incompleteTail || truncated.records != i.records || truncated.commit != i.commit)
+      std::abort();
   }
   try {
     const KeyRecord r = decodeKey(text);
--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -1,5 +1,6 @@
-// Each fuzz target defines this one function: libFuzzer calls it (-DSABLESPUR_FUZZ=ON, clang), and so does
-// replay.cpp, which plays a kept corpus and a fixed number of seeded mutations of it for CI.
+// The entry point that each fuzz target defines. Called by libFuzzer (-DSABLESPUR_FUZZ=ON, clang)
+// and by replay.cpp, which CI uses to run a stored corpus and a fixed number of seeded mutations of
+// it.
 #pragma once
 
 #include <cstddef>
--- a/fuzz/translate.cpp
+++ b/fuzz/translate.cpp
@@ -1,4 +1,4 @@
-// Statements and values between generations.
+// Translates statements and values between server generations: literals, parameters and encodings.
 #include <cstdlib>
 
 #include "fuzz/target.hpp"
@@ -20,10 +20,11 @@
       covered += piece.size();
     }
     if (covered != size) std::abort();
-    // Rewritten for the other side and read there, it is left alone from then on.
-    const std::string there = translation::rewriteLiterals(text, backslashes, !backslashes);
+    // Rewriting literals for the other setting never shortens the text; for the same setting it
+    // changes nothing.
+    const std::string rewritten = translation::rewriteLiterals(text, backslashes, !backslashes);
     if (translation::rewriteLiterals(text, backslashes, backslashes) != text) std::abort();
-    if (there.size() < size) std::abort();
+    if (rewritten.size() < size) std::abort();
     const auto n = translation::countParameters(text, backslashes);
     if (n && *n < 64) {
       std::string why;
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -1,5 +1,5 @@
-// DNS-SD: messages, what a directory makes of them, and the source against a stand-in name server on
-// loopback.
+// Tests of DNS-SD discovery: DNS messages, the record directory, and DnsSdDiscovery against a
+// simulated name server on loopback.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 
@@ -29,8 +29,8 @@
   return {bytes, 4};
 }
 
-// ---- messages -----------------------------------------------------------------------------------------
-dns::Message sample() {
+// ---- DNS messages -------------------------------------------------------------------------------
+dns::Message sampleMessage() {
   dns::Message m;
   m.id = 0x1234;
   m.response = m.authoritative = true;
@@ -43,8 +43,8 @@
   m.udpPayload = 1232;
   return m;
 }
-TEST(Dns, MessagesReadBackAsTheyWereWritten) {
-  const auto m = dns::parse(dns::encode(sample()));
+TEST(Dns, EncodedMessagesParseToTheSameMessage) {
+  const auto m = dns::parse(dns::encode(sampleMessage()));
   ASSERT_TRUE(m);
   EXPECT_EQ(m->id, 0x1234);
   EXPECT_TRUE(m->response && m->authoritative && !m->truncated);
@@ -62,18 +62,18 @@
   EXPECT_EQ(std::get<dns::TxtStrings>(m->additionals[1].data), (dns::TxtStrings{"group=3", "zone=a b"}));
   EXPECT_EQ(std::get<dns::AddressBytes>(m->additionals[2].data).bytes, v4("10.1.2.3"));
 }
-TEST(Dns, WhatHasNoRoomIsLeftOutByTheRules) {
-  const auto all = dns::encode(sample());
-  const auto less = dns::parse(dns::encode(sample(), all.size() - 1));
+TEST(Dns, EncodeOmitsAdditionalsThenAllRecordsToFit) {
+  const auto all = dns::encode(sampleMessage());
+  const auto less = dns::parse(dns::encode(sampleMessage(), all.size() - 1));
   ASSERT_TRUE(less);
   EXPECT_FALSE(less->truncated);
   EXPECT_TRUE(less->additionals.empty());
-  const auto none = dns::parse(dns::encode(sample(), 60));
+  const auto none = dns::parse(dns::encode(sampleMessage(), 60));
   ASSERT_TRUE(none);
   EXPECT_TRUE(none->truncated);
   EXPECT_TRUE(none->answers.empty());
 }
-TEST(Dns, NamesAreComparedWithoutRegardToCaseAndKeepTheirBytes) {
+TEST(Dns, NamesAreCaseInsensitiveAndPreserveLabelBytes) {
   EXPECT_EQ(dns::parseName("RuWi.Example.ORG"), dns::parseName("ruwi.example.org."));
   EXPECT_FALSE(dns::parseName(std::string(64, 'a') + ".org"));
   EXPECT_TRUE(dns::parseName(std::string(63, 'a') + ".org"));
@@ -90,27 +90,28 @@
   EXPECT_FALSE(dns::isWithin("a\\.ruwi.example.org.", "ruwi.example.org."));
   EXPECT_TRUE(dns::isWithin("a\\\\.ruwi.example.org.", "ruwi.example.org."));
 }
-TEST(Dns, WhatIsNoMessageIsNone) {
+TEST(Dns, MalformedMessagesAreRejected) {
   std::string why;
   EXPECT_FALSE(dns::parse("", &why));
   EXPECT_FALSE(dns::parse("short", &why));
   EXPECT_FALSE(why.empty());
-  // Every cut of a good one, and a name that points at itself.
-  const std::string good = dns::encode(sample());
+  // Every truncation of a valid message, a name that points to itself, an invalid label type, and a
+  // record count beyond the end.
+  const std::string good = dns::encode(sampleMessage());
   for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(dns::parse(good.substr(0, n))) << n;
   std::string loop = dns::encodeQuery(1, {kPtr, Type::Ptr}, 0);
   loop.replace(12, 2, "\xc0\x0c", 2);
   EXPECT_FALSE(dns::parse(loop));
   std::string label = dns::encodeQuery(1, {kPtr, Type::Ptr}, 0);
-  label[12] = 64 | 11;  // neither a length nor a pointer
+  label[12] = 64 | 11;  // label type 01: neither a length nor a pointer
   EXPECT_FALSE(dns::parse(label));
   std::string counts = good;
   counts[6] = '\xff';
   EXPECT_FALSE(dns::parse(counts));
 }
-TEST(Dns,
-     NoMutationOfAMessageIsReadPastItsEnd) {  // with the sanitizers: any read out of bounds ends the test
-  const std::string good = dns::encode(sample());
+// In builds with sanitizers, any out-of-bounds read aborts the test.
+TEST(Dns, MutatedMessagesCauseNoOutOfBoundsReads) {
+  const std::string good = dns::encode(sampleMessage());
   pcg32 random(11);
   int parsed = 0;
   for (int k = 0; k < 20000; ++k) {
@@ -124,8 +125,8 @@
   EXPECT_LT(parsed, 20000);
 }
 
-// ---- TXT ----------------------------------------------------------------------------------------------
-TEST(DnsSdRecords, TxtSaysWhatAnInstanceIsAndFaultsNameTheKey) {
+// ---- TXT records ---------------------------------------------------------------------------------
+TEST(DnsSdRecords, ReadsTxtAttributesAndNamesTheKeyOfAFault) {
   const std::vector<GroupName> groups{{"rentals", 3}};
   const auto read = [&](const std::vector<std::string>& strings,
                         std::optional<balancer::GroupId> defaultGroup) {
@@ -157,8 +158,8 @@
   EXPECT_TRUE(std::holds_alternative<TxtFault>(read({"zone=" + std::string(64, 'z')}, 7)));
 }
 
-// ---- name servers -------------------------------------------------------------------------------------
-TEST(NameServersOrder, StaysWithTheOneThatAnswersAndLetsFailuresRest) {
+// ---- name servers -------------------------------------------------------------------------------
+TEST(NameServers, PrefersTheLastAnsweringServerAndBacksOffFailedOnes) {
   NameServers s(3);
   Time now = seconds(100);
   const std::vector<bool> none(3);
@@ -166,16 +167,16 @@
   s.recordFailure(0, now);
   EXPECT_EQ(s.select(now, none), 1u);
   s.recordAnswer(1);
-  EXPECT_EQ(s.select(now + seconds(60), none), 1u);  // the first has rested, and is not gone back to
+  EXPECT_EQ(s.select(now + seconds(60), none), 1u);  // no return to the first after its backoff
   EXPECT_EQ(s.select(now, {false, true, false}), 2u);
-  EXPECT_EQ(s.select(now, {false, true, true}), 0u);  // resting, but there is no other
+  EXPECT_EQ(s.select(now, {false, true, true}), 0u);  // in backoff, but the only one left
   EXPECT_EQ(s.select(now, {true, true, true}), std::nullopt);
 }
 
-// ---- the directory ------------------------------------------------------------------------------------
+// ---- DnsSdDirectory -----------------------------------------------------------------------------
 struct DirectoryTest : testing::Test {
   DnsSdSettings settings;
-  std::optional<DnsSdDirectory> d;
+  std::optional<DnsSdDirectory> directory;
   Time now = seconds(1000);
   DirectoryTest() {
     settings.domain = kDomain;
@@ -184,12 +185,14 @@
     settings.maxRefresh = seconds(10);
     settings.jitter = 0.1;
     settings.defaultGroup = 3;
-    d.emplace(settings, std::vector<GroupName>{}, 1);
+    directory.emplace(settings, std::vector<GroupName>{}, 1);
   }
-  std::string asked() {
+  // Takes the due queries and returns their record types in decimal, with a "t" for queries over
+  // TCP.
+  std::string dueQueryTypes() {
     std::string all;
-    for (const auto& a : d->dueQueries(now)) {
-      out.push_back(a.question);
+    for (const auto& a : directory->dueQueries(now)) {
+      sentQuestions.push_back(a.question);
       all += (all.empty() ? "" : " ") + std::to_string(static_cast<int>(a.question.type)) +
              (a.overTcp ? "t" : "");
     }
@@ -201,7 +204,7 @@
     m.question = q;
     return m;
   }
-  dns::Message ptr(const std::vector<std::string>& labels, std::uint32_t ttl, bool additionals = true) {
+  dns::Message ptrAnswer(const std::vector<std::string>& labels, std::uint32_t ttl, bool additionals = true) {
     dns::Message m = reply({kPtr, Type::Ptr});
     for (const auto& l : labels) {
       const auto n = *dns::instanceName(l, kPtr);
@@ -215,47 +218,47 @@
     if (labels.empty()) m.rcode = dns::Rcode::NxDomain;
     return m;
   }
-  void answer(const dns::Message& m, bool tcp = false) { d->handleAnswer(now, *m.question, m, tcp); }
-  std::string whole() {
+  void answer(const dns::Message& m, bool tcp = false) { directory->handleAnswer(now, *m.question, m, tcp); }
+  std::string endpointNames() {
     std::string all;
-    for (const DiscoveredEndpoint& i : d->instances()) all += (all.empty() ? "" : " ") + i.name;
+    for (const DiscoveredEndpoint& i : directory->instances()) all += (all.empty() ? "" : " ") + i.name;
     return all;
   }
-  std::vector<dns::Question> out;
+  std::vector<dns::Question> sentQuestions;
 };
-TEST_F(DirectoryTest, OneQuestionDoesWhereAdditionalsBringTheRest) {
-  EXPECT_EQ(asked(), "12");
-  EXPECT_EQ(asked(), "");  // one at a time
-  EXPECT_FALSE(d->isComplete());
-  answer(ptr({"s-1", "s-2", "s-3"}, 5));
-  EXPECT_TRUE(d->isComplete());
-  EXPECT_EQ(whole(), "s-1 s-2 s-3");
-  EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.1:5432");
-  EXPECT_EQ(asked(), "");
-  // Every refresh is that one question again, whichever set falls due first.
+TEST_F(DirectoryTest, RefreshesWithOnePtrQueryWhenAdditionalsAreComplete) {
+  EXPECT_EQ(dueQueryTypes(), "12");
+  EXPECT_EQ(dueQueryTypes(), "");  // one PTR query at a time
+  EXPECT_FALSE(directory->isComplete());
+  answer(ptrAnswer({"s-1", "s-2", "s-3"}, 5));
+  EXPECT_TRUE(directory->isComplete());
+  EXPECT_EQ(endpointNames(), "s-1 s-2 s-3");
+  EXPECT_EQ(directory->instances()[0].address.text(), "10.0.0.1:5432");
+  EXPECT_EQ(dueQueryTypes(), "");
+  // Every refresh is a single PTR query, whichever record set is due first.
   for (int k = 0; k < 20; ++k) {
-    ASSERT_TRUE(d->nextDeadline());
-    now = *d->nextDeadline();
-    ASSERT_EQ(asked(), "12") << k;
-    answer(ptr({"s-1", "s-2", "s-3"}, 5));
+    ASSERT_TRUE(directory->nextDeadline());
+    now = *directory->nextDeadline();
+    ASSERT_EQ(dueQueryTypes(), "12") << k;
+    answer(ptrAnswer({"s-1", "s-2", "s-3"}, 5));
   }
 }
-TEST_F(DirectoryTest, RefreshesByTtlWithinItsBounds) {
+TEST_F(DirectoryTest, RefreshIntervalFollowsTtlWithinBounds) {
   for (const std::uint32_t ttl : {0u, 1u, 5u, 86400u, 0x7fffffffu}) {
-    d.emplace(settings, std::vector<GroupName>{}, ttl + 1);
-    asked();
-    answer(ptr({"s-1"}, ttl));
-    const Time wait = *d->nextDeadline() - now;
+    directory.emplace(settings, std::vector<GroupName>{}, ttl + 1);
+    dueQueryTypes();
+    answer(ptrAnswer({"s-1"}, ttl));
+    const Time wait = *directory->nextDeadline() - now;
     const Time want = std::clamp<Time>(seconds(ttl), seconds(1), seconds(10));
     EXPECT_LE(wait, want) << ttl;
     EXPECT_GE(wait, want * 9 / 10) << ttl;
   }
 }
-TEST_F(DirectoryTest, AsksForEachRecordWhereNoAdditionalsCome) {
-  asked();
-  answer(ptr({"s-1"}, 5, false));
-  EXPECT_FALSE(d->isComplete());
-  EXPECT_EQ(asked(), "16 33");
+TEST_F(DirectoryTest, QueriesEachRecordWhenAdditionalsAreMissing) {
+  dueQueryTypes();
+  answer(ptrAnswer({"s-1"}, 5, false));
+  EXPECT_FALSE(directory->isComplete());
+  EXPECT_EQ(dueQueryTypes(), "16 33");
   const auto n = *dns::instanceName("s-1", kPtr);
   dns::Message txt = reply({n, Type::Txt});
   txt.answers.push_back({n, Type::Txt, 5, dns::TxtStrings{"group=4"}});
@@ -264,45 +267,45 @@
   srv.answers.push_back({n, Type::Srv, 5, dns::Srv{5, 0, 1, "far.ruwi.example.org."}});
   srv.answers.push_back({n, Type::Srv, 5, dns::Srv{1, 0, 5432, "h.ruwi.example.org."}});
   answer(srv);
-  EXPECT_EQ(whole(), "");  // the target has no address yet
-  EXPECT_EQ(asked(), "1");
+  EXPECT_EQ(endpointNames(), "");  // the target has no address yet
+  EXPECT_EQ(dueQueryTypes(), "1");
   dns::Message a = reply({"h.ruwi.example.org.", Type::A});
   a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::AddressBytes{v4("10.0.0.9")}});
   a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::AddressBytes{v4("10.0.0.2")}});
   answer(a);
-  ASSERT_EQ(whole(), "s-1");
-  EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.2:5432");
-  EXPECT_EQ(d->instances()[0].group, 4u);
-  // Of two addresses the one in use stays, though another now comes first.
+  ASSERT_EQ(endpointNames(), "s-1");
+  EXPECT_EQ(directory->instances()[0].address.text(), "10.0.0.2:5432");
+  EXPECT_EQ(directory->instances()[0].group, 4u);
+  // The address in use stays chosen, though another now sorts first.
   a.answers.push_back({"h.ruwi.example.org.", Type::A, 5, dns::AddressBytes{v4("10.0.0.1")}});
   answer(a);
-  EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.2:5432");
+  EXPECT_EQ(directory->instances()[0].address.text(), "10.0.0.2:5432");
   a.answers.erase(a.answers.begin() + 1);
   answer(a);
-  EXPECT_EQ(d->instances()[0].address.text(), "10.0.0.1:5432");
+  EXPECT_EQ(directory->instances()[0].address.text(), "10.0.0.1:5432");
 }
-TEST_F(DirectoryTest, GoesOverTcpWhereADatagramHasNoRoomForTheRest) {
+TEST_F(DirectoryTest, QueriesOverTcpWhenAdditionalsDoNotFitADatagram) {
   const std::vector<std::string> many{"s-1", "s-2", "s-3", "s-4", "s-5", "s-6"};
-  asked();
-  answer(ptr(many, 5, false));
-  EXPECT_EQ(asked(), "12t");
-  answer(ptr(many, 5), true);
-  EXPECT_EQ(whole(), "s-1 s-2 s-3 s-4 s-5 s-6");
-  now = *d->nextDeadline();
-  EXPECT_EQ(asked(), "12t");
-  // TCP fails: the list stands, and the next rounds do without.
-  d->handleFailure(now, {kPtr, Type::Ptr});
-  EXPECT_EQ(whole(), "s-1 s-2 s-3 s-4 s-5 s-6");
-  now = *d->nextDeadline();
-  EXPECT_EQ(asked(), "12");
-  answer(ptr(many, 5, false));
-  const std::string single = asked();  // what is due, each for itself
+  dueQueryTypes();
+  answer(ptrAnswer(many, 5, false));
+  EXPECT_EQ(dueQueryTypes(), "12t");
+  answer(ptrAnswer(many, 5), true);
+  EXPECT_EQ(endpointNames(), "s-1 s-2 s-3 s-4 s-5 s-6");
+  now = *directory->nextDeadline();
+  EXPECT_EQ(dueQueryTypes(), "12t");
+  // TCP fails: the list is kept, and the next refreshes use UDP.
+  directory->handleFailure(now, {kPtr, Type::Ptr});
+  EXPECT_EQ(endpointNames(), "s-1 s-2 s-3 s-4 s-5 s-6");
+  now = *directory->nextDeadline();
+  EXPECT_EQ(dueQueryTypes(), "12");
+  answer(ptrAnswer(many, 5, false));
+  const std::string single = dueQueryTypes();  // the due records, queried individually
   EXPECT_NE(single.find("33"), std::string::npos);
   EXPECT_EQ(single.find("12"), std::string::npos);
 }
-TEST_F(DirectoryTest, OnlyAnAuthoritativeNoWithdraws) {
-  asked();
-  answer(ptr({"s-1"}, 5));
+TEST_F(DirectoryTest, OnlyNegativeAnswersWithdrawInstances) {
+  dueQueryTypes();
+  answer(ptrAnswer({"s-1"}, 5));
   const dns::Question q{kPtr, Type::Ptr};
   for (const auto rcode : {dns::Rcode::ServFail, dns::Rcode::Refused, dns::Rcode::NotImp, dns::Rcode::NoError,
                            dns::Rcode::NxDomain}) {
@@ -311,88 +314,88 @@
     m.rcode = rcode;
     EXPECT_EQ(classifyAnswer(q, m), AnswerKind::Unusable) << static_cast<int>(rcode);
     answer(m);
-    EXPECT_EQ(whole(), "s-1");
-    EXPECT_TRUE(d->failing());
+    EXPECT_EQ(endpointNames(), "s-1");
+    EXPECT_TRUE(directory->failing());
   }
-  dns::Message no = reply(q);  // from a cache: no AA, but the zone's SOA
-  no.authoritative = false;
-  no.rcode = dns::Rcode::NxDomain;
-  no.authorities.push_back({"ruwi.example.org.", Type::Soa, 9, dns::Soa{1, 2}});
-  EXPECT_EQ(classifyAnswer(q, no), AnswerKind::Negative);
-  answer(no);
-  EXPECT_EQ(whole(), "");
-  EXPECT_LE(*d->nextDeadline() - now, seconds(2));
-  now = *d->nextDeadline();
-  EXPECT_EQ(asked(), "12");
-  answer(ptr({"s-1", "s-2"}, 5));
-  EXPECT_EQ(whole(), "s-1 s-2");
+  dns::Message negative = reply(q);  // from a cache: AA not set, but with the zone's SOA
+  negative.authoritative = false;
+  negative.rcode = dns::Rcode::NxDomain;
+  negative.authorities.push_back({"ruwi.example.org.", Type::Soa, 9, dns::Soa{1, 2}});
+  EXPECT_EQ(classifyAnswer(q, negative), AnswerKind::Negative);
+  answer(negative);
+  EXPECT_EQ(endpointNames(), "");
+  EXPECT_LE(*directory->nextDeadline() - now, seconds(2));
+  now = *directory->nextDeadline();
+  EXPECT_EQ(dueQueryTypes(), "12");
+  answer(ptrAnswer({"s-1", "s-2"}, 5));
+  EXPECT_EQ(endpointNames(), "s-1 s-2");
 }
-TEST_F(DirectoryTest, FailuresBackOffAndAskNothingElse) {
-  asked();
-  answer(ptr({"s-1"}, 1));
+TEST_F(DirectoryTest, BacksOffAfterFailuresAndSendsNoOtherQueries) {
+  dueQueryTypes();
+  answer(ptrAnswer({"s-1"}, 1));
   Time before = now;
   Time longest{};
   for (int k = 0; k < 12; ++k) {
-    now = *d->nextDeadline();
+    now = *directory->nextDeadline();
     longest = std::max(longest, now - before);
     before = now;
-    ASSERT_EQ(asked(), "12") << k;
-    d->handleFailure(now, {kPtr, Type::Ptr});
+    ASSERT_EQ(dueQueryTypes(), "12") << k;
+    directory->handleFailure(now, {kPtr, Type::Ptr});
   }
   EXPECT_GE(longest, seconds(4));
   EXPECT_LE(longest, seconds(10));
-  EXPECT_EQ(whole(), "s-1");
+  EXPECT_EQ(endpointNames(), "s-1");
 }
-TEST_F(DirectoryTest, BelievesNoRecordOutsideItsDomainOrThatNobodyAskedFor) {
-  asked();
-  dns::Message m = ptr({"s-1"}, 5);
+TEST_F(DirectoryTest, IgnoresUnsolicitedRecordsOutsideItsDomain) {
+  dueQueryTypes();
+  dns::Message m = ptrAnswer({"s-1"}, 5);
   std::get<dns::Srv>(m.additionals[0].data).target = "h.elsewhere.example.";
   m.additionals.push_back({"h.elsewhere.example.", Type::A, 5, dns::AddressBytes{v4("10.9.9.9")}});
   m.answers.push_back({kPtr, Type::Ptr, 5, dns::Name("x.elsewhere.example.")});
   answer(m);
-  EXPECT_EQ(whole(), "");
-  EXPECT_EQ(d->faults().count("x.elsewhere.example."), 1u);
-  EXPECT_EQ(asked(), "1");  // the address is asked for, not taken from an additional
+  EXPECT_EQ(endpointNames(), "");
+  EXPECT_EQ(directory->faults().count("x.elsewhere.example."), 1u);
+  EXPECT_EQ(dueQueryTypes(), "1");  // the address is queried, not taken from the additionals
 }
-TEST_F(DirectoryTest, AnInstanceWithAFaultIsLeftOutAlone) {
-  asked();
-  dns::Message m = ptr({"s-1", "s-2", "s-3"}, 5);
+TEST_F(DirectoryTest, IgnoresOnlyInstancesWithFaults) {
+  dueQueryTypes();
+  dns::Message m = ptrAnswer({"s-1", "s-2", "s-3"}, 5);
   m.additionals[1].data = dns::TxtStrings{"weight=heavy"};
   std::get<dns::Srv>(m.additionals[3].data).target = ".";
   answer(m);
-  EXPECT_EQ(whole(), "s-3");
-  EXPECT_EQ(d->faults().size(), 2u);
-  EXPECT_EQ(d->faults().at(*dns::instanceName("s-1", kPtr)), "TXT: weight=heavy: no number above 0");
-  now = *d->nextDeadline();
-  asked();
-  answer(ptr({"s-1", "s-2", "s-3"}, 5));
-  EXPECT_EQ(whole(), "s-1 s-2 s-3");
-  EXPECT_TRUE(d->faults().empty());
+  EXPECT_EQ(endpointNames(), "s-3");
+  EXPECT_EQ(directory->faults().size(), 2u);
+  EXPECT_EQ(directory->faults().at(*dns::instanceName("s-1", kPtr)), "TXT: weight=heavy: no number above 0");
+  now = *directory->nextDeadline();
+  dueQueryTypes();
+  answer(ptrAnswer({"s-1", "s-2", "s-3"}, 5));
+  EXPECT_EQ(endpointNames(), "s-1 s-2 s-3");
+  EXPECT_TRUE(directory->faults().empty());
 }
-TEST_F(DirectoryTest, TakesNewerAddressesWhereThereIsNoOlder) {
-  asked();
-  dns::Message m = ptr({"s-1"}, 5);
+TEST_F(DirectoryTest, UsesIpv6AddressesWhenThereIsNoIpv4Address) {
+  dueQueryTypes();
+  dns::Message m = ptrAnswer({"s-1"}, 5);
   m.additionals[2].type = Type::Aaaa;
   m.additionals[2].data = dns::AddressBytes{std::string(15, '\0') + "\1"};
   answer(m);
-  ASSERT_EQ(whole(), "s-1");
-  EXPECT_EQ(d->instances()[0].address.text(), "[::1]:5432");
-  EXPECT_EQ(asked(), "");
+  ASSERT_EQ(endpointNames(), "s-1");
+  EXPECT_EQ(directory->instances()[0].address.text(), "[::1]:5432");
+  EXPECT_EQ(dueQueryTypes(), "");
 }
 
-// ---- the source, over sockets -------------------------------------------------------------------------
-struct SourceTest : testing::Test, EndpointListConsumer {
+// ---- DnsSdDiscovery, over sockets ---------------------------------------------------------------
+struct DnsSdDiscoveryTest : testing::Test, EndpointListConsumer {
   EventBase base{event_base_new()};
   Clock clock;
   lab::NameServer first{base.get(), kDomain, kService}, second{base.get(), kDomain, kService};
   Config config;
-  std::unique_ptr<EndpointUpdater> feed;
+  std::unique_ptr<EndpointUpdater> updater;
   std::unique_ptr<DnsSdDiscovery> source;
-  std::map<std::string, DiscoveredEndpoint> members;
-  std::uint64_t lists = 0, failures = 0;
-  std::string why;
+  std::map<std::string, DiscoveredEndpoint> endpoints;
+  std::uint64_t listCount = 0, failures = 0;
+  std::string lastFailure;
 
-  SourceTest() {
+  DnsSdDiscoveryTest() {
     DnsSdSettings& s = config.dnssd;
     s.domain = kDomain;
     s.service = kService;
@@ -417,52 +420,54 @@
     for (auto* n : {&first, &second}) n->publish(i);
   }
   void endpointsListed(EndpointList list) override {
-    ++lists;
-    if (list.reset) members.clear();
+    ++listCount;
+    if (list.reset) endpoints.clear();
     for (const DiscoveredEndpoint& i : list.instances)
       if (i.state == balancer::Lifecycle::Gone)
-        members.erase(i.name);
+        endpoints.erase(i.name);
       else
-        members[i.name] = i;
+        endpoints[i.name] = i;
   }
-  void discoveryFailed(const std::string& w) override {
+  void discoveryFailed(const std::string& reason) override {
     ++failures;
-    why = w;
+    lastFailure = reason;
   }
   std::uint64_t generation() const override { return 0; }
   void start() {
-    feed = std::make_unique<EndpointUpdater>(base.get(), clock, *this, EndpointTablePolicy());
-    source = std::make_unique<DnsSdDiscovery>(base.get(), clock, *feed, config);
+    updater = std::make_unique<EndpointUpdater>(base.get(), clock, *this, EndpointTablePolicy());
+    source = std::make_unique<DnsSdDiscovery>(base.get(), clock, *updater, config);
   }
-  template <typename Done>
-  void until(Done done) {  // the watchdog ends a test that has failed
+  // Runs the event loop until the condition holds. The limit of 20 s only ends tests that have
+  // failed.
+  template <typename Condition>
+  void waitUntil(Condition condition) {
     const Time end = clock.now() + seconds(20);
-    while (!done()) {
-      ASSERT_LT(clock.now(), end) << "it never came; the last failure: " << why;
+    while (!condition()) {
+      ASSERT_LT(clock.now(), end) << "timed out; last discovery failure: " << lastFailure;
       event_base_loop(base.get(), EVLOOP_ONCE);
     }
   }
 };
-TEST_F(SourceTest, FindsMembersAndFollowsTheZone) {
+TEST_F(DnsSdDiscoveryTest, PublishesEndpointsAndFollowsZoneChanges) {
   start();
-  until([&] { return members.size() == 3; });
-  EXPECT_EQ(lists, 1u);  // the first list is whole
-  EXPECT_EQ(members["s-1"].address.text(), "127.0.0.1:6001");
-  EXPECT_EQ(members["s-1"].startedMs, 0);
+  waitUntil([&] { return endpoints.size() == 3; });
+  EXPECT_EQ(listCount, 1u);  // the first list is complete
+  EXPECT_EQ(endpoints["s-1"].address.text(), "127.0.0.1:6001");
+  EXPECT_EQ(endpoints["s-1"].startedMs, 0);
   first.withdraw("s-2");
-  until([&] { return members.size() == 2; });
-  EXPECT_EQ(members.count("s-2"), 0u);
+  waitUntil([&] { return endpoints.size() == 2; });
+  EXPECT_EQ(endpoints.count("s-2"), 0u);
   publish("s-2", 6002);
-  until([&] { return members.size() == 3; });
-  EXPECT_GT(members["s-2"].startedMs, 0);
+  waitUntil([&] { return endpoints.size() == 3; });
+  EXPECT_GT(endpoints["s-2"].startedMs, 0);
   first.clear();
-  until([&] { return members.empty(); });
-  EXPECT_EQ(second.counts().udp, 0u);                                 // the second server was never needed
-  EXPECT_EQ(first.counts().udp, first.counts().types.at(Type::Ptr));  // one question did each time
+  waitUntil([&] { return endpoints.empty(); });
+  EXPECT_EQ(second.counts().udp, 0u);                                 // the second was not queried
+  EXPECT_EQ(first.counts().udp, first.counts().types.at(Type::Ptr));  // PTR queries only
 }
-TEST_F(SourceTest, NothingButAnAuthoritativeNoWithdraws) {
+TEST_F(DnsSdDiscoveryTest, OnlyNegativeAnswersWithdrawEndpoints) {
   start();
-  until([&] { return members.size() == 3; });
+  waitUntil([&] { return endpoints.size() == 3; });
   for (const char* name : {"silent", "servfail", "refused", "lame", "noise", "loop", "counts", "wrong-id",
                            "wrong-question", "wrong-port"}) {
     lab::NameServer::Mood mood{};
@@ -470,75 +475,76 @@
     first.mood(mood);
     second.mood(mood);
     const auto before = failures;
-    until([&] { return failures > before; });
-    EXPECT_EQ(members.size(), 3u) << name;
+    waitUntil([&] { return failures > before; });
+    EXPECT_EQ(endpoints.size(), 3u) << name;
     first.mood(lab::NameServer::Mood::Good);
     second.mood(lab::NameServer::Mood::Good);
-    const auto asked = first.counts().udp + second.counts().udp;
-    until([&] { return first.counts().udp + second.counts().udp > asked + 1; });
+    const auto queriesBefore = first.counts().udp + second.counts().udp;
+    waitUntil([&] { return first.counts().udp + second.counts().udp > queriesBefore + 1; });
   }
-  EXPECT_EQ(members.size(), 3u);
-  EXPECT_EQ(lists, 1u);
+  EXPECT_EQ(endpoints.size(), 3u);
+  EXPECT_EQ(listCount, 1u);
 }
-TEST_F(SourceTest, FailsOverAndStaysThere) {
+TEST_F(DnsSdDiscoveryTest, FailsOverAndStaysWithTheSecondServer) {
   first.mood(lab::NameServer::Mood::Silent);
   start();
-  until([&] { return members.size() == 3; });
+  waitUntil([&] { return endpoints.size() == 3; });
   EXPECT_EQ(failures, 0u);
   first.mood(lab::NameServer::Mood::Good);
   const auto before = first.counts().udp;
-  const auto asked = second.counts().udp;
-  until([&] { return second.counts().udp > asked + 4; });
+  const auto queriesBefore = second.counts().udp;
+  waitUntil([&] { return second.counts().udp > queriesBefore + 4; });
   EXPECT_EQ(first.counts().udp, before);
 }
-TEST_F(SourceTest, GoesOverTcpAfterTruncationAndListsStandWhereTcpIsRefused) {
+TEST_F(DnsSdDiscoveryTest, RetriesTruncatedAnswersOverTcpAndKeepsTheListWhenTcpFails) {
   first.mood(lab::NameServer::Mood::Truncated);
   start();
-  until([&] { return members.size() == 3; });
+  waitUntil([&] { return endpoints.size() == 3; });
   EXPECT_GT(first.counts().tcp, 0u);
   first.mood(lab::NameServer::Mood::TruncatedOnly);
   second.mood(lab::NameServer::Mood::TruncatedOnly);
-  until([&] { return failures >= 2; });
-  EXPECT_EQ(members.size(), 3u);
+  waitUntil([&] { return failures >= 2; });
+  EXPECT_EQ(endpoints.size(), 3u);
   second.mood(lab::NameServer::Mood::Good);
   second.withdraw("s-3");
-  until([&] { return members.size() == 2; });
+  waitUntil([&] { return endpoints.size() == 2; });
 }
-TEST_F(SourceTest, DoesWithoutEdnsWhereItIsTurnedDown) {
+TEST_F(DnsSdDiscoveryTest, DisablesEdnsWhenTheServerRejectsIt) {
   first.mood(lab::NameServer::Mood::NoEdns);
   second.mood(lab::NameServer::Mood::Silent);
   start();
-  until([&] { return members.size() == 3; });
+  waitUntil([&] { return endpoints.size() == 3; });
   EXPECT_EQ(failures, 0u);
 }
-TEST_F(SourceTest, ManyInstancesCostOneConnectionARefreshNotAQuestionEach) {
+TEST_F(DnsSdDiscoveryTest, RefreshesManyInstancesOverOneTcpConnection) {
   for (int k = 4; k <= 60; ++k) publish("s-" + std::to_string(k), 6000 + k);
   start();
-  until([&] { return members.size() == 60; });
+  waitUntil([&] { return endpoints.size() == 60; });
   const auto udp = first.counts().udp, tcp = first.counts().tcp;
-  until([&] { return first.counts().tcp >= tcp + 3; });
+  waitUntil([&] { return first.counts().tcp >= tcp + 3; });
   EXPECT_LE(first.counts().udp - udp, 1u);
 }
-TEST_F(SourceTest, AnInstanceWithoutAnAddressWaitsForOne) {
+TEST_F(DnsSdDiscoveryTest, PublishesInstancesOnlyWhileTheyHaveAnAddress) {
   lab::ServiceInstance i;
   i.label = "s-9";
   i.port = 6009;
   first.publish(i);
   start();
-  until([&] { return members.size() == 3 && source->faults().size() == 1; });
-  EXPECT_EQ(members.count("s-9"), 0u);
+  waitUntil([&] { return endpoints.size() == 3 && source->faults().size() == 1; });
+  EXPECT_EQ(endpoints.count("s-9"), 0u);
   i.addresses = {"127.0.0.1"};
   first.publish(i);
-  until([&] { return members.count("s-9") == 1; });
-  // And one that loses its address is withdrawn.
+  waitUntil([&] { return endpoints.count("s-9") == 1; });
+  // An instance that loses its address is withdrawn.
   i.addresses.clear();
   first.publish(i);
-  until([&] { return members.count("s-9") == 0; });
+  waitUntil([&] { return endpoints.count("s-9") == 0; });
 }
-// SIGHUP with another domain: the members stand until the new zone has told a whole list.
-TEST_F(SourceTest, MovesToAnotherDomainWithoutAGap) {
+// After a change of domain (SIGHUP), the endpoints of the old domain stay published until the first
+// complete list of the new one.
+TEST_F(DnsSdDiscoveryTest, KeepsTheListUntilTheNewDomainIsComplete) {
   start();
-  until([&] { return members.size() == 3; });
+  waitUntil([&] { return endpoints.size() == 3; });
   lab::NameServer other(base.get(), "seeb.example.org", kService);
   lab::ServiceInstance i;
   i.addresses = {"127.0.0.1"};
@@ -551,16 +557,16 @@
   other.mood(lab::NameServer::Mood::Silent);
   config.dnssd.domain = "seeb.example.org";
   config.dnssd.servers = {*Address::parse("127.0.0.1:" + std::to_string(other.port()))};
-  const auto before = lists;
+  const auto before = listCount;
   source->updateSettings(config);
-  until([&] { return failures > 0; });
-  EXPECT_EQ(members.size(), 3u);
-  EXPECT_EQ(lists, before);
+  waitUntil([&] { return failures > 0; });
+  EXPECT_EQ(endpoints.size(), 3u);
+  EXPECT_EQ(listCount, before);
   other.mood(lab::NameServer::Mood::Good);
-  until([&] { return members.size() == 2; });
-  EXPECT_EQ(lists, before + 1);
-  EXPECT_EQ(members.count("s-1") + members.count("t-1"), 2u);
-  EXPECT_EQ(members["t-1"].startedMs, 0);  // it was there before this proxy looked
+  waitUntil([&] { return endpoints.size() == 2; });
+  EXPECT_EQ(listCount, before + 1);
+  EXPECT_EQ(endpoints.count("s-1") + endpoints.count("t-1"), 2u);
+  EXPECT_EQ(endpoints["t-1"].startedMs, 0);  // in the first list: its start time is unknown
 }
 
 }  // namespace
