--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -125,7 +125,7 @@
   EXPECT_LT(parsed, 20000);
 }
 
-// ---- TXT records ---------------------------------------------------------------------------------
+// ---- TXT records --------------------------------------------------------------------------------
 TEST(DnsSdRecords, ReadsTxtAttributesAndNamesTheKeyOfAFault) {
   const std::vector<GroupName> groups{{"rentals", 3}};
   const auto read = [&](const std::vector<std::string>& strings,
