--- a/src/protocol/tds/bytes.hpp
+++ b/src/protocol/tds/bytes.hpp
@@ -1,4 +1,4 @@
-// Bytes and big-endian integers as TDS packets and PRELOGIN hold them. Pure.
+// Bytes and big-endian integers of TDS packet headers and PRELOGIN messages. Pure.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
   return static_cast<std::uint8_t>(from[at]);
 }
 
-// `from` holds two bytes at least from `at` on.
+// `from` must have at least two bytes at `at`.
 inline std::size_t read16(std::string_view from, std::size_t at) {
   return static_cast<std::size_t>(read8(from, at)) << 8 | read8(from, at + 1);
 }
--- a/src/protocol/tds/packet.cpp
+++ b/src/protocol/tds/packet.cpp
@@ -23,7 +23,7 @@
   return false;
 }
 
-// Takes at most `count` bytes off the front.
+// Removes and returns at most `count` bytes from the front of `in`.
 std::string_view takeUpTo(std::string_view& in, std::size_t count) {
   const std::string_view taken = in.substr(0, count);
   in.remove_prefix(taken.size());
@@ -85,7 +85,7 @@
   std::copy(header_.begin(), header_.end(), bytes);
   header_.clear();
   const std::optional<Header> header = parseHeader(bytes);
-  fault_ = header ? faultOf(*header) : "no packet of this protocol";
+  fault_ = header ? faultOf(*header) : "not a TDS packet";
   if (fault_) return false;
   if (state_ != State::InMessage) {
     type_ = header->type;
@@ -98,9 +98,9 @@
 }
 
 const char* MessageAssembler::faultOf(const Header& header) const {
-  if (header.length > packetSize_) return "a packet longer than agreed on";
-  if (state_ == State::InMessage && header.type != type_) return "another message amid one";
-  if (message_.size() + header.length - kHeaderSize > maxMessage_) return "a message too long";
+  if (header.length > packetSize_) return "a packet longer than the negotiated packet size";
+  if (state_ == State::InMessage && header.type != type_) return "a packet of another type within a message";
+  if (message_.size() + header.length - kHeaderSize > maxMessage_) return "a message longer than the limit";
   return nullptr;
 }
 
--- a/src/protocol/tds/prelogin.cpp
+++ b/src/protocol/tds/prelogin.cpp
@@ -10,10 +10,10 @@
 enum class Token : std::uint8_t { Version = 0, Encryption = 1, Mars = 4, Terminator = 0xff };
 
 constexpr std::size_t kOptionSize = 5;   // token, offset, length
-constexpr std::size_t kVersionSize = 6;  // version, and two bytes of a sub-build
+constexpr std::size_t kVersionSize = 6;  // version, then a sub-build of two bytes
 constexpr std::uint8_t kMaxEncryption = static_cast<std::uint8_t>(Encryption::Required);
 
-// The value that the option at `at` refers to; std::nullopt where it lies outside of the message.
+// Returns the value of the option at `at`; std::nullopt when it lies outside of the message.
 std::optional<std::string_view> valueOf(std::string_view message, std::size_t at) {
   if (message.size() - at < kOptionSize) return std::nullopt;
   const std::size_t offset = read16(message, at + 1);
@@ -22,7 +22,7 @@
   return message.substr(offset, length);
 }
 
-// Reads one option; false where its value is malformed. Other options are skipped.
+// Reads one option; false when its value is malformed. Other options are ignored.
 bool readOption(Token token, std::string_view value, PreLogin& preLogin) {
   switch (token) {
     case Token::Version:
@@ -42,7 +42,7 @@
   }
 }
 
-// Builds a message whose number of options is known beforehand, as the offsets of values depend on it.
+// Builds a message from a number of options known in advance, as the offsets of the values depend on it.
 class OptionWriter {
  public:
   explicit OptionWriter(std::size_t options) : valuesOffset_(options * kOptionSize + 1) {}
@@ -72,7 +72,7 @@
     const bool first = at == 0;
     if (token == Token::Terminator) return first ? std::nullopt : std::make_optional(preLogin);
     const bool isVersion = token == Token::Version;
-    if (isVersion != first) return std::nullopt;  // the version comes first, and once
+    if (isVersion != first) return std::nullopt;  // the version must be the first option and occur once
     const auto value = valueOf(message, at);
     if (!value || !readOption(token, *value, preLogin)) return std::nullopt;
     at += kOptionSize;
--- a/src/protocol/tds/prelogin.hpp
+++ b/src/protocol/tds/prelogin.hpp
@@ -1,4 +1,4 @@
-// The PRELOGIN message of TDS, from either side ([MS-TDS] 2.2.6.5). Pure.
+// The PRELOGIN message of TDS, as clients and servers send it ([MS-TDS] 2.2.6.5). Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,11 @@
 struct PreLogin {
   std::uint32_t version = 0;  // major (8 bits), minor (8), build (16)
   Encryption encryption = Encryption::NotSupported;
-  bool mars = false;  // several requests at a time on a connection
+  bool mars = false;  // multiple active result sets: concurrent requests on one connection
 };
 
-// std::nullopt: an option lies outside of the message or is malformed, or the version is not the first one.
+// Returns std::nullopt when an option is malformed or its value lies outside of the message, when the version
+// is not the first option, or when the terminator is missing.
 std::optional<PreLogin> parsePreLogin(std::string_view message);
 std::string formatPreLogin(const PreLogin& preLogin);
 
--- a/src/translation/answer.cpp
+++ b/src/translation/answer.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr const char* kTooLong = "an answer that is too long in the form that was asked for";
-// More than any version adds to a row and to a value of it.
-constexpr std::size_t kRowMost = 16, kValueMost = 8;
+// Upper bounds on the bytes that any protocol version adds to a row and to each of its values.
+constexpr std::size_t kMaxRowOverhead = 16, kMaxValueOverhead = 8;
 
 std::string bigEndian(std::uint64_t v, std::size_t size) {
   std::string bytes;
@@ -20,26 +20,26 @@
   return bytes;
 }
 template <typename T>
-std::optional<T> number(std::string_view text) {
+std::optional<T> parseNumber(std::string_view text) {
   T v{};
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, v);
   return error == std::errc() && stop == end ? std::make_optional(v) : std::nullopt;
 }
 template <typename T>
-std::optional<std::string> integer(std::string_view text) {
-  const auto v = number<T>(text);
+std::optional<std::string> integerToBinary(std::string_view text) {
+  const auto v = parseNumber<T>(text);
   return v ? std::make_optional(bigEndian(static_cast<std::uint64_t>(*v), sizeof(T))) : std::nullopt;
 }
 template <typename Float, typename Bits>
-std::optional<std::string> floating(std::string_view text) {
-  std::optional<Float> v = number<Float>(text);  // "NaN" and "Infinity" too
+std::optional<std::string> floatToBinary(std::string_view text) {
+  std::optional<Float> v = parseNumber<Float>(text);  // accepts "NaN" and "Infinity", too
   if (!v) return std::nullopt;
   Bits bits;
   std::memcpy(&bits, &*v, sizeof bits);
   return bigEndian(bits, sizeof bits);
 }
-std::optional<std::string> uuid(std::string_view text) {
+std::optional<std::string> uuidToBinary(std::string_view text) {
   std::string digits;
   for (const char c : text)
     if (c != '-') digits.push_back(c);
@@ -57,23 +57,23 @@
     case kBytea:
       return readBytea(text);
     case kInt2:
-      return integer<std::int16_t>(text);
+      return integerToBinary<std::int16_t>(text);
     case kInt4:
-      return integer<std::int32_t>(text);
+      return integerToBinary<std::int32_t>(text);
     case kInt8:
-      return integer<std::int64_t>(text);
+      return integerToBinary<std::int64_t>(text);
     case kOid:
-      return integer<std::uint32_t>(text);
+      return integerToBinary<std::uint32_t>(text);
     case kFloat4:
-      return floating<float, std::uint32_t>(text);
+      return floatToBinary<float, std::uint32_t>(text);
     case kFloat8:
-      return floating<double, std::uint64_t>(text);
+      return floatToBinary<double, std::uint64_t>(text);
     case kText:
     case kVarchar:
     case kUnknown:
       return std::string(text);
     case kUuid:
-      return uuid(text);
+      return uuidToBinary(text);
     default:
       return std::nullopt;
   }
@@ -86,12 +86,12 @@
 }
 
 bool AnswerConverter::wantsBinary(std::size_t column) const {
-  const auto& r = format_.columnFormats;
-  if (r.empty()) return false;
-  return r.size() == 1 ? r[0] == 1 : column < r.size() && r[column] == 1;
+  const auto& formats = format_.columnFormats;
+  if (formats.empty()) return false;
+  return formats.size() == 1 ? formats[0] == 1 : column < formats.size() && formats[column] == 1;
 }
 
-// Guards the memory: an answer grows when its form changes.
+// Bounds the memory in use: a conversion can make an answer longer.
 bool AnswerConverter::append(const std::string& message) {
   if (out_.size() + message.size() > maxBytes_) return fail(kTooLong);
   out_ += message;
@@ -102,13 +102,13 @@
   if (format_.columnFormats.size() > 1 && format_.columnFormats.size() != columns.size())
     return fail("formats for " + std::to_string(format_.columnFormats.size()) + " columns where there are " +
                 std::to_string(columns.size()));
-  std::vector<Column> told = columns;
-  for (std::size_t k = 0; k < told.size(); ++k) {
-    types_.push_back(told[k].type);
-    told[k].binary = wantsBinary(k);
-    binary_.push_back(told[k].binary);
+  std::vector<Column> converted = columns;
+  for (std::size_t k = 0; k < converted.size(); ++k) {
+    types_.push_back(converted[k].type);
+    converted[k].binary = wantsBinary(k);
+    binary_.push_back(converted[k].binary);
   }
-  return !described_ || append(codec_.columns(told));
+  return !describeColumns_ || append(codec_.columns(converted));
 }
 
 bool AnswerConverter::row(const std::vector<Value>& values) {
@@ -118,7 +118,7 @@
     return true;
   }
   ++rows_;
-  std::vector<std::string> changed(values.size());
+  std::vector<std::string> convertedValues(values.size());
   std::vector<Value> row = values;
   bool binary = !values.empty();
   for (std::size_t k = 0; k < values.size(); ++k) {
@@ -128,20 +128,20 @@
       auto bytes = toBinary(types_[k], *values[k]);
       if (!bytes)
         return fail("a value of type " + std::to_string(types_[k]) + " that cannot be told in binary");
-      changed[k] = std::move(*bytes);
-      row[k] = changed[k];
+      convertedValues[k] = std::move(*bytes);
+      row[k] = convertedValues[k];
     } else if (types_[k] == kBytea && format_.bytea) {
       const auto bytes = readBytea(*values[k]);
       if (!bytes) return fail("a bytea that is in neither of its forms");
       if (byteaLength(*format_.bytea, *bytes) > maxBytes_)
         return fail("a value that is too long in the form that was asked for");
-      changed[k] = writeBytea(*format_.bytea, *bytes);
-      row[k] = changed[k];
+      convertedValues[k] = writeBytea(*format_.bytea, *bytes);
+      row[k] = convertedValues[k];
     }
   }
-  // Bounded before it is written.
-  std::size_t size = kRowMost;
-  for (const Value& v : row) size += kValueMost + (v ? v->size() : 0);
+  // The row is checked against the bound before it is encoded.
+  std::size_t size = kMaxRowOverhead;
+  for (const Value& v : row) size += kMaxValueOverhead + (v ? v->size() : 0);
   if (out_.size() + size > maxBytes_) return fail(kTooLong);
   codec_.appendRow(out_, row, binary);
   return true;
--- a/src/translation/answer.hpp
+++ b/src/translation/answer.hpp
@@ -1,4 +1,4 @@
-// An answer on its way from one side to the other: values brought into the form that the asker reads. Pure.
+// Converts the values of a server's answer into the formats that the client reads. Pure.
 #pragma once
 
 #include <algorithm>
@@ -13,38 +13,41 @@
 
 namespace sablespur::translation {
 
-// What an asker wants of values.
+// The formats in which a client wants the values of an answer.
 struct ResultFormat {
-  std::optional<ByteaForm> bytea;           // nothing: as they come
-  std::vector<std::int16_t> columnFormats;  // 1 binary, 0 text: none all text, one of all, else one a column
+  std::optional<ByteaForm> bytea;  // std::nullopt: as the server sent them
+  // 1 binary, 0 text. Empty: all columns are text; one entry: it applies to all columns; otherwise one entry
+  // per column.
+  std::vector<std::int16_t> columnFormats;
+  // Whether the values need no conversion.
   bool plain() const {
     return !bytea && std::find(columnFormats.begin(), columnFormats.end(), 1) == columnFormats.end();
   }
 };
 
-// The binary form of a value that came as text. Nothing: the type's binary form is not known here, or the
-// text is no value of that type.
+// Returns the binary format of a value given as text. std::nullopt when the type's binary format is not
+// supported or the text is not a valid value of the type.
 std::optional<std::string> toBinary(std::uint32_t type, std::string_view text);
 
-// Hands an answer on to a codec, value by value, and gathers what that writes. After a failure nothing that
-// was gathered may go out: why() tells, and the answer ends in an error instead.
+// Converts an answer value by value and collects the messages that a codec encodes from it. After a failure
+// the output is empty and failure() has the reason; the client then gets an error in place of the answer.
 class AnswerConverter final : public AnswerConsumer {
  public:
-  // `described`: whether the columns are told, too. `most`: bytes of what is gathered. `mostRows`: 0, or
-  // after so many rows the rest is left and suspended() is true.
-  AnswerConverter(const ClientCodec& codec, ResultFormat wanted, bool described, std::size_t most,
-                  std::size_t mostRows = 0)
+  // `describeColumns`: whether the output includes the column descriptions. `maxBytes` bounds the output.
+  // `maxRows`: 0 for no limit; further rows are dropped and suspended() becomes true.
+  AnswerConverter(const ClientCodec& codec, ResultFormat format, bool describeColumns, std::size_t maxBytes,
+                  std::size_t maxRows = 0)
       : codec_(codec),
-        format_(std::move(wanted)),
-        described_(described),
-        maxBytes_(most),
-        maxRows_(mostRows) {}
+        format_(std::move(format)),
+        describeColumns_(describeColumns),
+        maxBytes_(maxBytes),
+        maxRows_(maxRows) {}
 
   bool columns(const std::vector<Column>&) override;
   bool row(const std::vector<Value>&) override;
   bool completed(std::string_view tag) override;
 
-  const std::string& failure() const { return failure_; }  // empty: it went well
+  const std::string& failure() const { return failure_; }  // empty: no failure
   bool suspended() const { return suspended_; }
   std::string take() { return std::move(out_); }
 
@@ -55,10 +58,10 @@
 
   const ClientCodec& codec_;
   const ResultFormat format_;
-  const bool described_;
+  const bool describeColumns_;
   const std::size_t maxBytes_, maxRows_;
   std::vector<std::uint32_t> types_;
-  std::vector<bool> binary_;  // by column, as the asker gets it
+  std::vector<bool> binary_;  // per column, in the client's format
   std::size_t rows_ = 0;
   bool suspended_ = false;
   std::string out_, failure_;
--- a/src/translation/scanner.cpp
+++ b/src/translation/scanner.cpp
@@ -3,20 +3,20 @@
 namespace sablespur::translation {
 namespace {
 
-bool digit(char c) { return c >= '0' && c <= '9'; }
-bool letter(char c) {
+bool isDigit(char c) { return c >= '0' && c <= '9'; }
+bool isIdentifierStart(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' ||
          static_cast<unsigned char>(c) >= 0x80;
 }
 
 }  // namespace
 
-bool Scanner::word(std::size_t at) const {
-  return at < text_.size() && (letter(text_[at]) || digit(text_[at]) || text_[at] == '$');
+bool Scanner::isIdentifierChar(std::size_t at) const {
+  return at < text_.size() && (isIdentifierStart(text_[at]) || isDigit(text_[at]) || text_[at] == '$');
 }
 
-// From the opening quote to behind the closing one.
-std::size_t Scanner::quoted(std::size_t at, char quote, bool escapes) {
+// `at` is the opening quote. A doubled quote does not end the string.
+std::size_t Scanner::skipQuoted(std::size_t at, char quote, bool escapes) {
   for (++at; at < text_.size(); ++at) {
     if (escapes && text_[at] == '\\') {
       ++at;
@@ -29,7 +29,7 @@
   return text_.size();
 }
 
-std::size_t Scanner::comment(std::size_t at) {
+std::size_t Scanner::skipComment(std::size_t at) {
   if (text_[at] == '-') {
     const std::size_t end = text_.find('\n', at);
     return end == std::string_view::npos ? text_.size() : end;
@@ -50,10 +50,10 @@
   return text_.size();
 }
 
-std::size_t Scanner::dollar(std::size_t at) const {
+std::size_t Scanner::skipDollarTag(std::size_t at) const {
   std::size_t end = at + 1;
-  if (end < text_.size() && letter(text_[end]))
-    while (end < text_.size() && (letter(text_[end]) || digit(text_[end]))) ++end;
+  if (end < text_.size() && isIdentifierStart(text_[end]))
+    while (end < text_.size() && (isIdentifierStart(text_[end]) || isDigit(text_[end]))) ++end;
   if (end >= text_.size() || text_[end] != '$') return at;
   return end + 1;
 }
@@ -71,43 +71,44 @@
     const char c = text_[at];
     const char following = at + 1 < text_.size() ? text_[at + 1] : '\0';
     const bool starts = at == from;
-    // A word that stands before a quote belongs to the string only where it is one of the prefixes, alone.
-    const bool wordBefore = !starts && word(at - 1);
-    if (letter(c) && !wordBefore) {
+    // A letter before a quote is a string prefix only when no other identifier character precedes it.
+    const bool continuesIdentifier = !starts && isIdentifierChar(at - 1);
+    if (isIdentifierStart(c) && !continuesIdentifier) {
       const bool ampersand = (c == 'U' || c == 'u') && following == '&' && at + 2 < text_.size() &&
                              (text_[at + 2] == '\'' || text_[at + 2] == '"');
       const bool prefix = following == '\'' && std::string_view("eEbBxXnN").find(c) != std::string_view::npos;
       if (prefix || ampersand) {
         if (!starts) return take(at, Token::Plain);
-        if (ampersand && text_[at + 2] == '"') return take(quoted(at + 2, '"', false), Token::Name);
-        if (ampersand) return take(quoted(at + 2, '\'', false), Token::OtherLiteral);
+        if (ampersand && text_[at + 2] == '"')
+          return take(skipQuoted(at + 2, '"', false), Token::QuotedIdentifier);
+        if (ampersand) return take(skipQuoted(at + 2, '\'', false), Token::PrefixedLiteral);
         const bool escape = c == 'e' || c == 'E';
-        return take(quoted(at + 1, '\'', escape), escape ? Token::EscapeLiteral : Token::OtherLiteral);
+        return take(skipQuoted(at + 1, '\'', escape), escape ? Token::EscapeLiteral : Token::PrefixedLiteral);
       }
-      while (word(at)) ++at;
+      while (isIdentifierChar(at)) ++at;
       continue;
     }
     const bool opens =
         c == '\'' || c == '"' || (c == '-' && following == '-') || (c == '/' && following == '*');
     if (opens) {
       if (!starts) return take(at, Token::Plain);
-      if (c == '\'') return take(quoted(at, '\'', backslashes_), Token::Literal);
-      if (c == '"') return take(quoted(at, '"', false), Token::Name);
-      return take(comment(at), Token::Comment);
+      if (c == '\'') return take(skipQuoted(at, '\'', backslashes_), Token::Literal);
+      if (c == '"') return take(skipQuoted(at, '"', false), Token::QuotedIdentifier);
+      return take(skipComment(at), Token::Comment);
     }
-    if (c == '$' && !wordBefore) {
-      if (digit(following)) {
+    if (c == '$' && !continuesIdentifier) {
+      if (isDigit(following)) {
         if (!starts) return take(at, Token::Plain);
         std::size_t end = at + 1;
-        while (end < text_.size() && digit(text_[end])) ++end;
+        while (end < text_.size() && isDigit(text_[end])) ++end;
         return take(end, Token::Parameter);
       }
-      const std::size_t tag = dollar(at);
+      const std::size_t tag = skipDollarTag(at);
       if (tag != at) {
         if (!starts) return take(at, Token::Plain);
         const std::size_t end = text_.find(text_.substr(at, tag - at), tag);
         if (end == std::string_view::npos) complete_ = false;
-        return take(end == std::string_view::npos ? text_.size() : end + (tag - at), Token::Dollar);
+        return take(end == std::string_view::npos ? text_.size() : end + (tag - at), Token::DollarQuoted);
       }
     }
     ++at;
--- a/src/translation/scanner.hpp
+++ b/src/translation/scanner.hpp
@@ -1,5 +1,5 @@
-// The lexical skin of a statement: where strings, quoted names, comments and parameters stand, and nothing
-// more (PostgreSQL's documentation, chapter "Lexical Structure"). Pure; reads in place.
+// Splits a statement into strings, quoted identifiers, comments, parameters and the text between them; it
+// does no further analysis (PostgreSQL's documentation, chapter "Lexical Structure"). Pure; reads in place.
 #pragma once
 
 #include <cstddef>
@@ -8,32 +8,33 @@
 namespace sablespur::translation {
 
 enum class Token {
-  Plain,          // anything else, in one piece
-  Literal,        // '...', quotes included
-  EscapeLiteral,  // E'...'
-  OtherLiteral,   // B'...', X'...', N'...', U&'...'
-  Name,           // "..." or U&"..."
-  Dollar,         // $tag$...$tag$
-  Comment,        // to the line's end, or /* nested */
-  Parameter,      // $1
+  Plain,             // any other text, up to the next token
+  Literal,           // '...', quotes included
+  EscapeLiteral,     // E'...'
+  PrefixedLiteral,   // B'...', X'...', N'...', U&'...'
+  QuotedIdentifier,  // "..." or U&"..."
+  DollarQuoted,      // $tag$...$tag$
+  Comment,           // -- to the end of the line, or /* nested */
+  Parameter,         // $1
   End
 };
 
 class Scanner {
  public:
-  // `backslashes`: in '...' a backslash escapes, as where standard_conforming_strings is off.
+  // `backslashes`: backslashes are escapes in '...', as when standard_conforming_strings is off.
   Scanner(std::string_view statement, bool backslashes) : text_(statement), backslashes_(backslashes) {}
 
-  // The next token and its text; pieces follow each other without gaps. A string or comment without its end
-  // runs to the statement's end, and `whole` then says false.
+  // Returns the next token and sets `piece` to its text. The pieces cover the statement without gaps. An
+  // unterminated string or comment extends to the end of the statement, and complete() is false from then on.
   Token next(std::string_view& piece);
   bool complete() const { return complete_; }
 
  private:
-  std::size_t quoted(std::size_t at, char quote, bool escapes);
-  std::size_t comment(std::size_t at);
-  std::size_t dollar(std::size_t at) const;  // where it ends; `at` itself: there is none
-  bool word(std::size_t at) const;           // a letter, digit or _ stands there
+  // These return the position after the construct that begins at `at`.
+  std::size_t skipQuoted(std::size_t at, char quote, bool escapes);
+  std::size_t skipComment(std::size_t at);
+  std::size_t skipDollarTag(std::size_t at) const;  // `at` itself when there is no $tag$
+  bool isIdentifierChar(std::size_t at) const;      // a letter, digit, _ or $
 
   const std::string_view text_;
   const bool backslashes_;
--- a/src/translation/settings.hpp
+++ b/src/translation/settings.hpp
@@ -1,4 +1,5 @@
-// What a side says of itself: in its startup, or by SET. Pure.
+// Session settings of a client or server that affect translation, given in its startup message or by SET.
+// Pure.
 #pragma once
 
 #include <optional>
@@ -11,18 +12,20 @@
 namespace sablespur::translation {
 
 struct SessionSettings {
-  bool backslashes = false;        // they escape in '...': standard_conforming_strings is off
-  std::optional<ByteaForm> bytea;  // bytea_output; nothing: not said
+  bool backslashes = false;        // are escapes in '...': standard_conforming_strings is off
+  std::optional<ByteaForm> bytea;  // bytea_output; std::nullopt: not set
 };
 
-// "SET name = value", "SET SESSION name TO 'value'"; names in lower case. Nothing: it is no such statement.
+// Parses "SET name = value" or "SET SESSION name TO 'value'" into the name, in lower case, and the value.
+// std::nullopt for any other statement.
 std::optional<std::pair<std::string, std::string>> parseSet(std::string_view statement);
 
-// Takes a setting over. What is wrong with it, or nothing; what is known and changes nothing here is taken as
-// well.
+// Applies one setting. Returns the text of the error, or std::nullopt on success. Known settings that do not
+// affect translation are accepted and ignored.
 std::optional<std::string> apply(SessionSettings&, const std::string& name, const std::string& value);
 
-// "-c name=value --name=value" of a startup's options, taken over in order.
+// Applies the settings in the `options` of a startup message ("-c name=value --name=value") in order. Returns
+// the text of the first error, or std::nullopt on success.
 std::optional<std::string> applyOptions(SessionSettings&, std::string_view options);
 
 }  // namespace sablespur::translation
--- a/src/translation/values.cpp
+++ b/src/translation/values.cpp
@@ -8,24 +8,24 @@
 namespace sablespur::translation {
 namespace {
 
-// By byte: what it is worth as a hexadecimal digit, or -1.
+// The value of each byte as a hexadecimal digit, or -1.
 struct HexDigits {
-  signed char worth[256];
-  constexpr HexDigits() : worth() {
-    for (int k = 0; k < 256; ++k) worth[k] = -1;
-    for (int k = 0; k < 10; ++k) worth['0' + k] = static_cast<signed char>(k);
-    for (int k = 0; k < 6; ++k) worth['a' + k] = worth['A' + k] = static_cast<signed char>(10 + k);
+  signed char value[256];
+  constexpr HexDigits() : value() {
+    for (int k = 0; k < 256; ++k) value[k] = -1;
+    for (int k = 0; k < 10; ++k) value['0' + k] = static_cast<signed char>(k);
+    for (int k = 0; k < 6; ++k) value['a' + k] = value['A' + k] = static_cast<signed char>(10 + k);
   }
 };
 constexpr HexDigits kHexDigits;
-int hexDigit(char c) { return kHexDigits.worth[static_cast<unsigned char>(c)]; }
-bool octal(char c) { return c >= '0' && c <= '7'; }
-bool word(char c) {
+int hexDigit(char c) { return kHexDigits.value[static_cast<unsigned char>(c)]; }
+bool isOctalDigit(char c) { return c >= '0' && c <= '7'; }
+bool isIdentifierChar(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c == '$' ||
          static_cast<unsigned char>(c) >= 0x80;
 }
 
-// By byte: how it stands in escape form.
+// A byte's representation in escape format.
 struct Escaped {
   char text[4];
   unsigned char length;
@@ -51,13 +51,13 @@
 std::optional<std::string> readHex(std::string_view text) {
   if (text.size() % 2 != 0) return std::nullopt;
   std::string bytes(text.size() / 2, '\0');
-  int wrong = 0;  // negative once a digit was none
+  int invalid = 0;  // negative once a character was not a digit
   for (std::size_t k = 0; k < bytes.size(); ++k) {
     const int high = hexDigit(text[2 * k]), low = hexDigit(text[2 * k + 1]);
-    wrong |= high | low;
+    invalid |= high | low;
     bytes[k] = static_cast<char>(static_cast<unsigned>(high) << 4 | static_cast<unsigned>(low));
   }
-  return wrong < 0 ? std::nullopt : std::make_optional(std::move(bytes));
+  return invalid < 0 ? std::nullopt : std::make_optional(std::move(bytes));
 }
 
 }  // namespace
@@ -74,7 +74,8 @@
     if (text.size() >= 2 && text[1] == '\\') {
       bytes.push_back('\\');
       text.remove_prefix(2);
-    } else if (text.size() >= 4 && text[1] <= '3' && octal(text[1]) && octal(text[2]) && octal(text[3])) {
+    } else if (text.size() >= 4 && text[1] <= '3' && isOctalDigit(text[1]) && isOctalDigit(text[2]) &&
+               isOctalDigit(text[3])) {
       bytes.push_back(static_cast<char>((text[1] - '0') << 6 | (text[2] - '0') << 3 | (text[3] - '0')));
       text.remove_prefix(4);
     } else {
@@ -104,8 +105,8 @@
     }
     return text;
   }
-  // Four bytes are written for each, of which as many count as it has: random bytes would mislead every
-  // branch.
+  // Copies four bytes for each input byte and advances by the actual length: a branch on the length would be
+  // mispredicted for random bytes.
   const std::size_t length = text.size();
   text.resize(length + 4);
   to = text.data();
@@ -131,7 +132,8 @@
   return literal;
 }
 
-// Hex within E'...': the backslash is doubled, so that it reads the same on both sides of the setting.
+// Hex format in E'...' with the backslash doubled, which reads the same for either setting of
+// standard_conforming_strings.
 std::string byteaLiteral(std::string_view bytes) {
   return "E'\\" + writeBytea(ByteaForm::Hex, bytes) + "'::bytea";
 }
@@ -147,10 +149,10 @@
       out.append(piece);
       continue;
     }
-    // Guards a word that stands right before the quote: SELECT'a' must not become SELECTE'a'.
-    if (!out.empty() && word(out.back())) out.push_back(' ');
+    // Separates the prefix from a preceding word: SELECT'a' must not become SELECTE'a'.
+    if (!out.empty() && isIdentifierChar(out.back())) out.push_back(' ');
     if (fromBackslashes) {
-      out.push_back('E');  // what escapes for its writer escapes in E'...' for everyone
+      out.push_back('E');  // in E'...' backslashes are escapes for any setting
       out.append(piece);
     } else {
       out.push_back('E');
--- a/src/translation/values.hpp
+++ b/src/translation/values.hpp
@@ -1,4 +1,4 @@
-// Values between the forms that generations of servers and clients write them in. Pure.
+// Conversion of values and literals between the formats of older and newer servers and clients. Pure.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,24 @@
 
 namespace sablespur::translation {
 
-// bytea as text: hex since 9.0 ("\x4142"), escape before ("AB\000", backslash doubled); PostgreSQL's
-// documentation, "Binary Data Types". Servers say which by bytea_output; a value tells its own form by how it
-// begins.
-std::optional<std::string> readBytea(std::string_view text);  // nothing where the text is in neither form
-std::size_t byteaLength(ByteaForm, std::string_view bytes);   // of what writeBytea makes, without making it
+// bytea as text: hex format since PostgreSQL 9.0 ("\x4142"), escape format before ("AB\000", backslash
+// doubled); see PostgreSQL's documentation, "Binary Data Types". The setting bytea_output selects the format
+// that a server writes; when reading, the prefix "\x" identifies hex.
+
+// Decodes either format; std::nullopt when the text is valid in neither.
+std::optional<std::string> readBytea(std::string_view text);
+// Returns the length of writeBytea's result without building it.
+std::size_t byteaLength(ByteaForm, std::string_view bytes);
 std::string writeBytea(ByteaForm, std::string_view bytes);
 
-// A literal that means these characters whatever standard_conforming_strings says: '...', or E'...' where
-// there is a backslash. Nothing for a text with a NUL, which no literal can hold.
+// Returns a literal that has the same value for either setting of standard_conforming_strings: '...', or
+// E'...' when the text contains a backslash. std::nullopt for a text with a NUL, which no literal can hold.
 std::optional<std::string> quoteLiteral(std::string_view text);
 std::string byteaLiteral(std::string_view bytes);
 
-// The statement with every '...' rewritten that would mean something else to the other side: where
-// backslashes escape on one side only. Everything else stays byte for byte. `fromBackslashes`: they escape
-// for who wrote it.
+// Rewrites the '...' literals that contain a backslash when backslashes are escapes for only one of sender
+// and receiver; everything else stays byte for byte. `fromBackslashes` and `toBackslashes`: whether they are
+// escapes for the sender and for the receiver of the statement.
 std::string rewriteLiterals(std::string_view statement, bool fromBackslashes, bool toBackslashes);
 
 }  // namespace sablespur::translation
