--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -1,4 +1,5 @@
-// Between generations: statements and values, protocol 2.0, the extended sub-protocol, logins.
+// Tests of translation between protocol versions: statements and values, the protocol 2.0 codec, the extended
+// query protocol, conversion of answers, session settings, startup messages and logins.
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
@@ -36,7 +37,7 @@
     all += names[static_cast<int>(t)];
     joined += piece;
   }
-  EXPECT_EQ(joined, statement);  // pieces follow each other without gaps
+  EXPECT_EQ(joined, statement);
   return all + (s.complete() ? "" : "!");
 }
 TEST(Scanner, FindsStringsNamesCommentsAndParameters) {
@@ -50,7 +51,7 @@
   EXPECT_EQ(tokens("$a$ b"), "d!");
   EXPECT_EQ(tokens("price$1 te'x'"), "pl");
 }
-TEST(Scanner, AnyBytesAreCoveredOnce) {
+TEST(Scanner, PiecesCoverRandomStatementsWithoutGaps) {
   pcg32 random(5);
   const std::string alphabet = "'\"$-/*\\eEa1 \n_&U";
   for (int k = 0; k < 20000; ++k) {
@@ -59,7 +60,7 @@
     tokens(s, random(2) == 1);
   }
 }
-TEST(Literals, MeanTheSameOnTheOtherSideOfTheSetting) {
+TEST(Literals, KeepTheirValueWhenBackslashEscapingDiffers) {
   EXPECT_EQ(tr::rewriteLiterals("SELECT 'a\\b', 'c', E'd\\e', \"f\\g\" /* 'h\\i' */", false, true),
             "SELECT E'a\\\\b', 'c', E'd\\e', \"f\\g\" /* 'h\\i' */");
   EXPECT_EQ(tr::rewriteLiterals("SELECT 'it\\'s', '\\\\x'", true, false), "SELECT E'it\\'s', E'\\\\x'");
@@ -70,7 +71,7 @@
   EXPECT_EQ(tr::quoteLiteral("a\\b"), "E'a\\\\b'");
   EXPECT_EQ(tr::quoteLiteral("a\0b"sv), std::nullopt);
 }
-TEST(Bytea, ReadsBothFormsAndWritesWhatItReads) {
+TEST(Bytea, ReadsBothFormatsAndRoundTrips) {
   EXPECT_EQ(tr::readBytea("\\x41ff0a"), "A\xff\n");
   EXPECT_EQ(tr::readBytea("A\\377\\012\\\\"), "A\xff\n\\");
   for (const char* bad : {"\\x4", "\\xzz", "\\", "\\4", "\\400", "\\08a", "a\\"})
@@ -86,7 +87,7 @@
     }
   }
 }
-TEST(Parameters, BecomeLiteralsWhereTheyStandAndNowhereElse) {
+TEST(Parameters, AreReplacedByLiteralsOutsideStringsAndComments) {
   const std::string s = "SELECT $1, '$1', \"$1\", $2::int /* $1 */ -- $1\n, $$ $1 $$, $1";
   EXPECT_EQ(tr::countParameters(s, false), 2u);
   const std::string long_(600, 'x');
@@ -96,7 +97,7 @@
   EXPECT_EQ(tr::substitute(s, false, {{std::string_view(long_), 0, false}, {"1"sv, 0, false}}, 1000, why),
             std::nullopt);
   EXPECT_EQ(why, "a statement that is too long with its parameters");
-  // In the request's comment a parameter stands for its bare text, if it can do no harm there.
+  // In the request comment a parameter is replaced by its unquoted value, if that cannot alter the comment.
   const std::string run = "SELECT /* $1 */ $1 /* id=$2,c=read,k=$1 */";
   EXPECT_EQ(tr::countParameters(run, false), 2u);
   EXPECT_EQ(tr::substitute(run, false, {{"5"sv, 0, false}, {"a-1"sv, 0, false}}, 1000, why),
@@ -127,10 +128,10 @@
 }
 
 // ---- protocol 2.0 -------------------------------------------------------------------------------------
-TEST(Pg2, StartupAndCancelHaveTheirFixedForm) {
+TEST(Protocol2, StartupAndCancelRequestHaveFixedLayouts) {
   postgres2::Startup s;
   s.database = "ledger";
-  s.user = std::string(40, 'u');  // cut to what the field holds
+  s.user = std::string(40, 'u');  // truncated to the field's size
   s.options = "-o x";
   const std::string packet = postgres2::startup(s);
   ASSERT_EQ(packet.size(), postgres2::kStartupLength);
@@ -140,16 +141,16 @@
   EXPECT_EQ(back->user, std::string(31, 'u'));
   EXPECT_EQ(back->options, "-o x");
   EXPECT_FALSE(postgres2::parseStartup(packet.substr(1)));
-  std::string three = packet;
-  three[5] = 3;
-  EXPECT_FALSE(postgres2::parseStartup(three));
+  std::string version3 = packet;
+  version3[5] = 3;
+  EXPECT_FALSE(postgres2::parseStartup(version3));
   const auto c = postgres2::parseCancel(postgres2::cancel({7, 0xdeadbeef}));
   ASSERT_TRUE(c);
   EXPECT_EQ(c->process, 7u);
   EXPECT_EQ(c->key, 0xdeadbeefu);
   EXPECT_FALSE(postgres2::parseCancel(postgres2::cancel({7, 1}) + "x"));
 }
-TEST(Pg2, WhatClientsSendEndsWithItsNul) {
+TEST(Protocol2, ClientMessagesEndAtTheirNul) {
   bool bad = false;
   const std::string q = postgres2::query("SELECT 1");
   for (std::size_t n = 0; n < q.size(); ++n)
@@ -159,7 +160,7 @@
   ASSERT_TRUE(sent);
   EXPECT_EQ(sent->text, "SELECT 1");
   EXPECT_EQ(sent->size, q.size());
-  EXPECT_FALSE(postgres2::parseClientMessage("P\0\0\0\5", bad));  // only 3.0 knows it
+  EXPECT_FALSE(postgres2::parseClientMessage("P\0\0\0\5", bad));  // Parse exists only in protocol 3.0
   EXPECT_TRUE(bad);
   EXPECT_FALSE(postgres2::parseClientMessage("Q" + std::string(postgres2::kMaxQuery + 1, 'x'), bad));
   EXPECT_TRUE(bad);
@@ -169,7 +170,7 @@
   EXPECT_FALSE(postgres2::parsePassword("\xff\xff\xff\xff", size, bad));
   EXPECT_TRUE(bad);
 }
-TEST(Pg2, RowsBearABitmapOfWhatIsNull) {
+TEST(Protocol2, RowsHaveANullBitmap) {
   std::vector<postgres2::Column> columns;
   std::vector<postgres2::Value> values;
   for (int k = 0; k < 9; ++k) {
@@ -183,7 +184,7 @@
                                postgres2::row(values, binary) + postgres2::completed("SELECT") +
                                postgres2::notice("n") + postgres2::error("ERROR:  e\n") +
                                postgres2::keyData({1, 2}) + postgres2::askMd5("salt") + postgres2::ready();
-    // In pieces of any size.
+    // The stream is split at every byte.
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
       postgres2::Reader reader;
       std::string in = stream.substr(0, cut), types;
@@ -207,8 +208,8 @@
   }
 }
 
-// ---- the extended sub-protocol ------------------------------------------------------------------------
-TEST(Extended, MessagesReadBackAndLyingCountsAreNone) {
+// ---- the extended query protocol ----------------------------------------------------------------------
+TEST(ExtendedQuery, MessagesRoundTripAndFalseCountsAreRejected) {
   const std::string p = postgres::parseMessage("s1", "SELECT $1", {23, 0});
   const auto parse = postgres::parseParse(std::string_view(p).substr(postgres::kHeaderSize));
   ASSERT_TRUE(parse);
@@ -228,9 +229,9 @@
   EXPECT_FALSE(back->values[2]);
   EXPECT_TRUE(back->binary(1) && !back->binary(0));
   for (std::size_t n = 0; n < body.size(); ++n) EXPECT_FALSE(postgres::parseBind(body.substr(0, n))) << n;
-  b.formats = {0, 1};  // neither none, one nor all
-  const std::string unfit = postgres::bindMessage(b);
-  EXPECT_FALSE(postgres::parseBind(std::string_view(unfit).substr(postgres::kHeaderSize)));
+  b.formats = {0, 1};  // for three values: invalid, as it must have 0, 1 or 3 entries
+  const std::string wrongCount = postgres::bindMessage(b);
+  EXPECT_FALSE(postgres::parseBind(std::string_view(wrongCount).substr(postgres::kHeaderSize)));
   EXPECT_FALSE(postgres::parseBind("\0\0\xff\xff\0\0"sv));
   const std::string d = postgres::describeMessage({true, "p"}), e = postgres::executeMessage({"p", 5});
   EXPECT_TRUE(postgres::parseDescribeTarget(std::string_view(d).substr(postgres::kHeaderSize))->portal);
@@ -238,9 +239,9 @@
   EXPECT_FALSE(postgres::parseDescribeTarget("Xp\0"sv));
 }
 
-// ---- answers between forms ----------------------------------------------------------------------------
+// ---- conversion of answers ----------------------------------------------------------------------------
 using Row = std::vector<std::optional<std::string>>;
-// An answer as a data server of version 3 tells it.
+// Returns an answer as a data server encodes it in protocol 3.
 std::string serverAnswer(const std::vector<std::uint32_t>& types, const std::vector<Row>& rows,
                          const std::string& tag) {
   const postgres::Codec server(2);
@@ -255,9 +256,9 @@
   }
   return all + server.commandComplete(tag);
 }
-TEST(Answers, GoToVersion2WithItsBitmapAndItsTag) {
-  const postgres2::Codec two;
-  tr::AnswerConverter c(two, {tr::ByteaForm::Escape, {}}, true, 1 << 20);
+TEST(Answers, AreEncodedForProtocol2) {
+  const postgres2::Codec version2;
+  tr::AnswerConverter c(version2, {tr::ByteaForm::Escape, {}}, true, 1 << 20);
   ASSERT_TRUE(postgres::readAnswer(
       serverAnswer({tr::kInt4, tr::kBytea}, {{"7", "\\x41ff"}, {std::nullopt, "A\\000"}}, "SELECT 2"), c));
   const std::string out = c.take();
@@ -276,9 +277,9 @@
   EXPECT_EQ(types, "PTDDC");
   EXPECT_EQ(rows, (std::vector<Row>{{"7", "A\\377"}, {std::nullopt, "A\\000"}}));
 }
-TEST(Answers, ComeInBinaryWhereThatIsWanted) {
-  const postgres::Codec three(0);
-  tr::AnswerConverter c(three, {std::nullopt, {1, 0}}, false, 1 << 20);
+TEST(Answers, AreConvertedToBinaryWhereRequested) {
+  const postgres::Codec version3(0);
+  tr::AnswerConverter c(version3, {std::nullopt, {1, 0}}, false, 1 << 20);
   ASSERT_TRUE(postgres::readAnswer(
       serverAnswer({tr::kInt4, tr::kText}, {{"-5", "-5"}, {std::nullopt, ""}}, "SELECT 2"), c));
   EXPECT_EQ(c.take(), postgres::message('D', "\0\2\0\0\0\4\xff\xff\xff\xfb\0\0\0\2-5"sv) +
@@ -291,8 +292,8 @@
   EXPECT_EQ(tr::toBinary(tr::kInt2, "70000"), std::nullopt);
   EXPECT_EQ(tr::toBinary(1700, "1.5"), std::nullopt);
 }
-// What literals make of binary parameters, toBinary undoes.
-TEST(Answers, BinaryFormsReadBack) {
+// literalOf is the inverse of toBinary.
+TEST(Answers, BinaryIntegersRoundTrip) {
   pcg32 random(3);
   for (int k = 0; k < 2000; ++k) {
     const auto v = static_cast<std::int32_t>(random());
@@ -303,51 +304,53 @@
     EXPECT_EQ(tr::literalOf({*bytes, tr::kInt4, true}, why), v < 0 ? "(" + digits + ")" : digits);
   }
 }
-// A value that breaks off in its middle, or grows beyond the bound, leaves nothing that could go out.
-TEST(Answers, AFailureLeavesNoHalfAnswer) {
-  const postgres::Codec three(0);
-  const auto why = [&](const std::string& answer, tr::ResultFormat wanted, std::size_t most) {
-    tr::AnswerConverter c(three, std::move(wanted), true, most);
+// After an invalid value, or one that exceeds the bound once converted, the output must be empty: a partial
+// answer would otherwise reach the client.
+TEST(Answers, AFailureLeavesNoPartialOutput) {
+  const postgres::Codec version3(0);
+  const auto failureOf = [&](const std::string& answer, tr::ResultFormat format, std::size_t maxBytes) {
+    tr::AnswerConverter c(version3, std::move(format), true, maxBytes);
     EXPECT_FALSE(postgres::readAnswer(answer, c));
     EXPECT_EQ(c.take(), "");
     return c.failure();
   };
-  EXPECT_EQ(why(serverAnswer({tr::kBytea}, {{"\\x41"}, {"\\x4"}}, "SELECT 2"), {tr::ByteaForm::Escape, {}},
-                1 << 20),
+  EXPECT_EQ(failureOf(serverAnswer({tr::kBytea}, {{"\\x41"}, {"\\x4"}}, "SELECT 2"),
+                      {tr::ByteaForm::Escape, {}}, 1 << 20),
             "a bytea that is in neither of its forms");
-  EXPECT_EQ(why(serverAnswer({1700}, {{"1.5"}}, "SELECT 1"), {std::nullopt, {1}}, 1 << 20),
+  EXPECT_EQ(failureOf(serverAnswer({1700}, {{"1.5"}}, "SELECT 1"), {std::nullopt, {1}}, 1 << 20),
             "a value of type 1700 that cannot be told in binary");
   const std::string big = tr::writeBytea(tr::ByteaForm::Hex, std::string(32 << 10, '\1'));  // 64 KiB of text
-  EXPECT_EQ(why(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), {tr::ByteaForm::Escape, {}}, 128 << 10),
-            "an answer that is too long in the form that was asked for");
-  EXPECT_EQ(why(serverAnswer({tr::kInt4}, {{"1"}}, "SELECT 1"), {std::nullopt, {1, 0}}, 1 << 20),
+  EXPECT_EQ(
+      failureOf(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), {tr::ByteaForm::Escape, {}}, 128 << 10),
+      "an answer that is too long in the form that was asked for");
+  EXPECT_EQ(failureOf(serverAnswer({tr::kInt4}, {{"1"}}, "SELECT 1"), {std::nullopt, {1, 0}}, 1 << 20),
             "formats for 2 columns where there are 1");
-  // The row itself is turned down, before it is written.
-  tr::AnswerConverter early(three, {}, false, 100);
-  EXPECT_TRUE(early.columns({{"a", tr::kText, -1, -1, false}}));
-  EXPECT_FALSE(early.row({std::string_view(big)}));
-  tr::AnswerConverter enough(three, {tr::ByteaForm::Escape, {}}, true, 129 << 10);
-  EXPECT_TRUE(postgres::readAnswer(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), enough));
-}
-TEST(Answers, StopAtARowLimitAndSaySo) {
-  const postgres::Codec three(0);
-  tr::AnswerConverter c(three, {}, false, 1 << 20, 2);
+  // A row that exceeds the bound is rejected before it is encoded.
+  tr::AnswerConverter tooSmall(version3, {}, false, 100);
+  EXPECT_TRUE(tooSmall.columns({{"a", tr::kText, -1, -1, false}}));
+  EXPECT_FALSE(tooSmall.row({std::string_view(big)}));
+  tr::AnswerConverter largeEnough(version3, {tr::ByteaForm::Escape, {}}, true, 129 << 10);
+  EXPECT_TRUE(postgres::readAnswer(serverAnswer({tr::kBytea}, {{big}}, "SELECT 1"), largeEnough));
+}
+TEST(Answers, AreSuspendedAtTheRowLimit) {
+  const postgres::Codec version3(0);
+  tr::AnswerConverter c(version3, {}, false, 1 << 20, 2);
   ASSERT_TRUE(postgres::readAnswer(serverAnswer({tr::kText}, {{"1"}, {"2"}, {"3"}}, "SELECT 3"), c));
   EXPECT_TRUE(c.suspended());
   EXPECT_EQ(c.take(),
             postgres::message('D', "\0\1\0\0\0\0011"sv) + postgres::message('D', "\0\1\0\0\0\0012"sv));
 }
-TEST(Answers, MalformedOnesAreNone) {
-  const postgres::Codec three(0);
+TEST(Answers, TruncatedOrRepeatedOnesAreRejected) {
+  const postgres::Codec version3(0);
   const std::string good = serverAnswer({tr::kText}, {{"1"}}, "SELECT 1");
   for (std::size_t n = 0; n < good.size(); ++n) {
-    tr::AnswerConverter c(three, {}, true, 1 << 20);
+    tr::AnswerConverter c(version3, {}, true, 1 << 20);
     EXPECT_FALSE(postgres::readAnswer(std::string_view(good).substr(0, n), c)) << n;
   }
-  tr::AnswerConverter again(three, {}, true, 1 << 20);
-  EXPECT_FALSE(postgres::readAnswer(good + good, again));
+  tr::AnswerConverter repeated(version3, {}, true, 1 << 20);
+  EXPECT_FALSE(postgres::readAnswer(good + good, repeated));
 }
-TEST(Problems, SayWhatEachVersionCanRead) {
+TEST(ErrorReports, HaveTheFieldsThatEachVersionSupports) {
   tr::ErrorReport p;
   p.code = "53300";
   p.text = "no room";
@@ -355,7 +358,8 @@
   EXPECT_EQ(postgres::Codec(0).errorResponse(p),
             postgres::message('E', "SERROR\0VERROR\0C53300\0Mno room\0D250\0\0"sv));
   EXPECT_EQ(postgres2::Codec().errorResponse(p), "EERROR:  no room\nRETRY:  250 ms\n\0"sv);
-  // A newer server's fields: 3.0 gets those of its time, 3.2 gets all, what nobody knows is passed over.
+  // Fields of a newer server: clients of 3.0 get the fields defined then, clients of 3.2 get all, and unknown
+  // fields are dropped.
   const auto q =
       postgres::parseErrorReport("SFEHLER\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0Zodd\0\0"sv);
   EXPECT_EQ(q.severity, "ERROR");
@@ -380,29 +384,29 @@
   b.values = std::move(values);
   return p.bind(bodyOf(postgres::bindMessage(b)), false, 1 << 16);
 }
-// The messages outlive the calls.
+// Each helper keeps its message alive during the call.
 PreparedStatements::Reply parseIn(PreparedStatements& p, std::string_view name, std::string_view text,
                                   const std::vector<std::uint32_t>& types = {}) {
   const std::string m = postgres::parseMessage(name, text, types);
   return p.parse(bodyOf(m), false);
 }
-PreparedStatements::Reply executeIn(PreparedStatements& p, std::string_view portal, int most,
+PreparedStatements::Reply executeIn(PreparedStatements& p, std::string_view portal, int maxRows,
                                     std::optional<PreparedStatements::Execution>& asked) {
-  const std::string m = postgres::executeMessage({portal, most});
+  const std::string m = postgres::executeMessage({portal, maxRows});
   return p.execute(bodyOf(m), asked);
 }
 PreparedStatements::Reply describeIn(PreparedStatements& p, bool portal, std::string_view name) {
   const std::string m = postgres::describeMessage({portal, name});
   return p.describe(bodyOf(m));
 }
-TEST(PreparedStatements, RunAsOftenAsTheyAreBound) {
+TEST(PreparedStatements, CanBeBoundAndExecutedRepeatedly) {
   PreparedStatements p;
   EXPECT_EQ(parseIn(p, "s", "SELECT $1", {tr::kInt4}).messages, postgres::parseComplete());
   EXPECT_STREQ(parseIn(p, "s", "SELECT 2").errorCode, "42P05");
   std::optional<PreparedStatements::Execution> asked;
   for (const std::string value : {"5", "6"}) {
     EXPECT_EQ(bindTo(p, "s", "", {value}).messages, postgres::bindComplete());
-    EXPECT_EQ(describeIn(p, true, "").messages, "");  // told with the rows
+    EXPECT_EQ(describeIn(p, true, "").messages, "");  // described with the rows
     EXPECT_FALSE(executeIn(p, "", 0, asked).errorCode);
     ASSERT_TRUE(asked);
     EXPECT_EQ(asked->statement, "SELECT '" + value + "'");
@@ -410,7 +414,7 @@
     p.onExecuted(std::string("\0\0", 2), false);
     EXPECT_FALSE(p.sync().errorCode);
   }
-  // Once it has run, what it answers is known.
+  // The result's columns are known once the statement has been executed.
   EXPECT_EQ(describeIn(p, false, "s").messages,
             postgres::parameterDescription({tr::kInt4}) + postgres::message('T', std::string("\0\0", 2)));
   EXPECT_STREQ(executeIn(p, "", 0, asked).errorCode, "34000");  // Sync ended the portal
@@ -419,7 +423,7 @@
   EXPECT_STREQ(bindTo(p, "s", "", {"5"}).errorCode, "26000");
   EXPECT_EQ(p.bytes(), 0u);
 }
-TEST(PreparedStatements, NameWhatTheyCannotDo) {
+TEST(PreparedStatements, ReportErrorsByCode) {
   PreparedStatements p;
   std::optional<PreparedStatements::Execution> asked;
   parseIn(p, "", "SELECT $1, $2");
@@ -429,7 +433,7 @@
   EXPECT_FALSE(bindTo(p, "", "p", {"5", "6"}).errorCode);
   EXPECT_STREQ(bindTo(p, "", "p", {"5", "6"}).errorCode, "42P03");
   describeIn(p, true, "p");
-  EXPECT_STREQ(p.flush().errorCode, "0A000");  // a Flush before it ran
+  EXPECT_STREQ(p.flush().errorCode, "0A000");  // a Flush before Execute
   EXPECT_FALSE(executeIn(p, "p", 1, asked).errorCode);
   EXPECT_EQ(asked->maxRows, 1u);
   p.onExecuted({}, true);
@@ -439,37 +443,37 @@
   EXPECT_STREQ(p.describe("Xno").errorCode, "08P01");
   EXPECT_STREQ(parseIn(p, "big", "SELECT $65536").errorCode, "42P02");
 }
-TEST(PreparedStatements, AreBoundedInNumber) {
+TEST(PreparedStatements, AreLimitedInNumber) {
   PreparedStatements p;
-  int taken = 0;
-  for (int k = 0; k < 1000; ++k) taken += !parseIn(p, "s" + std::to_string(k), "SELECT 1").errorCode;
-  EXPECT_EQ(taken, 256);
+  int accepted = 0;
+  for (int k = 0; k < 1000; ++k) accepted += !parseIn(p, "s" + std::to_string(k), "SELECT 1").errorCode;
+  EXPECT_EQ(accepted, 256);
   EXPECT_EQ(p.bytes(), 256u * 8);
 }
 
-// ---- settings that a side tells -----------------------------------------------------------------------
-TEST(Sides, TellTheirSettingsBySetOrAtTheStart) {
-  tr::SessionSettings side;
+// ---- session settings ---------------------------------------------------------------------------------
+TEST(SessionSettings, AreReadFromSetStatementsAndStartupOptions) {
+  tr::SessionSettings settings;
   EXPECT_EQ(tr::parseSet("SET Bytea_Output TO 'escape';"), std::make_pair("bytea_output"s, "escape"s));
   EXPECT_EQ(tr::parseSet("set session DateStyle='ISO, MDY'"), std::make_pair("datestyle"s, "ISO, MDY"s));
-  for (const char* no :
+  for (const char* other :
        {"SELECT 1", "SET", "SET a", "SET a = 'b'; DROP TABLE c", "SETa = b", "SET a = b /* c */"})
-    EXPECT_FALSE(tr::parseSet(no)) << no;
-  EXPECT_FALSE(tr::apply(side, "standard_conforming_strings", "off"));
-  EXPECT_TRUE(side.backslashes);
-  EXPECT_EQ(tr::apply(side, "standard_conforming_strings", "maybe"),
+    EXPECT_FALSE(tr::parseSet(other)) << other;
+  EXPECT_FALSE(tr::apply(settings, "standard_conforming_strings", "off"));
+  EXPECT_TRUE(settings.backslashes);
+  EXPECT_EQ(tr::apply(settings, "standard_conforming_strings", "maybe"),
             "invalid value for parameter \"standard_conforming_strings\": \"maybe\"");
-  EXPECT_TRUE(tr::apply(side, "client_encoding", "LATIN1"));
-  EXPECT_FALSE(tr::apply(side, "client_encoding", "UTF8"));
-  EXPECT_TRUE(tr::apply(side, "role", "admin"));
-  EXPECT_FALSE(tr::applyOptions(side, "-c standard_conforming_strings=on --bytea-output=hex -o old"));
-  EXPECT_FALSE(side.backslashes);
-  EXPECT_EQ(side.bytea, tr::ByteaForm::Hex);
-  EXPECT_TRUE(tr::applyOptions(side, "-c geqo"));
+  EXPECT_TRUE(tr::apply(settings, "client_encoding", "LATIN1"));
+  EXPECT_FALSE(tr::apply(settings, "client_encoding", "UTF8"));
+  EXPECT_TRUE(tr::apply(settings, "role", "admin"));
+  EXPECT_FALSE(tr::applyOptions(settings, "-c standard_conforming_strings=on --bytea-output=hex -o old"));
+  EXPECT_FALSE(settings.backslashes);
+  EXPECT_EQ(settings.bytea, tr::ByteaForm::Hex);
+  EXPECT_TRUE(tr::applyOptions(settings, "-c geqo"));
 }
 
-// ---- startups and keys --------------------------------------------------------------------------------
-TEST(Startups, OfVersion3ReadBack) {
+// ---- startup and keys ---------------------------------------------------------------------------------
+TEST(Startup, Version3RoundTrips) {
   postgres::Startup s;
   s.minor = 2;
   s.user = "desk";
@@ -491,7 +495,7 @@
   EXPECT_EQ(postgres::parseNegotiate("\0\0\0\2\0\0\0\0"sv), 2);
   EXPECT_FALSE(postgres::parseNegotiate("\0\0\0\2\0\0\0\1"sv));
 }
-TEST(Keys, HaveTheLengthOfTheirVersion) {
+TEST(CancelKeys, MayHaveFourTo256Bytes) {
   for (const std::size_t n : {4u, 32u, 256u}) {
     const postgres::Key k{7, std::string(n, 'k')};
     EXPECT_EQ(postgres::parseCancel(postgres::cancel(k))->secret, k.secret);
@@ -510,7 +514,7 @@
 constexpr const char* kClientNonce = "rOprNGfwEbeRWgbNEkqO";
 const std::string kServerFirst =
     "r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096";
-TEST(Scram, IsThatOfRfc7677) {
+TEST(Scram, MatchesTheExampleOfRfc7677) {
   auth::ScramClient c("user", kClientNonce);
   EXPECT_EQ(c.first(), "n,,n=user,r=rOprNGfwEbeRWgbNEkqO");
   std::string why;
@@ -525,7 +529,7 @@
   EXPECT_FALSE(c.verify("e=other-error", why));
   EXPECT_FALSE(c.verify("", why));
 }
-TEST(Scram, ClientsTurnDownWhatAServerMayNotAsk) {
+TEST(Scram, ClientsRejectInvalidServerChallenges) {
   const auto fault = [](const std::string& m) {
     auth::ScramClient c("user", kClientNonce);
     std::string why;
@@ -547,15 +551,15 @@
   fault("r="s + kClientNonce + "x,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=-1");
   fault("r="s + kClientNonce + "x,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096x");
 }
-TEST(Scram, BothSidesAgreeOnTheRightPasswordAlone) {
+TEST(Scram, LoginSucceedsOnlyWithUnmodifiedMessagesAndTheRightPassword) {
   const auth::Verifier v = auth::makeVerifier("pencil", "0123456789abcdef", 4096);
-  const auto kept = auth::parseVerifier(v.text());
-  ASSERT_TRUE(kept);
-  EXPECT_EQ(kept->text(), v.text());
+  const auto stored = auth::parseVerifier(v.text());
+  ASSERT_TRUE(stored);
+  EXPECT_EQ(stored->text(), v.text());
   for (const std::string bad : {"", "SCRAM-SHA-256$", "SCRAM-SHA-256$4096:x$y:z", "md5abc"})
     EXPECT_FALSE(auth::parseVerifier(bad));
-  const auto login = [&](const std::string& password, auto spoil) {
-    auth::ScramServer s(*kept, "servernonce");
+  const auto login = [&](const std::string& password, auto modify) {
+    auth::ScramServer s(*stored, "servernonce");
     auth::ScramClient c("a=b,c", "clientnonce");
     std::string why;
     const auto first = s.first(c.first(), why);
@@ -563,14 +567,14 @@
     const auto challenge = c.readChallenge(*first, why);
     if (!challenge) return "challenge: " + why;
     std::string final = c.final(auth::saltPassword(password, challenge->salt, challenge->iterations));
-    spoil(final);
+    modify(final);
     const auto last = s.final(final, why);
     if (!last) return "final: " + why;
     return c.verify(*last, why) ? "in"s : "verify: " + why;
   };
-  const auto good = [](std::string&) {};
-  EXPECT_EQ(login("pencil", good), "in");
-  EXPECT_EQ(login("pencils", good), "final: a wrong password");
+  const auto unmodified = [](std::string&) {};
+  EXPECT_EQ(login("pencil", unmodified), "in");
+  EXPECT_EQ(login("pencils", unmodified), "final: a wrong password");
   EXPECT_EQ(login("pencil", [](std::string& m) { m.replace(m.find("servernonce"), 11, "othersnonce"); }),
             "final: another nonce than at first");
   EXPECT_EQ(login("pencil", [](std::string& m) { m.replace(m.find("biws"), 4, "eSws"); }),
@@ -580,12 +584,12 @@
   EXPECT_EQ(login("pencil", [](std::string& m) { m.resize(m.rfind(",p=")); }),
             "final: a malformed last message");
 }
-TEST(Md5, IsThatOfPostgres) {
+TEST(Md5, MatchesPostgres) {
   EXPECT_EQ(auth::md5Stored("user", "pencil"), "md520c46e3762c864548e296b33c3406aa9");
   EXPECT_EQ(auth::md5Answer(auth::md5Stored("user", "pencil"), "salt"),
             "md5d3d9bcccbaa2fb5234570d4d0f22b055");
   EXPECT_EQ(auth::md5Stored("u", "").size(), 35u);
-  // md5("passuser"): what `select 'md5'||md5('pass'||'user')` gives.
+  // PostgreSQL stores 'md5' || md5(password || user).
   EXPECT_EQ(auth::md5Stored("", ""), "md5d41d8cd98f00b204e9800998ecf8427e");
   EXPECT_NE(auth::md5Answer(auth::md5Stored("u", "p"), "salt"),
             auth::md5Answer(auth::md5Stored("u", "p"), "tlas"));
