--- a/src/protocol/tds/packet.hpp
+++ b/src/protocol/tds/packet.hpp
@@ -38,8 +38,8 @@
   std::size_t length = 0;  // of the packet, header included
   std::uint16_t session = 0;
 };
-// Returns std::nullopt when the type is unknown or the length is out of bounds. Packet numbers and windows
-// are not checked, as the specification requires.
+// Returns std::nullopt when the type is unknown or the length is out of bounds. Packet numbers and
+// windows are not checked, as the specification requires.
 std::optional<Header> parseHeader(const char (&bytes)[kHeaderSize]);
 
 // Splits a message into packets of at most `packetSize` bytes; an empty message becomes one packet.
@@ -58,9 +58,9 @@
   // Sets the packet size that the login negotiated.
   void packetSize(std::size_t size) { packetSize_ = size; }
 
-  // Removes bytes from the front of `in`, up to the end of a message. After Result::Message, type(), status()
-  // and message() are valid until the next call. Cancelled messages (kIgnore) are skipped. After a fault
-  // every call returns Result::Fault.
+  // Removes bytes from the front of `in`, up to the end of a message. After Result::Message,
+  // type(), status() and message() are valid until the next call. Cancelled messages (kIgnore) are
+  // skipped. After a fault every call returns Result::Fault.
   Result consume(std::string_view& in);
 
   Type type() const { return type_; }
--- a/src/protocol/tds/prelogin.cpp
+++ b/src/protocol/tds/prelogin.cpp
@@ -42,7 +42,8 @@
   }
 }
 
-// Builds a message from a number of options known in advance, as the offsets of the values depend on it.
+// Builds a message from a number of options known in advance, as the offsets of the values depend
+// on it.
 class OptionWriter {
  public:
   explicit OptionWriter(std::size_t options) : valuesOffset_(options * kOptionSize + 1) {}
--- a/src/protocol/tds/prelogin.hpp
+++ b/src/protocol/tds/prelogin.hpp
@@ -16,8 +16,8 @@
   bool mars = false;  // multiple active result sets: concurrent requests on one connection
 };
 
-// Returns std::nullopt when an option is malformed or its value lies outside of the message, when the version
-// is not the first option, or when the terminator is missing.
+// Returns std::nullopt when an option is malformed or its value lies outside of the message, when
+// the version is not the first option, or when the terminator is missing.
 std::optional<PreLogin> parsePreLogin(std::string_view message);
 std::string formatPreLogin(const PreLogin& preLogin);
 
--- a/src/translation/answer.hpp
+++ b/src/translation/answer.hpp
@@ -16,8 +16,8 @@
 // The formats in which a client wants the values of an answer.
 struct ResultFormat {
   std::optional<ByteaForm> bytea;  // std::nullopt: as the server sent them
-  // 1 binary, 0 text. Empty: all columns are text; one entry: it applies to all columns; otherwise one entry
-  // per column.
+  // 1 binary, 0 text. Empty: all columns are text; one entry: it applies to all columns; otherwise
+  // one entry per column.
   std::vector<std::int16_t> columnFormats;
   // Whether the values need no conversion.
   bool plain() const {
@@ -25,16 +25,17 @@
   }
 };
 
-// Returns the binary format of a value given as text. std::nullopt when the type's binary format is not
-// supported or the text is not a valid value of the type.
+// Returns the binary format of a value given as text. std::nullopt when the type's binary format is
+// not supported or the text is not a valid value of the type.
 std::optional<std::string> toBinary(std::uint32_t type, std::string_view text);
 
-// Converts an answer value by value and collects the messages that a codec encodes from it. After a failure
-// the output is empty and failure() has the reason; the client then gets an error in place of the answer.
+// Converts an answer value by value and collects the messages that a codec encodes from it. After a
+// failure the output is empty and failure() has the reason; the client then gets an error in place
+// of the answer.
 class AnswerConverter final : public AnswerConsumer {
  public:
-  // `describeColumns`: whether the output includes the column descriptions. `maxBytes` bounds the output.
-  // `maxRows`: 0 for no limit; further rows are dropped and suspended() becomes true.
+  // `describeColumns`: whether the output includes the column descriptions. `maxBytes` bounds the
+  // output. `maxRows`: 0 for no limit; further rows are dropped and suspended() becomes true.
   AnswerConverter(const ClientCodec& codec, ResultFormat format, bool describeColumns, std::size_t maxBytes,
                   std::size_t maxRows = 0)
       : codec_(codec),
--- a/src/translation/parameters.cpp
+++ b/src/translation/parameters.cpp
@@ -22,7 +22,8 @@
   return static_cast<std::int64_t>(v << unused) >> unused;
 }
 
-// Puts negative numbers in parentheses: after a minus sign in the statement, theirs would begin a comment.
+// Puts negative numbers in parentheses: after a minus sign in the statement, theirs would begin a
+// comment.
 std::string numberLiteral(const std::string& digits) {
   return digits[0] == '-' ? "(" + digits + ")" : digits;
 }
@@ -102,8 +103,8 @@
 
 namespace {
 
-// Returns the value without quotes, for the request comment. Only letters, digits and _.:- are allowed, as a
-// value must not end the comment or add another key to it.
+// Returns the value without quotes, for the request comment. Only letters, digits and _.:- are
+// allowed, as a value must not end the comment or add another key to it.
 std::optional<std::string> unquotedValueOf(const Parameter& p, std::string& why) {
   std::optional<std::string> text;
   if (p.value && p.binary && (p.type == kInt2 || p.type == kInt4 || p.type == kInt8))
@@ -118,8 +119,8 @@
   return allowed ? text : std::nullopt;
 }
 
-// Calls `index` for each $n in the request comment that follows a '=' and `text` for the text between them.
-// False when `index` returned false.
+// Calls `index` for each $n in the request comment that follows a '=' and `text` for the text
+// between them. False when `index` returned false.
 template <typename Text, typename Index>
 bool forEachInComment(std::string_view comment, Text text, Index index) {
   std::size_t from = 0;
--- a/src/translation/scanner.cpp
+++ b/src/translation/scanner.cpp
@@ -71,7 +71,8 @@
     const char c = text_[at];
     const char following = at + 1 < text_.size() ? text_[at + 1] : '\0';
     const bool starts = at == from;
-    // A letter before a quote is a string prefix only when no other identifier character precedes it.
+    // A letter before a quote is a string prefix only when no other identifier character precedes
+    // it.
     const bool continuesIdentifier = !starts && isIdentifierChar(at - 1);
     if (isIdentifierStart(c) && !continuesIdentifier) {
       const bool ampersand = (c == 'U' || c == 'u') && following == '&' && at + 2 < text_.size() &&
--- a/src/translation/scanner.hpp
+++ b/src/translation/scanner.hpp
@@ -1,5 +1,6 @@
-// Splits a statement into strings, quoted identifiers, comments, parameters and the text between them; it
-// does no further analysis (PostgreSQL's documentation, chapter "Lexical Structure"). Pure; reads in place.
+// Splits a statement into strings, quoted identifiers, comments, parameters and the text between
+// them; it does no further analysis (PostgreSQL's documentation, chapter "Lexical Structure").
+// Pure; reads in place.
 #pragma once
 
 #include <cstddef>
@@ -24,8 +25,9 @@
   // `backslashes`: backslashes are escapes in '...', as when standard_conforming_strings is off.
   Scanner(std::string_view statement, bool backslashes) : text_(statement), backslashes_(backslashes) {}
 
-  // Returns the next token and sets `piece` to its text. The pieces cover the statement without gaps. An
-  // unterminated string or comment extends to the end of the statement, and complete() is false from then on.
+  // Returns the next token and sets `piece` to its text. The pieces cover the statement without
+  // gaps. An unterminated string or comment extends to the end of the statement, and complete() is
+  // false from then on.
   Token next(std::string_view& piece);
   bool complete() const { return complete_; }
 
--- a/src/translation/terms.hpp
+++ b/src/translation/terms.hpp
@@ -1,5 +1,6 @@
-// Columns, values and errors independent of any protocol version. Each version has a codec that converts
-// between its own wire format and these types, so that no codec depends on another version. Pure.
+// Columns, values and errors independent of any protocol version. Each version has a codec that
+// converts between its own wire format and these types, so that no codec depends on another
+// version. Pure.
 #pragma once
 
 #include <cstddef>
@@ -25,8 +26,8 @@
 
 constexpr std::size_t kMaxColumns = 1600;
 
-// Receives an answer in order: its columns, if it has any, its rows, then its command tag ("SELECT 2").
-// Arguments are valid only during the call. Returning false stops the reader.
+// Receives an answer in order: its columns, if it has any, its rows, then its command tag ("SELECT
+// 2"). Arguments are valid only during the call. Returning false stops the reader.
 class AnswerConsumer {
  public:
   virtual ~AnswerConsumer() = default;
@@ -42,7 +43,8 @@
   std::optional<std::uint32_t> retryAfterMs;            // delay before the same request is sent again
 };
 
-// Reads answers in the wire format of one protocol version. Each answer carries the reader for its format.
+// Reads answers in the wire format of one protocol version. Each answer carries the reader for its
+// format.
 class AnswerReader {
  public:
   virtual ~AnswerReader() = default;
@@ -57,8 +59,8 @@
  public:
   virtual ~ClientCodec() = default;
   virtual std::string columns(const std::vector<Column>&) const = 0;
-  // Appends to `to`, as rows may be long and each copy of one costs time. `binary`: all values are in binary
-  // format.
+  // Appends to `to`, as rows may be long and each copy of one costs time. `binary`: all values are
+  // in binary format.
   virtual void appendRow(std::string& to, const std::vector<Value>&, bool binary) const = 0;
   std::string row(const std::vector<Value>& values, bool binary) const {
     std::string message;
--- a/src/translation/values.cpp
+++ b/src/translation/values.cpp
@@ -105,8 +105,8 @@
     }
     return text;
   }
-  // Copies four bytes for each input byte and advances by the actual length: a branch on the length would be
-  // mispredicted for random bytes.
+  // Copies four bytes for each input byte and advances by the actual length: a branch on the length
+  // would be mispredicted for random bytes.
   const std::size_t length = text.size();
   text.resize(length + 4);
   to = text.data();
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -44,12 +44,12 @@
   port = ntohs(a.sin_port);
   return fd;
 }
-void put(int fd, const std::string& bytes) {
+void sendAll(int fd, const std::string& bytes) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   for (std::size_t at = 0; at < bytes.size();) {
     const ssize_t n = ::send(fd, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
-    if (n <= 0) return;  // the other side has closed: a later step tells
+    if (n <= 0) return;  // the peer has closed; a later step detects it
     at += static_cast<std::size_t>(n);
   }
 }
@@ -58,20 +58,21 @@
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
-std::string number(std::uint32_t v) {
+std::string bigEndian32(std::uint32_t v) {
   const char bytes[] = {static_cast<char>(v >> 24), static_cast<char>(v >> 16), static_cast<char>(v >> 8),
                         static_cast<char>(v)};
   return {bytes, 4};
 }
-// "big" stands for the longest value: 64 KiB.
-std::string value(const std::string& text) { return text == "big" ? std::string(65536, '\x7f') : text; }
-std::string row(const std::string& text) {
+// "big" stands for a value of the maximum size, 64 KiB.
+std::string expandValue(const std::string& text) { return text == "big" ? std::string(65536, '\x7f') : text; }
+std::string rowMessages(const std::string& text) {
   std::string column("\0\1blob\0", 7);
   column.append(18, '\0');
-  const std::string cell = std::string("\0\1", 2) + number(static_cast<std::uint32_t>(text.size())) + text;
+  const std::string cell =
+      std::string("\0\1", 2) + bigEndian32(static_cast<std::uint32_t>(text.size())) + text;
   return postgres::message('T', column) + postgres::message('D', cell);
 }
-std::string parameter(const std::string& name, const std::string& text) {
+std::string parameterStatus(const std::string& name, const std::string& text) {
   return postgres::message('S', name + '\0' + text + '\0');
 }
 
@@ -169,13 +170,13 @@
     : setting_(setting), servers_(static_cast<std::size_t>(setting.servers)) {
   for (Server& s : servers_) s.listener = listenOn(s.port);
   servers_.front().primary = true;
-  for (Server& s : servers_) s.speaks = setting.speaks;
+  for (Server& s : servers_) s.protocolVersion = setting.speaks;
   int listPort = 0;
   listListener_ = listenOn(listPort);
   if (setting.dnssd) {
     base_.reset(event_base_new());
-    names_ = std::make_unique<lab::NameServer>(base_.get(), domain_, "_postgresql._tcp");
-    listPort = names_->port();
+    nameServer_ = std::make_unique<lab::NameServer>(base_.get(), domain_, "_postgresql._tcp");
+    listPort = nameServer_->port();
     for (std::size_t k = 1; k <= servers_.size(); ++k) run("dns publish s" + std::to_string(k));
   }
   char path[] = "/tmp/sablespur-test-XXXXXX";
@@ -192,8 +193,9 @@
   pid_ = spawn(configPath_, setting_.descriptors, err_,
                setting_.ini || setting_.dnssd ? Arguments{"serve", "--config", configPath_} : Arguments{},
                setting_.inherited);
-  at_ = "start";
-  until([&] { return log_.find(" port=", from) != std::string::npos && log_.back() == '\n'; }, "a port");
+  currentStep_ = "start";
+  waitUntil([&] { return log_.find(" port=", from) != std::string::npos && log_.back() == '\n'; },
+            "the listening port");
   port_ = std::atoi(log_.c_str() + log_.find(" port=", from) + 6);
   if (setting_.dnssd) {
     run("proxy expect log event=endpoint_changed name=s-" + std::to_string(servers_.size()));
@@ -221,12 +223,12 @@
     waitpid(pid_, nullptr, 0);
   }
   for (auto& [name, c] : clients_) close(c.fd);
-  for (auto& [name, d] : desks_) close(d.c.fd);
+  for (auto& [name, o] : versionedClients_) close(o.c.fd);
   for (Server& s : servers_) {
     close(s.listener);
-    for (Connection& c : s.all) close(c.fd);
+    for (Connection& c : s.connections) close(c.fd);
   }
-  for (Connection& c : watches_) close(c.fd);
+  for (Connection& c : discoveryCalls_) close(c.fd);
   close(listListener_);
   close(err_);
   unlink(configPath_.c_str());
@@ -263,49 +265,49 @@
 }
 
 void Scenario::step(const std::string& line) {
-  at_ = line;
+  currentStep_ = line;
   std::istringstream words(line);
   std::string who, verb, what, rest;
   words >> who >> verb >> what >> std::ws;
   std::getline(words, rest);
   if (who == "list") return discovery(verb, what, rest);
-  if (who[0] == 'o') return desk(who, verb, rest.empty() ? what : what + " " + rest);
+  if (who[0] == 'o') return versionedClient(who, verb, rest.empty() ? what : what + " " + rest);
   if (who == "dns") return dns(verb, what, rest);
   if (who == "proxy" && what == "log")
-    return until([&] { return log_.find(rest) != std::string::npos; }, "a line of the log");
+    return waitUntil([&] { return log_.find(rest) != std::string::npos; }, "a log line");
   if (who == "proxy") return proxy(verb, what == "exit" ? rest : what);
   if (who[0] == 's')
     return server(servers_.at(static_cast<std::size_t>(std::stoi(who.substr(1)) - 1)), verb, what, rest);
   Connection& c = clients_[who];
   if (what == "welcome")
-    return until(
+    return waitUntil(
         [&] {
           if (c.fd < 0) {
             dial(c);
-            put(c.fd, postgres::startup("api", "ledger"));
+            sendAll(c.fd, postgres::startup("api", "ledger"));
           }
           if (c.ended) client(c, "close", "", "");
           char type = 0;
-          for (std::string body; message(c, type, body);)
+          for (std::string body; takeMessage(c, type, body);)
             if (type == 'Z') return true;
           return false;
         },
-        "a welcome");
+        "a completed login");
   if (verb == "from") {
-    c.from = what;
+    c.sourceAddress = what;
     return;
   }
   if (c.fd < 0) {
     dial(c);
-    c.started = what == "bytes";
+    c.startupSent = what == "bytes";
   }
-  if (what == "header") {  // its line end is added
-    put(c.fd, rest + "\r\n");
+  if (what == "header") {  // the line end is added
+    sendAll(c.fd, rest + "\r\n");
     return;
   }
-  if (!c.started) {
-    c.started = true;
-    put(c.fd, postgres::startup("api", "ledger"));
+  if (!c.startupSent) {
+    c.startupSent = true;
+    sendAll(c.fd, postgres::startup("api", "ledger"));
     if (what != "refused") expectMessage(c, 'Z', "");
     if (what == "in") return;
   }
@@ -314,14 +316,14 @@
 
 void Scenario::dial(Connection& c) {
   c.fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (!c.from.empty()) {
+  if (!c.sourceAddress.empty()) {
     sockaddr_in from{};
     from.sin_family = AF_INET;
-    ASSERT_EQ(inet_pton(AF_INET, c.from.c_str(), &from.sin_addr), 1) << at_;
-    ASSERT_EQ(bind(c.fd, reinterpret_cast<const sockaddr*>(&from), sizeof from), 0) << at_;
+    ASSERT_EQ(inet_pton(AF_INET, c.sourceAddress.c_str(), &from.sin_addr), 1) << currentStep_;
+    ASSERT_EQ(bind(c.fd, reinterpret_cast<const sockaddr*>(&from), sizeof from), 0) << currentStep_;
   }
   const sockaddr_in a = loopback(port_);
-  ASSERT_EQ(connect(c.fd, reinterpret_cast<const sockaddr*>(&a), sizeof a), 0) << at_;
+  ASSERT_EQ(connect(c.fd, reinterpret_cast<const sockaddr*>(&a), sizeof a), 0) << currentStep_;
 }
 
 void Scenario::reload(const std::string& more) {
@@ -352,26 +354,26 @@
                       const std::string& rest) {
   if (verb == "close") {
     close(c.fd);
-    const std::string from = c.from;
+    const std::string sourceAddress = c.sourceAddress;
     c = Connection();
-    c.from = from;
-  } else if (what == "alert") {  // of TLS: fatal, handshake_failure
-    until([&] { return c.in.size() >= 7 || c.ended; }, "an alert");
-    EXPECT_EQ(c.in, std::string("\x15\x03\x01\0\x02\x02\x28", 7)) << at_;
+    c.sourceAddress = sourceAddress;
+  } else if (what == "alert") {  // TLS alert: fatal, handshake_failure
+    waitUntil([&] { return c.received.size() >= 7 || c.ended; }, "an alert");
+    EXPECT_EQ(c.received, std::string("\x15\x03\x01\0\x02\x02\x28", 7)) << currentStep_;
   } else if (what == "refused") {
     expectMessage(c, 'E', std::string("C53300\0", 7));
-    EXPECT_NE(refusal_.find(std::string("\0D", 2)), std::string::npos)
-        << at_ << ": no word on when to come back";
-    until([&] { return c.ended; }, "the end of the connection");
+    EXPECT_NE(lastError_.find(std::string("\0D", 2)), std::string::npos)
+        << currentStep_ << ": no retry delay";
+    waitUntil([&] { return c.ended; }, "the end of the connection");
   } else if (verb == "send" && what == "query") {
-    put(c.fd, postgres::query(rest));
-  } else if (verb == "send" && what == "bytes") {  // in hexadecimal
+    sendAll(c.fd, postgres::query(rest));
+  } else if (verb == "send" && what == "bytes") {
     std::istringstream hex(rest);
-    for (unsigned v; hex >> std::hex >> v;) put(c.fd, std::string(1, static_cast<char>(v)));
+    for (unsigned v; hex >> std::hex >> v;) sendAll(c.fd, std::string(1, static_cast<char>(v)));
   } else if (what == "closed") {
-    until([&] { return c.ended; }, "the end of the connection");
+    waitUntil([&] { return c.ended; }, "the end of the connection");
   } else if (what == "row") {
-    expectMessage(c, 'D', value(rest));
+    expectMessage(c, 'D', expandValue(rest));
     expectMessage(c, 'Z', "");
   } else if (what == "empty") {
     expectMessage(c, 'I', "");
@@ -379,14 +381,14 @@
   } else if (what == "error") {
     expectMessage(c, 'E', "C" + rest);
     if (rest != "08P01" && rest != "0A000" && rest != "53200")
-      expectMessage(c, 'Z', "");  // those end the connection
+      expectMessage(c, 'Z', "");  // the other codes end the connection
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
 }
 
 namespace {
-std::vector<std::string> parts(const std::string& text) {
+std::vector<std::string> splitFields(const std::string& text) {
   std::vector<std::string> all;
   for (std::size_t at = 0;;) {
     const std::size_t bar = text.find(" | ", at);
@@ -403,13 +405,13 @@
 }
 }  // namespace
 
-void Scenario::desk(const std::string& name, const std::string& verb, const std::string& rest) {
-  Desk& d = desks_[name];
+void Scenario::versionedClient(const std::string& name, const std::string& verb, const std::string& rest) {
+  VersionedClient& o = versionedClients_[name];
   std::istringstream words(rest);
   std::string first;
   words >> first;
   if (verb == "from") {
-    d.c.from = first;
+    o.c.sourceAddress = first;
     return;
   }
   if (verb == "speaks") {
@@ -425,15 +427,15 @@
       else
         who.settings.emplace_back(key, text);
     }
-    d.speaker = std::make_unique<lab::Speaker>(*lab::versionOf(first), who);
-    dial(d.c);
-    put(d.c.fd, d.speaker->hello());
+    o.speaker = std::make_unique<lab::Speaker>(*lab::versionOf(first), who);
+    dial(o.c);
+    sendAll(o.c.fd, o.speaker->hello());
     return;
   }
-  if (verb == "asks") return put(d.c.fd, d.speaker->query(rest));
-  if (verb == "sends") return put(d.c.fd, unhex(rest));
+  if (verb == "asks") return sendAll(o.c.fd, o.speaker->query(rest));
+  if (verb == "sends") return sendAll(o.c.fd, unhex(rest));
   if (verb == "runs" || verb == "binary") {
-    const std::vector<std::string> all = parts(rest);
+    const std::vector<std::string> all = splitFields(rest);
     std::vector<lab::Bound> bound;
     for (std::size_t k = 1; k < all.size(); ++k) {
       const std::size_t colon = all[k].find(':');
@@ -445,103 +447,104 @@
         bound.push_back(
             {unhex(all[k].substr(colon + 1)), static_cast<std::uint32_t>(std::stoul(all[k])), true});
     }
-    return put(d.c.fd, d.speaker->extended(all[0], bound, verb == "binary"));
+    return sendAll(o.c.fd, o.speaker->extended(all[0], bound, verb == "binary"));
   }
   if (verb == "cancels") {
     Connection c;
     dial(c);
-    std::string secret = d.speaker->secret();
+    std::string secret = o.speaker->secret();
     if (first == "wrong") secret.back() = static_cast<char>(secret.back() ^ 1);
     if (first == "long") secret += std::string(4, '\0');
     if (first == "short") secret.resize(4);
-    put(c.fd, postgres::cancel({d.speaker->process(), secret}));
-    until(
+    sendAll(c.fd, postgres::cancel({o.speaker->process(), secret}));
+    waitUntil(
         [&] {
           char byte;
           return recv(c.fd, &byte, 1, MSG_DONTWAIT) == 0;
         },
-        "the end of the cancel's connection");
+        "the end of the CancelRequest's connection");
     close(c.fd);
     return;
   }
-  ASSERT_EQ(verb, "gets") << at_;
+  ASSERT_EQ(verb, "gets") << currentStep_;
   const std::string what = first, text = rest.size() > first.size() ? rest.substr(first.size() + 1) : "";
-  if (what == "closed") return until([&] { return d.c.ended; }, "the end of the connection");
-  const lab::Reply r = reply(d);
+  if (what == "closed") return waitUntil([&] { return o.c.ended; }, "the end of the connection");
+  const lab::Reply r = reply(o);
   if (what == "in") {
-    EXPECT_EQ(r.error, "") << at_;
+    EXPECT_EQ(r.error, "") << currentStep_;
   } else if (what == "row") {
-    ASSERT_EQ(r.rows.size(), 1u) << at_ << ": " << r.code << " " << r.error;
+    ASSERT_EQ(r.rows.size(), 1u) << currentStep_ << ": " << r.code << " " << r.error;
     std::string got;
     for (const auto& v : r.rows[0]) got += (got.empty() ? "" : " | ") + v.value_or("NULL");
-    EXPECT_EQ(got, value(text)) << at_;
+    EXPECT_EQ(got, expandValue(text)) << currentStep_;
   } else if (what == "tag") {
-    EXPECT_EQ(r.tag, text) << at_ << ": " << r.code << " " << r.error;
+    EXPECT_EQ(r.tag, text) << currentStep_ << ": " << r.code << " " << r.error;
   } else if (what == "error") {
     EXPECT_NE((r.code + " " + r.error).find(text), std::string::npos)
-        << at_ << ": " << r.code << " " << r.error;
-    EXPECT_FALSE(r.error.empty()) << at_;
-    EXPECT_TRUE(r.rows.empty()) << at_;
+        << currentStep_ << ": " << r.code << " " << r.error;
+    EXPECT_FALSE(r.error.empty()) << currentStep_;
+    EXPECT_TRUE(r.rows.empty()) << currentStep_;
   } else if (what == "seen") {
-    EXPECT_EQ(r.seen, text) << at_ << ": " << r.code << " " << r.error;
+    EXPECT_EQ(r.seen, text) << currentStep_ << ": " << r.code << " " << r.error;
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
 }
 
-// The next reply, whole; of a connection that ends, what has come.
-lab::Reply Scenario::reply(Desk& d) {
-  until(
+// Waits for the next complete reply, or for the end of the connection.
+lab::Reply Scenario::reply(VersionedClient& o) {
+  waitUntil(
       [&] {
         std::string send;
-        const auto got = d.speaker->take(d.c.in, send);
-        if (!send.empty()) put(d.c.fd, send);
-        EXPECT_NE(got, lab::Speaker::Got::Broken) << at_ << ": " << d.speaker->why();
-        return got != lab::Speaker::Got::More || d.c.ended;
+        const auto got = o.speaker->take(o.c.received, send);
+        if (!send.empty()) sendAll(o.c.fd, send);
+        EXPECT_NE(got, lab::Speaker::Got::Broken) << currentStep_ << ": " << o.speaker->why();
+        return got != lab::Speaker::Got::More || o.c.ended;
       },
       "a reply");
-  return d.speaker->takeReply();
+  return o.speaker->takeReply();
 }
 
 void Scenario::server(Server& s, const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "expect" && what == "minor") {
-    EXPECT_EQ(s.minor, std::stoi(rest)) << at_;
+    EXPECT_EQ(s.requestedMinor, std::stoi(rest)) << currentStep_;
     return;
   }
   if (verb == "holds" || verb == "frees") {
     s.holdsCancels = verb == "holds";
-    for (Connection& c : s.all)
-      if (c.held && !s.holdsCancels) shutdown(c.fd, SHUT_RDWR);
+    for (Connection& c : s.connections)
+      if (c.holdsCancel && !s.holdsCancels) shutdown(c.fd, SHUT_RDWR);
     return;
   }
   if (verb == "expect" && (what == "query" || what == "another" || what == "kept")) {
     Connection* found = nullptr;
     std::string statement;
-    until(
+    waitUntil(
         [&] {
-          for (Connection& c : s.all) {
+          for (Connection& c : s.connections) {
             char type = 0;
-            if (!found && c.greeted && !c.busy && message(c, type, statement)) found = &c;
+            if (!found && c.loggedIn && !c.busy && takeMessage(c, type, statement)) found = &c;
           }
           return found != nullptr;
         },
         "a query");
     if (!found) return;
-    EXPECT_NE(statement.find(rest), std::string::npos) << at_ << ": got " << statement;
+    EXPECT_NE(statement.find(rest), std::string::npos) << currentStep_ << ": got " << statement;
     if (what != "query") {
-      ASSERT_NE(s.current, nullptr) << at_;
-      EXPECT_TRUE(what == "kept" ? s.lost == 0 && !s.current->ended : found != s.current) << at_;
+      ASSERT_NE(s.current, nullptr) << currentStep_;
+      EXPECT_TRUE(what == "kept" ? s.lostConnections == 0 && !s.current->ended : found != s.current)
+          << currentStep_;
     }
     s.current = found;
-    found->busy = found->used = true;
+    found->busy = found->hadQuery = true;
     return;
   }
   if (verb == "drop") {
-    s.dropProbes = std::stoi(rest);
+    s.healthChecksToDrop = std::stoi(rest);
     return;
   }
   if (verb == "serves") {
-    s.serves = rest.empty() ? what : what + " " + rest;
+    s.fixedAnswer = rest.empty() ? what : what + " " + rest;
     return;
   }
   if (verb == "becomes") {
@@ -551,90 +554,92 @@
     return;
   }
   if (verb == "stands") {
-    s.standsAt = what == "up" ? 0 : unixMs() - std::stoll(what);
+    s.dataTimeMs = what == "up" ? 0 : unixMs() - std::stoll(what);
     return;
   }
   if (verb == "tells") {
-    s.tells = what;
+    s.reportedState = what;
     return;
   }
   if (verb == "expect" && what == "served") {
-    EXPECT_EQ(std::exchange(s.queries, 0), std::stoul(rest)) << at_;
+    EXPECT_EQ(std::exchange(s.queriesServed, 0), std::stoul(rest)) << currentStep_;
     return;
   }
   if (verb == "says") {
-    s.says += what + "\n";
+    s.parameters += what + "\n";
     return;
   }
   if (verb == "speaks" || verb == "asks") {
-    (verb == "speaks" ? s.speaks : s.asks) = what;
+    (verb == "speaks" ? s.protocolVersion : s.authMethod) = what;
     return;
   }
   if (verb == "expect" && what == "cancel") {
-    ASSERT_NE(s.current, nullptr) << at_;
-    return until([&] { return std::count(s.cancels.begin(), s.cancels.end(), s.current->number) > 0; },
-                 "a CancelRequest");
+    ASSERT_NE(s.current, nullptr) << currentStep_;
+    return waitUntil(
+        [&] { return std::count(s.cancelledIds.begin(), s.cancelledIds.end(), s.current->processId) > 0; },
+        "a CancelRequest");
   }
   if (verb == "report") {
-    s.report = what;
+    s.loadReport = what;
     return;
   }
-  if (verb == "wait" && what == "speak") {  // it is back: what waits is greeted now
+  if (verb == "wait" && what == "speak") {  // connections waiting since "silent" are served now
     s.silent = false;
     return;
   }
-  if (verb == "wait" && what == "silent") {  // cut off: its connections stay open and say nothing more
+  if (verb == "wait" && what == "silent") {  // partitioned: its connections stay open without responses
     s.silent = true;
     return;
   }
-  if (verb == "wait" && what == "queries") {  // for so many to have come and wait for an answer
+  if (verb == "wait" && what == "queries") {  // for unread queries
     const auto n = std::stoul(rest);
-    return until(
+    return waitUntil(
         [&] {
-          std::size_t out = 0;
-          for (const Connection& c : s.all) out += c.greeted && !c.busy && !c.in.empty();
-          return out >= n;
+          std::size_t waiting = 0;
+          for (const Connection& c : s.connections) waiting += c.loggedIn && !c.busy && !c.received.empty();
+          return waiting >= n;
         },
         "queries");
   }
-  if (verb == "wait") {  // for so many connections that are up and idle
+  if (verb == "wait") {  // for idle connections
     const auto n = std::stoul(rest);
-    return until(
+    return waitUntil(
         [&] {
           std::size_t idle = 0;
-          for (const Connection& c : s.all) idle += c.greeted && !c.busy && !c.ended;
+          for (const Connection& c : s.connections) idle += c.loggedIn && !c.busy && !c.ended;
           return idle >= n;
         },
         "idle connections");
   }
-  if (what == "all") {  // its process dies
+  if (what == "all") {  // its process ends
     close(s.listener);
     s.listener = -1;
     const linger hard{1, 0};
-    for (Connection& c : s.all) {
+    for (Connection& c : s.connections) {
       setsockopt(c.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
       close(c.fd);
     }
-    return s.all.clear();
+    return s.connections.clear();
   }
-  if (what == "idle") {  // closes what stands idle
-    for (Connection& c : s.all) {
+  if (what == "idle") {
+    for (Connection& c : s.connections) {
       if (c.busy) continue;
       shutdown(c.fd, SHUT_RDWR);
       c.ended = true;
     }
     return;
   }
-  if (what == "drained") return until([&] { return s.all.empty(); }, "the end of all connections");
+  if (what == "drained")
+    return waitUntil([&] { return s.connections.empty(); }, "the end of all connections");
   Connection* const c = s.current;
-  ASSERT_NE(c, nullptr) << at_;
-  const std::string role = note(s);
-  if (what == "closed") return until([&] { return c->ended; }, "the end of the connection");
+  ASSERT_NE(c, nullptr) << currentStep_;
+  const std::string role = stateParameters(s);
+  if (what == "closed") return waitUntil([&] { return c->ended; }, "the end of the connection");
   if (verb == "close") {
     shutdown(c->fd, SHUT_RDWR);
   } else if (what == "row") {
-    put(c->fd, row(value(rest)) + postgres::message('C', std::string("SELECT 1\0", 9)) + role +
-                   postgres::readyForQuery());
+    sendAll(c->fd, rowMessages(expandValue(rest)) + postgres::message('C', std::string("SELECT 1\0", 9)) +
+                       role + postgres::readyForQuery());
   } else if (what == "cells") {
     std::vector<translation::Column> columns;
     std::vector<std::string> texts;
@@ -648,29 +653,30 @@
     for (const std::string& t : texts)
       values.push_back(t == "NULL" ? translation::Value() : translation::Value(t));
     const postgres::Codec codec(2);
-    put(c->fd, codec.columns(columns) + codec.row(values, false) + codec.commandComplete("SELECT 1") + role +
-                   postgres::readyForQuery());
+    sendAll(c->fd, codec.columns(columns) + codec.row(values, false) + codec.commandComplete("SELECT 1") +
+                       role + postgres::readyForQuery());
   } else if (what == "done") {
-    put(c->fd, postgres::Codec(2).commandComplete(rest) + role + postgres::readyForQuery());
-  } else if (what == "problem") {  // as a server of today puts it
+    sendAll(c->fd, postgres::Codec(2).commandComplete(rest) + role + postgres::readyForQuery());
+  } else if (what == "problem") {  // with fields that protocol 3.0 clients do not know
     translation::ErrorReport p;
     std::istringstream(rest) >> p.code >> p.text;
     p.table = "rows";
     p.hint = "look there";
-    put(c->fd, postgres::Codec(2).errorResponse(p) + role + postgres::readyForQuery());
+    sendAll(c->fd, postgres::Codec(2).errorResponse(p) + role + postgres::readyForQuery());
   } else if (what == "part") {
-    const std::string whole = row(value(rest));
-    put(c->fd, whole.substr(0, whole.size() - 2));
+    const std::string whole = rowMessages(expandValue(rest));
+    sendAll(c->fd, whole.substr(0, whole.size() - 2));
   } else if (what == "spoilt") {
-    const std::string good = row("other"), done = postgres::message('C', std::string("SELECT 1\0", 9)),
+    const std::string good = rowMessages("other"),
+                      done = postgres::message('C', std::string("SELECT 1\0", 9)),
                       end = done + role + postgres::readyForQuery();
     const std::string description = good.substr(0, good.size() - 16), cell = good.substr(good.size() - 16);
     const std::map<std::string, std::string> kinds{
         {"noise", "\x80\x01 no message"},
-        {"huge", description + "D" + number(0xc0000000u) + "\1"},
+        {"huge", description + "D" + bigEndian32(0xc0000000u) + "\1"},
         {"column", description + postgres::message('D', std::string("\0\1\0\0\1\0other", 11)) + end},
         {"columns", description + postgres::message('D', std::string("\0\2\0\0\0\5other", 11)) + end},
-        {"endless", description + "D" + number(15) + std::string("\0\1\0\0\0\5ot", 8)},
+        {"endless", description + "D" + bigEndian32(15) + std::string("\0\1\0\0\0\5ot", 8)},
         {"rows", good + cell + end},
         {"order", description + done + cell + role + postgres::readyForQuery()},
         {"none", description + end},
@@ -678,66 +684,68 @@
          good + postgres::message('C', std::string("SELECT 2\0", 9)) + role + postgres::readyForQuery()},
         {"twice", good + end + good + end},
         {"behind", good + end + description + "D"}};
-    put(c->fd, kinds.at(rest));
+    sendAll(c->fd, kinds.at(rest));
   } else if (what == "error") {
-    put(c->fd, postgres::error("ERROR", rest.c_str(), "scripted") + role + postgres::readyForQuery());
+    sendAll(c->fd, postgres::error("ERROR", rest.c_str(), "scripted") + role + postgres::readyForQuery());
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
   if (what != "part" && what != "spoilt") c->busy = false;
 }
 
 void Scenario::expectCalls(std::size_t count) {
-  const auto come = [&] {
-    return watches_.size() >= count &&
-           std::next(watches_.begin(), static_cast<std::ptrdiff_t>(count) - 1)->in.find("\r\n\r\n") !=
-               std::string::npos;
+  const auto arrived = [&] {
+    return discoveryCalls_.size() >= count &&
+           std::next(discoveryCalls_.begin(), static_cast<std::ptrdiff_t>(count) - 1)
+                   ->received.find("\r\n\r\n") != std::string::npos;
   };
-  until(come, "so many calls");
+  waitUntil(arrived, "discovery calls");
 }
 
-void Scenario::dripNext() {
+void Scenario::sendNextSlowByte() {
   constexpr auto kBetweenBytes = std::chrono::milliseconds(25);
   const auto now = std::chrono::steady_clock::now();
-  if (!drip_.to || drip_.left.empty() || drip_.to->ended || now < drip_.next) return;
-  put(drip_.to->fd, "1\r\n" + drip_.left.substr(0, 1) + "\r\n");
-  drip_.left.erase(0, 1);
-  drip_.next = now + kBetweenBytes;
+  if (!slowList_.call || slowList_.remaining.empty() || slowList_.call->ended || now < slowList_.nextByteAt)
+    return;
+  sendAll(slowList_.call->fd, "1\r\n" + slowList_.remaining.substr(0, 1) + "\r\n");
+  slowList_.remaining.erase(0, 1);
+  slowList_.nextByteAt = now + kBetweenBytes;
 }
 
 void Scenario::discovery(const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "choose") {
-    chosen_ = &*std::next(watches_.begin(), std::stoi(what) - 1);
+    chosenCall_ = &*std::next(discoveryCalls_.begin(), std::stoi(what) - 1);
     return;
   }
   if (what == "calls") return expectCalls(std::stoul(rest));
   if (what == "kept") {
-    EXPECT_FALSE(chosenCall().ended) << at_;
+    EXPECT_FALSE(chosenCall().ended) << currentStep_;
     return;
   }
   if (verb == "expect") {
     std::string request;
-    until(
+    waitUntil(
         [&] {
-          const bool come = !watches_.empty() && watches_.back().fresh &&
-                            watches_.back().in.find("\r\n\r\n") != std::string::npos;
-          if (come) request = watches_.back().in;
-          return come;
+          const bool arrived = !discoveryCalls_.empty() && discoveryCalls_.back().requestUnread &&
+                               discoveryCalls_.back().received.find("\r\n\r\n") != std::string::npos;
+          if (arrived) request = discoveryCalls_.back().received;
+          return arrived;
         },
-        "a watch");
+        "a discovery call");
     if (request.empty()) return;
     EXPECT_EQ(request.rfind("GET /registry/instances?watch=1&", 0), 0u) << request;
-    EXPECT_NE(request.find(rest), std::string::npos) << at_ << ": got " << request;
-    watches_.back().fresh = false;
-    if (what == "watch") put(watches_.back().fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    EXPECT_NE(request.find(rest), std::string::npos) << currentStep_ << ": got " << request;
+    discoveryCalls_.back().requestUnread = false;
+    if (what == "watch")
+      sendAll(discoveryCalls_.back().fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     return;
   }
-  ASSERT_FALSE(watches_.empty()) << at_;
+  ASSERT_FALSE(discoveryCalls_.empty()) << currentStep_;
   const int fd = chosenCall().fd;
   const auto chunk = [&](const std::string& text) {
     std::ostringstream head;
     head << std::hex << text.size() << "\r\n" << text << "\r\n";
-    put(fd, head.str());
+    sendAll(fd, head.str());
   };
   if (verb == "close") {
     shutdown(fd, SHUT_RDWR);
@@ -751,48 +759,48 @@
       text += c == ',' || c == '{' || c == '[' ? std::string(1, c) + "\n  " : std::string(1, c);
     chunk(text + "\n");
   } else if (verb == "trickles") {
-    trickling_ = &chosenCall();
+    tricklingCall_ = &chosenCall();
   } else if (verb == "answers") {
-    put(fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    sendAll(fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   } else if (verb == "drips") {
-    drip_ = {&chosenCall(), what + (rest.empty() ? "" : " " + rest) + "\n", {}};
-  } else if (what == "bits") {  // the same in chunks of one byte each
+    slowList_ = {&chosenCall(), what + (rest.empty() ? "" : " " + rest) + "\n", {}};
+  } else if (what == "bits") {  // in chunks of one byte
     for (const char byte : rest + "\n") chunk(std::string(1, byte));
   } else if (what == "status") {
-    put(fd, "HTTP/1.1 " + rest + "\r\nContent-Length: 0\r\n\r\n");
+    sendAll(fd, "HTTP/1.1 " + rest + "\r\nContent-Length: 0\r\n\r\n");
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
 }
 
 void Scenario::dns(const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "mood") {
     lab::NameServer::Mood mood{};
-    ASSERT_TRUE(lab::NameServer::moodOf(what, mood)) << at_;
-    return names_->mood(mood);
+    ASSERT_TRUE(lab::NameServer::moodOf(what, mood)) << currentStep_;
+    return nameServer_->mood(mood);
   }
-  if (verb == "move") {  // another domain, at the same name server's port
-    const int port = names_->port();
-    names_.reset();
+  if (verb == "move") {  // another domain, served at the same port
+    const int port = nameServer_->port();
+    nameServer_.reset();
     domain_ = what;
-    names_ = std::make_unique<lab::NameServer>(base_.get(), domain_, "_postgresql._tcp", port);
+    nameServer_ = std::make_unique<lab::NameServer>(base_.get(), domain_, "_postgresql._tcp", port);
     configure(port);
     kill(pid_, SIGHUP);
     return;
   }
   const std::string label = "s-" + what.substr(1);
-  if (verb == "withdraw") return names_->withdraw(label);
-  ASSERT_EQ(verb, "publish") << at_;
+  if (verb == "withdraw") return nameServer_->withdraw(label);
+  ASSERT_EQ(verb, "publish") << currentStep_;
   lab::ServiceInstance i;
   i.label = label;
   i.addresses = {"127.0.0.1"};
   i.port = static_cast<std::uint16_t>(servers_.at(std::stoul(what.substr(1)) - 1).port);
   std::istringstream words(rest);
   for (std::string word; words >> word;) i.txt.push_back(word);
-  names_->publish(i);
+  nameServer_->publish(i);
 }
 
-void Scenario::serveUntil(const std::function<bool()>& done) { until(done, "the end of a client"); }
+void Scenario::serveUntil(const std::function<bool()>& done) { waitUntil(done, "the end of a client"); }
 
 void Scenario::proxy(const std::string& verb, const std::string& rest) {
   if (verb == "send") {
@@ -816,7 +824,7 @@
     kill(pid_, SIGHUP);
     return;
   }
-  if (verb == "crash") {  // at any moment, and it is started anew on what it left behind
+  if (verb == "crash") {  // restarted on the files that it left
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
     close(err_);
@@ -835,36 +843,38 @@
     };
     const long before = cpu();
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(400);
-    while (std::chrono::steady_clock::now() < end) pump();
-    EXPECT_LT(cpu() - before, 200) << "step '" << at_ << "': ms of CPU in 400 ms";
+    while (std::chrono::steady_clock::now() < end) processEvents();
+    EXPECT_LT(cpu() - before, 200) << "step '" << currentStep_ << "': ms of CPU in 400 ms";
     return;
   }
-  until([&] { return exited_ = exited_ || waitpid(pid_, &status_, WNOHANG) == pid_; }, "its exit");
-  EXPECT_TRUE(WIFEXITED(status_)) << at_;
-  EXPECT_EQ(WEXITSTATUS(status_), std::stoi(rest)) << at_;
+  waitUntil([&] { return exited_ = exited_ || waitpid(pid_, &status_, WNOHANG) == pid_; },
+            "the proxy's exit");
+  EXPECT_TRUE(WIFEXITED(status_)) << currentStep_;
+  EXPECT_EQ(WEXITSTATUS(status_), std::stoi(rest)) << currentStep_;
 }
 
 template <typename Done>
-void Scenario::until(Done done, const std::string& what) {
+void Scenario::waitUntil(Done done, const std::string& what) {
   const auto end = std::chrono::steady_clock::now() + kWatchdog;
   while (!done()) {
-    ASSERT_LT(std::chrono::steady_clock::now(), end) << "step '" << at_ << "': " << what << " never came";
-    pump();
+    ASSERT_LT(std::chrono::steady_clock::now(), end)
+        << "step '" << currentStep_ << "': timed out waiting for " << what;
+    processEvents();
   }
 }
 
-// Reads what has come, greets and reports for the data servers.
-void Scenario::pump() {
+// Reads from all connections, accepts new ones and responds for the data servers.
+void Scenario::processEvents() {
   std::vector<pollfd> fds{{err_, POLLIN, 0}, {listListener_, POLLIN, 0}};
   const auto watch = [&](Connection& c) {
     if (c.fd >= 0 && !c.ended) fds.push_back({c.fd, POLLIN, 0});
   };
   for (auto& [name, c] : clients_) watch(c);
-  for (auto& [name, d] : desks_) watch(d.c);
-  for (Connection& c : watches_) watch(c);
+  for (auto& [name, o] : versionedClients_) watch(o.c);
+  for (Connection& c : discoveryCalls_) watch(c);
   for (Server& s : servers_) {
     if (s.listener >= 0) fds.push_back({s.listener, POLLIN, 0});
-    for (Connection& c : s.all) watch(c);
+    for (Connection& c : s.connections) watch(c);
   }
   if (base_) event_base_loop(base_.get(), EVLOOP_NONBLOCK);
   poll(fds.data(), fds.size(), base_ ? 5 : 20);
@@ -878,201 +888,208 @@
     const ssize_t n = ::read(err_, text, sizeof text);
     if (n > 0) log_.append(text, static_cast<std::size_t>(n));
   }
-  const auto accepted = [&](int listener, std::list<Connection>& to) {
+  const auto acceptFrom = [&](int listener, std::list<Connection>& to) {
     if (listener < 0 || !ready(listener)) return;
     to.emplace_back();
     to.back().fd = accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
   };
   for (auto& [name, c] : clients_)
     if (ready(c.fd)) read(c);
-  for (auto& [name, d] : desks_)
-    if (ready(d.c.fd)) read(d.c);
-  for (Connection& c : watches_)
+  for (auto& [name, o] : versionedClients_)
+    if (ready(o.c.fd)) read(o.c);
+  for (Connection& c : discoveryCalls_)
     if (ready(c.fd)) read(c);
-  dripNext();
-  if (trickling_ && !trickling_->ended) put(trickling_->fd, "1\r\n \r\n");
-  accepted(listListener_, watches_);
+  sendNextSlowByte();
+  if (tricklingCall_ && !tricklingCall_->ended) sendAll(tricklingCall_->fd, "1\r\n \r\n");
+  acceptFrom(listListener_, discoveryCalls_);
   for (Server& s : servers_) {
-    for (Connection& c : s.all) {
+    for (Connection& c : s.connections) {
       if (ready(c.fd)) read(c);
-      greet(s, c);
-      if (!s.serves.empty()) serve(s, c);
+      handleStartupOrHealthCheck(s, c);
+      if (!s.fixedAnswer.empty()) answerQueries(s, c);
     }
-    s.all.remove_if([&](Connection& c) {
-      const bool gone = c.ended && !c.busy && &c != s.current;
-      if (gone) close(c.fd);
-      s.lost += gone && c.used;
-      return gone;
+    s.connections.remove_if([&](Connection& c) {
+      const bool finished = c.ended && !c.busy && &c != s.current;
+      if (finished) close(c.fd);
+      s.lostConnections += finished && c.hadQuery;
+      return finished;
     });
-    accepted(s.listener, s.all);
+    acceptFrom(s.listener, s.connections);
   }
 }
 
 void Scenario::read(Connection& c) {
   char text[65536];
   const ssize_t n = ::recv(c.fd, text, sizeof text, MSG_DONTWAIT);
-  if (n > 0) c.in.append(text, static_cast<std::size_t>(n));
+  if (n > 0) c.received.append(text, static_cast<std::size_t>(n));
   c.ended = n == 0 || (n < 0 && errno != EAGAIN);
 }
 
-void Scenario::greet(Server& s, Connection& c) {
+void Scenario::handleStartupOrHealthCheck(Server& s, Connection& c) {
   if (s.silent) return;
-  if (!c.method.empty() && login(s, c)) let(s, c, "");
-  if (!c.greeted && c.method.empty() && c.in.size() >= 8 &&
-      postgres::readInt32(c.in.data() + 4) == postgres::kCancelRequest) {
-    if (const auto key = postgres::parseCancel(c.in)) s.cancels.push_back(key->process);
-    c.in.clear();
-    c.held = s.holdsCancels;
-    if (!c.held) shutdown(c.fd, SHUT_RDWR);
+  if (!c.authMethod.empty() && continueLogin(s, c)) completeLogin(s, c, "");
+  if (!c.loggedIn && c.authMethod.empty() && c.received.size() >= 8 &&
+      postgres::readInt32(c.received.data() + 4) == postgres::kCancelRequest) {
+    if (const auto key = postgres::parseCancel(c.received)) s.cancelledIds.push_back(key->process);
+    c.received.clear();
+    c.holdsCancel = s.holdsCancels;
+    if (!c.holdsCancel) shutdown(c.fd, SHUT_RDWR);
     return;
   }
-  if (!c.greeted && c.method.empty() && c.in.size() >= 4 && c.in.size() >= postgres::readInt32(c.in.data())) {
-    const auto hello =
-        postgres::parseStartup(std::string_view(c.in).substr(0, postgres::readInt32(c.in.data())));
-    c.in.erase(0, postgres::readInt32(c.in.data()));
-    if (hello) s.minor = hello->minor;
-    if (hello && hello->minor > 0 && s.speaks == "fatal") {
-      put(c.fd,
-          postgres::error("FATAL", "0A000", "unsupported frontend protocol 3.2: server supports 1.0 to 3.0"));
+  if (!c.loggedIn && c.authMethod.empty() && c.received.size() >= 4 &&
+      c.received.size() >= postgres::readInt32(c.received.data())) {
+    const auto startup = postgres::parseStartup(
+        std::string_view(c.received).substr(0, postgres::readInt32(c.received.data())));
+    c.received.erase(0, postgres::readInt32(c.received.data()));
+    if (startup) s.requestedMinor = startup->minor;
+    if (startup && startup->minor > 0 && s.protocolVersion == "fatal") {
+      sendAll(c.fd, postgres::error("FATAL", "0A000",
+                                    "unsupported frontend protocol 3.2: server supports 1.0 to 3.0"));
       shutdown(c.fd, SHUT_WR);
       return;
     }
-    c.greeted = true;
-    std::string says;
-    std::istringstream lines(s.says);
+    c.loggedIn = true;
+    std::string parameters;
+    std::istringstream lines(s.parameters);
     for (std::string line; std::getline(lines, line);)
-      says += parameter(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
-    const int minor = hello && s.speaks == "3.2" ? hello->minor : 0;
-    if (hello && hello->minor > minor) says += postgres::negotiate(minor, {});
-    c.number = ++numbers_;
-    if (s.asks.empty() || s.asks == "trust") return let(s, c, says);
-    c.greeted = false;
-    c.method = s.asks;
-    if (c.method == "cleartext") put(c.fd, postgres::authentication(postgres::kAuthCleartext));
-    if (c.method == "md5") put(c.fd, postgres::authentication(postgres::kAuthMd5, "salt"));
-    if (c.method == "kerberos") put(c.fd, postgres::authentication(7));
-    if ((c.method != "cleartext" && c.method != "md5" && c.method != "kerberos")) {
+      parameters += parameterStatus(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
+    const int minor = startup && s.protocolVersion == "3.2" ? startup->minor : 0;
+    if (startup && startup->minor > minor) parameters += postgres::negotiate(minor, {});
+    c.processId = ++lastProcessId_;
+    if (s.authMethod.empty() || s.authMethod == "trust") return completeLogin(s, c, parameters);
+    c.loggedIn = false;
+    c.authMethod = s.authMethod;
+    if (c.authMethod == "cleartext") sendAll(c.fd, postgres::authentication(postgres::kAuthCleartext));
+    if (c.authMethod == "md5") sendAll(c.fd, postgres::authentication(postgres::kAuthMd5, "salt"));
+    if (c.authMethod == "kerberos") sendAll(c.fd, postgres::authentication(7));
+    if ((c.authMethod != "cleartext" && c.authMethod != "md5" && c.authMethod != "kerberos")) {
       c.scram = std::make_unique<auth::ScramServer>(auth::makeVerifier("inner", "0123456789abcdef", 4096),
                                                     "servernonce");
-      put(c.fd, postgres::authentication(postgres::kAuthSasl,
-                                         std::string("SCRAM-SHA-256-PLUS\0SCRAM-SHA-256\0\0", 34)));
+      sendAll(c.fd, postgres::authentication(postgres::kAuthSasl,
+                                             std::string("SCRAM-SHA-256-PLUS\0SCRAM-SHA-256\0\0", 34)));
     }
     return;
   }
   const std::string show = postgres::query("SHOW load");
-  if (!c.greeted || c.in.compare(0, show.size(), show) != 0) return;
-  c.in.erase(0, show.size());
-  if (s.dropProbes > 0) {
-    --s.dropProbes;
+  if (!c.loggedIn || c.received.compare(0, show.size(), show) != 0) return;
+  c.received.erase(0, show.size());
+  if (s.healthChecksToDrop > 0) {
+    --s.healthChecksToDrop;
     shutdown(c.fd, SHUT_RDWR);
     return;
   }
-  if (!s.report.empty()) {
-    put(c.fd, row(s.report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
+  if (!s.loadReport.empty()) {
+    sendAll(c.fd, rowMessages(s.loadReport) + postgres::message('C', std::string("SHOW\0", 5)) +
+                      postgres::readyForQuery());
     return;
   }
   std::ostringstream report;
-  const long long ms = s.primary || s.standsAt == 0 ? unixMs() : s.standsAt;
+  const long long ms = s.primary || s.dataTimeMs == 0 ? unixMs() : s.dataTimeMs;
   report << "x0=" << ms / 1000 << "." << ms % 1000 / 100 << ",x1=" << (s.primary ? 1 : 0) << ",inflight=0";
-  put(c.fd, row(report.str()) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
+  sendAll(c.fd, rowMessages(report.str()) + postgres::message('C', std::string("SHOW\0", 5)) +
+                    postgres::readyForQuery());
 }
 
-// A server's side of a login, and its ways of cheating. True: it is let in.
-bool Scenario::login(Server&, Connection& c) {
+// Handles the client's next login message; the SCRAM faults of "s2 asks" are made here. True when
+// the login has succeeded.
+bool Scenario::continueLogin(Server&, Connection& c) {
   char type = 0;
   std::string body;
-  if (!message(c, type, body)) return false;
+  if (!takeMessage(c, type, body)) return false;
   EXPECT_EQ(type, 'p');
-  const auto out = [&] {
-    put(c.fd, postgres::error("FATAL", "28P01", "password authentication failed"));
+  const auto rejectLogin = [&] {
+    sendAll(c.fd, postgres::error("FATAL", "28P01", "password authentication failed"));
     shutdown(c.fd, SHUT_RDWR);
-    c.method.clear();
+    c.authMethod.clear();
     return false;
   };
-  const auto in = [&] {
-    c.method.clear();
+  const auto acceptLogin = [&] {
+    c.authMethod.clear();
     return true;
   };
-  if (c.method == "cleartext") return body == std::string("inner\0", 6) ? in() : out();
-  if (c.method == "md5")
-    return body == auth::md5Answer(auth::md5Stored("api", "inner"), "salt") + '\0' ? in() : out();
+  if (c.authMethod == "cleartext") return body == std::string("inner\0", 6) ? acceptLogin() : rejectLogin();
+  if (c.authMethod == "md5")
+    return body == auth::md5Answer(auth::md5Stored("api", "inner"), "salt") + '\0' ? acceptLogin()
+                                                                                   : rejectLogin();
   std::string why;
   if (const auto initial = postgres::parseSaslInitial(body)) {
     std::string first = c.scram->first(*initial, why).value_or("");
-    if (c.method == "nonce") first[2] = first[2] == 'x' ? 'y' : 'x';
-    if (c.method == "iterations") first = first.substr(0, first.rfind('=') + 1) + "2000000000";
-    put(c.fd, postgres::authentication(postgres::kAuthSaslContinue, first));
+    if (c.authMethod == "nonce") first[2] = first[2] == 'x' ? 'y' : 'x';
+    if (c.authMethod == "iterations") first = first.substr(0, first.rfind('=') + 1) + "2000000000";
+    sendAll(c.fd, postgres::authentication(postgres::kAuthSaslContinue, first));
     return false;
   }
   auto last = c.scram->final(body, why);
-  if (!last) return out();
-  if (c.method == "signature") (*last)[3] = (*last)[3] == 'A' ? 'B' : 'A';
-  if (c.method != "skip") put(c.fd, postgres::authentication(postgres::kAuthSaslFinal, *last));
-  return in();
+  if (!last) return rejectLogin();
+  if (c.authMethod == "signature") (*last)[3] = (*last)[3] == 'A' ? 'B' : 'A';
+  if (c.authMethod != "skip") sendAll(c.fd, postgres::authentication(postgres::kAuthSaslFinal, *last));
+  return acceptLogin();
 }
-void Scenario::let(Server& s, Connection& c, const std::string& before) {
-  std::string says = before;
-  std::istringstream lines(s.says);
-  for (std::string line; before.empty() && std::getline(lines, line);)
-    says += parameter(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
-  c.greeted = true;
-  const std::string greeting =
-      postgres::loginComplete({c.number, "abcd"}, false);  // its own word after what it takes for granted
-  put(c.fd, greeting.substr(0, greeting.size() - 6) + says + postgres::readyForQuery());
+void Scenario::completeLogin(Server& s, Connection& c, const std::string& parameters) {
+  std::string sent = parameters;
+  std::istringstream lines(s.parameters);
+  for (std::string line; parameters.empty() && std::getline(lines, line);)
+    sent += parameterStatus(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
+  c.loggedIn = true;
+  // The scripted parameters follow the default ones, before ReadyForQuery.
+  const std::string messages = postgres::loginComplete({c.processId, "abcd"}, false);
+  sendAll(c.fd, messages.substr(0, messages.size() - 6) + sent + postgres::readyForQuery());
 }
 
-std::string Scenario::note(const Server& s) {
-  std::string note;
-  if (s.tells != "nothing") note += parameter("role", s.primary ? "primary" : "replica");
-  const long long position = s.primary || s.standsAt == 0 ? unixMs() : s.standsAt;
-  if (s.tells == "all") note += parameter("applied_ms", std::to_string(position));
-  return note;
+std::string Scenario::stateParameters(const Server& s) {
+  std::string parameters;
+  if (s.reportedState != "nothing") parameters += parameterStatus("role", s.primary ? "primary" : "replica");
+  const long long position = s.primary || s.dataTimeMs == 0 ? unixMs() : s.dataTimeMs;
+  if (s.reportedState == "all") parameters += parameterStatus("applied_ms", std::to_string(position));
+  return parameters;
 }
 
-// By itself: "fail" for a statement that says so, nothing for one that is to hang.
-void Scenario::serve(Server& s, Connection& c) {
+// Answers all received queries with fixedAnswer; see "s2 serves" for the exceptions.
+void Scenario::answerQueries(Server& s, Connection& c) {
   char type = 0;
   std::string statement;
-  while (c.greeted && message(c, type, statement)) {
+  while (c.loggedIn && takeMessage(c, type, statement)) {
     if (type != 'Q' || statement.find("hang") != std::string::npos) continue;
-    ++s.queries;
-    const std::string role = note(s) + postgres::readyForQuery();
+    ++s.queriesServed;
+    const std::string role = stateParameters(s) + postgres::readyForQuery();
     if (statement.compare(0, 6, "INSERT") == 0 && !s.primary)
-      put(c.fd, postgres::error("ERROR", "25006", "this is no primary") + role);
+      sendAll(c.fd, postgres::error("ERROR", "25006", "this is no primary") + role);
     else if (statement.find("fail") != std::string::npos)
-      put(c.fd, postgres::error("ERROR", "42703", "column does not exist") + role);
+      sendAll(c.fd, postgres::error("ERROR", "42703", "column does not exist") + role);
     else
-      put(c.fd, row(s.serves) + postgres::message('C', std::string("SELECT 1\0", 9)) + role);
+      sendAll(c.fd, rowMessages(s.fixedAnswer) + postgres::message('C', std::string("SELECT 1\0", 9)) + role);
   }
 }
 
-bool Scenario::message(Connection& c, char& type, std::string& body) {
-  if (c.in.size() < 5) return false;
-  const std::size_t n = postgres::readInt32(c.in.data() + 1);
-  if (c.in.size() < n + 1) return false;
-  type = c.in[0];
-  body = c.in.substr(5, n - 4);
-  c.in.erase(0, n + 1);
+bool Scenario::takeMessage(Connection& c, char& type, std::string& body) {
+  if (c.received.size() < 5) return false;
+  const std::size_t n = postgres::readInt32(c.received.data() + 1);
+  if (c.received.size() < n + 1) return false;
+  type = c.received[0];
+  body = c.received.substr(5, n - 4);
+  c.received.erase(0, n + 1);
   return true;
 }
 
-// The next message but for those that a client passes over.
+// Waits for a message of this type that contains `within` (for a row: whose value equals it).
+// Messages that a client may ignore are skipped.
 void Scenario::expectMessage(Connection& c, char type, const std::string& within) {
   char got = 0;
   std::string body;
   const std::string passed = type == 'Z' ? "RSKC" : "RSKTC";
-  until(
+  waitUntil(
       [&] {
-        while (message(c, got, body))
+        while (takeMessage(c, got, body))
           if (got == type || passed.find(got) == std::string::npos) return true;
         return c.ended;
       },
       "a message");
-  if (got == 'E') refusal_ = body;
-  ASSERT_EQ(std::string(1, got), std::string(1, type)) << "step '" << at_ << "': " << body.substr(0, 200);
+  if (got == 'E') lastError_ = body;
+  ASSERT_EQ(std::string(1, got), std::string(1, type))
+      << "step '" << currentStep_ << "': " << body.substr(0, 200);
   const bool exact = type == 'D';
   EXPECT_TRUE(exact ? body.size() >= 6 && body.substr(6) == within : body.find(within) != std::string::npos)
-      << "step '" << at_ << "': got " << body.substr(0, 200);
+      << "step '" << currentStep_ << "': got " << body.substr(0, 200);
 }
 
 }  // namespace sablespur::test
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -1,5 +1,6 @@
-// Tests of translation between protocol versions: statements and values, the protocol 2.0 codec, the extended
-// query protocol, conversion of answers, session settings, startup messages and logins.
+// Tests of translation between protocol versions: statements and values, the protocol 2.0 codec,
+// the extended query protocol, conversion of answers, session settings, startup messages and
+// logins.
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
@@ -97,7 +98,8 @@
   EXPECT_EQ(tr::substitute(s, false, {{std::string_view(long_), 0, false}, {"1"sv, 0, false}}, 1000, why),
             std::nullopt);
   EXPECT_EQ(why, "a statement that is too long with its parameters");
-  // In the request comment a parameter is replaced by its unquoted value, if that cannot alter the comment.
+  // In the request comment a parameter is replaced by its unquoted value, if that cannot alter the
+  // comment.
   const std::string run = "SELECT /* $1 */ $1 /* id=$2,c=read,k=$1 */";
   EXPECT_EQ(tr::countParameters(run, false), 2u);
   EXPECT_EQ(tr::substitute(run, false, {{"5"sv, 0, false}, {"a-1"sv, 0, false}}, 1000, why),
@@ -304,8 +306,8 @@
     EXPECT_EQ(tr::literalOf({*bytes, tr::kInt4, true}, why), v < 0 ? "(" + digits + ")" : digits);
   }
 }
-// After an invalid value, or one that exceeds the bound once converted, the output must be empty: a partial
-// answer would otherwise reach the client.
+// After an invalid value, or one that exceeds the bound once converted, the output must be empty: a
+// partial answer would otherwise reach the client.
 TEST(Answers, AFailureLeavesNoPartialOutput) {
   const postgres::Codec version3(0);
   const auto failureOf = [&](const std::string& answer, tr::ResultFormat format, std::size_t maxBytes) {
@@ -358,8 +360,8 @@
   EXPECT_EQ(postgres::Codec(0).errorResponse(p),
             postgres::message('E', "SERROR\0VERROR\0C53300\0Mno room\0D250\0\0"sv));
   EXPECT_EQ(postgres2::Codec().errorResponse(p), "EERROR:  no room\nRETRY:  250 ms\n\0"sv);
-  // Fields of a newer server: clients of 3.0 get the fields defined then, clients of 3.2 get all, and unknown
-  // fields are dropped.
+  // Fields of a newer server: clients of 3.0 get the fields defined then, clients of 3.2 get all,
+  // and unknown fields are dropped.
   const auto q =
       postgres::parseErrorReport("SFEHLER\0VERROR\0C23505\0Mtwice\0Dof it\0ttable\0nunique\0Zodd\0\0"sv);
   EXPECT_EQ(q.severity, "ERROR");
