--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -128,8 +128,8 @@
   Setting everyPart() const {
     Setting s;
     s.ini = true;
-    s.more = "[status]\nsocket = " + socket + "\n[store]\ndirectory = " + store +
-             "\n[admission]\ndoor = yes\nrequests = fixed\nlimit = 4\n[admission_group others]\n";
+    s.extraSections = "[status]\nsocket = " + socket + "\n[store]\ndirectory = " + store +
+                      "\n[admission]\ndoor = yes\nrequests = fixed\nlimit = 4\n[admission_group others]\n";
     return s;
   }
   std::string settingsPath(const Setting& s) const {
@@ -149,7 +149,7 @@
   Setting s = everyPart();
   EXPECT_EQ(runProgram({"check", settingsPath(s)}).exitCode, 0);
   EXPECT_EQ(runProgram({"check", "--keys"}).exitCode, 0);
-  s.more += "[nonsense]\nkey = 1\n";
+  s.extraSections += "[nonsense]\nkey = 1\n";
   EXPECT_EQ(runProgram({"check", settingsPath(s)}).exitCode, 1);
 }
 
@@ -166,7 +166,7 @@
 TEST_F(CommandLineOutput, StatusJsonOfAProxyWithoutTheOptionalPartsHasThemAsNull) {
   Setting s;
   s.ini = true;
-  s.more = "[status]\nsocket = " + socket + "\n";
+  s.extraSections = "[status]\nsocket = " + socket + "\n";
   Scenario t(s);
   const auto page = nlohmann::json::parse(t.status(true));
   for (const char* part : {"store", "recovery", "door"}) EXPECT_TRUE(page.at(part).is_null()) << part;
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -23,9 +23,9 @@
              const std::string& idleLeast = "0") {
   Setting s;
   s.ini = true;
-  s.more = "[admission]\ndoor = yes\nidle_least = " + idleLeast + "\n" + admission +
-           "[admission_group desks]\nnetworks = 127.1.0.0/16\n" + desks + "[admission_group others]\n" +
-           others;
+  s.extraSections = "[admission]\ndoor = yes\nidle_least = " + idleLeast + "\n" + admission +
+                    "[admission_group desks]\nnetworks = 127.1.0.0/16\n" + desks +
+                    "[admission_group others]\n" + others;
   return s;
 }
 std::string each(const std::string& name, int from, int to, const std::string& steps) {
@@ -125,7 +125,7 @@
 TEST(DoorStep, AnAddressMovesToAnotherGroupOnReload) {
   const Socket socket;
   Setting s = door("", "reserve = 1\n");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   Scenario t(s);
   t.run("c1 from 127.9.0.1\nc1 expect in\n");
   const auto holds = [&](const std::string& group) {
@@ -231,7 +231,7 @@
 TEST(DoorStep, AFloodThatSaysNothingHoldsTheAntechamberAlone) {
   const Socket socket;
   Setting s = door("connections = 1\nantechamber = 4\n", "reserve = 1\n");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   Scenario t(s);
   t.run(each("x", 1, 60, "$ from 127.9.0.1\n$ send bytes") + "d1 from 127.1.0.1\n" + served("d1", "1") +
         "x60 expect closed\nx1 expect closed\n");  // the first ones after 2 s
@@ -347,7 +347,7 @@
   Setting s;
   s.ini = true;
   s.clients = "unread_answer = 300ms\n";
-  s.more = socket.section();
+  s.extraSections = socket.section();
   Scenario t(s);
   // Whoever is asked answers. With one server alone, one late answer sets it aside, the others let the
   // requests time out, and the short errors never fill the sockets' buffers.
@@ -635,7 +635,7 @@
 TEST(Shortage, ALimitOfTheSystemBelowTheSettingsBinds) {
   const Socket socket;
   Setting s = door("");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   s.sockets = 1024;
   s.descriptors = 200;
   Scenario t(s);
@@ -648,7 +648,7 @@
   const Socket socket;
   Setting s =
       door("connections = 4\nrequests = fixed\nlimit = 7\n", "reserve = 2\n", "connections_by_address = 1\n");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   Scenario t(s);
   t.run("c1 from 127.9.0.1\nc2 from 127.9.0.1\n" + served("c1", "1") + "c2 expect refused\n");
   const std::string table = t.status();
@@ -669,7 +669,7 @@
   const Socket socket;
   for (int round = 0; round < 2; ++round) {  // the scenario's end kills the first: its path stays
     Setting s = door("");
-    s.more += socket.section();
+    s.extraSections += socket.section();
     Scenario t(s);
     EXPECT_NE(t.status().find("the door: 0 of"), std::string::npos);
   }
@@ -678,7 +678,7 @@
   const Socket socket;
   Setting s;
   s.ini = true;
-  s.more = socket.section();
+  s.extraSections = socket.section();
   Scenario t(s);
   EXPECT_NE(t.status().find("no door: every client is alike"), std::string::npos);
 }
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -497,8 +497,8 @@
   Setting setting(const std::string& window = "9s") {
     Setting s;
     s.ini = true;
-    s.more = "[class brief]\ndata = write\nrepeats = keyed\nrepeats_dropped_for = " + window +
-             "\naim = 2s\ngive_up = 5s\n[store]\ndirectory = " + folder.path + "/store\n";
+    s.extraSections = "[class brief]\ndata = write\nrepeats = keyed\nrepeats_dropped_for = " + window +
+                      "\naim = 2s\ngive_up = 5s\n[store]\ndirectory = " + folder.path + "/store\n";
     return s;
   }
 };
@@ -528,7 +528,7 @@
 // says so.
 TEST_F(StoreStep, AfterACrashItComesBackOnItsSnapshotAndByADataServersWord) {
   Setting s = setting();
-  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  s.extraSections += "[recovery]\nsnapshot_every = 20ms\n";
   Scenario t(s);
   t.run(R"(
     proxy expect log event=recovery_started snapshot=none
@@ -556,7 +556,7 @@
 TEST_F(StoreStep, WhileDiscoveryIsSilentTheSnapshotsMembersServe) {
   Setting s = setting();
   s.dnssd = true;
-  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  s.extraSections += "[recovery]\nsnapshot_every = 20ms\n";
   Scenario t(s);
   t.run(R"(
     c1 send query INSERT 1 /* id=1,c=brief,d=4000,k=K1,cluster=3 */
@@ -591,7 +591,7 @@
 TEST_F(StoreStep, WhatWasOutAtTheCrashGoesAgainWithinTheWindowAndNotAfter) {
   Setting s = setting("1500ms");
   // After a restart the endpoints count as cold, and slow start may reject a write: not what is tested here.
-  s.more += "[rules]\ncold_for = 0s\n";
+  s.extraSections += "[rules]\ncold_for = 0s\n";
   Scenario t(s);
   t.run(R"(
     c1 send query INSERT 1 /* id=1,c=brief,d=4000,k=K1,cluster=3 */
@@ -643,7 +643,7 @@
 
 TEST_F(StoreStep, ASnapshotThatCannotBeWrittenIsSaidOnceAndTheEarlierStands) {
   Setting s = setting();
-  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  s.extraSections += "[recovery]\nsnapshot_every = 20ms\n";
   const std::string path = folder.path + "/store.snapshot";
   Scenario t(s);
   t.serveUntil([&] { return fs::exists(path); });
@@ -721,7 +721,7 @@
 TEST_F(StoreStep, ADamagedStoreIsSetAsideWhereTheSettingsSaySo) {
   const std::string dir = folder.path + "/store";
   Setting s = setting();
-  s.more += "damaged = set_aside\n";
+  s.extraSections += "damaged = set_aside\n";
   {
     Scenario t(s);
     t.run("c1 expect in\n");
@@ -740,8 +740,8 @@
 }
 TEST_F(StoreStep, PeersThatAreNotWholeAreTurnedDownByTheirKey) {
   const std::string path = folder.path + "/settings.ini";
-  const auto check = [&](const std::string& more) {
-    std::ofstream(path) << settingsFile(setting(), 1, {1, 2}) << more;
+  const auto check = [&](const std::string& extraSections) {
+    std::ofstream(path) << settingsFile(setting(), 1, {1, 2}) << extraSections;
     return command({"check", path}).text;
   };
   EXPECT_NE(check("[peers]\nlisten = 127.0.0.1:7001\n").find("[peers] listen"), std::string::npos);
@@ -755,7 +755,7 @@
 }
 TEST_F(StoreStep, SettingsThatWouldForgetTooEarlyAreTurnedDown) {
   Setting s = setting("4s");
-  s.more += "keep = 5s\n";
+  s.extraSections += "keep = 5s\n";
   std::ofstream(folder.path + "/n0.ini") << settingsFile(s, 1, {11, 12});
   const Told t = command({"check", folder.path + "/n0.ini"});
   EXPECT_EQ(t.status, 1);
@@ -766,7 +766,7 @@
   Setting s = setting();
   s.sockets = 300;
   const Config with = parseSettings(settingsFile(s, 1, {11, 12}), folder.path + "/n0.ini");
-  s.more.clear();
+  s.extraSections.clear();
   const Config without = parseSettings(settingsFile(s, 1, {11, 12}), folder.path + "/n0.ini");
   EXPECT_EQ(with.clientConnections + with.serverConnections + kStoreDescriptors,
             without.clientConnections + without.serverConnections);
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -136,7 +136,7 @@
   s << "[class read]\ndata = bounded\nmax_age = 5s\nrepeats = safe\naim = 8s\ngive_up = 9s\n"
        "[class write]\ndata = write\nrepeats = keyed\nrepeats_dropped_for = 9s\naim = 8s\ngive_up = 9s\n"
        "worth = 6\nlate_worth = 50%\n"
-    << setting.more;
+    << setting.extraSections;
   return s.str();
 }
 
@@ -326,8 +326,8 @@
   ASSERT_EQ(connect(c.fd, reinterpret_cast<const sockaddr*>(&a), sizeof a), 0) << currentStep_;
 }
 
-void Scenario::reload(const std::string& more) {
-  setting_.more = more;
+void Scenario::reload(const std::string& extraSections) {
+  setting_.extraSections = extraSections;
   run("proxy reload more");
 }
 
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -122,7 +122,7 @@
   std::string speaks;                   // initial value for each data server of "s2 speaks"
   int descriptors = 0;                  // RLIMIT_NOFILE of the process; 0: unchanged
   int inherited = 0;                    // extra descriptors open in the process from the start
-  std::string more;                     // extra sections of the INI file
+  std::string extraSections;            // extra sections of the INI file
   std::string discovery = "subscribe";  // or "automatic": an agent on this machine has the list pushed to it
   bool firstList = true;                // answer the first discovery call before the script begins
   bool justStarted = false;             // startedAtMs of the configured data servers: now instead of 0
@@ -161,7 +161,7 @@
   int port() const { return port_; }
   int pid() const { return pid_; }
   // Replaces the sections of Setting::more and sends SIGHUP.
-  void reload(const std::string& more);
+  void reload(const std::string& extraSections);
   std::string status(bool json = false);              // standard output and error of `sablespur status`
   std::size_t logged(const std::string& text) const;  // the number of occurrences in the proxy's log
   // These return an endpoint list in one line: a delta with one server, or a full list of active
