--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -312,10 +312,10 @@
 
 // ---- servers of another minor version -----------------------------------------------------------------
 TEST(Generations, AskedFor32AnOlderServerIsSpokenToIn30) {
-  for (const std::string speaks : {"3.2", "old", "fatal"}) {
-    SCOPED_TRACE(speaks);
+  for (const std::string serverProtocol : {"3.2", "old", "fatal"}) {
+    SCOPED_TRACE(serverProtocol);
     Setting s = ini("protocol = 3.2\n");
-    s.speaks = speaks;
+    s.serverProtocol = serverProtocol;
     Scenario t(s);
     t.run(R"(
       s2 wait idle 2
@@ -328,7 +328,7 @@
       s2 close idle
       s2 wait idle 2
       s2 expect minor )" +
-          std::string(speaks == "3.2" ? "2" : "0"));  // what it turned down is not asked for again
+          std::string(serverProtocol == "3.2" ? "2" : "0"));  // what it turned down is not asked for again
   }
 }
 
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -170,7 +170,7 @@
     : setting_(setting), servers_(static_cast<std::size_t>(setting.servers)) {
   for (Server& s : servers_) s.listener = listenOn(s.port);
   servers_.front().primary = true;
-  for (Server& s : servers_) s.protocolVersion = setting.speaks;
+  for (Server& s : servers_) s.protocolVersion = setting.serverProtocol;
   int listPort = 0;
   listListener_ = listenOn(listPort);
   if (setting.dnssd) {
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -119,7 +119,7 @@
   bool dnssd = false;                   // discovery by DNS-SD; implies an INI file
   bool ini = false;                     // an INI file, given by `serve --config`; else JSON, by NODE_CONFIG
   std::string dataServers, clients;     // extra lines of these sections of the INI file
-  std::string speaks;                   // initial value for each data server of "s2 speaks"
+  std::string serverProtocol;           // initial value for each data server of "s2 speaks"
   int descriptors = 0;                  // RLIMIT_NOFILE of the process; 0: unchanged
   int inherited = 0;                    // extra descriptors open in the process from the start
   std::string extraSections;            // extra sections of the INI file
