--- a/tests/keeper_test.cpp
+++ b/tests/idempotency_handler_test.cpp
@@ -1,5 +1,7 @@
 // What of a keyed write is durable before what: the keeper between fake members and a fake asker, with a disk
 // that hangs and fails by order; and the whole program, ended by SIGKILL and started anew on its store.
+#include "durability/idempotency_handler.hpp"
+
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -10,7 +12,6 @@
 #include <mutex>
 #include <thread>
 
-#include "durability/idempotency_handler.hpp"
 #include "durability/idempotency_store.hpp"
 #include "protocol/postgres/codec.hpp"
 #include "scenario.hpp"
