--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -122,7 +122,7 @@
 }
 
 struct CommandLineOutput : testing::Test {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string socket = folder.path + "/status";
   const std::string store = folder.path + "/store";
   Setting everyPart() const {
--- a/tests/idempotency_handler_test.cpp
+++ b/tests/idempotency_handler_test.cpp
@@ -95,7 +95,7 @@
 };
 
 struct KeeperTest : testing::Test {
-  const Folder folder;
+  const TemporaryDirectory folder;
   EventBase base{event_base_new()};
   Config config =
       parseConfig(configuration({}, 1, {11, 12}));  // class 1: keyed writes, repeats dropped for 9 s
@@ -494,7 +494,7 @@
 
 // ---- the whole program --------------------------------------------------------------------------------
 struct ProgramTest : testing::Test {
-  const Folder folder;
+  const TemporaryDirectory folder;
   Setting setting(const std::string& window = "9s") {
     Setting s;
     s.ini = true;
--- a/tests/store_run.cpp
+++ b/tests/store_run.cpp
@@ -201,8 +201,8 @@
   return name;
 }
 }  // namespace
-Folder::Folder() : path(makeFolder()) {}
-Folder::~Folder() {
+TemporaryDirectory::TemporaryDirectory() : path(makeFolder()) {}
+TemporaryDirectory::~TemporaryDirectory() {
   std::error_code ignored;
   fs::remove_all(path, ignored);
 }
--- a/tests/store_run.hpp
+++ b/tests/store_run.hpp
@@ -106,10 +106,10 @@
 // What is not as it was promised; empty: all of it is. `time` is that of the look.
 std::string broken(const Facts&, durability::IdempotencyStore&, const TestTime&);
 
-class Folder {  // of its own, in memory where the machine has that; gone at the end
+class TemporaryDirectory {  // of its own, in memory where the machine has that; gone at the end
  public:
-  Folder();
-  ~Folder();
+  TemporaryDirectory();
+  ~TemporaryDirectory();
   const std::string path;
 };
 
--- a/tests/store_sweep.cpp
+++ b/tests/store_sweep.cpp
@@ -130,7 +130,7 @@
   const auto drawn = [&](std::size_t most) {
     return std::uniform_int_distribution<std::size_t>(0, most)(random);
   };
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string dir = folder.path + "/store";
   Recorder recorder(dir);
   const std::size_t from = drawn(operations - 1), count = 1 + drawn(kLongestWindow - 1);
@@ -178,7 +178,7 @@
 FailureSweepResult sweepFailures(std::size_t windows, std::uint64_t seed) {
   std::size_t operations = 0;
   {
-    const Folder folder;
+    const TemporaryDirectory folder;
     Recorder recorder(folder.path + "/store");
     Files files(&recorder);
     TestTime time;
@@ -199,7 +199,7 @@
   std::vector<Promise> promises;
   std::vector<Recorded> all;
   {
-    const Folder folder;
+    const TemporaryDirectory folder;
     Recorder recorder(folder.path + "/store");
     Files files(&recorder);
     TestTime time;
@@ -231,7 +231,7 @@
       result.first = l.why;
   };
   const auto work = [&] {
-    const Folder folder;
+    const TemporaryDirectory folder;
     const std::string dir = folder.path + "/store";
     Disk disk;
     std::size_t done = 0;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -34,7 +34,7 @@
 }
 
 struct StoreTest : ::testing::Test {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string dir = folder.path + "/store";
   Recorder recorder{dir};
   Files files{&recorder};
@@ -428,7 +428,7 @@
 }
 // A check that cannot fail would prove nothing.
 TEST(StoreSweep, BrokenPromisesAreSeen) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   TestTime time;
   Files files;
   Life life(files, folder.path + "/a", time);
@@ -447,7 +447,7 @@
 TEST(StoreFaults, EveryOperationMayFailAndNothingPromisedIsLost) {
   std::size_t operations = 0;
   {
-    const Folder folder;
+    const TemporaryDirectory folder;
     Recorder r(folder.path + "/store");
     Files files(&r);
     TestTime time;
@@ -459,7 +459,7 @@
   std::size_t failures = 0;
   for (std::size_t n = 0; n < operations; ++n)
     for (const bool lasting : {false, true}) {
-      const Folder folder;
+      const TemporaryDirectory folder;
       Recorder r(folder.path + "/store");
       r.failAt(n, lasting, n % 3 * 5);
       Files files(&r);
@@ -594,7 +594,7 @@
   inline static std::atomic<int> calls{0};
 };
 TEST(StoreFaults, CallsThatAreInterruptedOrStopShortAreNoFailure) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   Files files;
   TestTime time;
   Life life(files, folder.path + "/store", time);
@@ -607,7 +607,7 @@
   EXPECT_GT(InterruptedCalls::calls, 100);
 }
 TEST(StoreFaults, AWholeFileThatCannotBeWrittenLeavesTheEarlierOne) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string path = folder.path + "/whole";
   Recorder recorder(folder.path);
   Files files(&recorder);
@@ -630,7 +630,7 @@
   pcg64 random(20261201);
   std::size_t promised = 0;
   for (int round = 0; round < 12; ++round) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     int ends[2];
     ASSERT_EQ(pipe(ends), 0);
     const pid_t child = fork();
@@ -715,7 +715,7 @@
 // Files as each version wrote them are read by this one.
 TEST(Records, KeptFilesOfEachVersionAreRead) {
   for (int version = 1; version <= kRecordVersion; ++version) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     fs::copy(std::string(SABLESPUR_SOURCE) + "/tests/data/store-" + std::to_string(version),
              folder.path + "/store");
     Files files;
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -32,7 +32,7 @@
 
 // ---- the store ------------------------------------------------------------------------------------------
 struct StoredStore : testing::Test {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const std::string directory = folder.path + "/store";  // a copy, since opening a store writes to it
   durability::Files files;
   StoredStore() { fs::copy(kStored + "store", directory); }
