--- a/tests/store_sweep.cpp
+++ b/tests/store_sweep.cpp
@@ -20,22 +20,22 @@
 
 constexpr std::size_t kSector = 512;
 
-struct Contents {
+struct FileState {
   std::string bytes;
-  std::size_t synced = 0;
-  bool named = false;  // its name is durable
-  // After a sync that failed the system may call clean what it never wrote: from here on no later sync of
-  // this file makes anything durable.
-  std::size_t lostFrom = SIZE_MAX;
+  std::size_t synced = 0;    // this many bytes are durable
+  bool nameDurable = false;  // the directory entry is durable
+  // After a failed fsync the kernel may mark dirty pages as clean without having written them. From this
+  // offset on, no later sync of the file makes its bytes durable.
+  std::size_t neverSyncedFrom = SIZE_MAX;
 };
-using Disk = std::map<std::string, Contents>;
+using DiskState = std::map<std::string, FileState>;  // by path within the store's directory
 
-// What an operation that was made to fail leaves.
-void carryOutFailed(Disk& d, const Recorded& r, std::size_t carried) {
+// Applies what a failed operation leaves on the disk.
+void applyFailedOperation(DiskState& d, const RecordedOperation& r, std::size_t bytesWritten) {
   const auto file = d.find(r.path);
   if (r.op == FileOp::Sync && file != d.end())
-    file->second.lostFrom = std::min(file->second.lostFrom, file->second.synced);
-  const std::string part = r.bytes.substr(0, std::min(carried, r.carried));
+    file->second.neverSyncedFrom = std::min(file->second.neverSyncedFrom, file->second.synced);
+  const std::string part = r.bytes.substr(0, std::min(bytesWritten, r.bytesWritten));
   if (part.empty()) return;
   std::string& bytes = d[r.path].bytes;
   const std::size_t at = r.op == FileOp::Append ? bytes.size() : r.at;
@@ -43,32 +43,32 @@
   bytes.replace(at, part.size(), part);
 }
 
-// What an operation makes of the disk; of a write, `carried` bytes.
-void carryOut(Disk& d, const Recorded& r, std::size_t carried) {
-  if (r.failed) return carryOutFailed(d, r, carried);
-  Contents* const c = r.op == FileOp::Remove || r.op == FileOp::MakeDirectory ? nullptr : &d[r.path];
+// Applies an operation to the disk; of a write, its first `bytesWritten` bytes.
+void applyOperation(DiskState& d, const RecordedOperation& r, std::size_t bytesWritten) {
+  if (r.failed) return applyFailedOperation(d, r, bytesWritten);
+  FileState* const c = r.op == FileOp::Remove || r.op == FileOp::MakeDirectory ? nullptr : &d[r.path];
   switch (r.op) {
     case FileOp::Open:
       if (r.at == 1) *c = {};
       break;
     case FileOp::Append:
-      c->bytes += r.bytes.substr(0, carried);
+      c->bytes += r.bytes.substr(0, bytesWritten);
       break;
     case FileOp::Sync:
-      c->synced = std::min(c->bytes.size(), std::max(c->synced, c->lostFrom));
-      c->named = true;
+      c->synced = std::min(c->bytes.size(), std::max(c->synced, c->neverSyncedFrom));
+      c->nameDurable = true;
       break;
     case FileOp::Overwrite:
-      if (c->bytes.size() < r.at + carried) c->bytes.resize(r.at + carried);
-      c->bytes.replace(r.at, carried, r.bytes.substr(0, carried));
+      if (c->bytes.size() < r.at + bytesWritten) c->bytes.resize(r.at + bytesWritten);
+      c->bytes.replace(r.at, bytesWritten, r.bytes.substr(0, bytesWritten));
       break;
     case FileOp::Truncate:
       c->bytes.resize(r.at);
       c->synced = std::min(c->synced, c->bytes.size());
-      if (c->bytes.size() <= c->lostFrom) c->lostFrom = SIZE_MAX;
+      if (c->bytes.size() <= c->neverSyncedFrom) c->neverSyncedFrom = SIZE_MAX;
       break;
     case FileOp::Rename: {
-      Contents moved = d[r.path];
+      FileState moved = d[r.path];
       d.erase(r.path);
       d[r.to] = std::move(moved);
       break;
@@ -81,95 +81,104 @@
   }
 }
 
-void lay(const Disk& d, const std::string& dir) {
+void writeFiles(const DiskState& d, const std::string& dir) {
   fs::remove_all(dir);
   fs::create_directory(dir);
   for (const auto& [name, c] : d) std::ofstream(dir + "/" + name, std::ios::binary) << c.bytes;
 }
 
-// The machine's end: what was not synced is gone.
-Disk afterPowerLoss(const Disk& d) {
-  Disk left;
+// The disk after a power loss: everything that was not synced is lost.
+DiskState afterPowerLoss(const DiskState& d) {
+  DiskState left;
   for (const auto& [name, c] : d)
-    if (c.named || name == "DURABLE") left[name] = {c.bytes.substr(0, c.synced), c.synced, true, SIZE_MAX};
+    if (c.nameDurable || name == "DURABLE")
+      left[name] = {c.bytes.substr(0, c.synced), c.synced, true, SIZE_MAX};
   return left;
 }
 
-enum class Ends { Whole, Reported, Broken };
-struct Look {
-  Ends end = Ends::Whole;
-  std::string why;
-  bool located = false;
+enum class RecoveryOutcome { Intact, DamageReported, GuaranteeViolated };
+struct RecoveryResult {
+  RecoveryOutcome outcome = RecoveryOutcome::Intact;
+  std::string reason;
+  bool fileNamed = false;
 };
-Look look(const Disk& d, const std::string& dir, const Facts& facts, TestTime time, Time later) {
-  lay(d, dir);
-  time.pass(later);
+// Opens the store from this disk, `later` after `time`, and checks the guarantees.
+RecoveryResult reopenAndCheck(const DiskState& d, const std::string& dir, const Guarantees& guarantees,
+                              TestTime time, Time later) {
+  writeFiles(d, dir);
+  time.advance(later);
   Files files;
   IdempotencyStoreSettings s;
   s.directory = dir;
   try {
-    IdempotencyStore ledger(files, s, [&] { return time(); });
-    const std::string why = broken(facts, ledger, time);
-    return {why.empty() ? Ends::Whole : Ends::Broken, why, false};
+    IdempotencyStore store(files, s, [&] { return time(); });
+    const std::string reason = findViolation(guarantees, store, time);
+    return {reason.empty() ? RecoveryOutcome::Intact : RecoveryOutcome::GuaranteeViolated, reason, false};
   } catch (const StoreError& e) {
-    return {e.kind == StoreError::Kind::Damaged ? Ends::Reported : Ends::Broken, e.what(), !e.file.empty()};
+    return {e.kind == StoreError::Kind::Damaged ? RecoveryOutcome::DamageReported
+                                                : RecoveryOutcome::GuaranteeViolated,
+            e.what(), !e.file.empty()};
   }
 }
 
-// After which of a life's operations what was promised.
-struct Promise {
+// The guarantees that hold once the first `operations` file operations of the workload are done.
+struct GuaranteePoint {
   std::size_t operations;
-  Facts facts;
+  Guarantees guarantees;
   TestTime time;
 };
 
-// One life with a failing window, ended at drawn bytes.
-void endAmidFailures(pcg64& random, std::size_t operations, FailureSweepResult& result) {
-  constexpr std::size_t kLongestWindow = 60, kBeyond = 60;  // operations
-  constexpr int kEnds = 8;
-  const auto drawn = [&](std::size_t most) {
+// Runs one workload with a failing window and cuts it off at random bytes.
+void crashDuringFailures(pcg64& random, std::size_t operations, FailureSweepResult& result) {
+  constexpr std::size_t kLongestWindow = 60, kOperationsAfterWindow = 60;  // operations
+  constexpr int kCrashPoints = 8;
+  const auto randomUpTo = [&](std::size_t most) {
     return std::uniform_int_distribution<std::size_t>(0, most)(random);
   };
   const TemporaryDirectory folder;
   const std::string dir = folder.path + "/store";
-  Recorder recorder(dir);
-  const std::size_t from = drawn(operations - 1), count = 1 + drawn(kLongestWindow - 1);
-  recorder.failWindow(from, count, drawn(1) == 0, drawn(40));
-  std::vector<Promise> promises;
+  RecordingFileHook recorder(dir);
+  const std::size_t from = randomUpTo(operations - 1), count = 1 + randomUpTo(kLongestWindow - 1);
+  recorder.failWindow(from, count, randomUpTo(1) == 0, randomUpTo(40));
+  std::vector<GuaranteePoint> guaranteePoints;
   {
     Files files(&recorder);
     TestTime time;
-    Life life(files, dir, time);
-    liveThroughFailures(life, time, [&] { promises.push_back({recorder.count(), life.facts(), time}); });
+    StoreWorkload workload(files, dir, time);
+    runWorkloadWithFailures(workload, time, [&] {
+      guaranteePoints.push_back({recorder.count(), workload.guarantees(), time});
+    });
   }
-  const std::vector<Recorded> all = recorder.recorded();
-  for (const Recorded& r : all) result.failedOperations += r.failed;
+  const std::vector<RecordedOperation> all = recorder.operations();
+  for (const RecordedOperation& r : all) result.failedOperations += r.failed;
   ++result.windows;
-  std::vector<std::size_t> ends(kEnds);
-  for (std::size_t& end : ends) end = std::min(from + drawn(count + kBeyond), all.size());
-  std::sort(ends.begin(), ends.end());
-  Disk disk;
+  std::vector<std::size_t> crashPoints(kCrashPoints);
+  for (std::size_t& crashPoint : crashPoints)
+    crashPoint = std::min(from + randomUpTo(count + kOperationsAfterWindow), all.size());
+  std::sort(crashPoints.begin(), crashPoints.end());
+  DiskState disk;
   std::size_t done = 0;
-  for (const std::size_t end : ends) {
-    for (; done < end; ++done) carryOut(disk, all[done], all[done].bytes.size());
-    Promise promised{0, {}, {}};
-    for (const Promise& p : promises)
-      if (p.operations <= end) promised = p;
-    Disk killed = disk;
-    if (end < all.size() && !all[end].bytes.empty())
-      carryOut(killed, all[end], drawn(all[end].bytes.size() - 1));
-    const auto tried = [&](const Disk& d, std::size_t FailureSweepResult::*which) {
-      const Look l =
-          look(d, folder.path + "/copy", promised.facts, promised.time, std::chrono::milliseconds(500));
-      ++(result.*which);
-      if (l.end == Ends::Whole) return;
-      ++result.broken;
-      if (result.first.empty())
-        result.first = l.why + " (operations " + std::to_string(from) + " to " +
-                       std::to_string(from + count) + " fail, it ends in " + std::to_string(end) + ")";
+  for (const std::size_t crashPoint : crashPoints) {
+    for (; done < crashPoint; ++done) applyOperation(disk, all[done], all[done].bytes.size());
+    GuaranteePoint latest{0, {}, {}};
+    for (const GuaranteePoint& p : guaranteePoints)
+      if (p.operations <= crashPoint) latest = p;
+    DiskState afterProcessCrash = disk;
+    if (crashPoint < all.size() && !all[crashPoint].bytes.empty())
+      applyOperation(afterProcessCrash, all[crashPoint], randomUpTo(all[crashPoint].bytes.size() - 1));
+    const auto runTrial = [&](const DiskState& d, std::size_t FailureSweepResult::*counter) {
+      const RecoveryResult recovery = reopenAndCheck(d, folder.path + "/copy", latest.guarantees, latest.time,
+                                                     std::chrono::milliseconds(500));
+      ++(result.*counter);
+      if (recovery.outcome == RecoveryOutcome::Intact) return;
+      ++result.violations;
+      if (result.firstViolation.empty())
+        result.firstViolation = recovery.reason + " (operations " + std::to_string(from) + " to " +
+                                std::to_string(from + count) + " fail, cut off in operation " +
+                                std::to_string(crashPoint) + ")";
     };
-    tried(killed, &FailureSweepResult::kills);
-    tried(afterPowerLoss(disk), &FailureSweepResult::losses);
+    runTrial(afterProcessCrash, &FailureSweepResult::processCrashes);
+    runTrial(afterPowerLoss(disk), &FailureSweepResult::powerLosses);
   }
 }
 
@@ -179,84 +188,92 @@
   std::size_t operations = 0;
   {
     const TemporaryDirectory folder;
-    Recorder recorder(folder.path + "/store");
+    RecordingFileHook recorder(folder.path + "/store");
     Files files(&recorder);
     TestTime time;
-    Life life(files, folder.path + "/store", time);
-    liveThroughFailures(life, time, [] {});
+    StoreWorkload workload(files, folder.path + "/store", time);
+    runWorkloadWithFailures(workload, time, [] {});
     operations = recorder.count();
   }
   FailureSweepResult result;
   for (std::size_t window = 0; window < windows; ++window) {
     pcg64 random(seed, window);
-    endAmidFailures(random, operations, result);
+    crashDuringFailures(random, operations, result);
   }
   return result;
 }
 
 SweepResult sweep(double share, std::uint64_t seed, int threads) {
   SweepResult result;
-  std::vector<Promise> promises;
-  std::vector<Recorded> all;
+  std::vector<GuaranteePoint> guaranteePoints;
+  std::vector<RecordedOperation> all;
   {
     const TemporaryDirectory folder;
-    Recorder recorder(folder.path + "/store");
+    RecordingFileHook recorder(folder.path + "/store");
     Files files(&recorder);
     TestTime time;
-    Life life(files, folder.path + "/store", time);
-    live(life, time, [&] { promises.push_back({recorder.count(), life.facts(), time}); });
-    all = recorder.recorded();
+    StoreWorkload workload(files, folder.path + "/store", time);
+    runWorkload(workload, time, [&] {
+      guaranteePoints.push_back({recorder.count(), workload.guarantees(), time});
+    });
+    all = recorder.operations();
   }
   result.operations = all.size();
-  for (const Recorded& r : all) result.bytes += r.bytes.size();
-  const auto promised = [&](std::size_t operations) -> const Promise& {
+  for (const RecordedOperation& r : all) result.bytes += r.bytes.size();
+  const auto latestGuarantees = [&](std::size_t operations) -> const GuaranteePoint& {
     std::size_t k = 0;
-    while (k + 1 < promises.size() && promises[k + 1].operations <= operations) ++k;
-    return promises[k];
+    while (k + 1 < guaranteePoints.size() && guaranteePoints[k + 1].operations <= operations) ++k;
+    return guaranteePoints[k];
   };
-  // While a step is under way time may have gone on from when it was promised: the look comes as much later.
-  const Time kLater = std::chrono::milliseconds(500), kMuchLater = std::chrono::seconds(3);
+  // The clock may have advanced since the last guarantee was noted, so the check takes place later than any
+  // step in progress.
+  const Time kWithinWindow = std::chrono::milliseconds(500), kAfterWindow = std::chrono::seconds(3);
 
   std::mutex mutex;
   std::atomic<std::size_t> next{0};
-  const auto count = [&](const Look& l, bool mayBeReported) {
-    if (l.end == Ends::Whole) ++result.recovered;
-    if (l.end == Ends::Reported) {
-      ++result.reported;
-      result.withoutOffset += !l.located;
-      if (!mayBeReported) ++result.damagedCuts;
+  const auto count = [&](const RecoveryResult& recovery, bool damageMayBeReported) {
+    if (recovery.outcome == RecoveryOutcome::Intact) ++result.recovered;
+    if (recovery.outcome == RecoveryOutcome::DamageReported) {
+      ++result.damageReported;
+      result.damageWithoutFile += !recovery.fileNamed;
+      if (!damageMayBeReported) ++result.falseDamage;
     }
-    result.silent += l.end == Ends::Broken;
-    if ((l.end == Ends::Broken || (l.end == Ends::Reported && !mayBeReported)) && result.first.empty())
-      result.first = l.why;
+    result.violations += recovery.outcome == RecoveryOutcome::GuaranteeViolated;
+    if ((recovery.outcome == RecoveryOutcome::GuaranteeViolated ||
+         (recovery.outcome == RecoveryOutcome::DamageReported && !damageMayBeReported)) &&
+        result.firstViolation.empty())
+      result.firstViolation = recovery.reason;
   };
   const auto work = [&] {
     const TemporaryDirectory folder;
     const std::string dir = folder.path + "/store";
-    Disk disk;
+    DiskState disk;
     std::size_t done = 0;
     for (std::size_t k; (k = next++) <= all.size();) {
-      pcg64 random(seed, k);  // the same trials, whichever thread comes to them
-      const auto drawn = [&] { return share >= 1 || std::uniform_real_distribution<>(0, 1)(random) < share; };
-      for (; done < k; ++done) carryOut(disk, all[done], all[done].bytes.size());
-      const Promise& p = promised(k);
-      const auto trial = [&](const Disk& d, Time later, std::size_t SweepResult::*which, bool mayBeReported) {
-        const Look l = look(d, dir, p.facts, p.time, later);
+      pcg64 random(seed, k);  // the same trials on whichever thread they run
+      const auto selected = [&] {
+        return share >= 1 || std::uniform_real_distribution<>(0, 1)(random) < share;
+      };
+      for (; done < k; ++done) applyOperation(disk, all[done], all[done].bytes.size());
+      const GuaranteePoint& p = latestGuarantees(k);
+      const auto trial = [&](const DiskState& d, Time later, std::size_t SweepResult::*counter,
+                             bool damageMayBeReported) {
+        const RecoveryResult recovery = reopenAndCheck(d, dir, p.guarantees, p.time, later);
         const std::lock_guard<std::mutex> lock(mutex);
-        ++(result.*which);
-        count(l, mayBeReported);
+        ++(result.*counter);
+        count(recovery, damageMayBeReported);
       };
-      // The process ends amid this operation, at each of its bytes.
+      // The process crashes during this operation, at each of its bytes.
       const std::size_t bytes = k < all.size() ? all[k].bytes.size() : 0;
       for (std::size_t b = 0; b <= (bytes > 0 ? bytes - 1 : 0); ++b) {
-        if (!drawn()) continue;
-        Disk d = disk;
-        if (k < all.size() && b > 0) carryOut(d, all[k], b);
-        trial(d, b % 2 ? kLater : kMuchLater, &SweepResult::cuts, false);
+        if (!selected()) continue;
+        DiskState d = disk;
+        if (k < all.size() && b > 0) applyOperation(d, all[k], b);
+        trial(d, b % 2 ? kWithinWindow : kAfterWindow, &SweepResult::processCrashes, false);
       }
-      if (drawn()) trial(afterPowerLoss(disk), kLater, &SweepResult::losses, false);
-      // Sectors of the end of what was written last: not there yet, or as an earlier one was. What had been
-      // durable is damaged then, which has to be named.
+      if (selected()) trial(afterPowerLoss(disk), kWithinWindow, &SweepResult::powerLosses, false);
+      // Each of the last three sectors of the file that was appended to last is replaced by zeros or by the
+      // sector before it. If durable bytes were lost, opening has to report damage.
       if (k == 0 || all[k - 1].op != FileOp::Append || disk.count(all[k - 1].path) == 0) continue;
       const std::string& file = all[k - 1].path;
       const std::size_t size = disk[file].bytes.size();
@@ -265,29 +282,29 @@
         if (from < s * kSector) break;
         const std::size_t at = from - s * kSector, n = std::min(kSector, size - at);
         for (const bool older : {false, true}) {
-          if (!drawn() || (older && at < kSector)) continue;
-          Disk d = disk;
+          if (!selected() || (older && at < kSector)) continue;
+          DiskState d = disk;
           std::string& b = d[file].bytes;
           b.replace(at, n, older ? b.substr(at - kSector, n) : std::string(n, '\0'));
           if (b == disk[file].bytes) continue;
-          // Nothing of it had been durable: what a machine's end leaves there is no damage.
+          // A power loss may leave anything in bytes that were never durable, so that is not damage.
           const bool notDurable = at >= disk[file].synced && file != "DURABLE";
-          trial(d, kLater, &SweepResult::sectors, !notDurable);
+          trial(d, kWithinWindow, &SweepResult::badSectors, !notDurable);
         }
       }
-      // One byte of any file is not what it was.
+      // One bit of any file is flipped.
       if (all[k - 1].op == FileOp::Append)
         for (int tries = 0; tries < 4; ++tries) {
-          if (!drawn()) continue;
+          if (!selected()) continue;
           auto it = disk.begin();
           std::advance(
               it, static_cast<long>(std::uniform_int_distribution<std::size_t>(0, disk.size() - 1)(random)));
           if (it->second.bytes.empty() || it->first == "LOG" || it->first == "TORN") continue;
-          Disk d = disk;
+          DiskState d = disk;
           std::string& b = d[it->first].bytes;
           b[std::uniform_int_distribution<std::size_t>(0, b.size() - 1)(random)] ^=
               static_cast<char>(1 << std::uniform_int_distribution<int>(0, 7)(random));
-          trial(d, kLater, &SweepResult::flips, true);
+          trial(d, kWithinWindow, &SweepResult::bitFlips, true);
         }
     }
   };
--- a/tests/store_sweep.hpp
+++ b/tests/store_sweep.hpp
@@ -1,5 +1,6 @@
-// Ends a recorded life of a ledger at every byte that it wrote, and separately spoils sectors, and looks each
-// time at what opens again. See docs/design/store.md.
+// Crash tests of the idempotency store. A recorded workload (store_run.hpp) is cut off at every byte that it
+// wrote; separately, sectors and single bits are corrupted. Each time the store is reopened and checked
+// against what it had guaranteed. See docs/design/store.md.
 #pragma once
 
 #include <cstddef>
@@ -9,27 +10,28 @@
 namespace sablespur::test {
 
 struct SweepResult {
-  std::size_t cuts = 0, losses = 0, sectors = 0,
-              flips = 0;                    // trials: the process ends, the machine ends, sectors, bytes
-  std::size_t recovered = 0, reported = 0;  // of all: opened and whole; damage named
-  std::size_t silent = 0;                   // neither: a broken promise
-  std::size_t damagedCuts = 0;              // of cuts and losses: taken for damage, wrongly
-  std::size_t withoutOffset = 0;            // of flips reported: without file
-  std::string first;                        // broken promise
-  std::size_t bytes = 0, operations = 0;    // of the life
+  // Trials, by what was injected.
+  std::size_t processCrashes = 0, powerLosses = 0, badSectors = 0, bitFlips = 0;
+  // Trials, by result: opened and all guarantees met; opening reported damage.
+  std::size_t recovered = 0, damageReported = 0;
+  std::size_t violations = 0;             // trials with neither result
+  std::size_t falseDamage = 0;            // damage that was reported where nothing durable was damaged
+  std::size_t damageWithoutFile = 0;      // reports of damage that name no file
+  std::string firstViolation;             // the first violation or false report of damage
+  std::size_t bytes = 0, operations = 0;  // of the workload
 };
 
-// Lives during which a window of operations fails, then works again, ended at bytes drawn from the window and
-// what follows it, by the process's end and by the machine's.
+// Workloads during which a window of file operations fails. Each is cut off by process crashes and power
+// losses at random points in the window and after it.
 struct FailureSweepResult {
-  std::size_t windows = 0, kills = 0, losses = 0;
+  std::size_t windows = 0, processCrashes = 0, powerLosses = 0;
   std::size_t failedOperations = 0;
-  std::size_t broken = 0;  // a promise broken, or an end taken for damage
-  std::string first;
+  std::size_t violations = 0;  // a guarantee not met, or damage reported
+  std::string firstViolation;
 };
 FailureSweepResult sweepFailures(std::size_t windows, std::uint64_t seed);
 
-// `share` of the trials, drawn by `seed`; 1: all.
+// Runs the fraction `share` of the trials, selected at random by `seed`; 1 runs all of them.
 SweepResult sweep(double share, std::uint64_t seed, int threads);
 
 }  // namespace sablespur::test
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,5 +1,5 @@
-// The store: what it holds through ends, damage and failing disks. The sweep's whole run is
-// build/sablespur-store-sweep.
+// Tests of the idempotency store across restarts, crashes, damaged files and disk errors. They run a part of
+// the crash sweep; build/sablespur-store-sweep runs all of it.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -25,18 +25,18 @@
 using namespace durability;
 namespace fs = std::filesystem;
 
-std::string slurp(const std::string& path) {
+std::string readBytes(const std::string& path) {
   std::ifstream f(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(f), {}};
 }
-void spit(const std::string& path, const std::string& bytes) {
+void writeBytes(const std::string& path, const std::string& bytes) {
   std::ofstream(path, std::ios::binary) << bytes;
 }
 
 struct StoreTest : ::testing::Test {
   const TemporaryDirectory folder;
   const std::string dir = folder.path + "/store";
-  Recorder recorder{dir};
+  RecordingFileHook recorder{dir};
   Files files{&recorder};
   TestTime time;
   IdempotencyStoreSettings settings;
@@ -48,15 +48,16 @@
   std::unique_ptr<IdempotencyStore> open() {
     return std::make_unique<IdempotencyStore>(files, settings, [this] { return time(); });
   }
-  OperationResult ask(IdempotencyStore& l, const std::string& key, const std::string& id,
+  OperationResult ask(IdempotencyStore& store, const std::string& key, const std::string& id,
                       std::uint32_t group = 3) {
-    return l.apply({BeginKeyedRequest{{id, key, "order", group, kWindow}}})[0];
+    return store.apply({BeginKeyedRequest{{id, key, "order", group, kWindow}}})[0];
   }
-  void serve(IdempotencyStore& l, const std::string& key, const std::string& id, const std::string& answer) {
-    l.apply(
+  void serve(IdempotencyStore& store, const std::string& key, const std::string& id,
+             const std::string& answer) {
+    store.apply(
         {CompleteRequest{key, id, Outcome::Served, answer, 17, 0, true}, RecordResponseDelivered{key, id}});
   }
-  std::string theLog() {
+  std::string logFile() {
     for (const auto& f : fs::directory_iterator(dir))
       if (f.path().extension() == ".log" && fs::file_size(f) > 0) return f.path().string();
     return "";
@@ -71,213 +72,220 @@
   }
 };
 
-// ---- keys through an end ------------------------------------------------------------------------------
-TEST_F(StoreTest, AKeyThatWasServedIsAnsweredFromTheRecord) {
-  auto l = open();
-  EXPECT_EQ(ask(*l, "k1", "a").disposition, Disposition::Execute);
-  serve(*l, "k1", "a", "the row");
-  l.reset();
-  time.pass(std::chrono::seconds(60));
-  l = open();
-  const OperationResult s = ask(*l, "k1", "b");
+// ---- keys across a restart ---------------------------------------------------------------------------
+TEST_F(StoreTest, AServedKeyIsReplayedAfterARestart) {
+  auto store = open();
+  EXPECT_EQ(ask(*store, "k1", "a").disposition, Disposition::Execute);
+  serve(*store, "k1", "a", "the row");
+  store.reset();
+  time.advance(std::chrono::seconds(60));
+  store = open();
+  const OperationResult s = ask(*store, "k1", "b");
   EXPECT_EQ(s.disposition, Disposition::Replay);
   EXPECT_EQ(s.response, "the row");
   EXPECT_EQ(s.positionMs, 17);
-  EXPECT_EQ(ask(*l, "k1", "c", 4).disposition, Disposition::OutcomeUnknown) << "of another group";
-}
-TEST_F(StoreTest, AnAnswerTooLongToKeepIsAnHonestFailure) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  serve(*l, "k1", "a", std::string(201, 'x'));
-  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::OutcomeUnknown);
-}
-TEST_F(StoreTest, AnIntentWithoutOutcomeMayGoAgainWithinItsWindowAlone) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  ask(*l, "k2", "b");
-  l.reset();
-  time.pass(std::chrono::milliseconds(1500));
-  l = open();
-  EXPECT_EQ(l->recovered().pendingKeys, 2u);
-  const OperationResult s = ask(*l, "k1", "c");
+  EXPECT_EQ(ask(*store, "k1", "c", 4).disposition, Disposition::OutcomeUnknown)
+      << "the key belongs to another group";
+}
+TEST_F(StoreTest, AResponseTooLongToStoreLeavesTheOutcomeUnknown) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  serve(*store, "k1", "a", std::string(201, 'x'));
+  EXPECT_EQ(ask(*store, "k1", "b").disposition, Disposition::OutcomeUnknown);
+}
+TEST_F(StoreTest, AnIntentWithoutOutcomeIsRetriedOnlyWithinItsWindow) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  ask(*store, "k2", "b");
+  store.reset();
+  time.advance(std::chrono::milliseconds(1500));
+  store = open();
+  EXPECT_EQ(store->recovered().pendingKeys, 2u);
+  const OperationResult s = ask(*store, "k1", "c");
   EXPECT_EQ(s.disposition, Disposition::Retry);
   EXPECT_GE(s.sinceFirstSend, std::chrono::milliseconds(1500));
-  EXPECT_EQ(ask(*l, "k1", "d", 4).disposition, Disposition::OutcomeUnknown)
-      << "in another group nobody knows the key";
-  time.pass(std::chrono::milliseconds(500));
-  EXPECT_EQ(ask(*l, "k2", "e").disposition, Disposition::OutcomeUnknown);
-  EXPECT_EQ(ask(*l, "k1", "f").disposition, Disposition::OutcomeUnknown)
-      << "the window counts from the first send of all";
-}
-TEST_F(StoreTest, WhatNeverRanMayRunAnew) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  l->apply(
+  EXPECT_EQ(ask(*store, "k1", "d", 4).disposition, Disposition::OutcomeUnknown)
+      << "the data servers of another group don't know the key";
+  time.advance(std::chrono::milliseconds(500));
+  EXPECT_EQ(ask(*store, "k2", "e").disposition, Disposition::OutcomeUnknown);
+  EXPECT_EQ(ask(*store, "k1", "f").disposition, Disposition::OutcomeUnknown)
+      << "the window counts from the first of all sends";
+}
+TEST_F(StoreTest, AKeyThatWasNotExecutedMayBeExecutedAgain) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  store->apply(
       {RecordAttemptSent{"k1", "a", "s-1", 0}, RecordAttemptEnd{"k1", "a", 0, AttemptEffect::NotExecuted},
        CompleteRequest{"k1", "a", Outcome::Rejected, "", 0, 0, false}, RecordResponseDelivered{"k1", "a"}});
-  l.reset();
-  time.pass(std::chrono::seconds(5));
-  l = open();
-  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::Execute);
-}
-// Notes may be lost while the disk fails; the last word tells whether an attempt may have run all the same.
-TEST_F(StoreTest, ALostNoteMakesNoKeyFree) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  l->apply(
+  store.reset();
+  time.advance(std::chrono::seconds(5));
+  store = open();
+  EXPECT_EQ(ask(*store, "k1", "b").disposition, Disposition::Execute);
+}
+// Records of attempts may be lost while the disk fails. CompleteRequest therefore says again whether an
+// attempt may have been executed.
+TEST_F(StoreTest, AKeyWhoseAttemptRecordWasLostIsNotExecutedAgain) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  store->apply(
       {CompleteRequest{"k1", "a", Outcome::Rejected, "", 0, 0, true}, RecordResponseDelivered{"k1", "a"}});
-  time.pass(std::chrono::seconds(5));
-  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::OutcomeUnknown);
-}
-TEST_F(StoreTest, TwoRequestsOfAKeyAtOnceLeaveItOpenUntilBothHaveEnded) {
-  auto l = open();
-  EXPECT_EQ(ask(*l, "k1", "a").disposition, Disposition::Execute);
-  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::Retry);
-  l->apply(
+  time.advance(std::chrono::seconds(5));
+  EXPECT_EQ(ask(*store, "k1", "b").disposition, Disposition::OutcomeUnknown);
+}
+TEST_F(StoreTest, TwoConcurrentRequestsKeepAKeyPendingUntilBothHaveEnded) {
+  auto store = open();
+  EXPECT_EQ(ask(*store, "k1", "a").disposition, Disposition::Execute);
+  EXPECT_EQ(ask(*store, "k1", "b").disposition, Disposition::Retry);
+  store->apply(
       {CompleteRequest{"k1", "b", Outcome::Rejected, "", 0, 0, false}, RecordResponseDelivered{"k1", "b"}});
-  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::Retry) << "a may be out still";
-  serve(*l, "k1", "a", "the row");
-  l->apply({CompleteRequest{"k1", "c", Outcome::Failed, "", 0, 0, true}});
-  EXPECT_EQ(ask(*l, "k1", "d").disposition, Disposition::Replay) << "a failure does not undo what was served";
-}
-TEST_F(StoreTest, TenThousandOpenIntentsAreJudgedOneByOneAfterTheCrash) {
-  auto l = open();
+  EXPECT_EQ(ask(*store, "k1", "c").disposition, Disposition::Retry) << "a may still be in flight";
+  serve(*store, "k1", "a", "the row");
+  store->apply({CompleteRequest{"k1", "c", Outcome::Failed, "", 0, 0, true}});
+  EXPECT_EQ(ask(*store, "k1", "d").disposition, Disposition::Replay)
+      << "a later failure does not replace the served outcome";
+}
+TEST_F(StoreTest, TenThousandPendingIntentsAreDecidedIndividuallyAfterARestart) {
+  auto store = open();
   std::vector<Operation> all;
   for (int k = 0; k < 10000; ++k)
     all.emplace_back(
         BeginKeyedRequest{{"id" + std::to_string(k), "k" + std::to_string(k), "order", 3, kWindow}});
-  l->apply(all);
-  l.reset();
-  time.pass(std::chrono::seconds(1));
-  l = open();
-  EXPECT_EQ(l->recovered().pendingKeys, 10000u);
+  store->apply(all);
+  store.reset();
+  time.advance(std::chrono::seconds(1));
+  store = open();
+  EXPECT_EQ(store->recovered().pendingKeys, 10000u);
   for (int k = 0; k < 10000; k += 97)
-    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "x").disposition, Disposition::Retry);
-  time.pass(std::chrono::seconds(1));
+    EXPECT_EQ(ask(*store, "k" + std::to_string(k), "x").disposition, Disposition::Retry);
+  time.advance(std::chrono::seconds(1));
   for (int k = 1; k < 10000; k += 97)
-    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "x").disposition, Disposition::OutcomeUnknown);
+    EXPECT_EQ(ask(*store, "k" + std::to_string(k), "x").disposition, Disposition::OutcomeUnknown);
 }
 
-// ---- the clock ----------------------------------------------------------------------------------------
-TEST_F(StoreTest, TheWallClockSetBackOrForthMakesNoKeyYoungAndNoneForgotten) {
+// ---- the clock ---------------------------------------------------------------------------------------
+TEST_F(StoreTest, AWallClockStepNeitherExtendsAWindowNorExpiresAKey) {
   for (const int hours : {-1, 1, 24 * 365}) {
     const std::string key = "k" + std::to_string(hours);
-    auto l = open();
-    ask(*l, key, "a");
-    ask(*l, key + "served", "b");
-    serve(*l, key + "served", "b", "row");
-    l.reset();
-    time.pass(std::chrono::seconds(3));
+    auto store = open();
+    ask(*store, key, "a");
+    ask(*store, key + "served", "b");
+    serve(*store, key + "served", "b", "row");
+    store.reset();
+    time.advance(std::chrono::seconds(3));
     time.wallMs += hours * 3600 * 1000ll;
-    l = open();
-    EXPECT_EQ(ask(*l, key, "c").disposition, Disposition::OutcomeUnknown) << hours;
-    EXPECT_EQ(ask(*l, key + "served", "d").disposition, Disposition::Replay) << hours;
+    store = open();
+    EXPECT_EQ(ask(*store, key, "c").disposition, Disposition::OutcomeUnknown) << hours;
+    EXPECT_EQ(ask(*store, key + "served", "d").disposition, Disposition::Replay) << hours;
   }
 }
-// How long a machine was off is not known: for sending again it was long, for forgetting it was no time at
-// all.
-TEST_F(StoreTest, AfterTheMachinesOwnStartNothingIsYoungAndNothingIsForgotten) {
+// How long the machine was off is unknown. Retries assume that it was longer than any window, expiry assumes
+// that no time passed.
+TEST_F(StoreTest, AfterAMachineRebootNoKeyIsRetriedAndNoneExpires) {
   settings.keyRetention = std::chrono::seconds(10);
-  auto l = open();
-  ask(*l, "k1", "a");
-  ask(*l, "k2", "b");
-  serve(*l, "k2", "b", "row");
-  l.reset();
+  auto store = open();
+  ask(*store, "k1", "a");
+  ask(*store, "k2", "b");
+  serve(*store, "k2", "b", "row");
+  store.reset();
   time.boot = "boot-2";
   time.us = 5000;
   time.wallMs += 3600 * 1000;
-  l = open();
-  EXPECT_TRUE(l->recovered().afterGap);
-  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::OutcomeUnknown);
-  EXPECT_EQ(ask(*l, "k2", "d").disposition, Disposition::Replay);
-  EXPECT_EQ(ask(*l, "k3", "e").disposition, Disposition::Execute);
-  EXPECT_EQ(ask(*l, "k3", "f").disposition, Disposition::Retry) << "after the gap ages are known again";
-}
-TEST_F(StoreTest, AMachineSetBackToASnapshotCountsAsAnother) {
-  auto l = open();
-  time.pass(std::chrono::seconds(100));
-  ask(*l, "k1", "a");
-  l.reset();
+  store = open();
+  EXPECT_TRUE(store->recovered().afterGap);
+  EXPECT_EQ(ask(*store, "k1", "c").disposition, Disposition::OutcomeUnknown);
+  EXPECT_EQ(ask(*store, "k2", "d").disposition, Disposition::Replay);
+  EXPECT_EQ(ask(*store, "k3", "e").disposition, Disposition::Execute);
+  EXPECT_EQ(ask(*store, "k3", "f").disposition, Disposition::Retry)
+      << "ages are known again for keys of the new boot";
+}
+TEST_F(StoreTest, AMachineRestoredFromASnapshotCountsAsRebooted) {
+  auto store = open();
+  time.advance(std::chrono::seconds(100));
+  ask(*store, "k1", "a");
+  store.reset();
   time.us -= 50000000;
-  l = open();
-  EXPECT_TRUE(l->recovered().afterGap);
-  EXPECT_EQ(ask(*l, "k1", "b").disposition, Disposition::OutcomeUnknown);
+  store = open();
+  EXPECT_TRUE(store->recovered().afterGap);
+  EXPECT_EQ(ask(*store, "k1", "b").disposition, Disposition::OutcomeUnknown);
 }
 
-// ---- bounds -------------------------------------------------------------------------------------------
-TEST_F(StoreTest, StaysLevelWhileKeysAreAlwaysNew) {
+// ---- bounds ------------------------------------------------------------------------------------------
+TEST_F(StoreTest, SizeStaysBoundedWhenEveryKeyIsNew) {
   settings.keyRetention = std::chrono::seconds(10);
   settings.sessionRetention = std::chrono::seconds(10);
-  auto l = open();
+  auto store = open();
   std::uint64_t most = 0;
   for (int k = 0; k < 3000; ++k) {
     const std::string key = "k" + std::to_string(k);
-    ask(*l, key, "a");
-    l->apply({CompleteRequest{key, "a", Outcome::Served, "row", 1000 + k, static_cast<std::uint64_t>(k + 1),
-                              true}});
-    time.pass(std::chrono::milliseconds(50));
-    most = std::max(most, l->totals().keys);
+    ask(*store, key, "a");
+    store->apply({CompleteRequest{key, "a", Outcome::Served, "row", 1000 + k,
+                                  static_cast<std::uint64_t>(k + 1), true}});
+    time.advance(std::chrono::milliseconds(50));
+    most = std::max(most, store->totals().keys);
   }
   EXPECT_LE(most, 201u);
-  EXPECT_LE(l->totals().sessions, 201u);
-  l.reset();
+  EXPECT_LE(store->totals().sessions, 201u);
+  store.reset();
   const StoreStatistics c = check(files, dir);
   EXPECT_LE(c.pairs, 4 * 201u + 8);
 }
-TEST_F(StoreTest, WithoutRoomNewKeysAreTurnedAwayAndTheOldOnesStand) {
+TEST_F(StoreTest, AFullStoreRejectsNewKeysAndRetainsTheOldOnes) {
   settings.maxKeys = 3;
   settings.keyRetention = std::chrono::seconds(10);
-  auto l = open();
-  for (const char* k : {"k1", "k2", "k3"}) EXPECT_EQ(ask(*l, k, "a").disposition, Disposition::Execute);
-  time.pass(std::chrono::seconds(4));
-  const OperationResult s = ask(*l, "k4", "b");
+  auto store = open();
+  for (const char* k : {"k1", "k2", "k3"}) EXPECT_EQ(ask(*store, k, "a").disposition, Disposition::Execute);
+  time.advance(std::chrono::seconds(4));
+  const OperationResult s = ask(*store, "k4", "b");
   EXPECT_TRUE(s.storeFull);
   EXPECT_EQ(s.retryAfter, std::chrono::seconds(6));
-  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::OutcomeUnknown) << "it is known still";
-  time.pass(std::chrono::seconds(7));
-  EXPECT_TRUE(ask(*l, "k4", "d").storeFull || ask(*l, "k4", "e").disposition == Disposition::Execute);
+  EXPECT_EQ(ask(*store, "k1", "c").disposition, Disposition::OutcomeUnknown) << "the key is still stored";
+  time.advance(std::chrono::seconds(7));
+  EXPECT_TRUE(ask(*store, "k4", "d").storeFull || ask(*store, "k4", "e").disposition == Disposition::Execute);
 }
-TEST_F(StoreTest, SessionsGoOnWhereTheyWereAndForgettingMakesThemStricter) {
+TEST_F(StoreTest, SessionPositionsSurviveARestartAndExpiryOnlyRaisesThem) {
   settings.sessionRetention = std::chrono::seconds(10);
-  auto l = open();
-  l->apply({RecordSessionPosition{7, 5000}, RecordSessionPosition{7, 4000}, RecordSessionPosition{8, 6000}});
-  l.reset();
-  time.pass(std::chrono::seconds(1));
-  l = open();
-  EXPECT_EQ(l->apply({ReadSessionPosition{7}})[0].positionMs, 5000) << "never back";
-  EXPECT_EQ(l->apply({ReadSessionPosition{9}})[0].positionMs, 0);
-  time.pass(std::chrono::seconds(10));
-  l->apply({RecordSessionPosition{10, 10}});
-  EXPECT_EQ(l->apply({ReadSessionPosition{9}})[0].positionMs, 6000) << "the newest of those forgotten";
+  auto store = open();
+  store->apply(
+      {RecordSessionPosition{7, 5000}, RecordSessionPosition{7, 4000}, RecordSessionPosition{8, 6000}});
+  store.reset();
+  time.advance(std::chrono::seconds(1));
+  store = open();
+  EXPECT_EQ(store->apply({ReadSessionPosition{7}})[0].positionMs, 5000) << "a position never decreases";
+  EXPECT_EQ(store->apply({ReadSessionPosition{9}})[0].positionMs, 0);
+  time.advance(std::chrono::seconds(10));
+  store->apply({RecordSessionPosition{10, 10}});
+  EXPECT_EQ(store->apply({ReadSessionPosition{9}})[0].positionMs, 6000)
+      << "the newest of the expired positions";
   settings.maxSessions = 1;
-  l.reset();
-  l = open();
-  l->apply({RecordSessionPosition{11, 9000}});
-  EXPECT_EQ(l->apply({ReadSessionPosition{11}})[0].positionMs, 9000);
-  EXPECT_EQ(l->apply({ReadSessionPosition{12}})[0].positionMs, 9000) << "no room: it counts for all";
+  store.reset();
+  store = open();
+  store->apply({RecordSessionPosition{11, 9000}});
+  EXPECT_EQ(store->apply({ReadSessionPosition{11}})[0].positionMs, 9000);
+  EXPECT_EQ(store->apply({ReadSessionPosition{12}})[0].positionMs, 9000)
+      << "no room: the position applies to every unknown session";
 }
 
-// ---- ends and damage ----------------------------------------------------------------------------------
-TEST_F(StoreTest, TwoProcessesDoNotShareADirectory) {
-  const auto l = open();
+// ---- crashes and damage ------------------------------------------------------------------------------
+TEST_F(StoreTest, ADirectoryIsLockedAgainstOtherProcesses) {
+  const auto store = open();
   const pid_t child = fork();
   if (child == 0) _exit(error().kind == StoreError::Kind::Busy ? 17 : 1);
   int status = 0;
   waitpid(child, &status, 0);
   EXPECT_EQ(WEXITSTATUS(status), 17);
 }
-TEST_F(StoreTest, ATornFinalRecordThatHoldsAKeyIsCutOff) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  const std::string before = slurp(theLog()), mark = slurp(dir + "/DURABLE");
-  ask(*l, "k2", "b");
-  const std::string after = slurp(theLog());
-  l.reset();
+TEST_F(StoreTest, ATornFinalRecordIsTruncated) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  const std::string before = readBytes(logFile()), marker = readBytes(dir + "/DURABLE");
+  ask(*store, "k2", "b");
+  const std::string after = readBytes(logFile());
+  store.reset();
   for (std::size_t n = before.size() + 1; n < after.size(); n += 7) {
     fs::remove_all(dir + "-copy");
     fs::copy(dir, dir + "-copy");
-    spit(dir + "-copy/" + fs::path(theLog()).filename().string(), after.substr(0, n));
-    spit(dir + "-copy/DURABLE", mark);
+    writeBytes(dir + "-copy/" + fs::path(logFile()).filename().string(), after.substr(0, n));
+    writeBytes(dir + "-copy/DURABLE", marker);
     IdempotencyStoreSettings s = settings;
     s.directory = dir + "-copy";
     Files plain;
@@ -286,97 +294,99 @@
     EXPECT_EQ(copy.recovered().database.tornBytes, n - before.size());
     EXPECT_EQ(ask(copy, "k1", "c").disposition, Disposition::Retry);
     EXPECT_EQ(ask(copy, "k2", "d").disposition, Disposition::Execute)
-        << "it never was durable, so it never was sent";
+        << "its intent was never durable, so no attempt was sent";
   }
 }
-TEST_F(StoreTest, ABitFlippedInTheMiddleIsReportedWithItsOffset) {
-  auto l = open();
+TEST_F(StoreTest, ABitFlipInTheMiddleOfTheLogIsReportedWithItsOffset) {
+  auto store = open();
   std::vector<std::size_t> ends;
   for (int k = 0; k < 5; ++k) {
-    ends.push_back(slurp(theLog()).size());
-    ask(*l, "k" + std::to_string(k), "a");
+    ends.push_back(readBytes(logFile()).size());
+    ask(*store, "k" + std::to_string(k), "a");
   }
-  const std::string log = theLog(), good = slurp(log);
-  l.reset();
+  const std::string log = logFile(), good = readBytes(log);
+  store.reset();
   for (std::size_t at = ends[1]; at < ends[3]; ++at) {
     std::string bad = good;
     bad[at] = static_cast<char>(bad[at] ^ 0x10);
-    spit(log, bad);
+    writeBytes(log, bad);
     const StoreError e = error();
     ASSERT_EQ(e.kind, StoreError::Kind::Damaged) << at << ": " << e.what();
     EXPECT_EQ(e.file, fs::path(log).filename().string());
     EXPECT_EQ(e.offset, at < ends[2] ? ends[1] : ends[2]) << at;
   }
-  spit(log, good);
+  writeBytes(log, good);
   EXPECT_NO_THROW(open());
 }
-// The mark is older after the machine's end, and then it does not tell: the records that follow do.
-TEST_F(StoreTest, DamageIsFoundWithoutTheMarkWhereLaterRecordsStand) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  const std::size_t at = slurp(theLog()).size();
-  ask(*l, "k2", "b");
-  ask(*l, "k3", "c");
-  const std::string log = theLog();
-  l.reset();
-  std::string bytes = slurp(log);
+// After a power loss the durability marker may be older than the log and does not prove damage. Valid records
+// after the damaged one do.
+TEST_F(StoreTest, DamageIsFoundWithoutTheDurabilityMarkerIfLaterRecordsAreValid) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  const std::size_t at = readBytes(logFile()).size();
+  ask(*store, "k2", "b");
+  ask(*store, "k3", "c");
+  const std::string log = logFile();
+  store.reset();
+  std::string bytes = readBytes(log);
   bytes[at + 5] = '\x7f';  // a length that ends beyond the file, which LevelDB takes for the file's end
-  spit(log, bytes);
+  writeBytes(log, bytes);
   fs::remove(dir + "/DURABLE");
   const StoreError e = error();
   EXPECT_EQ(e.kind, StoreError::Kind::Damaged);
   EXPECT_EQ(e.offset, at);
 }
-TEST_F(StoreTest, AnEndThatIsMissingIsReportedThoughWhatIsLeftIsWhole) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  const std::size_t size = slurp(theLog()).size();
-  ask(*l, "k2", "b");
-  const std::string log = theLog();
-  l.reset();
+TEST_F(StoreTest, AMissingTailIsReportedAlthoughTheRemainingRecordsAreValid) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  const std::size_t size = readBytes(logFile()).size();
+  ask(*store, "k2", "b");
+  const std::string log = logFile();
+  store.reset();
   fs::resize_file(log, size);
   const StoreError e = error();
   EXPECT_EQ(e.kind, StoreError::Kind::Damaged);
   EXPECT_NE(std::string(e.what()).find("had been durable"), std::string::npos) << e.what();
-  EXPECT_EQ(error().kind, StoreError::Kind::Damaged) << "and not forgotten by having been looked at";
-}
-// Tables that are older than the log: what the log holds counts. A manifest of before the tables were
-// written, its log gone with them, is an older state that nobody may take for the present one.
-TEST_F(StoreTest, ACheckpointOlderThanTheLogGivesWayAndAnOlderManifestIsDamage) {
-  auto l = open();
-  ask(*l, "k1", "a");
-  l.reset();
-  const std::string current = slurp(dir + "/CURRENT");
-  const std::string manifest = current.substr(0, current.size() - 1), old = slurp(dir + "/" + manifest);
+  EXPECT_EQ(error().kind, StoreError::Kind::Damaged) << "opening the store does not clear the damage";
+}
+// Tables that are older than the log are brought up to date from the log. A manifest from before the
+// compaction, whose log was deleted by it, describes an older state and must not be accepted as the current
+// one.
+TEST_F(StoreTest, AnOlderCheckpointIsReplayedFromTheLogAndAnOlderManifestIsDamage) {
+  auto store = open();
+  ask(*store, "k1", "a");
+  store.reset();
+  const std::string current = readBytes(dir + "/CURRENT");
+  const std::string manifest = current.substr(0, current.size() - 1), old = readBytes(dir + "/" + manifest);
   compact(files, dir);
-  l = open();
-  serve(*l, "k1", "a", "the row");
-  ask(*l, "k2", "b");
-  l.reset();
-  l = open();
-  EXPECT_EQ(ask(*l, "k1", "c").disposition, Disposition::Replay);
-  EXPECT_EQ(ask(*l, "k2", "d").disposition, Disposition::Retry);
-  l.reset();
-  spit(dir + "/" + manifest, old);
-  spit(dir + "/CURRENT", current);
+  store = open();
+  serve(*store, "k1", "a", "the row");
+  ask(*store, "k2", "b");
+  store.reset();
+  store = open();
+  EXPECT_EQ(ask(*store, "k1", "c").disposition, Disposition::Replay);
+  EXPECT_EQ(ask(*store, "k2", "d").disposition, Disposition::Retry);
+  store.reset();
+  writeBytes(dir + "/" + manifest, old);
+  writeBytes(dir + "/CURRENT", current);
   const StoreError e = error();
   EXPECT_EQ(e.kind, StoreError::Kind::Damaged) << e.what();
 }
-TEST_F(StoreTest, AFlippedBitInATableIsFoundByTheCheck) {
-  auto l = open();
-  for (int k = 0; k < 50; ++k) ask(*l, "k" + std::to_string(k), "a");
-  l.reset();
+TEST_F(StoreTest, ABitFlipInATableIsFoundByCheck) {
+  auto store = open();
+  for (int k = 0; k < 50; ++k) ask(*store, "k" + std::to_string(k), "a");
+  store.reset();
   compact(files, dir);
   std::string table;
   for (const auto& f : fs::directory_iterator(dir))
     if (f.path().extension() == ".ldb") table = f.path().string();
   ASSERT_FALSE(table.empty());
-  const std::string good = slurp(table);
+  const std::string good = readBytes(table);
   std::size_t named = 0;
   for (std::size_t at = 0; at < good.size(); at += 37) {
     std::string bad = good;
     bad[at] = static_cast<char>(bad[at] ^ 1);
-    spit(table, bad);
+    writeBytes(table, bad);
     try {
       check(files, dir);
     } catch (const StoreError& e) {
@@ -385,10 +395,10 @@
       ++named;
     }
   }
-  // The footer's padding alone may change and nothing be lost.
+  // Only a change in the padding of the footer damages nothing.
   EXPECT_GE(named + 2, (good.size() + 36) / 37);
 }
-TEST_F(StoreTest, ARecordOfALaterVersionIsTurnedDown) {
+TEST_F(StoreTest, ARecordOfALaterVersionIsRejected) {
   open().reset();
   {
     Database db(files, dir);
@@ -398,61 +408,62 @@
     b.put("kfuture", r);
     db.commit(b);
   }
-  auto l = open();
+  auto store = open();
   try {
-    ask(*l, "future", "a");
-    FAIL() << "it was read";
+    ask(*store, "future", "a");
+    FAIL() << "the record was accepted";
   } catch (const StoreError& e) {
     EXPECT_EQ(e.kind, StoreError::Kind::Newer) << e.what();
   }
 }
-// Cut, dropped, spoilt: a drawn part of the sweep.
-TEST(StoreSweep, EveryEndKeepsWhatWasPromisedAndDamageIsNeverSilent) {
+// A random part of the sweep: process crashes, power losses, bad sectors and bit flips.
+TEST(StoreSweep, EveryCrashPreservesTheGuaranteesAndDamageIsReported) {
   const SweepResult r = sweep(0.1, 20261201, 2);
-  EXPECT_EQ(r.silent, 0u) << r.first;
-  EXPECT_EQ(r.damagedCuts, 0u) << r.first;
-  EXPECT_EQ(r.withoutOffset, 0u);
-  EXPECT_GT(r.cuts, 1000u);
-  EXPECT_GT(r.losses, 10u);
-  EXPECT_GT(r.sectors, 10u);
-  EXPECT_GT(r.flips, 10u);
-  EXPECT_GT(r.reported, 0u);
-}
-TEST(StoreSweep, ADiskThatFailsForAWhileAndAnEndAtAnyByteKeepWhatWasPromised) {
+  EXPECT_EQ(r.violations, 0u) << r.firstViolation;
+  EXPECT_EQ(r.falseDamage, 0u) << r.firstViolation;
+  EXPECT_EQ(r.damageWithoutFile, 0u);
+  EXPECT_GT(r.processCrashes, 1000u);
+  EXPECT_GT(r.powerLosses, 10u);
+  EXPECT_GT(r.badSectors, 10u);
+  EXPECT_GT(r.bitFlips, 10u);
+  EXPECT_GT(r.damageReported, 0u);
+}
+TEST(StoreSweep, CrashesDuringTemporaryDiskErrorsPreserveTheGuarantees) {
   const FailureSweepResult r = sweepFailures(60, 20261202);
-  EXPECT_EQ(r.broken, 0u) << r.first;
+  EXPECT_EQ(r.violations, 0u) << r.firstViolation;
   EXPECT_EQ(r.windows, 60u);
-  EXPECT_EQ(r.kills, 8 * r.windows);
-  EXPECT_EQ(r.losses, 8 * r.windows);
+  EXPECT_EQ(r.processCrashes, 8 * r.windows);
+  EXPECT_EQ(r.powerLosses, 8 * r.windows);
   EXPECT_GT(r.failedOperations, r.windows);
 }
-// A check that cannot fail would prove nothing.
-TEST(StoreSweep, BrokenPromisesAreSeen) {
+// Checks that findViolation() can fail. Otherwise a sweep without violations would prove nothing.
+TEST(StoreSweep, FindViolationReportsAnEmptyStore) {
   const TemporaryDirectory folder;
   TestTime time;
   Files files;
-  Life life(files, folder.path + "/a", time);
-  live(life, time);
+  StoreWorkload workload(files, folder.path + "/a", time);
+  runWorkload(workload, time);
   IdempotencyStoreSettings s;
   s.directory = folder.path + "/b";
   IdempotencyStore other(files, s, [&] { return time(); });
-  EXPECT_NE(broken(life.facts(), other, time), "");
-  Facts one;
-  one.sessions[1] = 5;
-  EXPECT_NE(broken(one, other, time), "");
+  EXPECT_NE(findViolation(workload.guarantees(), other, time), "");
+  Guarantees session;
+  session.sessions[1] = 5;
+  EXPECT_NE(findViolation(session, other, time), "");
 }
 
-// ---- a disk that fails --------------------------------------------------------------------------------
-// Each operation of the life fails in turn, once or from then on, with none or a part of its bytes written.
-TEST(StoreFaults, EveryOperationMayFailAndNothingPromisedIsLost) {
+// ---- disk errors -------------------------------------------------------------------------------------
+// Every file operation of the workload fails in turn, once or permanently, with none or a part of its bytes
+// written.
+TEST(StoreFaults, AFailureOfAnyFileOperationPreservesTheGuarantees) {
   std::size_t operations = 0;
   {
     const TemporaryDirectory folder;
-    Recorder r(folder.path + "/store");
+    RecordingFileHook r(folder.path + "/store");
     Files files(&r);
     TestTime time;
-    Life life(files, folder.path + "/store", time);
-    live(life, time);
+    StoreWorkload workload(files, folder.path + "/store", time);
+    runWorkload(workload, time);
     operations = r.count();
   }
   ASSERT_GT(operations, 200u);
@@ -460,47 +471,47 @@
   for (std::size_t n = 0; n < operations; ++n)
     for (const bool lasting : {false, true}) {
       const TemporaryDirectory folder;
-      Recorder r(folder.path + "/store");
+      RecordingFileHook r(folder.path + "/store");
       r.failAt(n, lasting, n % 3 * 5);
       Files files(&r);
       TestTime time;
-      Life life(files, folder.path + "/store", time);
+      StoreWorkload workload(files, folder.path + "/store", time);
       bool threw = false;
       try {
-        live(life, time);
+        runWorkload(workload, time);
       } catch (const StoreError& e) {
         threw = true;
         EXPECT_EQ(e.kind, StoreError::Kind::Failed) << n << ": " << e.what();
       }
-      life.close();
+      workload.close();
       EXPECT_TRUE(r.failed()) << n;
       failures += threw;
-      r.mend();
+      r.stopFailing();
       try {
-        life.open();
-        EXPECT_EQ(broken(life.facts(), life.ledger(), time), "") << n;
+        workload.open();
+        EXPECT_EQ(findViolation(workload.guarantees(), workload.store(), time), "") << n;
       } catch (const StoreError& e) {
         ADD_FAILURE() << "operation " << n << (lasting ? ", lasting" : "") << ": " << e.what();
       }
     }
   EXPECT_GT(failures, operations / 2);
 }
-TEST_F(StoreTest, ASyncThatFailsOnceLeavesNothingTakenForDurable) {
-  auto l = open();
-  ask(*l, "k1", "a");
+TEST_F(StoreTest, AfterAFailedSyncCommitsFailUntilTheStoreIsReopened) {
+  auto store = open();
+  ask(*store, "k1", "a");
   const std::size_t n = recorder.count();
   recorder.failAt(n + 1, false);  // the append, then its sync
-  EXPECT_THROW(ask(*l, "k2", "b"), StoreError);
-  EXPECT_THROW(ask(*l, "k3", "c"), StoreError) << "until it is opened again";
-  l.reset();
-  recorder.mend();
-  l = open();
-  EXPECT_EQ(ask(*l, "k1", "d").disposition, Disposition::Retry);
-  EXPECT_EQ(ask(*l, "k3", "e").disposition, Disposition::Execute);
-}
-// A file that cannot be opened or read for the moment is neither another process's nor damage: here a folder
-// stands in its place, which fails as a disk may.
-TEST_F(StoreTest, AFileThatCannotBeReadForTheMomentIsADiskThatFails) {
+  EXPECT_THROW(ask(*store, "k2", "b"), StoreError);
+  EXPECT_THROW(ask(*store, "k3", "c"), StoreError) << "until the store is reopened";
+  store.reset();
+  recorder.stopFailing();
+  store = open();
+  EXPECT_EQ(ask(*store, "k1", "d").disposition, Disposition::Retry);
+  EXPECT_EQ(ask(*store, "k3", "e").disposition, Disposition::Execute);
+}
+// A temporary read error must be reported neither as a store in use by another process nor as damage. The
+// test causes one by putting a directory in place of the file.
+TEST_F(StoreTest, ATemporaryReadErrorIsNotReportedAsDamage) {
   open().reset();
   for (const char* const name : {"OWNER", "DURABLE", "CURRENT"}) {
     const std::string path = dir + "/" + name;
@@ -514,25 +525,25 @@
     EXPECT_NO_THROW(open()) << name;
   }
 }
-TEST_F(StoreTest, ADiskThatIsFullAmidAGroupLosesTheGroupWhole) {
-  auto l = open();
-  ask(*l, "k0", "a");
+TEST_F(StoreTest, ADiskThatFillsUpDuringAGroupCommitLosesTheWholeGroup) {
+  auto store = open();
+  ask(*store, "k0", "a");
   recorder.failAt(recorder.count(), true, 40);
   std::vector<Operation> group;
   for (int k = 1; k < 20; ++k)
     group.emplace_back(BeginKeyedRequest{{"a", "k" + std::to_string(k), "order", 3, kWindow}});
-  EXPECT_THROW(l->apply(group), StoreError);
-  l.reset();
-  EXPECT_EQ(error().kind, StoreError::Kind::Failed) << "it is full still";
-  recorder.mend();
-  l = open();
-  EXPECT_EQ(ask(*l, "k0", "b").disposition, Disposition::Retry);
+  EXPECT_THROW(store->apply(group), StoreError);
+  store.reset();
+  EXPECT_EQ(error().kind, StoreError::Kind::Failed) << "the disk is still full";
+  recorder.stopFailing();
+  store = open();
+  EXPECT_EQ(ask(*store, "k0", "b").disposition, Disposition::Retry);
   for (int k = 1; k < 20; ++k)
-    EXPECT_EQ(ask(*l, "k" + std::to_string(k), "b").disposition, Disposition::Execute);
+    EXPECT_EQ(ask(*store, "k" + std::to_string(k), "b").disposition, Disposition::Execute);
 }
 
-// ---- what failed commits were to record ---------------------------------------------------------------
-TEST(StoreBacklog, KeepsOperationsInOrderAndAnIntentAsItsWithdrawal) {
+// ---- operations of failed commits --------------------------------------------------------------------
+TEST(StoreBacklog, KeepsOperationsInOrderAndAnIntentAsAnAbandonRequest) {
   Backlog b;
   EXPECT_TRUE(b.add(BeginKeyedRequest{{"a", "k1", "order", 3, kWindow}}));
   EXPECT_TRUE(b.add(CompleteRequest{"k2", "b", Outcome::Served, "row", 0, 0, true}));
@@ -541,7 +552,7 @@
   EXPECT_FALSE(b.add(ReadSessionPosition{7}));
   const std::vector<Operation> all = b.oldest(10);
   ASSERT_EQ(all.size(), 3u);
-  EXPECT_EQ(std::get<RecordSessionPosition>(all[0]).positionMs, 500) << "never back";
+  EXPECT_EQ(std::get<RecordSessionPosition>(all[0]).positionMs, 500) << "a position never decreases";
   EXPECT_EQ(std::get<AbandonRequest>(all[1]).id, "a");
   EXPECT_FALSE(std::get<AbandonRequest>(all[1]).mayHaveExecuted);
   EXPECT_EQ(std::get<CompleteRequest>(all[2]).response, "row");
@@ -559,7 +570,7 @@
   for (std::size_t k = 0; k < Backlog::kMaxSessions; ++k)
     ASSERT_TRUE(sessions.add(RecordSessionPosition{k + 1, 1}));
   EXPECT_FALSE(sessions.add(RecordSessionPosition{Backlog::kMaxSessions + 1, 1}));
-  EXPECT_TRUE(sessions.add(RecordSessionPosition{1, 2})) << "of one that is known";
+  EXPECT_TRUE(sessions.add(RecordSessionPosition{1, 2})) << "an update of a known session needs no room";
   const std::string answer(16 << 10, 'x');
   std::size_t kept = 0;
   while (bytes.add(CompleteRequest{"k", "a", Outcome::Served, answer, 0, 0, true})) ++kept;
@@ -569,7 +580,7 @@
   EXPECT_TRUE(bytes.add(CompleteRequest{"k", "a", Outcome::Served, answer, 0, 0, true}));
 }
 
-// Every first call of a kind is interrupted, every other one carries a third of its bytes at most.
+// Makes every second file system call fail with EINTR and the others transfer about a third of their bytes.
 struct InterruptedCalls {
   InterruptedCalls() {
     calls = 0;
@@ -593,42 +604,43 @@
   }
   inline static std::atomic<int> calls{0};
 };
-TEST(StoreFaults, CallsThatAreInterruptedOrStopShortAreNoFailure) {
+TEST(StoreFaults, InterruptedCallsAndShortWritesAreContinued) {
   const TemporaryDirectory folder;
   Files files;
   TestTime time;
-  Life life(files, folder.path + "/store", time);
+  StoreWorkload workload(files, folder.path + "/store", time);
   const InterruptedCalls calls;
-  ASSERT_NO_THROW(live(life, time));
-  life.open();
-  EXPECT_EQ(broken(life.facts(), life.ledger(), time), "");
+  ASSERT_NO_THROW(runWorkload(workload, time));
+  workload.open();
+  EXPECT_EQ(findViolation(workload.guarantees(), workload.store(), time), "");
   EXPECT_EQ(replaceFile(files, folder.path + "/whole", std::string(5000, 'w')), "");
-  EXPECT_EQ(slurp(folder.path + "/whole"), std::string(5000, 'w'));
+  EXPECT_EQ(readBytes(folder.path + "/whole"), std::string(5000, 'w'));
   EXPECT_GT(InterruptedCalls::calls, 100);
 }
-TEST(StoreFaults, AWholeFileThatCannotBeWrittenLeavesTheEarlierOne) {
+TEST(StoreFaults, AFailedReplaceFileKeepsThePreviousFile) {
   const TemporaryDirectory folder;
   const std::string path = folder.path + "/whole";
-  Recorder recorder(folder.path);
+  RecordingFileHook recorder(folder.path);
   Files files(&recorder);
   ASSERT_EQ(replaceFile(files, path, "earlier"), "");
   const std::size_t each = recorder.count();
   for (std::size_t operation = 0; operation < each; ++operation) {
     recorder.failAt(recorder.count() + operation, false, 3);
     EXPECT_NE(replaceFile(files, path, "later"), "") << operation;
-    EXPECT_EQ(slurp(path), "earlier") << operation;
-    EXPECT_FALSE(fs::exists(path + ".new")) << "it takes room that the disk may lack: " << operation;
+    EXPECT_EQ(readBytes(path), "earlier") << operation;
+    EXPECT_FALSE(fs::exists(path + ".new"))
+        << "a leftover file takes space that the disk may lack: " << operation;
   }
-  recorder.mend();
+  recorder.stopFailing();
   EXPECT_EQ(replaceFile(files, path, "later"), "");
-  EXPECT_EQ(slurp(path), "later");
+  EXPECT_EQ(readBytes(path), "later");
 }
 
-// A process that writes all the while is ended by SIGKILL at moments drawn by seed; what it had been promised
-// by then it has told through a pipe.
-TEST(StoreKill, AtAnyMomentUnderLoadNothingPromisedIsLost) {
+// A process that writes continuously is killed with SIGKILL at random, seeded moments. Through a pipe it
+// reports each key once its outcome is durable; every reported key must be replayed afterwards.
+TEST(StoreKill, EveryReportedKeyIsReplayedAfterSigkillUnderLoad) {
   pcg64 random(20261201);
-  std::size_t promised = 0;
+  std::size_t reportedKeys = 0;
   for (int round = 0; round < 12; ++round) {
     const TemporaryDirectory folder;
     int ends[2];
@@ -638,13 +650,12 @@
       Files files;
       IdempotencyStoreSettings s;
       s.directory = folder.path + "/store";
-      IdempotencyStore ledger(files, s, [] { return TestTime()(); });
+      IdempotencyStore store(files, s, [] { return TestTime()(); });
       for (int k = 0;; ++k) {
         const std::string key = "k" + std::to_string(k);
-        ledger.apply({BeginKeyedRequest{{"a", key, "order", 3, kWindow}}});
-        ledger.apply(
-            {CompleteRequest{key, "a", Outcome::Served,
-                             key + std::string(static_cast<std::size_t>(k % 900), '.'), 0, 0, true}});
+        store.apply({BeginKeyedRequest{{"a", key, "order", 3, kWindow}}});
+        store.apply({CompleteRequest{key, "a", Outcome::Served,
+                                     key + std::string(static_cast<std::size_t>(k % 900), '.'), 0, 0, true}});
         if (write(ends[1], &k, sizeof k) != sizeof k) _exit(1);
       }
     }
@@ -659,20 +670,20 @@
     Files files;
     IdempotencyStoreSettings s;
     s.directory = folder.path + "/store";
-    IdempotencyStore ledger(files, s, [] { return TestTime()(); });
+    IdempotencyStore store(files, s, [] { return TestTime()(); });
     for (int k = 0; k <= last; ++k) {
       const std::string key = "k" + std::to_string(k);
-      const OperationResult said = ledger.apply({BeginKeyedRequest{{"b", key, "order", 3, kWindow}}})[0];
-      ASSERT_EQ(said.disposition, Disposition::Replay) << key << " of " << last;
-      ASSERT_EQ(said.response.substr(0, key.size()), key);
-      ++promised;
+      const OperationResult result = store.apply({BeginKeyedRequest{{"b", key, "order", 3, kWindow}}})[0];
+      ASSERT_EQ(result.disposition, Disposition::Replay) << key << " of " << last;
+      ASSERT_EQ(result.response.substr(0, key.size()), key);
+      ++reportedKeys;
     }
   }
-  EXPECT_GT(promised, 500u);
+  EXPECT_GT(reportedKeys, 500u);
 }
 
-// ---- records ------------------------------------------------------------------------------------------
-TEST(Records, ComeBackAsTheyWere) {
+// ---- records -----------------------------------------------------------------------------------------
+TEST(Records, DecodeToTheEncodedFields) {
   KeyRecord r;
   r.group = 7;
   r.className = "order";
@@ -695,7 +706,7 @@
   EXPECT_EQ(back.positionMs, -1);
   EXPECT_EQ(back.mayHaveExecuted, true);
 }
-TEST(Records, WhatIsNoRecordIsTurnedDown) {
+TEST(Records, TruncatedAndForeignRecordsAreRejected) {
   KeyRecord r;
   r.attempts = {{"a", 1, "s-9", Time(6), AttemptEffect::InFlight}};
   const std::string good = encode(r);
@@ -712,8 +723,8 @@
     }
   }
 }
-// Files as each version wrote them are read by this one.
-TEST(Records, KeptFilesOfEachVersionAreRead) {
+// Reads the files that each version of the format wrote.
+TEST(Records, StoredFilesOfEachVersionAreRead) {
   for (int version = 1; version <= kRecordVersion; ++version) {
     const TemporaryDirectory folder;
     fs::copy(std::string(SABLESPUR_SOURCE) + "/tests/data/store-" + std::to_string(version),
@@ -726,16 +737,16 @@
     IdempotencyStoreSettings s;
     s.directory = folder.path + "/store";
     TestTime time;
-    time.pass(std::chrono::seconds(60));
-    IdempotencyStore l(files, s, [&] { return time(); });
+    time.advance(std::chrono::seconds(60));
+    IdempotencyStore store(files, s, [&] { return time(); });
     const auto ask = [&](const char* key) {
-      return l.apply({BeginKeyedRequest{{"x", key, "order", 3, kWindow}}})[0];
+      return store.apply({BeginKeyedRequest{{"x", key, "order", 3, kWindow}}})[0];
     };
     EXPECT_EQ(ask("served").response, "the row");
     EXPECT_EQ(ask("open").disposition, Disposition::OutcomeUnknown);
     EXPECT_EQ(ask("refused").disposition, Disposition::Execute);
     EXPECT_EQ(ask("failed").disposition, Disposition::OutcomeUnknown);
-    EXPECT_EQ(l.apply({ReadSessionPosition{5}})[0].positionMs, 1767225600001);
+    EXPECT_EQ(store.apply({ReadSessionPosition{5}})[0].positionMs, 1767225600001);
   }
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -62,7 +62,7 @@
 
 TEST_F(StoredStore, ServesItsAnswersVerdictsAndPositions) {
   TestTime time;
-  time.pass(std::chrono::seconds(60));
+  time.advance(std::chrono::seconds(60));
   durability::IdempotencyStoreSettings settings;
   settings.directory = directory;
   durability::IdempotencyStore ledger(files, settings, [&] { return time(); });
