--- a/tests/idempotency_handler_test.cpp
+++ b/tests/idempotency_handler_test.cpp
@@ -1,5 +1,6 @@
-// What of a keyed write is durable before what: the keeper between fake members and a fake asker, with a disk
-// that hangs and fails by order; and the whole program, ended by SIGKILL and started anew on its store.
+// Tests of the idempotency handler: the order in which the parts of a keyed write become durable, with a fake
+// backend, a fake client and a disk that can be made to hang or fail; and the whole program, killed with
+// SIGKILL and restarted on its store.
 #include "durability/idempotency_handler.hpp"
 
 #include <gtest/gtest.h>
@@ -23,27 +24,28 @@
 namespace fs = std::filesystem;
 using durability::FileOp;
 
-// A disk whose syncs can be held up, and that can be told to fail.
-class Disk final : public durability::FileHook {
+// A file hook that can block syncs and make file operations fail.
+class FaultyDisk final : public durability::FileHook {
  public:
   Result before(FileOp op, const std::string&, std::string_view bytes, std::uint64_t,
                 const std::string&) override {
     std::unique_lock<std::mutex> lock(mutex_);
     syncs_ += op == FileOp::Sync;
-    if (op == FileOp::Sync) freed_.wait(lock, [this] { return !held_; });
-    const bool fails = failing_ || (op == FileOp::Append && bytes.size() > longest_);
+    if (op == FileOp::Sync) syncsUnblocked_.wait(lock, [this] { return !syncsBlocked_; });
+    const bool fails = failing_ || (op == FileOp::Append && bytes.size() > maxAppend_);
     return {fails ? leveldb::Status::IOError("no space left", "made to fail") : leveldb::Status::OK(), 0};
   }
-  void failLongerThan(std::size_t bytes) {  // of what is appended at once
+  // Fails every append of more than `bytes` bytes.
+  void failAppendsLongerThan(std::size_t bytes) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    longest_ = bytes;
+    maxAppend_ = bytes;
   }
-  void hold(bool on) {
+  void blockSyncs(bool on) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    held_ = on;
-    freed_.notify_all();
+    syncsBlocked_ = on;
+    syncsUnblocked_.notify_all();
   }
-  void fail(bool on) {
+  void setFailing(bool on) {
     const std::lock_guard<std::mutex> lock(mutex_);
     failing_ = on;
   }
@@ -54,16 +56,16 @@
 
  private:
   mutable std::mutex mutex_;
-  std::condition_variable freed_;
-  bool held_ = false, failing_ = false;
-  std::size_t syncs_ = 0, longest_ = SIZE_MAX;
+  std::condition_variable syncsUnblocked_;
+  bool syncsBlocked_ = false, failing_ = false;
+  std::size_t syncs_ = 0, maxAppend_ = SIZE_MAX;
 };
 
-struct FakeMembers : Backend {
+struct FakeBackend : Backend {
   struct Sent {
     RequestId id;
     int attempt;
-    EndpointId member;
+    EndpointId endpoint;
   };
   std::vector<Sent> sent;
   void endpointListed(EndpointId, const Address&, bool, Time) override {}
@@ -72,41 +74,40 @@
   }
   void continueAttempt(RequestId, int, bool) override {}
   void cancel(RequestId, int) override {}
-  std::vector<EndpointId> probed;  // and not answered yet
-  void startHealthCheck(EndpointId m) override { probed.push_back(m); }
+  std::vector<EndpointId> unansweredHealthChecks;
+  void startHealthCheck(EndpointId m) override { unansweredHealthChecks.push_back(m); }
   void removeEndpoint(EndpointId) override {}
 };
-struct FakeLists : DiscoverySource {
+struct FakeDiscovery : DiscoverySource {
   void watch(std::uint64_t) override {}
 };
-struct Asker : ResponseHandler {
-  std::string got;
-  Time wait{};
+struct FakeClient : ResponseHandler {
+  std::string received;
+  Time retryAfter{};
   void served(Answer answer) override {
-    got += "served ";
-    got.append(reinterpret_cast<const char*>(evbuffer_pullup(answer.messages.get(), -1)),
-               evbuffer_get_length(answer.messages.get()));
+    received += "served ";
+    received.append(reinterpret_cast<const char*>(evbuffer_pullup(answer.messages.get(), -1)),
+                    evbuffer_get_length(answer.messages.get()));
   }
   void rejected(Time t) override {
-    got += "refused";
-    wait = t;
+    received += "rejected";
+    retryAfter = t;
   }
-  void failed() override { got += "failed"; }
+  void failed() override { received += "failed"; }
 };
 
-struct KeeperTest : testing::Test {
+struct IdempotencyHandlerTest : testing::Test {
   const TemporaryDirectory folder;
   EventBase base{event_base_new()};
-  Config config =
-      parseConfig(configuration({}, 1, {11, 12}));  // class 1: keyed writes, repeats dropped for 9 s
-  Disk disk;
-  FakeMembers members;
-  FakeLists lists;
+  Config config = parseConfig(configuration({}, 1, {11, 12}));  // class 1: keyed writes, window 9 s
+  FaultyDisk disk;
+  FakeBackend backend;
+  FakeDiscovery discovery;
   std::unique_ptr<Engine> engine;
-  std::unique_ptr<IdempotencyHandler> keeper;
+  std::unique_ptr<IdempotencyHandler> handler;
   int ids = 0;
 
-  KeeperTest() {
+  IdempotencyHandlerTest() {
     StoreConfig s;
     s.directory = folder.path + "/store";
     s.keep = std::chrono::minutes(1);
@@ -119,51 +120,52 @@
     config.store = std::make_shared<const StoreConfig>(s);
     open();
   }
-  ~KeeperTest() override { disk.hold(false); }
-  Time replicaBehind{};
+  ~IdempotencyHandlerTest() override { disk.blockSyncs(false); }
+  Time replicaLag{};
   void open() {
-    keeper.reset();
+    handler.reset();
     engine = std::make_unique<Engine>(base.get(), config);
-    engine->start(members, lists);
-    keeper = createIdempotencyHandler(base.get(), *engine, *engine, config, postgres::reader(), &disk);
+    engine->start(backend, discovery);
+    handler = createIdempotencyHandler(base.get(), *engine, *engine, config, postgres::reader(), &disk);
     engine->runTurn();
     for (const EndpointId m : {1, 2}) report(m);
     engine->runTurn();
-    members.sent.clear();
+    backend.sent.clear();
   }
   void report(EndpointId m) {
     engine->healthCheckEnded(
         m, true,
-        {static_cast<double>((engine->now() - (m == 2 ? replicaBehind : Time(0))).count()) / 1e6,
+        {static_cast<double>((engine->now() - (m == 2 ? replicaLag : Time(0))).count()) / 1e6,
          m == 1 ? 1.0 : 0.0, 0.0});
   }
   void crash() {
-    // Whatever was not durable is lost with the object; nothing is written on the way out but what waits.
+    // Whatever was not durable is lost with the object; its destructor writes only the queued operations
+    // and the backlog.
     open();
   }
   template <typename Done>
-  bool until(Done done) {
+  bool waitUntil(Done done) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
     while (!done()) {
       if (std::chrono::steady_clock::now() > end) return false;
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
-      // A probe without an answer is a mute member, as soon as the machine is busy for a moment.
-      for (const EndpointId m : std::exchange(members.probed, {})) report(m);
+      // Answers every health check at once: on a busy machine a late answer would count as a failed check.
+      for (const EndpointId m : std::exchange(backend.unansweredHealthChecks, {})) report(m);
       engine->runTurn();
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     return true;
   }
-  RequestId ask(Asker& a, const std::string& key, int cls = 1, std::uint64_t session = 0) {
+  RequestId ask(FakeClient& a, const std::string& key, int cls = 1, std::uint64_t session = 0) {
     balancer::Request q;
     q.classIndex = cls;
     q.group = 3;
     q.session = session;
     q.deadline = engine->now() + std::chrono::seconds(8);
-    return keeper->request(
+    return handler->request(
         a, q, RequestMessage{newBuffer(), newBuffer(), nullptr, "id" + std::to_string(++ids), key});
   }
-  void answer(const FakeMembers::Sent& s, const std::string& text, AttemptResult result = AttemptResult::Ok) {
+  void answer(const FakeBackend::Sent& s, const std::string& text, AttemptResult result = AttemptResult::Ok) {
     AttemptEnd e;
     e.result = result;
     e.role = Role::Primary;
@@ -171,325 +173,329 @@
     e.answer.messages = newBuffer();
     append(e.answer.messages.get(), text);
     e.answer.reader = &postgres::reader();
-    engine->attemptEnded(s.id, s.attempt, s.member, std::move(e));
+    engine->attemptEnded(s.id, s.attempt, s.endpoint, std::move(e));
   }
 };
 
-TEST_F(KeeperTest, NothingIsSentBeforeItsIntentIsDurableAndNothingToldBeforeItsOutcomeIs) {
-  Asker a;
-  disk.hold(true);
+TEST_F(IdempotencyHandlerTest, NoSendBeforeTheIntentIsDurableAndNoAnswerBeforeTheOutcomeIs) {
+  FakeClient a;
+  disk.blockSyncs(true);
   const std::size_t before = disk.syncs();
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return disk.syncs() > before; })) << "the commit is under way";
+  ASSERT_TRUE(waitUntil([&] { return disk.syncs() > before; })) << "the commit is in progress";
   for (int k = 0; k < 5; ++k) engine->runTurn();
-  EXPECT_TRUE(members.sent.empty());
-  disk.hold(false);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  disk.hold(true);
-  answer(members.sent[0], "the row");
+  EXPECT_TRUE(backend.sent.empty());
+  disk.blockSyncs(false);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  disk.blockSyncs(true);
+  answer(backend.sent[0], "the row");
   const std::size_t then = disk.syncs();
-  ASSERT_TRUE(until([&] { return disk.syncs() > then; }));
-  EXPECT_EQ(a.got, "");
-  disk.hold(false);
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  EXPECT_EQ(a.got, "served the row");
-  Asker b;
+  ASSERT_TRUE(waitUntil([&] { return disk.syncs() > then; }));
+  EXPECT_EQ(a.received, "");
+  disk.blockSyncs(false);
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  EXPECT_EQ(a.received, "served the row");
+  FakeClient b;
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return !b.got.empty(); }));
-  EXPECT_EQ(b.got, "served the row");
-  EXPECT_EQ(members.sent.size(), 1u) << "it does not run again";
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty(); }));
+  EXPECT_EQ(b.received, "served the row");
+  EXPECT_EQ(backend.sent.size(), 1u) << "the repeat is not executed again";
 }
-TEST_F(KeeperTest, ReadsAndWritesWithoutAKeyWaitForNoDisk) {
-  disk.hold(true);
-  Asker held, read, plain;
-  ask(held, "k1");
+TEST_F(IdempotencyHandlerTest, ReadsAndWritesWithoutAKeyDoNotWaitForTheDisk) {
+  disk.blockSyncs(true);
+  FakeClient keyed, read, plain;
+  ask(keyed, "k1");
   ask(read, "", 0);
   ask(plain, "", 1);
   engine->runTurn();
-  EXPECT_EQ(members.sent.size(), 2u);
+  EXPECT_EQ(backend.sent.size(), 2u);
 }
-TEST_F(KeeperTest, ADiskThatHangsHasWritesRefusedAndTheyNeverGoOutLater) {
-  disk.hold(true);
-  Asker a, b, read;
+TEST_F(IdempotencyHandlerTest, AHangingDiskRejectsKeyedWritesWhichAreNeverSentLater) {
+  disk.blockSyncs(true);
+  FakeClient a, b, read;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  EXPECT_EQ(a.got, "refused");
-  EXPECT_GE(a.wait, std::chrono::milliseconds(10));
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  EXPECT_EQ(a.received, "rejected");
+  EXPECT_GE(a.retryAfter, std::chrono::milliseconds(10));
   ask(b, "k2");
-  ASSERT_TRUE(until([&] { return !b.got.empty(); })) << "at once now: the disk is known to hang";
-  EXPECT_EQ(b.got, "refused");
-  EXPECT_EQ(keeper->view().state, "slow");
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty(); }))
+      << "rejected at once, since the disk is known to hang";
+  EXPECT_EQ(b.received, "rejected");
+  EXPECT_EQ(handler->view().state, "slow");
   ask(read, "", 0);
   engine->runTurn();
-  EXPECT_EQ(members.sent.size(), 1u) << "reads go on";
-  disk.hold(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
-  Asker again;
+  EXPECT_EQ(backend.sent.size(), 1u) << "reads are still served";
+  disk.blockSyncs(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
+  FakeClient again;
   ask(again, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 2; })) << "what was turned away may come again";
-  EXPECT_EQ(a.got, "refused");
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 2; }))
+      << "a rejected key may be executed when it is retried";
+  EXPECT_EQ(a.received, "rejected");
 }
-TEST_F(KeeperTest, AnOutcomeThatDoesNotBecomeDurableIsNotTold) {
-  Asker a;
+TEST_F(IdempotencyHandlerTest, AnOutcomeThatDoesNotBecomeDurableIsNotDelivered) {
+  FakeClient a;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  disk.fail(true);
-  answer(members.sent[0], "the row");
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  EXPECT_EQ(a.got, "failed");
-  crash();  // while the disk still fails: what was only in memory is gone
-  disk.fail(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
-  Asker b;
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  disk.setFailing(true);
+  answer(backend.sent[0], "the row");
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  EXPECT_EQ(a.received, "failed");
+  crash();  // while the disk still fails, so that the outcome in memory is lost
+  disk.setFailing(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
+  FakeClient b;
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1 || !b.got.empty(); }));
-  EXPECT_EQ(b.got, "") << "within the window it goes again: the data servers drop it";
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1 || !b.received.empty(); }));
+  EXPECT_EQ(b.received, "") << "within the window the key is sent again and the data servers drop the repeat";
 }
-TEST_F(KeeperTest, ADiskThatFailsIsOpenedAgainByItself) {
-  disk.fail(true);
-  Asker a, b;
+TEST_F(IdempotencyHandlerTest, TheStoreIsReopenedAfterADiskError) {
+  disk.setFailing(true);
+  FakeClient a, b;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  EXPECT_EQ(a.got, "refused");
-  EXPECT_EQ(keeper->view().state, "down");
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  EXPECT_EQ(a.received, "rejected");
+  EXPECT_EQ(handler->view().state, "down");
   ask(b, "k2");
-  ASSERT_TRUE(until([&] { return !b.got.empty(); }));
-  EXPECT_EQ(b.got, "refused");
-  EXPECT_TRUE(members.sent.empty());
-  disk.fail(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
-  Asker c;
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty(); }));
+  EXPECT_EQ(b.received, "rejected");
+  EXPECT_TRUE(backend.sent.empty());
+  disk.setFailing(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
+  FakeClient c;
   ask(c, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  answer(members.sent[0], "the row");
-  ASSERT_TRUE(until([&] { return !c.got.empty(); }));
-  EXPECT_EQ(c.got, "served the row");
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  answer(backend.sent[0], "the row");
+  ASSERT_TRUE(waitUntil([&] { return !c.received.empty(); }));
+  EXPECT_EQ(c.received, "served the row");
 }
-// A key that came while the disk failed never was sent: long after, too, it is not taken for one that may
-// have run.
-TEST_F(KeeperTest, WhatWasTurnedAwayLeavesNoIntentBehind) {
-  disk.hold(true);
-  Asker a;
+// A key that arrived while the disk was failing was never sent. A retry after the window must execute it and
+// not treat it as one that may have been executed.
+TEST_F(IdempotencyHandlerTest, ARejectedWriteLeavesNoIntent) {
+  disk.blockSyncs(true);
+  FakeClient a;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  disk.hold(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up" && keeper->view().waiting == 0; }));
-  keeper.reset();
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  disk.blockSyncs(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up" && handler->view().waiting == 0; }));
+  handler.reset();
   durability::Files files;
   durability::IdempotencyStoreSettings s;
   s.directory = config.store->directory;
   durability::MachineTime later = durability::machineTime();
   later.sinceBootUs += 60000000;
-  durability::IdempotencyStore ledger(files, s, [&] { return later; });
-  EXPECT_EQ(ledger.apply({durability::BeginKeyedRequest{{"x", "k1", "write", 3, kWindow}}})[0].disposition,
+  durability::IdempotencyStore store(files, s, [&] { return later; });
+  EXPECT_EQ(store.apply({durability::BeginKeyedRequest{{"x", "k1", "write", 3, kWindow}}})[0].disposition,
             durability::Disposition::Execute);
 }
-TEST_F(KeeperTest, AnIntentOfBeforeTheCrashGoesAgainWithinItsWindow) {
-  Asker a, b;
+TEST_F(IdempotencyHandlerTest, AnIntentFromBeforeACrashIsRetriedWithinItsWindow) {
+  FakeClient a, b;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
   crash();
-  EXPECT_EQ(a.got, "");
+  EXPECT_EQ(a.received, "");
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  EXPECT_EQ(keeper->view().retried, 1u);
-  // Since it may have run before, the module never refuses it as one that is harmless to try.
-  answer(members.sent[0], "", AttemptResult::Rejected);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  EXPECT_EQ(handler->view().retried, 1u);
+  // The key may have been executed before the crash, so the request is never rejected as safe to retry.
+  answer(backend.sent[0], "", AttemptResult::Rejected);
   engine->runTurn();
-  EXPECT_NE(b.got, "refused");
+  EXPECT_NE(b.received, "rejected");
 }
-TEST_F(KeeperTest, AClientThatLeavesMidwayLeavesAKeyThatMayHaveRun) {
-  Asker a, b;
+TEST_F(IdempotencyHandlerTest, AKeyMayHaveBeenExecutedIfItsClientDisconnectsAfterTheSend) {
+  FakeClient a, b;
   const RequestId id = ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  keeper->clientDisconnected(id);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  handler->clientDisconnected(id);
   engine->runTurn();
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 2; }));
-  EXPECT_EQ(keeper->view().retried, 1u);
-  EXPECT_EQ(a.got, "");
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 2; }));
+  EXPECT_EQ(handler->view().retried, 1u);
+  EXPECT_EQ(a.received, "");
 }
-TEST_F(KeeperTest, AnotherRequestOfTheKeyWaitsForHowTheFirstEnds) {
-  Asker a, b, c;
+TEST_F(IdempotencyHandlerTest, ASecondRequestOfAKeyWaitsForTheOutcomeOfTheFirst) {
+  FakeClient a, b, c;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
   ask(b, "k1");
   const RequestId leaves = ask(c, "k1");
-  ASSERT_TRUE(until([&] { return keeper->view().waiting == 0; }));
-  EXPECT_EQ(members.sent.size(), 1u);
-  EXPECT_EQ(keeper->view().waitedForSameKey, 2u);
-  keeper->clientDisconnected(leaves);
-  answer(members.sent[0], "the row");
-  ASSERT_TRUE(until([&] { return !b.got.empty(); }));
-  EXPECT_EQ(a.got, "served the row");
-  EXPECT_EQ(b.got, "served the row");
-  EXPECT_EQ(c.got, "");
-  EXPECT_EQ(members.sent.size(), 1u);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().waiting == 0; }));
+  EXPECT_EQ(backend.sent.size(), 1u);
+  EXPECT_EQ(handler->view().waitedForSameKey, 2u);
+  handler->clientDisconnected(leaves);
+  answer(backend.sent[0], "the row");
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty(); }));
+  EXPECT_EQ(a.received, "served the row");
+  EXPECT_EQ(b.received, "served the row");
+  EXPECT_EQ(c.received, "");
+  EXPECT_EQ(backend.sent.size(), 1u);
 }
-// The time that a commit takes is no time that the data servers' memory waits.
-TEST_F(KeeperTest, ASlowCommitDoesNotLengthenTheWindow) {
+// The data servers' deduplication window keeps running during a commit. A retry whose window ended in the
+// meantime must not be sent.
+TEST_F(IdempotencyHandlerTest, ASlowCommitDoesNotExtendTheWindow) {
   config.settings.classes[1].deduplicationWindow = std::chrono::milliseconds(300);
   StoreConfig s = *config.store;
   s.patience = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(s);
   open();
-  Asker a, b;
+  FakeClient a, b;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
   crash();
-  disk.hold(true);
+  disk.blockSyncs(true);
   const std::size_t before = disk.syncs();
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return disk.syncs() > before; }));
+  ASSERT_TRUE(waitUntil([&] { return disk.syncs() > before; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  disk.hold(false);
-  ASSERT_TRUE(until([&] { return !b.got.empty() || !members.sent.empty(); }));
-  EXPECT_EQ(b.got, "failed");
-  EXPECT_TRUE(members.sent.empty());
+  disk.blockSyncs(false);
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty() || !backend.sent.empty(); }));
+  EXPECT_EQ(b.received, "failed");
+  EXPECT_TRUE(backend.sent.empty());
 }
-// After a crash a session's read still sees what the session wrote; another session's may see less.
-TEST_F(KeeperTest, SessionsGoOnWhereTheyWereBeforeTheCrash) {
+// After a crash a session's reads still see what the session wrote. Other sessions may read older data.
+TEST_F(IdempotencyHandlerTest, SessionsKeepTheirPositionAcrossACrash) {
   config.settings.classes[0].requirement = balancer::Requirement::Session;
   config.settings.sessionTokensCarried = false;
   config.sessions = true;
-  replicaBehind = std::chrono::seconds(2);
-  // A busy machine's commit must not count as a hanging disk's, after which sessions read at the primary.
+  replicaLag = std::chrono::seconds(2);
+  // A slow commit on a busy machine must not exceed the commit timeout (patience), since sessions would then
+  // read from the primary.
   StoreConfig patient = *config.store;
   patient.patience = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
   open();
-  Asker w, mine, other;
+  FakeClient w, mine, other;
   ask(w, "k1", 1, 7);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  answer(members.sent[0], "the row");
-  ASSERT_TRUE(until([&] { return !w.got.empty(); }));
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  answer(backend.sent[0], "the row");
+  ASSERT_TRUE(waitUntil([&] { return !w.received.empty(); }));
   crash();
   ask(mine, "", 0, 7);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  EXPECT_EQ(members.sent[0].member, 1u) << "the replica has not got it yet";
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  EXPECT_EQ(backend.sent[0].endpoint, 1u) << "the replica does not have the write yet";
   ask(other, "", 0, 8);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 2; }));
-  EXPECT_EQ(members.sent[1].member, 2u);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 2; }));
+  EXPECT_EQ(backend.sent[1].endpoint, 2u);
 }
-TEST_F(KeeperTest, WhileTheStoreIsDownASessionsReadSeesNothingOlderThanNow) {
+TEST_F(IdempotencyHandlerTest, WhileTheStoreIsDownSessionReadsGoToAnUpToDateEndpoint) {
   config.settings.classes[0].requirement = balancer::Requirement::Session;
   config.settings.sessionTokensCarried = false;
   config.sessions = true;
-  replicaBehind = std::chrono::seconds(2);
+  replicaLag = std::chrono::seconds(2);
   open();
-  disk.fail(true);
-  Asker w, r;
+  disk.setFailing(true);
+  FakeClient w, r;
   ask(w, "k1");
-  ASSERT_TRUE(until([&] { return !w.got.empty(); }));
+  ASSERT_TRUE(waitUntil([&] { return !w.received.empty(); }));
   ask(r, "", 0, 7);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  EXPECT_EQ(members.sent[0].member, 1u);
-  disk.fail(false);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  EXPECT_EQ(backend.sent[0].endpoint, 1u);
+  disk.setFailing(false);
 }
-TEST_F(KeeperTest, AnOutcomeWhoseCommitFailedIsRecordedOnceTheDiskIsBack) {
-  Asker a, meanwhile, b;
+TEST_F(IdempotencyHandlerTest, AnOutcomeWhoseCommitFailedIsRecordedWhenTheDiskRecovers) {
+  FakeClient a, meanwhile, b;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  disk.fail(true);
-  answer(members.sent[0], "the row");
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  EXPECT_EQ(a.got, "failed") << "one final answer, while the disk still fails";
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  disk.setFailing(true);
+  answer(backend.sent[0], "the row");
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  EXPECT_EQ(a.received, "failed") << "one final answer, while the disk still fails";
   ask(meanwhile, "k1");
-  ASSERT_TRUE(until([&] { return !meanwhile.got.empty(); }));
-  EXPECT_EQ(meanwhile.got, "refused");
-  disk.fail(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
+  ASSERT_TRUE(waitUntil([&] { return !meanwhile.received.empty(); }));
+  EXPECT_EQ(meanwhile.received, "rejected");
+  disk.setFailing(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return !b.got.empty() || members.sent.size() > 1; }));
-  EXPECT_EQ(b.got, "served the row");
-  EXPECT_EQ(members.sent.size(), 1u) << "it ran once";
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty() || backend.sent.size() > 1; }));
+  EXPECT_EQ(b.received, "served the row");
+  EXPECT_EQ(backend.sent.size(), 1u) << "the key was executed once";
 }
-TEST_F(KeeperTest, AnOutcomeWhoseCommitFailedIsTriedOnceMoreAtTheEnd) {
-  Asker a, b;
+TEST_F(IdempotencyHandlerTest, AnOutcomeWhoseCommitFailedIsCommittedAtShutdown) {
+  FakeClient a, b;
   ask(a, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  disk.fail(true);
-  answer(members.sent[0], "the row");
-  ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-  disk.fail(false);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  disk.setFailing(true);
+  answer(backend.sent[0], "the row");
+  ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+  disk.setFailing(false);
   crash();
   ask(b, "k1");
-  ASSERT_TRUE(until([&] { return !b.got.empty() || !members.sent.empty(); }));
-  EXPECT_EQ(b.got, "served the row");
-  EXPECT_TRUE(members.sent.empty());
+  ASSERT_TRUE(waitUntil([&] { return !b.received.empty() || !backend.sent.empty(); }));
+  EXPECT_EQ(b.received, "served the row");
+  EXPECT_TRUE(backend.sent.empty());
 }
-TEST_F(KeeperTest, WhatASessionSawWhileTheDiskFailedHoldsAfterTheNextStart) {
+TEST_F(IdempotencyHandlerTest, APositionReadWhileTheDiskFailedSurvivesARestart) {
   config.settings.classes[0].requirement = balancer::Requirement::Session;
   config.settings.sessionTokensCarried = false;
   config.sessions = true;
-  replicaBehind = std::chrono::seconds(2);
+  replicaLag = std::chrono::seconds(2);
   StoreConfig patient = *config.store;
   patient.patience = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
   open();
-  disk.fail(true);
-  Asker write, read, after, other;
+  disk.setFailing(true);
+  FakeClient write, read, after, other;
   ask(write, "k1");
-  ASSERT_TRUE(until([&] { return !write.got.empty(); }));
+  ASSERT_TRUE(waitUntil([&] { return !write.received.empty(); }));
   ask(read, "", 0, 7);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  answer(members.sent[0], "seen at the primary");
-  ASSERT_TRUE(until([&] { return !read.got.empty(); }));
-  disk.fail(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  answer(backend.sent[0], "seen at the primary");
+  ASSERT_TRUE(waitUntil([&] { return !read.received.empty(); }));
+  disk.setFailing(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
   crash();
   ask(after, "", 0, 7);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 1; }));
-  EXPECT_EQ(members.sent[0].member, 1u) << "the replica is behind what the session has seen";
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
+  EXPECT_EQ(backend.sent[0].endpoint, 1u) << "the replica is behind what the session has seen";
   ask(other, "", 0, 8);
-  ASSERT_TRUE(until([&] { return members.sent.size() == 2; }));
-  EXPECT_EQ(members.sent[1].member, 2u);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 2; }));
+  EXPECT_EQ(backend.sent[1].endpoint, 2u);
 }
-TEST_F(KeeperTest, AStartOnAFullDiskServesWhatNeedsNoStoreAndRecoversByItself) {
-  keeper.reset();
-  disk.fail(true);
+TEST_F(IdempotencyHandlerTest, AStartOnAFullDiskServesRequestsThatNeedNoStoreAndRecovers) {
+  handler.reset();
+  disk.setFailing(true);
   open();
-  EXPECT_EQ(keeper->view().state, "down");
-  Asker write, read, later;
+  EXPECT_EQ(handler->view().state, "down");
+  FakeClient write, read, later;
   ask(write, "k1");
   ask(read, "", 0);
-  ASSERT_TRUE(until([&] { return !write.got.empty() && members.sent.size() == 1; }));
-  EXPECT_EQ(write.got, "refused");
-  EXPECT_GE(write.wait, std::chrono::milliseconds(10));
-  disk.fail(false);
-  ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
+  ASSERT_TRUE(waitUntil([&] { return !write.received.empty() && backend.sent.size() == 1; }));
+  EXPECT_EQ(write.received, "rejected");
+  EXPECT_GE(write.retryAfter, std::chrono::milliseconds(10));
+  disk.setFailing(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
   ask(later, "k1");
-  ASSERT_TRUE(until([&] { return members.sent.size() == 2; }));
-  EXPECT_EQ(keeper->view().executed, 1u);
+  ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 2; }));
+  EXPECT_EQ(handler->view().executed, 1u);
 }
-// The opening commits a little and succeeds each time, the next group fails again. Lower bounds of time
-// alone: a busy machine only adds to them.
-TEST_F(KeeperTest, ADiskWithRoomForTheOpeningAloneIsOpenedEverMoreRarely) {
+// The small commit of each opening succeeds, but the next group commit fails again: the backoff still has to
+// grow. Only lower bounds of the time are checked, since a busy machine can only add to it.
+TEST_F(IdempotencyHandlerTest, BackoffGrowsWhenOnlyTheOpeningFitsOnTheDisk) {
   StoreConfig patient = *config.store;
   patient.patience = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
   open();
-  disk.failLongerThan(2500);
+  disk.failAppendsLongerThan(2500);
   for (const int least : {100, 200, 400}) {
     const auto before = std::chrono::steady_clock::now();
-    Asker a;
+    FakeClient a;
     ask(a, std::string(3000, 'k'));
-    ASSERT_TRUE(until([&] { return !a.got.empty(); }));
-    EXPECT_EQ(a.got, "refused");
-    ASSERT_TRUE(until([&] { return keeper->view().state == "up"; }));
+    ASSERT_TRUE(waitUntil([&] { return !a.received.empty(); }));
+    EXPECT_EQ(a.received, "rejected");
+    ASSERT_TRUE(waitUntil([&] { return handler->view().state == "up"; }));
     EXPECT_GE(std::chrono::steady_clock::now() - before, std::chrono::milliseconds(least));
   }
 }
-TEST_F(KeeperTest, OneThatLeavesWhileItsIntentIsWrittenIsNeverSent) {
-  Asker a;
-  disk.hold(true);
+TEST_F(IdempotencyHandlerTest, ARequestWhoseClientDisconnectsDuringTheIntentCommitIsNeverSent) {
+  FakeClient a;
+  disk.blockSyncs(true);
   const RequestId id = ask(a, "k1");
-  until([&] { return keeper->view().waiting > 0; });
-  keeper->clientDisconnected(id);
-  disk.hold(false);
-  ASSERT_TRUE(until([&] { return keeper->view().waiting == 0; }));
-  EXPECT_TRUE(members.sent.empty());
-  EXPECT_EQ(a.got, "");
+  waitUntil([&] { return handler->view().waiting > 0; });
+  handler->clientDisconnected(id);
+  disk.blockSyncs(false);
+  ASSERT_TRUE(waitUntil([&] { return handler->view().waiting == 0; }));
+  EXPECT_TRUE(backend.sent.empty());
+  EXPECT_EQ(a.received, "");
 }
 
 // ---- the whole program --------------------------------------------------------------------------------
@@ -503,9 +509,9 @@
     return s;
   }
 };
-using StoreStep = ProgramTest;
+using StoreProgramTest = ProgramTest;
 
-TEST_F(StoreStep, ARepeatIsAnsweredFromTheRecordAfterACrash) {
+TEST_F(StoreProgramTest, ARepeatIsReplayedFromTheStoreAfterACrash) {
   Scenario t(setting());
   t.run(R"(
     c1 send query INSERT 1 /* id=1,c=brief,d=4000,k=K1,cluster=3 */
@@ -525,9 +531,9 @@
     c2 expect row two
   )");
 }
-// Its first run has no snapshot; the second reads the first one's, and takes nobody for the primary before s1
-// says so.
-TEST_F(StoreStep, AfterACrashItComesBackOnItsSnapshotAndByADataServersWord) {
+// The first run finds no snapshot. The second reads the snapshot of the first and accepts no endpoint as
+// primary before s1 confirms that it is.
+TEST_F(StoreProgramTest, RecoveryReadsTheSnapshotAndWaitsForADataServerToConfirmThePrimary) {
   Setting s = setting();
   s.more += "[recovery]\nsnapshot_every = 20ms\n";
   Scenario t(s);
@@ -552,9 +558,9 @@
     proxy expect log event=group_recovery_advanced group=3 step=writing
   )");
 }
-// The settings name no data server and the name server has fallen silent: what the snapshot names is all
-// there is.
-TEST_F(StoreStep, WhileDiscoveryIsSilentTheSnapshotsMembersServe) {
+// The settings name no data server and the name server does not answer, so the endpoints are known only from
+// the snapshot.
+TEST_F(StoreProgramTest, EndpointsOfTheSnapshotServeWhileDiscoveryDoesNotAnswer) {
   Setting s = setting();
   s.dnssd = true;
   s.more += "[recovery]\nsnapshot_every = 20ms\n";
@@ -576,7 +582,7 @@
     c2 expect row two
   )");
 }
-TEST_F(StoreStep, ASnapshotThatIsSpoiltIsPutAsideAndServiceGoesOnWithoutIt) {
+TEST_F(StoreProgramTest, ACorruptSnapshotIsSetAsideAndTheProxyServesWithoutIt) {
   std::ofstream(folder.path + "/store.snapshot") << "sablespur-snapshot 01 00000010 0123456789abcdef";
   Scenario t(setting());
   t.run(R"(
@@ -589,7 +595,7 @@
   )");
   EXPECT_TRUE(std::filesystem::exists(folder.path + "/store.snapshot.refused"));
 }
-TEST_F(StoreStep, WhatWasOutAtTheCrashGoesAgainWithinTheWindowAndNotAfter) {
+TEST_F(StoreProgramTest, AWriteInFlightAtACrashIsRetriedOnlyWithinTheWindow) {
   Setting s = setting("1500ms");
   // After a restart the endpoints count as cold, and slow start may reject a write: not what is tested here.
   s.more += "[rules]\ncold_for = 0s\n";
@@ -614,7 +620,7 @@
     s1 expect query id=5
   )");
 }
-TEST_F(StoreStep, ADiskThatIsFullRefusesKeyedWritesUntilThereIsRoom) {
+TEST_F(StoreProgramTest, AFullDiskRejectsKeyedWritesUntilThereIsSpace) {
   Scenario t(setting());
   const auto room = [&](rlim_t bytes) {
     const rlimit limit{bytes, RLIM_INFINITY};
@@ -642,7 +648,7 @@
   )");
 }
 
-TEST_F(StoreStep, ASnapshotThatCannotBeWrittenIsSaidOnceAndTheEarlierStands) {
+TEST_F(StoreProgramTest, ASnapshotWriteFailureIsLoggedOnceAndThePreviousSnapshotRemains) {
   Setting s = setting();
   s.more += "[recovery]\nsnapshot_every = 20ms\n";
   const std::string path = folder.path + "/store.snapshot";
@@ -660,14 +666,14 @@
   t.run("proxy expect log event=snapshot_write_recovered\n");
 }
 
-struct Told {
+struct CommandResult {
   int status;
   std::string text;
 };
-Told command(const std::vector<std::string>& arguments) {
+CommandResult runCommand(const std::vector<std::string>& arguments) {
   int out = -1;
   const int pid = spawn("/nowhere", 0, out, arguments);
-  Told t{};
+  CommandResult t{};
   char bytes[4096];
   for (ssize_t n; (n = ::read(out, bytes, sizeof bytes)) > 0;)
     t.text.append(bytes, static_cast<std::size_t>(n));
@@ -677,7 +683,7 @@
   t.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   return t;
 }
-TEST_F(StoreStep, ADamagedStoreIsNamedByTheCommandAndKeepsTheProxyFromStarting) {
+TEST_F(StoreProgramTest, ADamagedStoreIsReportedByStoreCheckAndPreventsTheStart) {
   const std::string dir = folder.path + "/store";
   {
     Scenario t(setting());
@@ -689,18 +695,20 @@
       c1 send query INSERT 1 /* id=2,c=brief,d=4000,k=K2,cluster=3 */
       s1 expect query id=2
     )");
-    const Told busy = command({"store", "check", dir});
+    const CommandResult busy = runCommand({"store", "check", dir});
     EXPECT_EQ(busy.status, 1);
     EXPECT_NE(busy.text.find("open in another process"), std::string::npos) << busy.text;
   }
-  const Told good = command({"store", "check", dir});
+  const CommandResult good = runCommand({"store", "check", dir});
   EXPECT_EQ(good.status, 0) << good.text;
   EXPECT_NE(good.text.find("good; 2 keys"), std::string::npos) << good.text;
-  EXPECT_NE(command({"store", "dump", dir}).text.find("key K1 "), std::string::npos);
-  EXPECT_NE(command({"store", "dump", "--json", dir}).text.find("\"outcome\":\"served\""), std::string::npos);
-  EXPECT_NE(command({"store", "stat", dir}).text.find("unresolved"), std::string::npos);
-  EXPECT_EQ(command({"store", "compact", dir}).status, 0);
-  EXPECT_EQ(command({"store", "check", folder.path}).status, 1) << "no store stands there, and none is made";
+  EXPECT_NE(runCommand({"store", "dump", dir}).text.find("key K1 "), std::string::npos);
+  EXPECT_NE(runCommand({"store", "dump", "--json", dir}).text.find("\"outcome\":\"served\""),
+            std::string::npos);
+  EXPECT_NE(runCommand({"store", "stat", dir}).text.find("unresolved"), std::string::npos);
+  EXPECT_EQ(runCommand({"store", "compact", dir}).status, 0);
+  EXPECT_EQ(runCommand({"store", "check", folder.path}).status, 1)
+      << "the directory has no store, and none is created";
   std::string table;
   for (const auto& f : fs::directory_iterator(dir))
     if (f.path().extension() == ".ldb") table = f.path().string();
@@ -710,16 +718,16 @@
     f.seekp(20);
     f.put('\x55');
   }
-  const Told bad = command({"store", "check", "--json", dir});
+  const CommandResult bad = runCommand({"store", "check", "--json", dir});
   EXPECT_EQ(bad.status, 1);
   EXPECT_NE(bad.text.find("\"kind\":\"damaged\""), std::string::npos) << bad.text;
   EXPECT_NE(bad.text.find(fs::path(table).filename().string()), std::string::npos) << bad.text;
   std::ofstream(folder.path + "/n0.ini") << settingsFile(setting(), 1, {11, 12});
-  const Told start = command({"serve", "--config", folder.path + "/n0.ini"});
+  const CommandResult start = runCommand({"serve", "--config", folder.path + "/n0.ini"});
   EXPECT_EQ(start.status, 1);
   EXPECT_NE(start.text.find("key [store] directory"), std::string::npos) << start.text;
 }
-TEST_F(StoreStep, ADamagedStoreIsSetAsideWhereTheSettingsSaySo) {
+TEST_F(StoreProgramTest, ADamagedStoreIsSetAsideIfTheSettingsAllowIt) {
   const std::string dir = folder.path + "/store";
   Setting s = setting();
   s.more += "damaged = set_aside\n";
@@ -739,11 +747,11 @@
     aside += f.path().filename().string().rfind("store.damaged-", 0) == 0;
   EXPECT_EQ(aside, 1u);
 }
-TEST_F(StoreStep, PeersThatAreNotWholeAreTurnedDownByTheirKey) {
+TEST_F(StoreProgramTest, IncompletePeerSettingsAreRejectedWithTheirKey) {
   const std::string path = folder.path + "/settings.ini";
   const auto check = [&](const std::string& more) {
     std::ofstream(path) << settingsFile(setting(), 1, {1, 2}) << more;
-    return command({"check", path}).text;
+    return runCommand({"check", path}).text;
   };
   EXPECT_NE(check("[peers]\nlisten = 127.0.0.1:7001\n").find("[peers] listen"), std::string::npos);
   EXPECT_NE(check("[peer a]\naddress = 127.0.0.1:7001\n").find("[peers] listen"), std::string::npos);
@@ -754,16 +762,16 @@
   EXPECT_EQ(check("[peers]\nlisten = 127.0.0.1:7001\n[peer a]\naddress = 127.0.0.1:7001\n").find("peer"),
             std::string::npos);
 }
-TEST_F(StoreStep, SettingsThatWouldForgetTooEarlyAreTurnedDown) {
+TEST_F(StoreProgramTest, ARetentionShorterThanTheWindowIsRejected) {
   Setting s = setting("4s");
   s.more += "keep = 5s\n";
   std::ofstream(folder.path + "/n0.ini") << settingsFile(s, 1, {11, 12});
-  const Told t = command({"check", folder.path + "/n0.ini"});
+  const CommandResult t = runCommand({"check", folder.path + "/n0.ini"});
   EXPECT_EQ(t.status, 1);
   EXPECT_NE(t.text.find("[store] keep"), std::string::npos) << t.text;
 }
 
-TEST_F(StoreStep, AStoresDescriptorsComeOffWhatConnectionsMayTake) {
+TEST_F(StoreProgramTest, TheStoresDescriptorsReduceTheConnectionLimits) {
   Setting s = setting();
   s.sockets = 300;
   const Config with = parseSettings(settingsFile(s, 1, {11, 12}), folder.path + "/n0.ini");
@@ -775,7 +783,7 @@
   s = setting();
   s.sockets = 150;
   std::ofstream(folder.path + "/n0.ini") << settingsFile(s, 1, {11, 12});
-  const Told t = command({"check", folder.path + "/n0.ini"});
+  const CommandResult t = runCommand({"check", folder.path + "/n0.ini"});
   EXPECT_EQ(t.status, 1);
   EXPECT_NE(t.text.find("[limits] descriptors"), std::string::npos) << t.text;
 }
