--- a/tests/idempotency_handler_test.cpp
+++ b/tests/idempotency_handler_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the idempotency handler: the order in which the parts of a keyed write become durable, with a fake
-// backend, a fake client and a disk that can be made to hang or fail; and the whole program, killed with
-// SIGKILL and restarted on its store.
+// Tests of the idempotency handler: the order in which the parts of a keyed write become durable,
+// with a fake backend, a fake client and a disk that can be made to hang or fail; and the whole
+// program, killed with SIGKILL and restarted on its store.
 #include "durability/idempotency_handler.hpp"
 
 #include <gtest/gtest.h>
@@ -139,8 +139,8 @@
          m == 1 ? 1.0 : 0.0, 0.0});
   }
   void crash() {
-    // Whatever was not durable is lost with the object; its destructor writes only the queued operations
-    // and the backlog.
+    // Whatever was not durable is lost with the object; its destructor writes only the queued
+    // operations and the backlog.
     open();
   }
   template <typename Done>
@@ -149,7 +149,8 @@
     while (!done()) {
       if (std::chrono::steady_clock::now() > end) return false;
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
-      // Answers every health check at once: on a busy machine a late answer would count as a failed check.
+      // Answers every health check at once: on a busy machine a late answer would count as a failed
+      // check.
       for (const EndpointId m : std::exchange(backend.unansweredHealthChecks, {})) report(m);
       engine->runTurn();
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -269,8 +270,8 @@
   ASSERT_TRUE(waitUntil([&] { return !c.received.empty(); }));
   EXPECT_EQ(c.received, "served the row");
 }
-// A key that arrived while the disk was failing was never sent. A retry after the window must execute it and
-// not treat it as one that may have been executed.
+// A key that arrived while the disk was failing was never sent. A retry after the window must
+// execute it and not treat it as one that may have been executed.
 TEST_F(IdempotencyHandlerTest, ARejectedWriteLeavesNoIntent) {
   disk.blockSyncs(true);
   FakeClient a;
@@ -297,7 +298,8 @@
   ask(b, "k1");
   ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 1; }));
   EXPECT_EQ(handler->view().retried, 1u);
-  // The key may have been executed before the crash, so the request is never rejected as safe to retry.
+  // The key may have been executed before the crash, so the request is never rejected as safe to
+  // retry.
   answer(backend.sent[0], "", AttemptResult::Rejected);
   engine->runTurn();
   EXPECT_NE(b.received, "rejected");
@@ -330,8 +332,8 @@
   EXPECT_EQ(c.received, "");
   EXPECT_EQ(backend.sent.size(), 1u);
 }
-// The data servers' deduplication window keeps running during a commit. A retry whose window ended in the
-// meantime must not be sent.
+// The data servers' deduplication window keeps running during a commit. A retry whose window ended
+// in the meantime must not be sent.
 TEST_F(IdempotencyHandlerTest, ASlowCommitDoesNotExtendTheWindow) {
   config.settings.classes[1].deduplicationWindow = std::chrono::milliseconds(300);
   StoreConfig s = *config.store;
@@ -352,14 +354,15 @@
   EXPECT_EQ(b.received, "failed");
   EXPECT_TRUE(backend.sent.empty());
 }
-// After a crash a session's reads still see what the session wrote. Other sessions may read older data.
+// After a crash a session's reads still see what the session wrote. Other sessions may read older
+// data.
 TEST_F(IdempotencyHandlerTest, SessionsKeepTheirPositionAcrossACrash) {
   config.settings.classes[0].requirement = balancer::Requirement::Session;
   config.settings.sessionTokensCarried = false;
   config.sessions = true;
   replicaLag = std::chrono::seconds(2);
-  // A slow commit on a busy machine must not exceed the commit timeout (patience), since sessions would then
-  // read from the primary.
+  // A slow commit on a busy machine must not exceed the commit timeout (patience), since sessions
+  // would then read from the primary.
   StoreConfig patient = *config.store;
   patient.patience = std::chrono::seconds(5);
   config.store = std::make_shared<const StoreConfig>(patient);
@@ -468,8 +471,9 @@
   ASSERT_TRUE(waitUntil([&] { return backend.sent.size() == 2; }));
   EXPECT_EQ(handler->view().executed, 1u);
 }
-// The small commit of each opening succeeds, but the next group commit fails again: the backoff still has to
-// grow. Only lower bounds of the time are checked, since a busy machine can only add to it.
+// The small commit of each opening succeeds, but the next group commit fails again: the backoff
+// still has to grow. Only lower bounds of the time are checked, since a busy machine can only add
+// to it.
 TEST_F(IdempotencyHandlerTest, BackoffGrowsWhenOnlyTheOpeningFitsOnTheDisk) {
   StoreConfig patient = *config.store;
   patient.patience = std::chrono::seconds(5);
@@ -531,8 +535,8 @@
     c2 expect row two
   )");
 }
-// The first run finds no snapshot. The second reads the snapshot of the first and accepts no endpoint as
-// primary before s1 confirms that it is.
+// The first run finds no snapshot. The second reads the snapshot of the first and accepts no
+// endpoint as primary before s1 confirms that it is.
 TEST_F(StoreProgramTest, RecoveryReadsTheSnapshotAndWaitsForADataServerToConfirmThePrimary) {
   Setting s = setting();
   s.more += "[recovery]\nsnapshot_every = 20ms\n";
@@ -558,8 +562,8 @@
     proxy expect log event=group_recovery_advanced group=3 step=writing
   )");
 }
-// The settings name no data server and the name server does not answer, so the endpoints are known only from
-// the snapshot.
+// The settings name no data server and the name server does not answer, so the endpoints are known
+// only from the snapshot.
 TEST_F(StoreProgramTest, EndpointsOfTheSnapshotServeWhileDiscoveryDoesNotAnswer) {
   Setting s = setting();
   s.dnssd = true;
@@ -597,7 +601,8 @@
 }
 TEST_F(StoreProgramTest, AWriteInFlightAtACrashIsRetriedOnlyWithinTheWindow) {
   Setting s = setting("1500ms");
-  // After a restart the endpoints count as cold, and slow start may reject a write: not what is tested here.
+  // After a restart the endpoints count as cold, and slow start may reject a write: not what is
+  // tested here.
   s.more += "[rules]\ncold_for = 0s\n";
   Scenario t(s);
   t.run(R"(
--- a/tests/store_model_test.cpp
+++ b/tests/store_model_test.cpp
@@ -1,7 +1,8 @@
-// Model checker for the order of intent, send, outcome and answer of keyed writes. It explores exhaustively
-// two requests of one key: every order of their steps, of the store's commits, of the ends of
-// attempts and of clock ticks, with a crash at any point. The store's rules are the real ones
-// (durability/rules.hpp); the balancer is modelled by a few lines that send as often as it may.
+// Model checker for the order of intent, send, outcome and answer of keyed writes. It explores
+// exhaustively two requests of one key: every order of their steps, of the store's commits, of the
+// ends of attempts and of clock ticks, with a crash at any point. The store's rules are the real
+// ones (durability/rules.hpp); the balancer is modelled by a few lines that send as often as it
+// may.
 //
 // The checker also runs on protocols that leave out one of the required waits and has to find a
 // violation in each of them.
@@ -131,9 +132,9 @@
       ++t.now;
       next(std::move(t));
     }
-    // Without a crash only the order of commits matters, not their time. So one commit takes all operations
-    // up to and including the first that a request waits for. A crash may leave any prefix of the queue
-    // durable.
+    // Without a crash only the order of commits matters, not their time. So one commit takes all
+    // operations up to and including the first that a request waits for. A crash may leave any
+    // prefix of the queue durable.
     if (operationsBeforeAwaited(s) < s.queue.size()) {
       State t = s;
       for (std::size_t n = operationsBeforeAwaited(s) + 1; n > 0; --n) t = commit(std::move(t));
--- a/tests/store_run.hpp
+++ b/tests/store_run.hpp
@@ -1,5 +1,5 @@
-// A short workload on an idempotency store that also tracks what the store has guaranteed so far. Used by the
-// tests that interrupt the workload at any point, and by the sweep (store_sweep.hpp).
+// A short workload on an idempotency store that also tracks what the store has guaranteed so far.
+// Used by the tests that interrupt the workload at any point, and by the sweep (store_sweep.hpp).
 #pragma once
 
 #include <cstdint>
@@ -56,11 +56,11 @@
   explicit RecordingFileHook(std::string dir) : dir_(std::move(dir)) {}
   Result before(durability::FileOp, const std::string& path, std::string_view bytes, std::uint64_t at,
                 const std::string& to) override;
-  // Fails operation `n` (counted from 0) and, if `lasting`, all that follow. A failed operation still writes
-  // the first `bytesWritten` of its bytes.
+  // Fails operation `n` (counted from 0) and, if `lasting`, all that follow. A failed operation
+  // still writes the first `bytesWritten` of its bytes.
   void failAt(std::size_t n, bool lasting, std::size_t bytesWritten = 0);
-  // Fails `count` operations, starting with operation `first`. With `onlySpaceAllocating`, the operations in
-  // the window that need no disk space succeed.
+  // Fails `count` operations, starting with operation `first`. With `onlySpaceAllocating`, the
+  // operations in the window that need no disk space succeed.
   void failWindow(std::size_t first, std::size_t count, bool onlySpaceAllocating, std::size_t bytesWritten);
   void stopFailing() { failAt(SIZE_MAX, false); }
   std::size_t count() const;
@@ -76,14 +76,16 @@
   bool onlySpaceAllocating_ = false, failed_ = false;
 };
 
-// The steps of the workload. Each may throw StoreError; the operation that failed then adds no guarantee.
+// The steps of the workload. Each may throw StoreError; the operation that failed then adds no
+// guarantee.
 class StoreWorkload {
  public:
   StoreWorkload(durability::Files&, std::string dir, TestTime&);
   void open();
   void close() { store_.reset(); }
   bool isOpen() const { return store_ != nullptr; }
-  // One keyed write, from its request to its end. `outcome` (modulo kWriteOutcomes) selects how it ends.
+  // One keyed write, from its request to its end. `outcome` (modulo kWriteOutcomes) selects how it
+  // ends.
   void write(int number, int outcome);
   void compact();
   const Guarantees& guarantees() const { return guarantees_; }
@@ -98,16 +100,17 @@
 };
 
 constexpr int kWriteOutcomes = 6;
-// Runs the whole workload: writes, a compaction, more writes, a restart, and again writes and a compaction.
-// Calls `after` after every step.
+// Runs the whole workload: writes, a compaction, more writes, a restart, and again writes and a
+// compaction. Calls `after` after every step.
 void runWorkload(StoreWorkload&, TestTime&, const std::function<void()>& after = {});
 
-// Runs a similar workload on a disk that fails for a while. When a step fails, the store is reopened until
-// that succeeds, as GroupCommitWriter does, and the workload continues with the next write.
+// Runs a similar workload on a disk that fails for a while. When a step fails, the store is
+// reopened until that succeeds, as GroupCommitWriter does, and the workload continues with the next
+// write.
 void runWorkloadWithFailures(StoreWorkload&, TestTime&, const std::function<void()>& after);
 
-// Returns a description of the first guarantee that the store doesn't meet, or "" if it meets all. `time` is
-// the time of this check.
+// Returns a description of the first guarantee that the store doesn't meet, or "" if it meets all.
+// The TestTime is the time of this check.
 std::string findViolation(const Guarantees&, durability::IdempotencyStore&, const TestTime&);
 
 // A new directory, in /dev/shm where that exists. The destructor removes it.
--- a/tests/store_sweep.cpp
+++ b/tests/store_sweep.cpp
@@ -24,8 +24,8 @@
   std::string bytes;
   std::size_t synced = 0;    // this many bytes are durable
   bool nameDurable = false;  // the directory entry is durable
-  // After a failed fsync the kernel may mark dirty pages as clean without having written them. From this
-  // offset on, no later sync of the file makes its bytes durable.
+  // After a failed fsync the kernel may mark dirty pages as clean without having written them. From
+  // this offset on, no later sync of the file makes its bytes durable.
   std::size_t neverSyncedFrom = SIZE_MAX;
 };
 using DiskState = std::map<std::string, FileState>;  // by path within the store's directory
@@ -225,8 +225,8 @@
     while (k + 1 < guaranteePoints.size() && guaranteePoints[k + 1].operations <= operations) ++k;
     return guaranteePoints[k];
   };
-  // The clock may have advanced since the last guarantee was noted, so the check takes place later than any
-  // step in progress.
+  // The clock may have advanced since the last guarantee was noted, so the check takes place later
+  // than any step in progress.
   const Time kWithinWindow = std::chrono::milliseconds(500), kAfterWindow = std::chrono::seconds(3);
 
   std::mutex mutex;
@@ -272,8 +272,8 @@
         trial(d, b % 2 ? kWithinWindow : kAfterWindow, &SweepResult::processCrashes, false);
       }
       if (selected()) trial(afterPowerLoss(disk), kWithinWindow, &SweepResult::powerLosses, false);
-      // Each of the last three sectors of the file that was appended to last is replaced by zeros or by the
-      // sector before it. If durable bytes were lost, opening has to report damage.
+      // Each of the last three sectors of the file that was appended to last is replaced by zeros
+      // or by the sector before it. If durable bytes were lost, opening has to report damage.
       if (k == 0 || all[k - 1].op != FileOp::Append || disk.count(all[k - 1].path) == 0) continue;
       const std::string& file = all[k - 1].path;
       const std::size_t size = disk[file].bytes.size();
@@ -287,7 +287,8 @@
           std::string& b = d[file].bytes;
           b.replace(at, n, older ? b.substr(at - kSector, n) : std::string(n, '\0'));
           if (b == disk[file].bytes) continue;
-          // A power loss may leave anything in bytes that were never durable, so that is not damage.
+          // A power loss may leave anything in bytes that were never durable, so that is not
+          // damage.
           const bool notDurable = at >= disk[file].synced && file != "DURABLE";
           trial(d, kWithinWindow, &SweepResult::badSectors, !notDurable);
         }
--- a/tests/store_sweep.hpp
+++ b/tests/store_sweep.hpp
@@ -1,6 +1,6 @@
-// Crash tests of the idempotency store. A recorded workload (store_run.hpp) is cut off at every byte that it
-// wrote; separately, sectors and single bits are corrupted. Each time the store is reopened and checked
-// against what it had guaranteed. See docs/design/store.md.
+// Crash tests of the idempotency store. A recorded workload (store_run.hpp) is cut off at every
+// byte that it wrote; separately, sectors and single bits are corrupted. Each time the store is
+// reopened and checked against what it had guaranteed. See docs/design/store.md.
 #pragma once
 
 #include <cstddef>
@@ -21,8 +21,8 @@
   std::size_t bytes = 0, operations = 0;  // of the workload
 };
 
-// Workloads during which a window of file operations fails. Each is cut off by process crashes and power
-// losses at random points in the window and after it.
+// Workloads during which a window of file operations fails. Each is cut off by process crashes and
+// power losses at random points in the window and after it.
 struct FailureSweepResult {
   std::size_t windows = 0, processCrashes = 0, powerLosses = 0;
   std::size_t failedOperations = 0;
--- a/tests/store_sweep_main.cpp
+++ b/tests/store_sweep_main.cpp
@@ -1,5 +1,5 @@
-// Runs the whole sweep, or a random share of it, and prints the counts as Markdown tables. Exits with 1 if a
-// guarantee was violated or damage was reported wrongly.
+// Runs the whole sweep, or a random share of it, and prints the counts as Markdown tables. Exits
+// with 1 if a guarantee was violated or damage was reported wrongly.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <cstdio>
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the idempotency store across restarts, crashes, damaged files and disk errors. They run a part of
-// the crash sweep; build/sablespur-store-sweep runs all of it.
+// Tests of the idempotency store across restarts, crashes, damaged files and disk errors. They run
+// a part of the crash sweep; build/sablespur-store-sweep runs all of it.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -122,8 +122,8 @@
   store = open();
   EXPECT_EQ(ask(*store, "k1", "b").disposition, Disposition::Execute);
 }
-// Records of attempts may be lost while the disk fails. CompleteRequest therefore says again whether an
-// attempt may have been executed.
+// Records of attempts may be lost while the disk fails. CompleteRequest therefore says again
+// whether an attempt may have been executed.
 TEST_F(StoreTest, AKeyWhoseAttemptRecordWasLostIsNotExecutedAgain) {
   auto store = open();
   ask(*store, "k1", "a");
@@ -178,8 +178,8 @@
     EXPECT_EQ(ask(*store, key + "served", "d").disposition, Disposition::Replay) << hours;
   }
 }
-// How long the machine was off is unknown. Retries assume that it was longer than any window, expiry assumes
-// that no time passed.
+// How long the machine was off is unknown. Retries assume that it was longer than any window,
+// expiry assumes that no time passed.
 TEST_F(StoreTest, AfterAMachineRebootNoKeyIsRetriedAndNoneExpires) {
   settings.keyRetention = std::chrono::seconds(10);
   auto store = open();
@@ -318,8 +318,8 @@
   writeBytes(log, good);
   EXPECT_NO_THROW(open());
 }
-// After a power loss the durability marker may be older than the log and does not prove damage. Valid records
-// after the damaged one do.
+// After a power loss the durability marker may be older than the log and does not prove damage.
+// Valid records after the damaged one do.
 TEST_F(StoreTest, DamageIsFoundWithoutTheDurabilityMarkerIfLaterRecordsAreValid) {
   auto store = open();
   ask(*store, "k1", "a");
@@ -349,9 +349,9 @@
   EXPECT_NE(std::string(e.what()).find("had been durable"), std::string::npos) << e.what();
   EXPECT_EQ(error().kind, StoreError::Kind::Damaged) << "opening the store does not clear the damage";
 }
-// Tables that are older than the log are brought up to date from the log. A manifest from before the
-// compaction, whose log was deleted by it, describes an older state and must not be accepted as the current
-// one.
+// Tables that are older than the log are brought up to date from the log. A manifest from before
+// the compaction, whose log was deleted by it, describes an older state and must not be accepted as
+// the current one.
 TEST_F(StoreTest, AnOlderCheckpointIsReplayedFromTheLogAndAnOlderManifestIsDamage) {
   auto store = open();
   ask(*store, "k1", "a");
@@ -453,8 +453,8 @@
 }
 
 // ---- disk errors -------------------------------------------------------------------------------------
-// Every file operation of the workload fails in turn, once or permanently, with none or a part of its bytes
-// written.
+// Every file operation of the workload fails in turn, once or permanently, with none or a part of
+// its bytes written.
 TEST(StoreFaults, AFailureOfAnyFileOperationPreservesTheGuarantees) {
   std::size_t operations = 0;
   {
@@ -509,8 +509,8 @@
   EXPECT_EQ(ask(*store, "k1", "d").disposition, Disposition::Retry);
   EXPECT_EQ(ask(*store, "k3", "e").disposition, Disposition::Execute);
 }
-// A temporary read error must be reported neither as a store in use by another process nor as damage. The
-// test causes one by putting a directory in place of the file.
+// A temporary read error must be reported neither as a store in use by another process nor as
+// damage. The test causes one by putting a directory in place of the file.
 TEST_F(StoreTest, ATemporaryReadErrorIsNotReportedAsDamage) {
   open().reset();
   for (const char* const name : {"OWNER", "DURABLE", "CURRENT"}) {
@@ -580,7 +580,8 @@
   EXPECT_TRUE(bytes.add(CompleteRequest{"k", "a", Outcome::Served, answer, 0, 0, true}));
 }
 
-// Makes every second file system call fail with EINTR and the others transfer about a third of their bytes.
+// Makes every second file system call fail with EINTR and the others transfer about a third of
+// their bytes.
 struct InterruptedCalls {
   InterruptedCalls() {
     calls = 0;
@@ -636,8 +637,9 @@
   EXPECT_EQ(readBytes(path), "later");
 }
 
-// A process that writes continuously is killed with SIGKILL at random, seeded moments. Through a pipe it
-// reports each key once its outcome is durable; every reported key must be replayed afterwards.
+// A process that writes continuously is killed with SIGKILL at random, seeded moments. Through a
+// pipe it reports each key once its outcome is durable; every reported key must be replayed
+// afterwards.
 TEST(StoreKill, EveryReportedKeyIsReplayedAfterSigkillUnderLoad) {
   pcg64 random(20261201);
   std::size_t reportedKeys = 0;
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,6 @@
-// Checks that every field is read from files that version 0.2 wrote, in tests/data/stored-0.2: a store
-// directory, recovery snapshots and the file of suspended endpoints. These files must never be regenerated.
+// Checks that every field is read from files that version 0.2 wrote, in tests/data/stored-0.2: a
+// store directory, recovery snapshots and the file of suspended endpoints. These files must never
+// be regenerated.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -129,8 +130,8 @@
   expectPrimary(read.primaries[0], {3, "s-1", 1796207721724});
 }
 
-// The snapshot was written by the encoder of version 0.2. One endpoint has a different value in each field,
-// the other has empty and default values.
+// The snapshot was written by the encoder of version 0.2. One endpoint has a different value in
+// each field, the other has empty and default values.
 TEST(StoredSnapshot, WithEveryFieldSetIsReadFieldByField) {
   const recovery::Snapshot read = recovery::decode(readFile(kStored + "recovery-every-field.snapshot"));
   EXPECT_EQ(read.epoch, 4u);
