--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -20,7 +20,7 @@
   AdminCommands(event_base* base, const Config& config, Engine& engine, const Clients& clients)
       : engine_(engine),
         clients_(clients),
-        suspended_(config.bans),
+        suspended_(config.suspensionsFile),
         pollTimer_(event_new(
             base, -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<AdminCommands*>(self)->pollFile(); }, this)),
@@ -28,7 +28,7 @@
     for (const std::string& name : suspended_.endpoints()) engine_.restoreSuspension(name);
     if (!suspended_.endpoints().empty())
       logEvent(LogLevel::Info, "suspensions_loaded", {{"count", suspended_.endpoints().size()}});
-    if (!config.bans.empty()) startTimer(pollTimer_.get(), kPollInterval);
+    if (!config.suspensionsFile.empty()) startTimer(pollTimer_.get(), kPollInterval);
   }
 
  private:
--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -39,7 +39,8 @@
   const std::string control = environmentVariable("NODE_CONTROL");
   if (!control.empty() && config.control.none()) config.control = parseAddress(control, "NODE_CONTROL");
   const std::string folder = environmentVariable("TMPDIR");
-  if (!folder.empty() && !config.control.none()) config.bans = folder + "/sablespur-bans-" + config.name;
+  if (!folder.empty() && !config.control.none())
+    config.suspensionsFile = folder + "/sablespur-bans-" + config.name;
 }
 
 int serveOnPlatform() {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -91,10 +91,10 @@
 // The process: its identity, log and administration.
 struct ProcessConfig {
   std::string name;
-  std::uint64_t seed = 0;    // of random numbers
-  std::string statusSocket;  // path of the local socket; empty: none
-  Address control;           // where admin commands are accepted; none: nowhere
-  std::string bans;          // the file of suspended endpoints; empty: none
+  std::uint64_t seed = 0;       // of random numbers
+  std::string statusSocket;     // path of the local socket; empty: none
+  Address control;              // where admin commands are accepted; none: nowhere
+  std::string suspensionsFile;  // the file of suspended endpoints; empty: none
   LogForm logForm = LogForm::Logfmt;
   LogLevel logLevel = LogLevel::Info;
 };
