--- a/src/app/admin_handler.cpp
+++ b/src/app/admin_handler.cpp
@@ -11,8 +11,8 @@
 namespace sablespur {
 namespace {
 
-// Between polls of the file for changes by another process of this proxy: well within the second after which
-// a suspension has to be in force.
+// Interval at which the suspensions file is polled for changes by another process of this proxy. A
+// suspension has to take effect within one second.
 constexpr Time kPollInterval = std::chrono::milliseconds(200);
 
 class AdminCommands final : public AdminHandler, admin::CommandHandler {
@@ -57,7 +57,7 @@
     return {true, name + (suspend ? " suspended" : " restored") + durability};
   }
 
-  // Applies what another process of this proxy has changed.
+  // Applies the changes that another process of this proxy has written to the suspensions file.
   void pollFile() {
     const std::set<std::string> before = suspended_.endpoints();
     if (!suspended_.poll()) return;
--- a/src/app/admin_handler.hpp
+++ b/src/app/admin_handler.hpp
@@ -11,7 +11,7 @@
 
 class Clients;
 
-// Accepts commands while it lives.
+// Accepts admin commands for its whole lifetime.
 class AdminHandler {
  public:
   AdminHandler() = default;
@@ -20,8 +20,9 @@
   AdminHandler& operator=(const AdminHandler&) = delete;
 };
 
-// Null if the settings give no admin address. Hands the suspensions of an earlier process to the engine, and
-// so has to be called before Engine::start. Throws std::runtime_error if it cannot listen.
+// Returns null if the settings contain no admin address. Restores the suspensions of an earlier
+// process in the engine, so it has to be called before Engine::start. Throws std::runtime_error if
+// it cannot listen.
 std::unique_ptr<AdminHandler> createAdminHandler(event_base*, const Config&, Engine&, const Clients&);
 
 }  // namespace sablespur
--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -23,17 +23,17 @@
 constexpr int kFailure = 1;
 constexpr int kUsageError = 2;
 
-// The variable's value, or an empty string.
+// Returns the value of the environment variable, or an empty string if it is not set.
 std::string environmentVariable(const char* name) {
   const char* const value = std::getenv(name);
   return value ? value : "";
 }
 
-// What the platform's file does not hold comes from the environment.
+// Applies the settings that the platform passes in environment variables instead of its JSON file.
 void applyEnvironment(Config& config) {
   if (const char* const level = std::getenv("NODE_LOG")) {
     const std::string name = level;
-    if (name != "trace" && name != "info") throw BadInput("variable NODE_LOG is neither info nor trace");
+    if (name != "trace" && name != "info") throw BadInput("variable NODE_LOG must be info or trace");
     if (name == "trace") config.logLevel = LogLevel::Trace;
   }
   const std::string control = environmentVariable("NODE_CONTROL");
@@ -51,13 +51,13 @@
   return serve(config, [path] { return readConfig(path); });
 }
 
-// Prints every fault on a line of its own, so that one round of corrections is enough.
+// Prints all faults, one per line, so that they can be corrected in one round.
 int checkSettings(const std::string& path) {
   try {
     const Config config = readSettings(path);
     std::printf(
-        "%s: good; %zu classes, %zu members known at the start, %zu client connections, %zu to data "
-        "servers\n",
+        "%s: good; %zu request classes, %zu members in the known list, at most %zu client connections and "
+        "%zu server connections\n",
         path.c_str(), config.classes.size(), config.known.instances.size(), config.clientConnections,
         config.serverConnections);
     return 0;
@@ -69,14 +69,15 @@
 
 int printSettingsPage() { return std::fputs(settingsPage().c_str(), stdout) < 0 ? kFailure : 0; }
 
-// The commands, their options, and what each does.
+// Defines the commands with their options, parses the command line and runs the chosen command.
 class CommandLine {
  public:
   CommandLine() {
     app_.set_version_flag("--version", std::string("sablespur ") + kVersion);
     app_.require_subcommand(1);
-    app_.footer("With no arguments it serves by the JSON file that NODE_CONFIG names.");
-    // In the order in which --help lists them.
+    app_.footer(
+        "Without arguments, sablespur serves with the settings of the JSON file named by NODE_CONFIG.");
+    // --help lists the commands in this order.
     addServe();
     addCheck();
     addMembers();
@@ -87,7 +88,7 @@
   CommandLine(const CommandLine&) = delete;
   CommandLine& operator=(const CommandLine&) = delete;
 
-  // Returns the exit status. Throws what the command throws.
+  // Returns the exit status. Exceptions of the command are passed on.
   int run(int argc, char** argv) {
     try {
       app_.parse(argc, argv);
@@ -110,27 +111,28 @@
   }
 
   void addServe() {
-    CLI::App* const command =
-        addCommand(app_, "serve", "serve until SIGTERM; SIGHUP reads the file again", [this] {
+    CLI::App* const command = addCommand(
+        app_, "serve", "run the proxy until SIGTERM or SIGINT; SIGHUP reloads the settings file", [this] {
           return serve(readSettings(settingsPath_), [this] { return readSettings(settingsPath_); });
         });
     command->add_option("--config", settingsPath_, "file of settings (INI)")->required();
   }
 
   void addCheck() {
-    check_ = addCommand(app_, "check", "say what is wrong in a file of settings: file, line, key and the fix",
-                        [this] { return listKeys_ ? printSettingsPage() : checkSettings(settingsPath_); });
-    CLI::Option* const file = check_->add_option("FILE", settingsPath_, "file of settings (INI)");
+    check_ =
+        addCommand(app_, "check", "check a settings file; report each fault with file, line, key and remedy",
+                   [this] { return listKeys_ ? printSettingsPage() : checkSettings(settingsPath_); });
+    CLI::Option* const file = check_->add_option("FILE", settingsPath_, "settings file (INI)");
     check_->add_flag("--keys", listKeys_, "print every key with its kind, default and meaning (Markdown)")
         ->excludes(file);
   }
 
   void addMembers() {
     CLI::App* const command =
-        addCommand(app_, "members", "show the data servers that discovery finds now",
+        addCommand(app_, "members", "list the data servers that discovery finds",
                    [this] { return showMembers(readSettings(settingsPath_), members_); });
     command->add_option("--config", settingsPath_, "file of settings (INI)")->required();
-    command->add_flag("--json", members_.json, "as JSON");
+    command->add_flag("--json", members_.json, "print JSON");
     command->add_option("--wait", members_.waitSeconds, "seconds to wait for discovery")
         ->check(CLI::Range(0.1, 300.0))
         ->capture_default_str();
@@ -138,43 +140,42 @@
 
   void addStatus() {
     CLI::App* const command =
-        addCommand(app_, "status", "ask a running proxy what it holds, lets in and turns away",
+        addCommand(app_, "status", "show the resource use, admissions and rejections of a running proxy",
                    [this] { return showStatus(readSettings(settingsPath_), status_); });
-    command->add_option("--config", settingsPath_, "its file of settings (INI)")->required();
-    command->add_flag("--json", status_.json, "as JSON");
+    command->add_option("--config", settingsPath_, "settings file of the running proxy (INI)")->required();
+    command->add_flag("--json", status_.json, "print JSON");
   }
 
   void addPassword() {
-    CLI::App* const command =
-        addCommand(app_, "password",
-                   "make a user's line for the file of users; the password is read from standard input",
-                   [this] { return makePassword(password_); });
-    command->add_option("NAME", password_.user, "the user")->required();
+    CLI::App* const command = addCommand(
+        app_, "password", "print a user's line for the users file; the password is read from standard input",
+        [this] { return makePassword(password_); });
+    command->add_option("NAME", password_.user, "user name")->required();
     command->add_flag("--md5", password_.md5,
-                      "for clients that know no SCRAM, those of protocol 2.0 among them");
-    command->add_option("--iterations", password_.iterations, "of SCRAM")
+                      "store an MD5 hash, for clients without SCRAM support (such as those of protocol 2.0)");
+    command->add_option("--iterations", password_.iterations, "SCRAM iteration count")
         ->check(CLI::Range(4096, 1000000))
         ->capture_default_str();
   }
 
   void addStore() {
-    CLI::App* const store = app_.add_subcommand("store", "look after a store that no proxy has open");
+    CLI::App* const store = app_.add_subcommand("store", "inspect or compact a store that no proxy has open");
     store->require_subcommand(1);
-    addStoreCommand(*store, "check", "read every record; say by file and offset what is damaged, and exit 1",
-                    storeCheck);
-    addStoreCommand(*store, "dump", "print every record, one a line", storeDump);
-    addStoreCommand(*store, "compact", "give back the room of what is forgotten", storeCompact);
-    addStoreCommand(*store, "stat", "count what is there", storeStat);
+    addStoreCommand(*store, "check",
+                    "read every record; report damage by file and offset and exit with status 1", storeCheck);
+    addStoreCommand(*store, "dump", "print every record, one per line", storeDump);
+    addStoreCommand(*store, "compact", "reclaim the disk space of expired records", storeCompact);
+    addStoreCommand(*store, "stat", "print statistics of the store", storeStat);
   }
 
   void addStoreCommand(CLI::App& store, const char* name, const char* description,
                        int (*action)(const StoreOptions&)) {
     CLI::App* const command = addCommand(store, name, description, [this, action] { return action(store_); });
-    command->add_option("DIR", store_.directory, "its directory")->required();
-    command->add_flag("--json", store_.json, "as JSON");
+    command->add_option("DIR", store_.directory, "store directory")->required();
+    command->add_flag("--json", store_.json, "print JSON");
   }
 
-  CLI::App app_{"sablespur: a proxy before replicated databases", "sablespur"};
+  CLI::App app_{"sablespur: a proxy in front of replicated databases", "sablespur"};
   CLI::App* check_ = nullptr;
   std::string settingsPath_;
   bool listKeys_ = false;
--- a/src/app/discovery_source.cpp
+++ b/src/app/discovery_source.cpp
@@ -8,8 +8,9 @@
 namespace sablespur {
 namespace {
 
-// Whether the new settings name the running kind of source. Another one needs a restart, which is logged.
-bool keepsSource(const Config& config, Source running) {
+// Returns whether the new settings name the kind of source that is running. A change of the kind
+// needs a restart, which is logged.
+bool checkSourceKind(const Config& config, Source running) {
   if (config.source == running) return true;
   logEvent(LogLevel::Warning, "config_restart_needed", {{"key", "[discovery] source"}});
   return false;
@@ -22,18 +23,18 @@
   void watch(std::uint64_t after) override { watch_.watch(after); }
   std::optional<RegistryWatch::View> registryView() const override { return watch_.view(); }
   void updateSettings(const Config& config) override {
-    if (keepsSource(config, Source::Registry)) watch_.changeAddress(config.discovery);
+    if (checkSourceKind(config, Source::Registry)) watch_.changeAddress(config.discovery);
   }
 
  private:
   RegistryWatch watch_;
 };
 
-// The endpoints of the settings alone, which the engine knows from its start.
+// Provides no updates: the engine has the endpoints of the settings from its start.
 class FixedSource final : public ConfiguredDiscovery {
  public:
   void watch(std::uint64_t) override {}
-  void updateSettings(const Config& config) override { keepsSource(config, Source::Fixed); }
+  void updateSettings(const Config& config) override { checkSourceKind(config, Source::Fixed); }
 };
 
 #ifdef SABLESPUR_DNSSD
@@ -41,9 +42,9 @@
  public:
   DnsSdSource(event_base* base, const Clock& clock, EndpointUpdater& updater, const Config& config)
       : updater_(updater), dnssd_(base, clock, updater, config) {}
-  void watch(std::uint64_t) override {}  // it queries from its construction on
+  void watch(std::uint64_t) override {}  // DnsSdDiscovery queries from its construction on
   void updateSettings(const Config& config) override {
-    if (!keepsSource(config, Source::DnsSd)) return;
+    if (!checkSourceKind(config, Source::DnsSd)) return;
     updater_.setPolicy(endpointTablePolicy(config));
     dnssd_.updateSettings(config);
   }
--- a/src/app/discovery_source.hpp
+++ b/src/app/discovery_source.hpp
@@ -1,4 +1,4 @@
-// The discovery source that the settings name.
+// Creates the discovery source that the settings name.
 #pragma once
 
 #include <map>
@@ -12,21 +12,22 @@
 
 namespace sablespur {
 
-// A source whose settings may change while it runs.
+// A discovery source whose settings may change while it runs.
 class ConfiguredDiscovery : public DiscoverySource {
  public:
-  // The endpoints that are known stay until the source has told a whole list by the new settings. A change of
-  // the kind of source is logged and not applied.
+  // Applies new settings. The known endpoints stay until the source has delivered a complete list
+  // under the new settings. A change of the kind of source is logged and not applied.
   virtual void updateSettings(const Config&) = 0;
-  // How the registry is followed; nothing for other kinds of source.
+  // State of the registry watch; std::nullopt for other kinds of source.
   virtual std::optional<RegistryWatch::View> registryView() const { return std::nullopt; }
-  // Instances that are left out, by name, and why.
+  // Reasons why instances are excluded from the endpoint list, by instance name.
   virtual std::map<std::string, std::string> faults() const { return {}; }
 };
 
 EndpointTablePolicy endpointTablePolicy(const Config&);
 
-// Feeds what it finds to the updater. Throws BadInput where this build lacks the source.
+// Creates a source that passes the endpoints it finds to the updater. Throws BadInput if this build
+// lacks that kind of source.
 std::unique_ptr<ConfiguredDiscovery> createDiscoverySource(event_base*, const Clock&, EndpointUpdater&,
                                                            const Config&);
 
--- a/src/app/local_socket.hpp
+++ b/src/app/local_socket.hpp
@@ -8,10 +8,11 @@
 
 namespace sablespur {
 
-// Throws std::runtime_error naming [status] socket where the path is longer than the system takes.
+// Throws std::runtime_error, naming the key [status] socket, if the path is longer than the system
+// allows.
 sockaddr_un localSocketAddress(const std::string& path);
 
-// The address as bind() and connect() take it; it lives as long as its argument.
+// Returns the address in the form that bind() and connect() take; valid as long as the argument.
 inline const sockaddr* asSocketAddress(const sockaddr_un& address) {
   return reinterpret_cast<const sockaddr*>(&address);
 }
--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -14,7 +14,7 @@
 namespace sablespur {
 namespace {
 
-// Ends the loop with the first list, or with the failure to get one.
+// Breaks the event loop when the first endpoint list arrives or discovery fails.
 class FirstList final : public EndpointListConsumer {
  public:
   explicit FirstList(event_base* base) : base_(base) {}
@@ -36,7 +36,7 @@
  private:
   event_base* const base_;
   bool arrived_ = false;
-  std::string failure_ = "no word within the wait";
+  std::string failure_ = "no endpoint list within the wait";
 };
 
 void runFor(event_base* base, double seconds) {
@@ -48,8 +48,9 @@
   event_base_dispatch(base);
 }
 
-// The members that the settings name. It has no time of an update, as it is not discovery's word.
-MembersView viewOfSettings(const Config& config, Time now) {
+// Returns the members that the settings name. `lastUpdate` is not set, as the list does not come
+// from discovery.
+MembersView settingsView(const Config& config, Time now) {
   EndpointTable known;
   known.applySnapshot(now, config.known.instances);
   known.nextUpdate(now);
@@ -58,7 +59,7 @@
   return view;
 }
 
-void print(const Config& config, const MembersOptions& options, const MembersView& view) {
+void printReport(const Config& config, const MembersOptions& options, const MembersView& view) {
   const std::string report = options.json ? membersJson(config, view) : membersTable(config, view);
   std::fputs(report.c_str(), stdout);
 }
@@ -79,13 +80,13 @@
     runFor(base.get(), options.waitSeconds);
   }
   if (!firstList.arrived()) {
-    print(config, options, viewOfSettings(config, clock.now()));
-    std::fprintf(stderr, "sablespur: discovery: %s; shown is what the settings know\n",
+    printReport(config, options, settingsView(config, clock.now()));
+    std::fprintf(stderr, "sablespur: discovery: %s; showing the members from the settings\n",
                  firstList.failure().c_str());
     return 1;
   }
   std::map<std::string, std::string> faults = source->faults();
-  print(config, options, {updater.view(), std::move(faults), clock.now()});
+  printReport(config, options, {updater.view(), std::move(faults), clock.now()});
   return 0;
 }
 
--- a/src/app/members_command.hpp
+++ b/src/app/members_command.hpp
@@ -1,4 +1,4 @@
-// `sablespur members`: asks the configured discovery source once.
+// `sablespur members`: queries the configured discovery source once.
 #pragma once
 
 #include "config/config.hpp"
@@ -10,8 +10,9 @@
   double waitSeconds = 5;
 };
 
-// Prints what the source has told within the wait. Returns the exit status: 0 where it told; 1 where it did
-// not, then what the settings know is printed, and the reason goes to standard error.
+// Prints the members of the first list that the source delivers. Returns the exit status: 0 on
+// success, 1 if no list arrives within the wait; then the members from the settings are printed,
+// and the reason on standard error.
 int showMembers(const Config&, const MembersOptions&);
 
 }  // namespace sablespur
--- a/src/app/members_report.cpp
+++ b/src/app/members_report.cpp
@@ -35,14 +35,14 @@
   return std::to_string(id);
 }
 
-// 0: before the first list, so long ago.
+// A start time of 0 means that the instance started before the first list.
 std::string startText(std::int64_t unixMs) {
   if (unixMs == 0) return "long ago";
   return fmt::format("{:%Y-%m-%dT%H:%M:%SZ}", fmt::gmtime(std::time_t(unixMs / 1000)));
 }
 
 std::string ageText(const MembersView& view) {
-  if (!view.members.lastUpdate) return "discovery has told nothing";
+  if (!view.members.lastUpdate) return "no list from discovery";
   const std::chrono::duration<double> age = view.now - *view.members.lastUpdate;
   return fmt::format("told {:.1f} s ago", age.count());
 }
@@ -94,7 +94,7 @@
   Json page{{"members", std::move(members)}, {"left_out", std::move(excluded)}};
   page["list_age_ms"] = ageJson(view);
   if (view.members.failingSince) page["failing"] = view.members.lastError;
-  // Names come from the network: what is no UTF-8 is replaced.
+  // Names come from the network: invalid UTF-8 is replaced.
   return page.dump(kIndent, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
--- a/src/app/members_report.hpp
+++ b/src/app/members_report.hpp
@@ -1,4 +1,4 @@
-// The members that discovery has found, as a table and as JSON.
+// Formats the members that discovery has found as a table and as JSON.
 #pragma once
 
 #include <map>
@@ -9,15 +9,15 @@
 
 namespace sablespur {
 
-// What a report tells.
+// The content of a report.
 struct MembersView {
   EndpointTable::View members;
-  std::map<std::string, std::string> faults;  // instances that are no members, and why
-  Time now{};                                 // by the clock of `members`
+  std::map<std::string, std::string> faults;  // why instances are excluded, by instance name
+  Time now{};                                 // on the clock of `members`
 };
 
 std::string membersTable(const Config&, const MembersView&);
-// One document with a newline at its end.
+// Returns one JSON document that ends with a newline.
 std::string membersJson(const Config&, const MembersView&);
 
 }  // namespace sablespur
--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -29,8 +29,8 @@
 
 std::unique_ptr<IdempotencyHandler> openStore(event_base* base, Engine& engine, RequestHandler& next,
                                               const Config& config) {
-  // A write beyond the limit on the size of files then fails as on a full disk, where the signal would end
-  // the process.
+  // With the signal ignored, a write beyond the file size limit fails like a write to a full disk;
+  // by default SIGXFSZ ends the process.
   std::signal(SIGXFSZ, SIG_IGN);
   return createIdempotencyHandler(base, engine, next, config, postgres::reader());
 }
--- a/src/app/optional_parts.hpp
+++ b/src/app/optional_parts.hpp
@@ -1,5 +1,5 @@
-// The parts that a proxy may lack. Each is null where the settings have it off, or where the build lacks it:
-// settings that want it are then rejected before (src/config).
+// Creates the optional parts of a proxy. Each is null if the settings disable it or the build lacks
+// it; src/config rejects settings that require a part which the build lacks.
 #pragma once
 
 #include <memory>
@@ -15,10 +15,12 @@
 
 class BackendPool;
 
-// References have to outlive the results. `next` handles the requests that a part lets on.
+// The references have to outlive the results. Each part passes the requests that it accepts on to
+// `next`.
 std::unique_ptr<PeerLink> openPeerLink(event_base*, Engine&, const Config&);
 std::unique_ptr<IdempotencyHandler> openStore(event_base*, Engine&, RequestHandler& next, const Config&);
-// Exchanges snapshots over `peers` if that is not null, and delays the connections of the pool.
+// The coordinator exchanges snapshots over `peers` unless that is null, and delays the pool's new
+// connections.
 std::unique_ptr<RecoveryCoordinator> openRecovery(event_base*, Engine&, WorkerPool&, BackendPool&, Config&,
                                                   PeerLink* peers);
 std::unique_ptr<AdmissionController> openAdmission(event_base*, Engine&, RequestHandler& next, const Config&);
--- a/src/app/password_command.cpp
+++ b/src/app/password_command.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t kSaltSize = 16;
 #endif
 
-// Prompts and switches the terminal's echo off; restores it at the end of its scope. No effect where standard
-// input is no terminal.
+// Prompts for the password and disables the terminal's echo until the end of its scope. Has no
+// effect if standard input is not a terminal.
 class HiddenInput {
  public:
   HiddenInput() : isTerminal_(isatty(STDIN_FILENO) != 0 && tcgetattr(STDIN_FILENO, &before_) == 0) {
@@ -57,7 +57,7 @@
 int makePassword(const PasswordOptions& options) {
   const std::string password = readPassword();
   if (password.empty() || !isUserName(options.user)) {
-    std::fputs("sablespur: a name without a colon and a password are wanted\n", stderr);
+    std::fputs("sablespur: a user name without a colon and a password are required\n", stderr);
     return kUsageError;
   }
 #ifdef SABLESPUR_AUTH
@@ -67,7 +67,7 @@
   std::printf("%s:%s\n", options.user.c_str(), secret.c_str());
   return 0;
 #else
-  std::fputs("sablespur: this build has no logins with passwords (SABLESPUR_AUTH)\n", stderr);
+  std::fputs("sablespur: this build has no password authentication (SABLESPUR_AUTH)\n", stderr);
   return 1;
 #endif
 }
--- a/src/app/password_command.hpp
+++ b/src/app/password_command.hpp
@@ -1,4 +1,4 @@
-// `sablespur password NAME`: a user's line for the file of users.
+// `sablespur password NAME`: prints a user's line for the users file.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 struct PasswordOptions {
   std::string user;
-  bool md5 = false;                 // else SCRAM
+  bool md5 = false;                 // false: SCRAM
   std::uint32_t iterations = 4096;  // of SCRAM
 };
 
-// Reads the password from standard input, without echo where that is a terminal, and prints the line. Returns
-// the exit status.
+// Reads the password from standard input, without echo if that is a terminal, and prints the line.
+// Returns the exit status.
 int makePassword(const PasswordOptions&);
 
 }  // namespace sablespur
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -11,10 +11,10 @@
 namespace sablespur {
 namespace {
 
-// For the salting of passwords, a few milliseconds each.
+// Workers salt passwords, which takes a few milliseconds each.
 constexpr std::size_t kWorkerThreads = 2;
 
-// `optional` where there is one, else `otherwise`.
+// Returns `*optional`, or `otherwise` if `optional` is null.
 template <typename Interface, typename Optional>
 Interface& orElse(const std::unique_ptr<Optional>& optional, Interface& otherwise) {
   return optional ? static_cast<Interface&>(*optional) : otherwise;
@@ -46,7 +46,8 @@
   backends_.onShortage([this] { clients_.onExhaustion(); });
 }
 
-// What recovery does not observe, or all where there is none, is for the other proxies.
+// Recovery, if enabled, observes all replication events and forwards them to the peer link. Without
+// recovery, the peer link observes them directly.
 std::unique_ptr<RecoveryCoordinator> Proxy::connectRecovery() {
   auto recovery = openRecovery(base_, engine_, workers_, backends_, config_, peers_.get());
   ReplicationObserver* const peers = peers_.get();
@@ -65,8 +66,8 @@
 
 void Proxy::start() {
   engine_.start(backends_, *discovery_);
-  // The balancer asks for the list only where it has to be asked for; an agent that it is pushed to needs a
-  // watch as well.
+  // The balancer requests the endpoint list only if discovery is pull-based; a source that pushes
+  // the list needs a watch as well.
   discovery_->watch(config_.known.generation);
   logEvent(LogLevel::Info, "listening", {{"name", config_.name}, {"port", clients_.port()}});
 }
@@ -85,8 +86,8 @@
   }
 }
 
-// In the loop, as the files are small and local. One of them is open at a time, on the reserved descriptor:
-// new settings may be the remedy for a shortage of descriptors.
+// Runs in the event loop, as the files are small and local. They are opened one at a time on the
+// reserved descriptor, as new settings may be the remedy for a shortage of descriptors.
 Config Proxy::readSettings(const SettingsSource& settings) {
   std::optional<Config> config;
   const auto read = [&] { config = settings(); };
@@ -95,7 +96,7 @@
 }
 
 void Proxy::apply(const Config& config) {
-  // Admission and the store hold the classes of the start.
+  // Admission and the store keep the request classes that the proxy started with.
   if (!config_.admission && !config_.store) {
     adopt(config_, config);
     engine_.updateSettings(config_.settings);
--- a/src/app/proxy.hpp
+++ b/src/app/proxy.hpp
@@ -1,4 +1,4 @@
-// The parts of a running proxy, put together.
+// Constructs and connects the parts of a running proxy.
 #pragma once
 
 #include <functional>
@@ -23,25 +23,26 @@
 
 namespace sablespur {
 
-// Reads and checks the settings anew. Throws BadInput.
+// Reads and validates the settings. Throws BadInput.
 using SettingsSource = std::function<Config()>;
 
-// Requests pass from the clients through admission, the store and recovery, as far as there are, to the
-// engine; the endpoint list passes from discovery through recovery to the engine.
+// Requests pass from the clients through admission, the store and recovery, each of which is
+// optional, to the engine. The endpoint list passes from discovery through recovery to the engine.
 class Proxy {
  public:
-  // Opens the store and listens; throws std::runtime_error where one fails. Nothing is served before start().
+  // Opens the store and listens; throws std::runtime_error if either fails. Serves no requests
+  // before start().
   Proxy(event_base*, Config);
   Proxy(const Proxy&) = delete;
   Proxy& operator=(const Proxy&) = delete;
 
   void start();
-  // One pass of the loop, then one turn of the engine.
+  // Runs one pass of the event loop, then one turn of the engine.
   void runOnce();
-  // Reads the settings and applies what may change while the proxy serves; between two turns only. Settings
-  // with a fault are logged and change nothing.
+  // Reads the settings and applies those that may change at run time. Must be called between two
+  // turns. Faulty settings are logged and not applied.
   void reload(const SettingsSource&);
-  // `done` is called once the answers to what was read are written.
+  // Calls `done` once the responses to all requests that were read are written.
   void drain(std::function<void()> done);
 
  private:
@@ -51,23 +52,23 @@
   void apply(const Config&);
 
   event_base* const base_;
-  Config config_;  // read by all parts; only reload() changes it
+  Config config_;  // referenced by all parts; changed by reload() alone
   Engine engine_;
   WorkerPool workers_;
   ResourceBudget budget_;
   ReservedDescriptor reservedDescriptor_;
   BackendPool backends_;
-  const std::unique_ptr<PeerLink> peers_;                // null: this proxy does not gossip
-  const std::unique_ptr<RecoveryCoordinator> recovery_;  // null: none
+  const std::unique_ptr<PeerLink> peers_;                // null: gossip is off
+  const std::unique_ptr<RecoveryCoordinator> recovery_;  // null: recovery is off
   EndpointUpdater endpointUpdater_;
   const std::unique_ptr<ConfiguredDiscovery> discovery_;
   RequestHandler& recoveryOrEngine_;
   const std::unique_ptr<IdempotencyHandler> idempotency_;  // null: no store
-  RequestHandler& requestHandler_;                         // of requests that are admitted
-  const std::unique_ptr<AdmissionController> admission_;   // null: none
+  RequestHandler& requestHandler_;                         // handles admitted requests
+  const std::unique_ptr<AdmissionController> admission_;   // null: admission is off
   Clients clients_;
-  std::unique_ptr<StatusServer> status_;              // null: none
-  const std::unique_ptr<AdminHandler> adminHandler_;  // null: none
+  std::unique_ptr<StatusServer> status_;              // null: no status socket is set
+  const std::unique_ptr<AdminHandler> adminHandler_;  // null: no admin address is set
 };
 
 }  // namespace sablespur
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -12,8 +12,8 @@
 namespace sablespur {
 namespace {
 
-// The settings with their bounds lowered to what the system allows, so that the proxy's own bounds are met
-// before the table of descriptors is full.
+// Returns the settings with their bounds lowered to the descriptor limit of the system, so that the
+// proxy reaches its own bounds before the descriptor table is full.
 Config limitToSystem(const Config& given) {
   const std::size_t allowed = descriptorsAllowed(given.descriptors);
   if (allowed >= given.descriptors) return given;
@@ -27,8 +27,8 @@
   return limited;
 }
 
-// Handles the signals of a running proxy while it lives: SIGTERM and SIGINT drain it, SIGHUP reloads its
-// settings. Both references outlive it.
+// Handles the signals of a running proxy: SIGTERM and SIGINT drain it, SIGHUP reloads its settings.
+// Both references have to outlive this object.
 class SignalHandlers {
  public:
   SignalHandlers(event_base* base, Proxy& proxy, const SettingsSource& settings)
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -1,4 +1,4 @@
-// `sablespur serve`: a proxy from its checked settings to the exit, and the signals that it follows.
+// `sablespur serve`: runs a proxy until its exit and handles its signals.
 #pragma once
 
 #include "app/proxy.hpp"
@@ -6,8 +6,8 @@
 
 namespace sablespur {
 
-// Serves until SIGTERM or SIGINT has been carried out; returns the exit status. SIGHUP reads the settings
-// anew from `source`. Throws std::runtime_error where the proxy cannot start.
+// Serves until the drain that SIGTERM or SIGINT starts has ended; returns the exit status. SIGHUP
+// reloads the settings from `source`. Throws std::runtime_error if the proxy cannot start.
 int serve(const Config&, const SettingsSource& source);
 
 }  // namespace sablespur
--- a/src/app/status_command.cpp
+++ b/src/app/status_command.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t kMaxDocumentSize = std::size_t{16} << 20;
 constexpr std::size_t kReadSize = 8192;
 
-// A descriptor that is closed at the end of its scope.
+// Owns a file descriptor.
 class Descriptor {
  public:
   explicit Descriptor(int number) : number_(number) {}
@@ -47,7 +47,7 @@
   std::array<char, kReadSize> bytes{};
   while (document.size() < kMaxDocumentSize) {
     const ssize_t count = read(client.get(), bytes.data(), bytes.size());
-    if (count < 0) throw std::runtime_error("status: " + path + ": no whole answer within 5 s");
+    if (count < 0) throw std::runtime_error("status: " + path + ": no complete response within 5 s");
     if (count == 0) break;
     document.append(bytes.data(), static_cast<std::size_t>(count));
   }
@@ -58,8 +58,7 @@
 
 int showStatus(const Config& config, const StatusOptions& options) {
   if (config.statusSocket.empty())
-    throw std::runtime_error(
-        "key [status] socket: it is missing; add socket = PATH and start the proxy again");
+    throw std::runtime_error("key [status] socket: it is missing; add socket = PATH and restart the proxy");
   const std::string document = readDocument(config.statusSocket);
   std::fputs((options.json ? document : statusTable(document)).c_str(), stdout);
   return 0;
--- a/src/app/status_json.cpp
+++ b/src/app/status_json.cpp
@@ -112,7 +112,7 @@
   return status;
 }
 
-// Null for a source that is not a registry.
+// Returns null for other sources than a registry.
 Json registryStatus(const std::optional<RegistryWatch::View>& view) {
   if (!view) return {};
   return {{"generation", view->generation},
@@ -140,7 +140,7 @@
       {"recovery", sources.recovery ? recoveryStatus(sources.recovery->view()) : Json()},
       {"door", sources.admission ? admissionStatus(sources.admission->view()) : Json()},
   };
-  // Names may come from the network: what is no UTF-8 is replaced.
+  // Names may come from the network: invalid UTF-8 is replaced.
   return status.dump(kIndent, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
--- a/src/app/status_json.hpp
+++ b/src/app/status_json.hpp
@@ -1,4 +1,4 @@
-// What a running proxy tells of itself, as JSON.
+// Formats the status of a running proxy as JSON.
 #pragma once
 
 #include <string>
@@ -11,18 +11,19 @@
 
 namespace sablespur {
 
-// The parts of a proxy that have something to tell. They outlive whoever holds this.
+// The parts of a proxy that the status covers. They have to outlive each copy of this struct.
 struct StatusSources {
   const Config& config;
   const ResourceBudget& budget;
   const Engine& engine;
   const ConfiguredDiscovery& discovery;
-  const AdmissionController* admission;   // null: the proxy has none
+  const AdmissionController* admission;   // null: admission is off
   const IdempotencyHandler* idempotency;  // null: the proxy has no store
-  const RecoveryCoordinator* recovery;    // null: the proxy has none
+  const RecoveryCoordinator* recovery;    // null: recovery is off
 };
 
-// One document with a newline at its end. Its keys are listed in tests/data/command-line/status-keys.txt.
+// Returns one JSON document that ends with a newline. tests/data/command-line/status-keys.txt lists
+// its keys.
 std::string statusJson(const StatusSources&, Time uptime);
 
 }  // namespace sablespur
--- a/src/app/status_server.cpp
+++ b/src/app/status_server.cpp
@@ -16,7 +16,7 @@
 namespace sablespur {
 namespace {
 
-constexpr std::size_t kMaxClients = 4;  // at once; more are closed
+constexpr std::size_t kMaxClients = 4;  // further connections are closed at once
 constexpr auto kExhaustionPause = std::chrono::seconds(1);
 constexpr timeval kWriteTimeout{2, 0};  // for a client that does not read
 constexpr mode_t kOwnerOnlyMask = 0177;
@@ -61,7 +61,7 @@
   if (lstat(path_.c_str(), &status) != 0) return;
   if (!S_ISSOCK(status.st_mode)) {
     errno = EEXIST;
-    fail("no socket stands at ");
+    fail("not a socket: ");
   }
   const sockaddr_un address = localSocketAddress(path_);
   if (connect(listenSocket_, asSocketAddress(address), sizeof address) == 0) {
@@ -80,7 +80,8 @@
 void StatusServer::acceptClient() {
   const int clientSocket = accept4(listenSocket_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (clientSocket < 0) {
-    // The socket stays readable: without a pause the loop would spin until a descriptor is free.
+    // The listening socket stays readable: without a pause the loop would spin until a descriptor
+    // is free.
     if (resourceExhaustionOf(errno) != ResourceExhaustion::None) {
       event_del(readable_.get());
       startTimer(resumeTimer_.get(), kExhaustionPause);
@@ -96,7 +97,7 @@
 
 void StatusServer::sendDocument(int clientSocket) {
   BufferEvent client(bufferevent_socket_new(base_, clientSocket, BEV_OPT_CLOSE_ON_FREE));
-  // A client ends once all is written, or on an error or a timeout.
+  // The connection is closed once the document is written, or on an error or a timeout.
   bufferevent_setcb(
       client.get(), nullptr,
       [](bufferevent* ended, void* self) { static_cast<StatusServer*>(self)->clients_.erase(ended); },
--- a/src/app/status_server.hpp
+++ b/src/app/status_server.hpp
@@ -1,4 +1,4 @@
-// The local socket on which a running proxy tells its status.
+// Serves the status of a running proxy on a local socket.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,23 @@
 
 namespace sablespur {
 
-// Listens at a path; each client that connects is sent one document and the end of the stream. Only the
-// proxy's own user may connect.
+// Listens at a path, sends one document to each client that connects and closes the connection.
+// Only the proxy's own user may connect.
 class StatusServer {
  public:
-  // `document` is called for each client, in the loop. Throws std::runtime_error where it cannot listen.
+  // Calls `document` for each client, in the event loop. Throws std::runtime_error if it cannot
+  // listen.
   StatusServer(event_base*, std::string path, std::function<std::string()> document);
-  ~StatusServer();  // removes the socket's path
+  ~StatusServer();  // unlinks the socket's path
   StatusServer(const StatusServer&) = delete;
   StatusServer& operator=(const StatusServer&) = delete;
 
  private:
   void listenAtPath();
-  // A socket that a killed proxy left behind is removed; one that answers is another proxy's.
+  // Removes a socket that a killed proxy left behind. Throws if the path is not a socket, or if
+  // another proxy listens on it.
   void removeStaleSocket();
-  // Closes the socket and throws, with the text of errno.
+  // Closes the socket and throws std::runtime_error with the text of errno.
   [[noreturn]] void fail(const char* problem);
   void acceptClient();
   void sendDocument(int clientSocket);
@@ -34,7 +36,7 @@
   const std::function<std::string()> document_;
   int listenSocket_ = -1;
   Event readable_;
-  Event resumeTimer_;  // ends a pause of `readable_`
+  Event resumeTimer_;  // re-enables `readable_` after a pause
   std::map<bufferevent*, BufferEvent> clients_;
 };
 
--- a/src/app/status_table.cpp
+++ b/src/app/status_table.cpp
@@ -18,10 +18,10 @@
 std::string number(const Json& object, const char* key) { return object.at(key).dump(); }
 bool flag(const Json& object, const char* key) { return object.at(key).get<bool>(); }
 
-// Earlier versions have not all parts; a part that the proxy does not have is null.
+// Earlier versions lack some keys; the key of a part that the proxy does not have is null.
 bool hasPart(const Json& status, const char* key) { return status.contains(key) && !status[key].is_null(); }
 
-// "reason=count" of each.
+// Returns "reason=count" for each entry, separated by spaces.
 std::string reasons(const Json& counts) {
   std::string list;
   for (const auto& [reason, count] : counts.items())
@@ -35,11 +35,11 @@
   return std::to_string(total);
 }
 
-// 0 is no limit.
+// 0 means unlimited.
 std::string limit(const Json& value) { return value.get<std::uint64_t>() == 0 ? "-" : value.dump(); }
 
 std::string connections(const Json& share) {
-  return fmt::format("{} of {} (most so far {})", number(share, "held"), number(share, "most"),
+  return fmt::format("{} of {} (peak {})", number(share, "held"), number(share, "most"),
                      number(share, "peak"));
 }
 
@@ -48,7 +48,7 @@
   const Json& statements = status.at("statement_bytes");
   return fmt::format(
       "{}, up {} s\nclient connections {}\nserver connections {}\nbytes of long statements {} of {}\n"
-      "the system had none left: {} times no descriptor, {} times no memory\n",
+      "resource exhaustion: {} times out of descriptors, {} times out of memory\n",
       text(status, "name"), number(status, "up_s"), connections(descriptors.at("clients")),
       connections(descriptors.at("servers")), number(statements, "held"), number(statements, "most"),
       number(descriptors, "short_of_descriptors"), number(descriptors, "short_of_memory"));
@@ -61,7 +61,7 @@
                      number(registry, "generation"),
                      confirmed.is_null() ? "not yet" : confirmed.dump() + " ms ago",
                      number(registry, "calls_open"), number(registry, "calls"),
-                     number(registry, "calls_failed"), ending.empty() ? "" : ", the last: " + ending);
+                     number(registry, "calls_failed"), ending.empty() ? "" : ", last call ended: " + ending);
 }
 
 std::string storeLines(const Json& store) {
@@ -76,14 +76,14 @@
 
 std::string recoveryLine(const Json& recovery) {
   return fmt::format(
-      "recovery: {} in {} ms, epoch {}{}, snapshot {} at the start, {} written, {} not; {} requests "
-      "turned away\n",
+      "recovery: {} in {} ms, epoch {}{}, snapshot {} at the start, {} written, {} failed; {} requests "
+      "rejected\n",
       text(recovery, "state"), number(recovery, "took_ms"), number(recovery, "epoch"),
       flag(recovery, "joined") ? " (joined)" : "", text(recovery, "snapshot"), number(recovery, "written"),
       number(recovery, "not_written"), number(recovery, "requests_turned_away"));
 }
 
-// The connections of each group of clients.
+// Shows the connections of each client group.
 std::string connectionTable(const Json& groups) {
   TextRows rows{{"GROUP", "HELD", "IDLE", "MOST", "RESERVE", "LEFT", "WEIGHT", "ADMITTED", "ASKED BACK",
                  "REFUSED", "WHY", "NOW"}};
@@ -98,7 +98,7 @@
   return formatTable(rows);
 }
 
-// The requests to each group of data servers.
+// Shows the requests to each replication group.
 std::string queueTable(const Json& queues) {
   TextRows rows{{"LANE", "LIMIT", "OUT", "WAITING", "USUALLY MS"}};
   for (const Json& queue : queues)
@@ -108,7 +108,7 @@
   return formatTable(rows);
 }
 
-// The requests of each group of clients.
+// Shows the requests of each client group.
 std::string requestTable(const Json& groups) {
   TextRows rows{{"GROUP", "OUT", "WAITING", "WENT", "WAITED", "TURNED AWAY", "WHY"}};
   for (const Json& group : groups) {
@@ -128,7 +128,7 @@
   lines += connectionTable(groups);
   if (!admission.contains("lanes")) return lines;
   lines += "\nrequests, by group of data servers:\n" + queueTable(admission["lanes"]);
-  lines += "\nand by group of clients:\n" + requestTable(groups);
+  lines += "\nrequests, by group of clients:\n" + requestTable(groups);
   return lines;
 }
 
@@ -147,7 +147,7 @@
   try {
     return statusLines(Json::parse(json));
   } catch (const Json::exception& error) {
-    throw std::runtime_error(std::string("status: what came is no status: ") + error.what());
+    throw std::runtime_error(std::string("status: invalid status document: ") + error.what());
   }
 }
 
--- a/src/app/status_table.hpp
+++ b/src/app/status_table.hpp
@@ -1,11 +1,11 @@
-// The status of a proxy as a person reads it on a terminal.
+// Formats the status of a proxy for a terminal.
 #pragma once
 
 #include <string>
 
 namespace sablespur {
 
-// From the document of statusJson. Throws std::runtime_error where it is none.
+// Formats a document of statusJson(). Throws std::runtime_error if `json` is not such a document.
 std::string statusTable(const std::string& json);
 
 }  // namespace sablespur
--- a/src/app/store_command.cpp
+++ b/src/app/store_command.cpp
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::ordered_json;
 
-// Opening a store creates it where there is none.
+// Checked first because opening a store creates a missing one.
 void requireStore(const std::string& directory) {
   if (!std::filesystem::exists(directory + "/CURRENT"))
     throw std::runtime_error(directory + ": there is no store");
@@ -51,7 +51,7 @@
   printLine(report.dump());
 }
 
-// Runs a command on a store that exists; an error of the store is printed. Returns the exit status.
+// Runs a command on an existing store and prints a StoreError. Returns the exit status.
 template <typename Command>
 int runOnStore(const StoreOptions& options, const Command& command) {
   try {
@@ -80,7 +80,7 @@
           {"torn_bytes_cut_off", statistics.openResult.tornBytes}};
 }
 
-// Counts as std::printf takes them.
+// Converts a count to the type that "%llu" of std::printf takes.
 unsigned long long printable(std::uint64_t count) { return count; }
 
 void printCheck(const StoreOptions& options, const durability::StoreStatistics& statistics) {
@@ -90,7 +90,7 @@
   const durability::DatabaseOpenResult& opened = statistics.openResult;
   if (opened.tornBytes == 0) return;
   std::printf(
-      "a commit that was under way when its writer ended was cut off: %llu bytes of %s from offset "
+      "a commit that was incomplete when its writer ended was cut off: %llu bytes of %s from offset "
       "%llu\n",
       printable(opened.tornBytes), opened.tornFile.c_str(), printable(opened.tornOffset));
 }
@@ -102,12 +102,12 @@
   std::fputs(formatTable(rows).c_str(), stdout);
 }
 
-// Keys and positions are bytes of clients: what is no UTF-8 is replaced.
+// Keys and positions are arbitrary bytes from clients: invalid UTF-8 is replaced.
 std::string dumpReplacing(const nlohmann::json& value) {
   return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// The record's name and key, then its other fields.
+// Returns the record's name and key, then its other fields as "name=value".
 std::string recordLine(const nlohmann::json& record) {
   std::string line = record.at("record").get<std::string>();
   if (record.contains("key")) line += " " + record.at("key").get<std::string>();
--- a/src/app/store_command.hpp
+++ b/src/app/store_command.hpp
@@ -1,4 +1,4 @@
-// `sablespur store check|dump|compact|stat DIR`: a store that no proxy has open.
+// `sablespur store check|dump|compact|stat DIR`: commands on a store that no proxy has open.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
   bool json = false;
 };
 
-// Each returns the exit status: 0, or 1 where the store fails its check or cannot be opened, after a line
-// that says where. Throws std::runtime_error where there is no store.
+// Each command returns the exit status: 0 on success, 1 if the store is damaged or cannot be
+// opened, which one line reports. Throws std::runtime_error if the directory holds no store.
 int storeCheck(const StoreOptions&);
 int storeDump(const StoreOptions&);
 int storeCompact(const StoreOptions&);
--- a/src/app/text_table.hpp
+++ b/src/app/text_table.hpp
@@ -1,4 +1,4 @@
-// Rows of text in columns, for terminals.
+// Formats rows of text as aligned columns for terminals.
 #pragma once
 
 #include <string>
@@ -6,10 +6,11 @@
 
 namespace sablespur {
 
-// The first row holds the headings.
+// The first row contains the headings.
 using TextRows = std::vector<std::vector<std::string>>;
 
-// A line for each row; each column is as wide as its longest cell, and "-" stands for an empty one.
+// Returns one line per row. Each column is as wide as its longest cell; "-" is printed for an empty
+// cell.
 std::string formatTable(const TextRows&);
 
 }  // namespace sablespur
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,10 +1,10 @@
-// sablespur: the program's entry; src/app does the rest.
+// Entry point of the sablespur program; src/app implements the commands.
 #include <csignal>
 
 #include "app/cli.hpp"
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until the loop handles it: by default it ends the process
+  std::signal(SIGHUP, SIG_IGN);  // until the event loop handles it; the default action is to exit
   return sablespur::commandLine(argc, argv);
 }
