--- a/src/admin/command_parser.cpp
+++ b/src/admin/command_parser.cpp
@@ -7,15 +7,15 @@
 namespace sablespur::admin {
 namespace {
 
-std::string responseLine(const char* verdict, std::string_view text) {
-  std::string line = verdict;
+std::string responseLine(const char* status, std::string_view text) {
+  std::string line = status;
   if (!text.empty()) line += ' ';
   for (const char c : text.substr(0, kMaxLineBytes))
     line += std::isprint(static_cast<unsigned char>(c)) ? c : '?';
   return line + "\n";
 }
 
-// Removes the first word from `rest` and returns it; empty if there is none.
+// Removes the first word from `rest` and returns it, or an empty string if there is none.
 std::string_view takeWord(std::string_view& rest) {
   const std::size_t begin = std::min(rest.find_first_not_of(" \t"), rest.size());
   const std::size_t end = std::min(rest.find_first_of(" \t", begin), rest.size());
--- a/src/admin/listener.cpp
+++ b/src/admin/listener.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMaxConnections = 8;
 constexpr int kBacklog = 64;
-constexpr timeval kIdleTimeout{5, 0};  // for the whole command, and for its response to be read
+constexpr timeval kIdleTimeout{5, 0};  // for receiving the command and sending the response
 constexpr std::chrono::microseconds kAcceptPause = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -40,7 +40,7 @@
   const int fd = systemCalls().accept(socket_.get(), nullptr, nullptr);
   if (fd < 0) {
     if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
-    // The socket may stay readable whatever failed: without a pause the loop would spin.
+    // The socket may stay readable after any error: without a pause the loop would spin.
     event_del(readable_.get());
     startTimer(resumeTimer_.get(), kAcceptPause);
     return;
@@ -83,7 +83,7 @@
   char bytes[kMaxLineBytes];
   while (evbuffer_get_length(input) > 0) {
     const int count = evbuffer_remove(input, bytes, sizeof bytes);
-    if (count <= 0 || connection.answered) continue;  // one command a connection
+    if (count <= 0 || connection.answered) continue;  // one command per connection
     const auto state = connection.reader.feed({bytes, static_cast<std::size_t>(count)});
     if (state == CommandReader::State::Line) executeCommand(connection);
     if (state == CommandReader::State::TooLong)
@@ -99,7 +99,7 @@
   respond(connection, result.succeeded ? success(result.text) : failure(result.text));
 }
 
-// Half-closes once the response has gone out; the client closes.
+// Shuts down the sending side once the response has been sent; the client closes the connection.
 void Listener::responseWritten(bufferevent* from) {
   const auto it = connections_.find(from);
   if (it != connections_.end() && it->second.answered) shutdown(bufferevent_getfd(from), SHUT_WR);
@@ -109,7 +109,7 @@
   const auto it = connections_.find(from);
   if (it == connections_.end()) return;
   Connection& connection = it->second;
-  // A client that half-closed within the line may still read why its command failed.
+  // A client that shut down its sending side in mid-line may still read the failure response.
   const bool lineCut = (what & BEV_EVENT_EOF) && !connection.reader.line().empty();
   if (lineCut && !connection.answered)
     respond(connection, failure("a call ends with the end of its line"));
--- a/src/admin/listener.hpp
+++ b/src/admin/listener.hpp
@@ -1,7 +1,9 @@
-// The TCP listener for admin commands: one command a connection, one line in and one line out.
+// The TCP listener for admin commands. Each connection carries one command line and one response
+// line.
 //
-// Bounded, and apart from the clients' limits: a new connection beyond the limit closes the oldest one, and
-// each is closed after a few seconds of silence.
+// The number of connections is limited, independently of the limits on clients: a new connection
+// beyond the limit closes the oldest one. A connection is closed after a few seconds without
+// traffic.
 #pragma once
 
 #include <cstdint>
@@ -17,19 +19,20 @@
 
 struct CommandResult {
   bool succeeded = false;
-  std::string text;  // for the operator
+  std::string text;  // shown to the operator
 };
 
 class CommandHandler {
  public:
   virtual ~CommandHandler() = default;
-  // Executes a command at once.
+  // Executes a command synchronously.
   virtual CommandResult execute(const Command&) = 0;
 };
 
 class Listener {
  public:
-  // Throws std::runtime_error, naming the settings key, if it cannot listen. The handler has to outlive it.
+  // Throws std::runtime_error, naming the settings key, if it cannot listen. The handler has to
+  // outlive the listener.
   Listener(event_base*, const Address&, CommandHandler&);
   ~Listener();
   Listener(const Listener&) = delete;
@@ -39,7 +42,7 @@
   struct Connection {
     BufferEvent stream;
     CommandReader reader;
-    std::uint64_t sequence = 0;  // in the order of accept
+    std::uint64_t sequence = 0;  // number in the order of accepting
     bool answered = false;
   };
 
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -20,9 +20,10 @@
 
 constexpr std::string_view kHeader = "sablespur bans 1\n";
 constexpr std::size_t kMaxFileBytes = std::size_t{2} << 20;
-constexpr int kMaxBackoffPolls = 25;  // 5 s at one poll each 200 ms
+constexpr int kMaxBackoffPolls = 25;  // 5 s with a poll every 200 ms
 
-// Nothing, with errno set, if it could not be read. Stops one piece beyond the longest valid file.
+// Returns std::nullopt, with errno set, if the file could not be read. Stops reading one buffer
+// after kMaxFileBytes, the size of the longest valid file.
 std::optional<std::string> readFile(const std::string& path) {
   const FileDescriptor file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
   if (!file) return std::nullopt;
@@ -80,16 +81,16 @@
   return FileVersion{status.st_ino, seconds(status.st_mtim.tv_sec) + nanoseconds(status.st_mtim.tv_nsec)};
 }
 
-// True: endpoints() has changed.
+// Reads the file if it has changed. Returns whether endpoints() has changed.
 bool SuspendedEndpoints::load() {
   const auto version = versionOf(path_);
   if (path_.empty() || version == lastSeen_) return false;
   if (!version) {
     lastSeen_ = version;
-    return false;  // deleted: the known set stays
+    return false;  // deleted: the known set is kept
   }
   const auto text = readFile(path_);
-  if (!text) {  // lastSeen_ stays, so that the next poll tries again
+  if (!text) {  // lastSeen_ is left unchanged so that the next poll retries
     logUnreadable();
     return false;
   }
@@ -109,7 +110,8 @@
   logEvent(LogLevel::Error, "suspensions_unreadable", {{"file", path_}, {"why", why}});
 }
 
-// Takes over what the file says, but for the changes that are not in it yet.
+// Replaces the set by the content of the file, with the unwritten changes of this process applied
+// to it. Returns whether endpoints() has changed.
 bool SuspendedEndpoints::replaceBy(std::set<std::string> read) {
   for (const auto& [name, suspended] : unwritten_) {
     if (suspended)
@@ -132,7 +134,7 @@
 }
 
 bool SuspendedEndpoints::set(const std::string& name, bool suspended) {
-  load();  // changes that another process has written in the meantime stay
+  load();  // keeps changes that another process has written in the meantime
   const bool full = endpoints_.size() >= kMaxSuspendedEndpoints && endpoints_.count(name) == 0;
   if (suspended && full) return false;
   const bool changed = suspended ? endpoints_.insert(name).second : endpoints_.erase(name) > 0;
@@ -141,7 +143,8 @@
   return save();
 }
 
-// Writes the whole set, earlier changes that could not be written included.
+// Writes the whole set, including earlier changes that could not be written. Returns whether it is
+// durable.
 bool SuspendedEndpoints::save() {
   if (!replaceFile(formatSuspendedEndpoints(endpoints_))) {
     if (!std::exchange(writeFailing_, true))
@@ -158,16 +161,18 @@
   return true;
 }
 
-// Durable under its name when it returns true; else the earlier file is intact, and errno is set.
+// Replaces the file atomically. Returns true once the new file and its directory entry are durable;
+// otherwise returns false with errno set, and the earlier file is intact unless only the sync of
+// the directory failed.
 bool SuspendedEndpoints::replaceFile(const std::string& text) const {
-  const std::string fresh = path_ + "." + std::to_string(getpid());
-  FileDescriptor file(open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+  const std::string temporaryPath = path_ + "." + std::to_string(getpid());
+  FileDescriptor file(open(temporaryPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
   if (!file) return false;
   const bool written = writeFully(file.get(), text) && syncFully(file.get());
   file.reset();
-  if (written && std::rename(fresh.c_str(), path_.c_str()) == 0) return syncDirectoryOf(path_);
+  if (written && std::rename(temporaryPath.c_str(), path_.c_str()) == 0) return syncDirectoryOf(path_);
   const int error = errno;
-  unlink(fresh.c_str());
+  unlink(temporaryPath.c_str());
   errno = error;
   return false;
 }
--- a/src/admin/suspended_endpoints.hpp
+++ b/src/admin/suspended_endpoints.hpp
@@ -1,6 +1,6 @@
-// The set of endpoints that operators have suspended, shared through a file with other processes of the same
-// proxy: one that runs beside it during an upgrade, or its successor. The file is replaced atomically and
-// validated when it is read.
+// The set of endpoints that operators have suspended. A file shares it with other processes of the
+// same proxy: one that runs concurrently during an upgrade, or the process after a restart. The
+// file is replaced atomically and validated when it is read.
 #pragma once
 
 #include <sys/types.h>
@@ -17,27 +17,31 @@
 
 constexpr std::size_t kMaxSuspendedEndpoints = 10000;
 
-// The file's text. Parsing gives nothing if the text has another format or is truncated.
+// Convert the set to and from the file's text. Parsing returns std::nullopt if the text has another
+// format or is truncated.
 std::string formatSuspendedEndpoints(const std::set<std::string>&);
 std::optional<std::set<std::string>> parseSuspendedEndpoints(std::string_view);
 
 class SuspendedEndpoints {
  public:
-  // An empty path: the set lives in memory only. A file that cannot be used is logged and counts as empty.
+  // With an empty path, the set is kept in memory only. An unusable file is logged and treated as
+  // empty.
   explicit SuspendedEndpoints(std::string path);
-  // By name.
+  // Returns the names of the suspended endpoints.
   const std::set<std::string>& endpoints() const { return endpoints_; }
-  // True once the change is durable. False: the set is full, or the file could not be written (logged); in
-  // the second case the change holds in this process and poll() retries the write. Blocks on the disk.
+  // Suspends or restores an endpoint and blocks until the change is on disk. Returns true if the
+  // change is durable. Returns false if the set is full, or if the file could not be written
+  // (logged); in the second case the change takes effect in this process and poll() retries the
+  // write.
   bool set(const std::string& name, bool suspended);
-  // Takes over what another process has written since; true: endpoints() has changed. Costs one stat(2), and
-  // now and then another attempt to write a change that failed.
+  // Applies changes that another process has written and returns whether endpoints() has changed.
+  // Costs one stat(2); retries a failed write with exponential backoff.
   bool poll();
-  // Whether every change of this process is in the file.
+  // Returns whether every change of this process is in the file.
   bool allWritten() const { return unwritten_.empty(); }
 
  private:
-  // Tells apart what different writers have put at the path.
+  // Distinguishes the files that different writes have put at the path.
   struct FileVersion {
     ino_t inode = 0;
     std::chrono::nanoseconds modified{};
@@ -45,7 +49,8 @@
       return a.inode == b.inode && a.modified == b.modified;
     }
   };
-  static std::optional<FileVersion> versionOf(const std::string& path);  // nothing: there is no file
+  // Returns std::nullopt if there is no file.
+  static std::optional<FileVersion> versionOf(const std::string& path);
   bool load();
   void logUnreadable();
   bool replaceBy(std::set<std::string> read);
@@ -54,11 +59,11 @@
 
   const std::string path_;
   std::set<std::string> endpoints_;
-  std::map<std::string, bool> unwritten_;  // suspended or not, by name; overrides what the file says
-  std::optional<FileVersion> lastSeen_;    // of the file last read or written
-  bool writeFailing_ = false;              // logged already
-  bool unreadable_ = false;                // logged already
-  int pollsToSkip_ = 0;                    // before the next attempt to write
+  std::map<std::string, bool> unwritten_;  // true: suspended; by name; overrides the file's content
+  std::optional<FileVersion> lastSeen_;    // version of the file last read or written
+  bool writeFailing_ = false;              // the write failure is already logged
+  bool unreadable_ = false;                // the read failure is already logged
+  int pollsToSkip_ = 0;                    // before the next write attempt
   int nextBackoff_ = 1;                    // in polls
 };
 
--- a/src/auth/base64.cpp
+++ b/src/auth/base64.cpp
@@ -7,8 +7,8 @@
 namespace sablespur::auth {
 namespace {
 
-constexpr std::size_t kGroupBytes = 3;       // each group of three bytes ...
-constexpr std::size_t kGroupCharacters = 4;  // ... becomes four characters
+constexpr std::size_t kGroupBytes = 3;       // each group of three bytes is encoded
+constexpr std::size_t kGroupCharacters = 4;  // as four characters
 constexpr std::size_t kMaxPadding = 2;
 
 const unsigned char* asBytes(std::string_view text) {
@@ -29,7 +29,7 @@
 
 std::string toBase64(std::string_view bytes) {
   const std::size_t groups = (bytes.size() + kGroupBytes - 1) / kGroupBytes;
-  std::string text(groups * kGroupCharacters + 1, '\0');  // EVP_EncodeBlock ends it with a NUL
+  std::string text(groups * kGroupCharacters + 1, '\0');  // EVP_EncodeBlock appends a NUL
   const int length = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()), asBytes(bytes),
                                      static_cast<int>(bytes.size()));
   text.resize(static_cast<std::size_t>(length));
@@ -39,7 +39,7 @@
 std::optional<std::string> fromBase64(std::string_view text) {
   if (text.size() % kGroupCharacters != 0 || text.size() > kMaxBase64Length) return std::nullopt;
   const std::size_t padding = paddingOf(text);
-  // EVP_DecodeBlock passes over blanks, so the characters are checked first.
+  // EVP_DecodeBlock skips whitespace, so the characters are checked first.
   const std::string_view digits = text.substr(0, text.size() - padding);
   if (!std::all_of(digits.begin(), digits.end(), isBase64Digit)) return std::nullopt;
   std::string bytes(text.size() / kGroupCharacters * kGroupBytes, '\0');
--- a/src/auth/base64.hpp
+++ b/src/auth/base64.hpp
@@ -1,4 +1,4 @@
-// Base64 (RFC 4648 section 4), as SCRAM's messages and stored secrets use it. Pure.
+// Base64 (RFC 4648 section 4), as used in SCRAM messages and stored secrets. Pure functions.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,12 @@
 
 namespace sablespur::auth {
 
-// Longest text that fromBase64 takes; no message of SCRAM is longer.
+// Length of the longest text that fromBase64 decodes; equal to the limit on SCRAM messages.
 constexpr std::size_t kMaxBase64Length = 2048;
 
 std::string toBase64(std::string_view bytes);
-// The bytes; std::nullopt where the text is too long, of a wrong length or has other characters.
+// Returns the decoded bytes, or std::nullopt if the text is too long, its length is not a multiple
+// of 4 or it contains invalid characters.
 std::optional<std::string> fromBase64(std::string_view text);
 
 }  // namespace sablespur::auth
--- a/src/auth/digest.hpp
+++ b/src/auth/digest.hpp
@@ -1,4 +1,4 @@
-// The digests that PostgreSQL's logins are made of, computed by OpenSSL. Pure.
+// The digests used in PostgreSQL's password authentication, computed by OpenSSL. Pure functions.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 
 namespace sablespur::auth {
 
-std::string sha256(std::string_view text);                            // 32 bytes
-std::string hmacSha256(std::string_view key, std::string_view text);  // 32 bytes
-std::string md5Hex(std::string_view text);                            // 32 hexadecimal digits, lower case
+std::string sha256(std::string_view text);                            // returns 32 bytes
+std::string hmacSha256(std::string_view key, std::string_view text);  // returns 32 bytes
+std::string md5Hex(std::string_view text);                            // 32 lower-case hex digits
 
 }  // namespace sablespur::auth
--- a/src/auth/login.cpp
+++ b/src/auth/login.cpp
@@ -7,12 +7,12 @@
 namespace sablespur::auth {
 namespace {
 
-constexpr std::size_t kSaltSize = 16;  // of a SCRAM verifier, as PostgreSQL makes them
+constexpr std::size_t kSaltSize = 16;  // bytes, as in PostgreSQL's SCRAM verifiers
 
 }  // namespace
 
 ServerAuthenticator::ServerAuthenticator(const Users& users, std::string user,
-                                         const std::vector<Method>& methods, bool knowsScram,
+                                         const std::vector<Method>& methods, bool supportsScram,
                                          std::string_view secret, std::string nonce, std::string salt)
     : name_(std::move(user)), salt_(std::move(salt)) {
   if (const User* known = users.find(name_)) {
@@ -21,22 +21,22 @@
   } else {
     setUnknownUser(secret);
   }
-  const auto usable = [&](Method method) { return isUsable(method, knowsScram); };
+  const auto usable = [&](Method method) { return isUsable(method, supportsScram); };
   const auto best = std::find_if(methods.begin(), methods.end(), usable);
   if (best != methods.end()) method_ = *best;
   if (method_ == Method::Scram) scram_.emplace(*user_.scram, std::move(nonce));
 }
 
-// A client must not learn which users exist: an unknown one gets a secret that no password has and that is
-// the same at each attempt.
+// A client must not learn which users exist: an unknown user gets a secret that matches no password
+// and stays the same in each attempt.
 void ServerAuthenticator::setUnknownUser(std::string_view secret) {
   const std::string derived = makeVerifier(secret, "made up for " + name_, 1).storedKey;
   user_.scram = Verifier{derived.substr(0, kSaltSize), derived, derived, kDefaultIterations};
   user_.md5 = md5Stored(name_, derived);
 }
 
-bool ServerAuthenticator::isUsable(Method method, bool knowsScram) const {
-  if (method == Method::Scram) return knowsScram && user_.scram.has_value();
+bool ServerAuthenticator::isUsable(Method method, bool supportsScram) const {
+  if (method == Method::Scram) return supportsScram && user_.scram.has_value();
   if (method == Method::Md5) return !user_.md5.empty();
   return method == Method::Cleartext;
 }
@@ -56,7 +56,7 @@
 }
 
 AuthenticationStep ServerAuthenticator::receiveScram(std::string_view message) {
-  std::string why;  // not told to the client
+  std::string why;  // not sent to the client
   const bool isFinal = exchangeStarted_;
   const auto reply = isFinal ? scram_->final(message, why) : scram_->first(message, why);
   if (!reply) return AuthenticationStep::Rejected;
@@ -85,20 +85,20 @@
 }
 
 std::string ClientAuthenticator::scramFirst() {
-  scram_.emplace("", nonce_);  // PostgreSQL takes the name from the startup message
+  scram_.emplace("", nonce_);  // PostgreSQL takes the user name from the startup message
   return scram_->first();
 }
 
 std::optional<ScramClient::Challenge> ClientAuthenticator::readChallenge(std::string_view serverFirst,
                                                                          std::string& why) {
   if (scram_) return scram_->readChallenge(serverFirst, why);
-  why = "a challenge that nobody asked for";
+  why = "a SCRAM challenge without a SCRAM exchange";
   return std::nullopt;
 }
 
 bool ClientAuthenticator::verifyServer(std::string_view serverFinal, std::string& why) {
   if (!scram_) {
-    why = "a last word of a login that has not begun";
+    why = "a SCRAM final message without a SCRAM exchange";
     return false;
   }
   serverVerified_ = scram_->verify(serverFinal, why);
--- a/src/auth/login.hpp
+++ b/src/auth/login.hpp
@@ -1,5 +1,6 @@
-// A login by password, server and client, independent of the protocol that carries its messages. Pure: random
-// bytes are given, and salting, which is slow, is handed out to run on a worker.
+// Password authentication, for the server's and the client's side, independent of the protocol that
+// carries the messages. Does no I/O: the caller supplies random bytes and runs the slow salting of
+// passwords on a worker.
 #pragma once
 
 #include <functional>
@@ -15,41 +16,46 @@
 
 namespace sablespur::auth {
 
-// What follows a message of the client.
+// The server's next step after a message of the client.
 enum class AuthenticationStep {
   Continue,      // send response() and wait for the next message
   Accepted,      // the client is logged in; response(), if not empty, goes first
-  Rejected,      // the password is wrong, or the message malformed
+  Rejected,      // the password is wrong or the message is malformed
   SaltPassword,  // run saltingWork() on a worker and give its result to passwordSalted()
 };
 
-// The server's side.
+// The server's side of an authentication.
 class ServerAuthenticator {
  public:
-  // `methods`: those that are allowed, the best one first. `secret`: 32 random bytes of this process, from
-  // which the exchange with an unknown user is derived. `nonce`: random and printable. `salt`: 4 random
-  // bytes.
+  // - `methods`: the allowed methods, in order of preference
+  // - `supportsScram`: whether the client supports SCRAM
+  // - `secret`: 32 random bytes of this process, from which the exchange with an unknown user is
+  //   derived
+  // - `nonce`: random and printable
+  // - `salt`: 4 random bytes, for the MD5 method
   ServerAuthenticator(const Users& users, std::string user, const std::vector<Method>& methods,
-                      bool knowsScram, std::string_view secret, std::string nonce, std::string salt);
+                      bool supportsScram, std::string_view secret, std::string nonce, std::string salt);
 
-  // The method to ask for; std::nullopt where this user and this client have none in common.
+  // Returns the method to request; std::nullopt if no allowed method suits this user and this
+  // client.
   std::optional<Method> method() const { return method_; }
-  // For a request of an MD5 password.
+  // Returns the salt to send in a request for an MD5 password.
   const std::string& salt() const { return salt_; }
-  // Takes the client's next message.
+  // Processes the client's next message.
   AuthenticationStep receive(std::string_view message);
-  // Takes the result of saltingWork().
+  // Processes the result of saltingWork().
   AuthenticationStep passwordSalted(const std::string& result);
-  // What to send to the client; empty: nothing.
+  // Returns the message to send to the client; empty if there is none.
   const std::string& response() const { return response_; }
-  // Does not refer to this object. It takes as long for an unknown user as for a known one.
+  // Returns a task that does not refer to this object. It takes as long for an unknown user as for
+  // a known one.
   std::function<std::string()> saltingWork() const;
 
  private:
   void setUnknownUser(std::string_view secret);
-  bool isUsable(Method method, bool knowsScram) const;
+  bool isUsable(Method method, bool supportsScram) const;
   AuthenticationStep receiveScram(std::string_view message);
-  // Accepted, if the password is right and the user exists.
+  // Returns Accepted if the password is right and the user exists, else Rejected.
   AuthenticationStep decide(bool passwordRight) const;
 
   std::string name_;
@@ -63,10 +69,10 @@
   bool exchangeStarted_ = false;
 };
 
-// The client's side. Where a function fails, `why` says why, for logs.
+// The client's side of an authentication. A function that fails sets `why` to the reason, for logs.
 class ClientAuthenticator {
  public:
-  // `methods`: those that a server may ask for. `nonce`: random and printable.
+  // `methods`: the methods that a server may request. `nonce`: random and printable.
   ClientAuthenticator(std::string user, std::string password, std::vector<Method> methods, std::string nonce)
       : user_(std::move(user)),
         password_(std::move(password)),
@@ -74,21 +80,23 @@
         nonce_(std::move(nonce)) {}
 
   bool allows(Method method) const;
-  // The answer to a request for a cleartext password.
+  // Returns the response to a request for a cleartext password.
   const std::string& cleartext() const { return password_; }
-  // The answer to a request for an MD5 password.
+  // Returns the response to a request for an MD5 password.
   std::string md5(std::string_view salt) const { return md5Answer(md5Stored(user_, password_), salt); }
-  // Begins a SCRAM exchange: the client-first-message.
+  // Starts a SCRAM exchange and returns the client-first-message.
   std::string scramFirst();
-  // What to salt the password with; std::nullopt where the message is malformed or no exchange has begun.
+  // Returns the parameters for salting the password; std::nullopt if the message is malformed or no
+  // SCRAM exchange has started.
   std::optional<ScramClient::Challenge> readChallenge(std::string_view serverFirst, std::string& why);
-  // The client-final-message; readChallenge() has succeeded before.
+  // Returns the client-final-message; requires an earlier successful readChallenge().
   std::string scramFinal(std::string_view saltedPassword) { return scram_->final(saltedPassword); }
-  // Whether the server has proved that it knows the password.
+  // Returns whether the server has proved that it knows the password.
   bool verifyServer(std::string_view serverFinal, std::string& why);
-  // Whether AuthenticationOk may be believed: after SCRAM only once the server is verified.
+  // Returns whether AuthenticationOk may be accepted: after a SCRAM exchange only once the server
+  // is verified.
   bool serverTrusted() const { return !scram_ || serverVerified_; }
-  // Does not refer to this object; gives the salted password.
+  // Returns a task that yields the salted password and does not refer to this object.
   std::function<std::string()> saltingWork(const ScramClient::Challenge& challenge) const;
 
  private:
--- a/src/auth/method.hpp
+++ b/src/auth/method.hpp
@@ -1,4 +1,4 @@
-// The ways to log in, the one without a password included.
+// Authentication methods; Trust requires no password.
 #pragma once
 
 namespace sablespur::auth {
--- a/src/auth/scram.cpp
+++ b/src/auth/scram.cpp
@@ -11,21 +11,21 @@
 namespace {
 
 constexpr std::size_t kGs2HeaderLength = 3;  // "n,," or "y,,"
-constexpr std::size_t kMaxServerError = 80;  // of the server's text in `why`
+constexpr std::size_t kMaxServerError = 80;  // bytes of the server's text that `why` quotes
 
 std::string exclusiveOr(std::string a, std::string_view b) {
   for (std::size_t k = 0; k < a.size() && k < b.size(); ++k) a[k] = static_cast<char>(a[k] ^ b[k]);
   return a;
 }
 
-// One "name=value" of a message.
+// One "name=value" attribute of a message.
 struct Attribute {
   char name;
   std::string_view value;
 };
 using Attributes = std::vector<Attribute>;
 
-// The attributes of a message, in order; std::nullopt where it is malformed or too long.
+// Returns the attributes of a message in order, or std::nullopt if it is malformed or too long.
 std::optional<Attributes> parseAttributes(std::string_view text) {
   Attributes attributes;
   if (text.size() > kMaxScramMessage) return std::nullopt;
@@ -41,7 +41,7 @@
   return attributes;
 }
 
-// Whether the message begins with attributes of these names.
+// Returns whether the message begins with attributes of these names.
 bool beginsWith(const std::optional<Attributes>& attributes, std::string_view names) {
   if (!attributes || attributes->size() < names.size()) return false;
   for (std::size_t k = 0; k < names.size(); ++k)
@@ -49,7 +49,7 @@
   return true;
 }
 
-// "=" and "," in names (RFC 5802 section 5.1).
+// Escapes "=" and "," in a user name (RFC 5802 section 5.1).
 std::string escaped(std::string_view name) {
   std::string out;
   for (const char c : name) {
@@ -78,7 +78,7 @@
 std::string ScramClient::firstBare() const { return "n=" + escaped(user_) + ",r=" + nonce_; }
 
 std::string ScramClient::first() const {
-  // "n,,": no channel binding, as there is no TLS below.
+  // "n,,": no channel binding, as the connection has no TLS.
   return "n,," + firstBare();
 }
 
@@ -88,7 +88,7 @@
   if (!beginsWith(attributes, "rsi")) return fail(why, "a malformed challenge");
   const std::string_view nonce = (*attributes)[0].value;
   const std::string_view count = (*attributes)[2].value;
-  // It has to begin with the client's nonce and to add some of the server's: against replays.
+  // The nonce has to extend the client's nonce, which protects against replays.
   if (nonce.size() <= nonce_.size() || nonce.substr(0, nonce_.size()) != nonce_ || !isNonce(nonce))
     return fail(why, "a nonce that is not ours");
   Challenge challenge;
@@ -106,7 +106,7 @@
 }
 
 std::string ScramClient::final(std::string_view saltedPassword) {
-  const std::string withoutProof = "c=biws,r=" + combinedNonce_;  // biws: "n,," in base64
+  const std::string withoutProof = "c=biws,r=" + combinedNonce_;  // "biws" is "n,," in base64
   const std::string authMessage = firstBare() + "," + serverFirst_ + "," + withoutProof;
   const std::string clientKey = hmacSha256(saltedPassword, "Client Key");
   const std::string proof = exclusiveOr(clientKey, hmacSha256(sha256(clientKey), authMessage));
@@ -117,7 +117,7 @@
 bool ScramClient::verify(std::string_view serverFinal, std::string& why) const {
   const auto attributes = parseAttributes(serverFinal);
   if (beginsWith(attributes, "e")) {
-    why = "the server refuses: " + std::string((*attributes)[0].value.substr(0, kMaxServerError));
+    why = "the server rejected the login: " + std::string((*attributes)[0].value.substr(0, kMaxServerError));
     return false;
   }
   const auto signature = beginsWith(attributes, "v") ? fromBase64((*attributes)[0].value) : std::nullopt;
@@ -130,8 +130,8 @@
   if (clientFirst.size() > kMaxScramMessage || clientFirst.size() < kGs2HeaderLength)
     return fail(why, "a malformed first message");
   const char binding = clientFirst[0];
-  if (binding == 'p') return fail(why, "channel binding is not spoken here");
-  // Between the commas an authorization name could stand, which PostgreSQL does not take either.
+  if (binding == 'p') return fail(why, "channel binding is not supported");
+  // The field between the commas is an authorization name, which PostgreSQL does not accept either.
   if ((binding != 'n' && binding != 'y') || clientFirst.substr(1, 2) != ",,")
     return fail(why, "a malformed first message");
   gs2Header_ = std::string(clientFirst.substr(0, kGs2HeaderLength));
@@ -152,9 +152,10 @@
   const auto attributes = parseAttributes(clientFinal);
   if (serverFirst_.empty() || !beginsWith(attributes, "cr") || attributes->size() < 3 ||
       proofStart == std::string_view::npos)
-    return fail(why, "a malformed last message");
-  if ((*attributes)[0].value != toBase64(gs2Header_)) return fail(why, "another binding than at first");
-  if ((*attributes)[1].value != combinedNonce_) return fail(why, "another nonce than at first");
+    return fail(why, "a malformed final message");
+  if ((*attributes)[0].value != toBase64(gs2Header_))
+    return fail(why, "the channel binding differs from the first message");
+  if ((*attributes)[1].value != combinedNonce_) return fail(why, "the nonce differs from the first message");
   const auto proof = fromBase64(clientFinal.substr(proofStart + kProof.size()));
   if (!proof || proof->size() != kKeySize) return fail(why, "a malformed proof");
   const std::string withoutProof(clientFinal.substr(0, proofStart));
--- a/src/auth/scram.hpp
+++ b/src/auth/scram.hpp
@@ -1,5 +1,5 @@
-// SCRAM-SHA-256 (RFC 5802, RFC 7677) as PostgreSQL speaks it: the exchange of messages, client and server.
-// Pure: random bytes are given, and salting, which is slow, is left to the caller.
+// SCRAM-SHA-256 (RFC 5802, RFC 7677) as PostgreSQL implements it: the message exchange, for client
+// and server. Does no I/O: the caller supplies random bytes and salts the password, which is slow.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,10 @@
 
 constexpr std::size_t kMaxScramMessage = 2048;
 
-// The client's side. Where a function fails, `why` says why, for logs.
+// The client's side of the exchange. A function that fails sets `why` to the reason, for logs.
 class ScramClient {
  public:
-  // What the server asks the password to be salted with.
+  // The parameters for salting the password, from the server-first-message.
   struct Challenge {
     std::string salt;
     std::uint32_t iterations = 0;
@@ -28,14 +28,15 @@
   // `nonce`: random and printable, without a comma.
   ScramClient(std::string user, std::string nonce) : user_(std::move(user)), nonce_(std::move(nonce)) {}
 
-  // The client-first-message.
+  // Returns the client-first-message.
   std::string first() const;
-  // Reads the server-first-message. std::nullopt where it is malformed, its nonce does not continue the
-  // client's, or its iteration count is out of bounds.
+  // Reads the server-first-message. Returns std::nullopt if it is malformed, its nonce does not
+  // extend the client's, or its iteration count is out of bounds.
   std::optional<Challenge> readChallenge(std::string_view serverFirst, std::string& why);
-  // The client-final-message, for the password salted by that challenge.
+  // Returns the client-final-message, given the password salted according to the challenge.
   std::string final(std::string_view saltedPassword);
-  // Reads the server-final-message: whether the server has proved that it knows the password.
+  // Reads the server-final-message. Returns whether the server has proved that it knows the
+  // password.
   bool verify(std::string_view serverFinal, std::string& why) const;
 
  private:
@@ -45,22 +46,22 @@
   const std::string nonce_;
   std::string serverFirst_;
   std::string combinedNonce_;
-  std::string serverSignature_;  // that the server has to send
+  std::string serverSignature_;  // expected in the server-final-message
 };
 
-// The server's side. Where a function fails, `why` says why, for logs.
+// The server's side of the exchange. A function that fails sets `why` to the reason, for logs.
 class ScramServer {
  public:
-  // For an unknown user give a verifier derived from its name, so that the exchange looks like any other.
-  // `nonce`: random and printable, without a comma.
+  // `verifier`: for an unknown user, pass one derived from its name, so that a client cannot tell
+  // the difference. `nonce`: random and printable, without a comma.
   ScramServer(Verifier verifier, std::string nonce)
       : verifier_(std::move(verifier)), nonce_(std::move(nonce)) {}
 
-  // Reads the client-first-message; gives the server-first-message, or std::nullopt where it is malformed or
-  // asks for channel binding.
+  // Reads the client-first-message. Returns the server-first-message, or std::nullopt if the
+  // client's message is malformed or requires channel binding.
   std::optional<std::string> first(std::string_view clientFirst, std::string& why);
-  // Reads the client-final-message; gives the server-final-message, or std::nullopt where it is malformed or
-  // the password is wrong.
+  // Reads the client-final-message. Returns the server-final-message, or std::nullopt if the
+  // client's message is malformed or the password is wrong.
   std::optional<std::string> final(std::string_view clientFinal, std::string& why);
 
  private:
--- a/src/auth/stored_secret.cpp
+++ b/src/auth/stored_secret.cpp
@@ -56,7 +56,7 @@
 std::optional<Verifier> parseVerifier(std::string_view text) {
   if (text.substr(0, kVerifierPrefix.size()) != kVerifierPrefix) return std::nullopt;
   text.remove_prefix(kVerifierPrefix.size());
-  // iterations:salt$storedKey:serverKey
+  // Format: iterations:salt$storedKey:serverKey
   const std::size_t saltColon = text.find(':');
   const std::size_t dollar = text.find('$');
   const std::size_t keyColon = text.rfind(':');
--- a/src/auth/users.cpp
+++ b/src/auth/users.cpp
@@ -15,7 +15,7 @@
          secret.find_first_not_of("0123456789abcdef", kPrefix.size()) == std::string_view::npos;
 }
 
-// Takes the next line, without its end, off the front of the file.
+// Removes the first line from `file` and returns it without its terminator.
 std::string_view takeLine(std::string_view& file) {
   const std::size_t end = std::min(file.find('\n'), file.size());
   std::string_view line = file.substr(0, end);
@@ -38,7 +38,7 @@
     const std::string_view name = line.substr(0, colon);
     const std::string_view secret = colon == std::string_view::npos ? "" : line.substr(colon + 1);
     if (name.empty() || name.size() > kMaxNameLength || secret.empty()) {
-      faults.push_back({number, "it is no NAME:SECRET"});
+      faults.push_back({number, "it is not of the form NAME:SECRET"});
       continue;
     }
     if (all.users_.size() >= kMaxUsers) {
--- a/src/auth/users.hpp
+++ b/src/auth/users.hpp
@@ -1,7 +1,8 @@
-// The users that may log in, from a file with a line "NAME:SECRET" for each secret. Pure.
+// The users that may log in. The users file has one line "NAME:SECRET" for each secret.
 //
-// A secret is what PostgreSQL stores: "SCRAM-SHA-256$..." or "md5..." with 32 hexadecimal digits. A name may
-// have one of each. Blank lines and lines that begin with # are skipped. The file holds no password.
+// A secret has the form that PostgreSQL stores: "SCRAM-SHA-256$..." or "md5..." with 32 hexadecimal
+// digits. A user may have one of each. Blank lines and lines that begin with # are skipped. The
+// file contains no passwords.
 #pragma once
 
 #include <cstddef>
@@ -17,29 +18,29 @@
 
 struct User {
   std::optional<Verifier> scram;
-  std::string md5;  // empty: none
+  std::string md5;  // empty: no MD5 hash
 };
 
 class Users {
  public:
-  // A line that is wrong. Secrets are never quoted.
+  // An invalid line of the file. `problem` never quotes a secret.
   struct Fault {
     int line;
     std::string problem;
   };
 
-  // Reads the lines that are right; each other one adds to `faults`.
+  // Parses the valid lines and adds a fault for each invalid one.
   static Users parse(std::string_view file, std::vector<Fault>& faults);
 
-  // nullptr: there is no such user. Valid while this object lives unchanged.
+  // Returns nullptr if there is no such user. The result is valid until this object changes.
   const User* find(std::string_view name) const;
   std::size_t size() const { return users_.size(); }
 
-  // Whether both were read from the same text.
+  // Returns whether both were read from the same text.
   friend bool operator==(const Users& a, const Users& b) { return a.text_ == b.text_; }
 
  private:
-  // Adds one line's secret; gives the problem where it can't.
+  // Adds one line's secret. Returns the problem if the line is invalid.
   std::optional<std::string> add(std::string_view name, std::string_view secret);
 
   std::map<std::string, User, std::less<>> users_;
