--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,4 @@
-// What staff say to a running proxy: the line, the file of bans, new settings, and the whole program.
+// Tests admin commands: the protocol, the suspensions file, reloaded settings and a running proxy.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -25,7 +25,7 @@
 using admin::CommandType;
 using admin::SuspendedEndpoints;
 
-TEST(ControlLine, KnowsItsCallsAndNoOthers) {
+TEST(AdminCommandParser, AcceptsValidCommandsAndRejectsOthers) {
   const auto command = [](const std::string& line) { return std::get<admin::Command>(admin::parse(line)); };
   EXPECT_EQ(command("STATUS").type, CommandType::Status);
   const admin::Command suspend = command("  suspend \t s-5be2a07c ");
@@ -41,12 +41,12 @@
   const std::string tooLong(admin::kMaxEndpointIdBytes + 1, 'x');
   EXPECT_TRUE(std::holds_alternative<admin::InvalidCommand>(admin::parse("SUSPEND " + tooLong)));
 }
-TEST(ControlLine, IsReadInPiecesOfAnySizeAndBounded) {
-  const std::string call = "SUSPEND s-1\r\nSTATUS\n";
-  for (std::size_t n = 1; n <= call.size(); ++n) {
+TEST(AdminCommandReader, AssemblesALineFromPiecesOfAnySizeUpToTheLimit) {
+  const std::string input = "SUSPEND s-1\r\nSTATUS\n";
+  for (std::size_t n = 1; n <= input.size(); ++n) {
     CommandReader r;
     CommandReader::State s = CommandReader::State::More;
-    for (std::size_t at = 0; at < call.size(); at += n) s = r.feed(std::string_view(call).substr(at, n));
+    for (std::size_t at = 0; at < input.size(); at += n) s = r.feed(std::string_view(input).substr(at, n));
     EXPECT_EQ(s, CommandReader::State::Line);
     EXPECT_EQ(r.line(), "SUSPEND s-1") << n;
   }
@@ -58,21 +58,21 @@
   EXPECT_EQ(s, CommandReader::State::TooLong);
   EXPECT_LE(endless.line().size(), 2 * admin::kMaxLineBytes);
 }
-TEST(ControlLine, AnAnswerIsOneLineWhateverItQuotes) {
+TEST(AdminResponse, IsOneLineEvenIfTheTextContainsALineBreak) {
   EXPECT_EQ(admin::success("s-1 suspended"), "SUCCESS s-1 suspended\n");
   EXPECT_EQ(admin::failure("a\nb"), "FAILURE a?b\n");
 }
 
-struct BansTest : testing::Test {
-  BansTest() {
+struct SuspendedEndpointsTest : testing::Test {
+  SuspendedEndpointsTest() {
     char name[] = "/tmp/sablespur-bans-XXXXXX";
     folder = mkdtemp(name);
     path = folder + "/bans";
   }
-  ~BansTest() override { std::filesystem::remove_all(folder); }
+  ~SuspendedEndpointsTest() override { std::filesystem::remove_all(folder); }
   std::string folder, path;
 };
-TEST_F(BansTest, AFileThatWasCutAnywhereOrIsAnotherIsNone) {
+TEST_F(SuspendedEndpointsTest, ATruncatedOrForeignFileIsRejected) {
   const std::string good = admin::formatSuspendedEndpoints({"s-1", "s-2"});
   ASSERT_TRUE(admin::parseSuspendedEndpoints(good));
   EXPECT_EQ(*admin::parseSuspendedEndpoints(good), (std::set<std::string>{"s-1", "s-2"}));
@@ -83,29 +83,30 @@
   std::ofstream(path) << good.substr(0, good.size() / 2);
   EXPECT_TRUE(SuspendedEndpoints(path).endpoints().empty());
 }
-TEST_F(BansTest, OutliveTheProcessAndReachTheOneBeside) {
+TEST_F(SuspendedEndpointsTest, ChangesPersistAndReachAConcurrentProcess) {
   SuspendedEndpoints first(path), second(path);
   EXPECT_TRUE(first.set("s-1", true));
-  EXPECT_TRUE(first.set("s-1", true)) << "again is as once";
+  EXPECT_TRUE(first.set("s-1", true)) << "repeating a change has no effect";
   EXPECT_TRUE(second.poll());
   EXPECT_EQ(second.endpoints().count("s-1"), 1u);
-  EXPECT_FALSE(second.poll()) << "nothing new";
+  EXPECT_FALSE(second.poll()) << "no change since the last poll";
   EXPECT_TRUE(second.set("s-2", true));
   EXPECT_TRUE(first.set("s-1", false));
   EXPECT_EQ(SuspendedEndpoints(path).endpoints(), std::set<std::string>{"s-2"})
-      << "each keeps what the other was told";
+      << "each process keeps the changes of the other";
   EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
             1);
 }
-TEST_F(BansTest, HoldInThisProcessWhereTheyCannotBeWritten) {
+TEST_F(SuspendedEndpointsTest, AnUnwritableChangeTakesEffectInThisProcess) {
   SuspendedEndpoints b(folder + "/no/such/folder");
   EXPECT_FALSE(b.set("s-1", true));
   EXPECT_EQ(b.endpoints().count("s-1"), 1u);
 }
 
-// A disk that fails by order, and what was synced.
-struct BanDisk {
-  BanDisk() {
+// Replaces the file calls: writes and syncs fail on demand, every second call is interrupted,
+// writes are short, and syncs are counted.
+struct FaultyDisk {
+  FaultyDisk() {
     failing = false;
     syncs = calls = 0;
     fileCalls().write = [](int file, const void* bytes, std::size_t size) -> ssize_t {
@@ -123,7 +124,7 @@
       return ::fsync(file);
     };
   }
-  ~BanDisk() { fileCalls() = FileCalls(); }
+  ~FaultyDisk() { fileCalls() = FileCalls(); }
   static bool interrupted() {
     if (++calls % 2 == 0) return false;
     errno = EINTR;
@@ -132,52 +133,53 @@
   inline static bool failing = false;
   inline static int syncs = 0, calls = 0;
 };
-TEST_F(BansTest, AreDurableWithTheirNameWhenSetSaysSo) {
-  const BanDisk disk;
+TEST_F(SuspendedEndpointsTest, SetReturnsTrueOnlyAfterFileAndDirectoryAreSynced) {
+  const FaultyDisk disk;
   SuspendedEndpoints b(path);
   EXPECT_TRUE(b.set("s-1", true));
-  EXPECT_EQ(BanDisk::syncs, 2) << "the file and its folder";
+  EXPECT_EQ(FaultyDisk::syncs, 2) << "the file and its directory";
   EXPECT_EQ(SuspendedEndpoints(path).endpoints(), std::set<std::string>{"s-1"})
-      << "interrupted and short calls are no failure";
+      << "interrupted and short calls are retried";
 }
-TEST_F(BansTest, ThatCouldNotBeWrittenLeaveTheEarlierFileAndAreWrittenOnceTheDiskIsBack) {
-  const BanDisk disk;
+TEST_F(SuspendedEndpointsTest, AFailedWriteKeepsTheEarlierFileAndIsRetriedUntilItSucceeds) {
+  const FaultyDisk disk;
   SuspendedEndpoints b(path);
   ASSERT_TRUE(b.set("s-1", true));
-  BanDisk::failing = true;
+  FaultyDisk::failing = true;
   EXPECT_FALSE(b.set("s-2", true));
-  EXPECT_FALSE(b.set("s-2", true)) << "again is not yet as once";
+  EXPECT_FALSE(b.set("s-2", true)) << "a repeated change is not durable yet";
   EXPECT_FALSE(b.allWritten());
   for (int k = 0; k < 100; ++k) EXPECT_FALSE(b.poll());
   EXPECT_EQ(SuspendedEndpoints(path).endpoints(), std::set<std::string>{"s-1"});
   EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()),
             1)
-      << "nothing half written is left";
-  // The process beside writes: what is owed here stands beside what it says.
+      << "no temporary file is left";
+  // A concurrent process writes the file: its changes are merged with the unwritten ones of this
+  // process.
   std::ofstream(path) << admin::formatSuspendedEndpoints({"s-1", "s-3"});
   EXPECT_TRUE(b.poll());
   EXPECT_EQ(b.endpoints(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
-  BanDisk::failing = false;
+  FaultyDisk::failing = false;
   for (int k = 0; k < 30; ++k) b.poll();
   EXPECT_TRUE(b.allWritten());
   EXPECT_EQ(SuspendedEndpoints(path).endpoints(), (std::set<std::string>{"s-1", "s-2", "s-3"}));
 }
-TEST_F(BansTest, AreTriedEverMoreRarelyWhileTheDiskFails) {
-  const BanDisk disk;
+TEST_F(SuspendedEndpointsTest, WritesAreRetriedWithBackoffWhileTheDiskFails) {
+  const FaultyDisk disk;
   SuspendedEndpoints b(path);
-  BanDisk::failing = true;
+  FaultyDisk::failing = true;
   EXPECT_FALSE(b.set("s-1", true));
   int tries = 0;
   for (int k = 0; k < 500; ++k) {
-    const int before = BanDisk::calls;
+    const int before = FaultyDisk::calls;
     b.poll();
-    tries += BanDisk::calls != before;
+    tries += FaultyDisk::calls != before;
   }
   EXPECT_GE(tries, 500 / 25);
   EXPECT_LE(tries, 500 / 25 + 6) << "after 1, 2, 4, 8, 16 and then 25 polls";
 }
 
-TEST(Adopt, ARequestUnderWayKeepsItsClassAndNewOnesComeBehind) {
+TEST(AdoptSettings, RequestsInFlightKeepTheirClassAndChangedClassesAreAppended) {
   Config running = parseConfig(test::configuration({}, 1, {11, 12}));
   const Config start = running;
   const std::size_t n = start.classes.size();
@@ -191,7 +193,7 @@
   ASSERT_EQ(running.classes.size(), running.settings.classes.size());
   EXPECT_EQ(running.settings.maxAttempts, 1);
   EXPECT_EQ(running.settings.classes[0].idempotency, start.settings.classes[0].idempotency)
-      << "of requests under way";
+      << "the class of requests in flight";
   const auto place = [&](const std::string& name) {
     return static_cast<std::size_t>(std::find(running.classes.begin(), running.classes.end(), name) -
                                     running.classes.begin());
@@ -199,13 +201,13 @@
   ASSERT_LT(place("read"), running.classes.size());
   EXPECT_GE(place("read"), n);
   EXPECT_EQ(running.settings.classes[place("read")].idempotency, balancer::Idempotency::NonIdempotent);
-  EXPECT_EQ(place(start.classes[1]), 1u) << "what is as it was stays";
+  EXPECT_EQ(place(start.classes[1]), 1u) << "an unchanged class keeps its index";
   EXPECT_LT(place("fresh"), running.classes.size());
   adopt(running, start);
-  EXPECT_EQ(place("fresh"), running.classes.size()) << "it is gone";
+  EXPECT_EQ(place("fresh"), running.classes.size()) << "the class is removed";
   EXPECT_LT(place("read"), running.classes.size());
 }
-TEST(Adopt, TooManyReloadsChangeNothing) {
+TEST(AdoptSettings, ReloadsBeyondTheClassLimitAreRejectedAndChangeNothing) {
   Config running = parseConfig(test::configuration({}, 1, {11, 12}));
   Config read = running;
   bool thrown = false;
@@ -224,7 +226,7 @@
   EXPECT_TRUE(thrown);
 }
 
-// ---- the whole program -----------------------------------------------------------------------------------
+// ---- commands to a running proxy ----------------------------------------------------------
 int freePort() {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in in{};
@@ -245,7 +247,7 @@
   EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&in), sizeof in), 0);
   return fd;
 }
-std::string call(int port, const std::string& line) {
+std::string sendCommand(int port, const std::string& line) {
   const int fd = dial(port);
   EXPECT_EQ(write(fd, line.data(), line.size()), static_cast<ssize_t>(line.size()));
   std::string got;
@@ -261,52 +263,53 @@
     s1 send row v
     c1 expect row v
 )";
-struct ControlProgram : BansTest {
-  ControlProgram() {
+struct AdminCommandTest : SuspendedEndpointsTest {
+  AdminCommandTest() {
     setenv("TMPDIR", folder.c_str(), 1);
     s.controlPort = freePort();
   }
-  ~ControlProgram() override { unsetenv("TMPDIR"); }
-  // The scenario's own servers go on while this thread's calls are made.
-  std::string say(test::Scenario& t, const std::string& line) {
+  ~AdminCommandTest() override { unsetenv("TMPDIR"); }
+  // Sends the command on another thread while this one serves the scenario's data servers.
+  std::string runCommand(test::Scenario& t, const std::string& line) {
     std::string got;
     std::atomic<bool> done{false};
-    std::thread staff([&] {
-      got = call(s.controlPort, line);
+    std::thread operatorClient([&] {
+      got = sendCommand(s.controlPort, line);
       done = true;
     });
     t.serveUntil([&] { return done.load(); });
-    staff.join();
+    operatorClient.join();
     return got;
   }
   test::Setting s;
 };
-TEST_F(ControlProgram, AnswersAndKeepsToABanWhateverTheListSays) {
+TEST_F(AdminCommandTest, ASuspensionIsKeptWhenANewListNamesTheEndpoint) {
   test::Scenario t(s);
-  EXPECT_EQ(say(t, "STATUS\n").substr(0, 7), "SUCCESS");
-  EXPECT_EQ(say(t, "SUSPEND s-nobody\n").substr(0, 7), "FAILURE");
-  EXPECT_EQ(say(t, "RESTORE s-nobody\n").substr(0, 7), "FAILURE");
-  EXPECT_EQ(say(t, "\n").substr(0, 7), "FAILURE");
-  EXPECT_EQ(say(t, std::string(5000, 'x') + "\n").substr(0, 7), "FAILURE");
+  EXPECT_EQ(runCommand(t, "STATUS\n").substr(0, 7), "SUCCESS");
+  EXPECT_EQ(runCommand(t, "SUSPEND s-nobody\n").substr(0, 7), "FAILURE");
+  EXPECT_EQ(runCommand(t, "RESTORE s-nobody\n").substr(0, 7), "FAILURE");
+  EXPECT_EQ(runCommand(t, "\n").substr(0, 7), "FAILURE");
+  EXPECT_EQ(runCommand(t, std::string(5000, 'x') + "\n").substr(0, 7), "FAILURE");
   t.run("s2 wait idle 2");
-  EXPECT_EQ(say(t, "SUSPEND s-2\n").substr(0, 7), "SUCCESS");
-  EXPECT_EQ(say(t, "SUSPEND s-2\n").substr(0, 7), "SUCCESS");
+  EXPECT_EQ(runCommand(t, "SUSPEND s-2\n").substr(0, 7), "SUCCESS");
+  EXPECT_EQ(runCommand(t, "SUSPEND s-2\n").substr(0, 7), "SUCCESS");
   t.run("s2 expect drained");
   const std::size_t connections = t.connectionsOf(2);
   t.run("list send line " + t.list(2, "active", 6) + kServedByFirst);
-  t.serveFor(std::chrono::milliseconds(600));  // upkeep has passed twice
-  EXPECT_EQ(say(t, "STATUS\n"), "SUCCESS serving, 1 suspended\n");
-  EXPECT_EQ(t.connectionsOf(2), connections) << "a connection is something new, too";
-  EXPECT_EQ(say(t, "RESTORE s-2\n").substr(0, 7), "SUCCESS");
+  t.serveFor(std::chrono::milliseconds(600));  // two maintenance intervals of the connection pool
+  EXPECT_EQ(runCommand(t, "STATUS\n"), "SUCCESS serving, 1 suspended\n");
+  EXPECT_EQ(t.connectionsOf(2), connections) << "no connections are opened to a suspended endpoint";
+  EXPECT_EQ(runCommand(t, "RESTORE s-2\n").substr(0, 7), "SUCCESS");
   t.run("s2 wait idle 2");
   EXPECT_TRUE(SuspendedEndpoints(folder + "/sablespur-bans-n0").endpoints().empty());
 }
-TEST_F(ControlProgram, ABanThatIsNotOnDiskYetIsAnsweredAsSuchAndWrittenOnceItCanBe) {
+TEST_F(AdminCommandTest, AnUnwrittenSuspensionIsReportedAndWrittenOnceTheDiskRecovers) {
   test::Scenario t(s);
   t.run("s2 wait idle 2");
   const std::string blocked = folder + "/sablespur-bans-n0." + std::to_string(t.pid());
   std::filesystem::create_directory(blocked);
-  EXPECT_EQ(say(t, "SUSPEND s-2\n"), "SUCCESS s-2 suspended, in this process alone: not kept on disk yet\n");
+  EXPECT_EQ(runCommand(t, "SUSPEND s-2\n"),
+            "SUCCESS s-2 suspended, in this process alone: not kept on disk yet\n");
   t.run("s2 expect drained\nproxy expect log event=suspensions_write_failed");
   t.serveFor(std::chrono::milliseconds(900));
   EXPECT_EQ(t.logged("event=suspensions_write_failed"), 1u);
@@ -314,7 +317,7 @@
   t.run("proxy expect log event=suspensions_write_recovered");
   EXPECT_EQ(SuspendedEndpoints(folder + "/sablespur-bans-n0").endpoints(), std::set<std::string>{"s-2"});
 }
-TEST_F(ControlProgram, SilentCallersTakeNoOnesTurn) {
+TEST_F(AdminCommandTest, IdleConnectionsDoNotBlockOtherCommands) {
   test::Scenario t(s);
   std::vector<int> silent;
   for (int k = 0; k < 30; ++k) {
@@ -323,17 +326,17 @@
       EXPECT_EQ(write(silent.back(), "STAT", 4), 4);
     }
   }
-  EXPECT_EQ(say(t, "STATUS\n").substr(0, 7), "SUCCESS");
+  EXPECT_EQ(runCommand(t, "STATUS\n").substr(0, 7), "SUCCESS");
   for (const int fd : silent) close(fd);
 }
-TEST_F(ControlProgram, ABanOutlivesTheProcessAndABrokenFileStartsItAllTheSame) {
+TEST_F(AdminCommandTest, ASuspensionSurvivesARestartAndATruncatedFileDoesNotPreventTheStart) {
   const std::string file = folder + "/sablespur-bans-n0";
   std::ofstream(file) << admin::formatSuspendedEndpoints({"s-2"});
   {
     test::Scenario t(s);
     t.run(kServedByFirst);
     EXPECT_EQ(t.connectionsOf(2), 0u);
-    EXPECT_EQ(say(t, "RESTORE s-2\n").substr(0, 7), "SUCCESS");
+    EXPECT_EQ(runCommand(t, "RESTORE s-2\n").substr(0, 7), "SUCCESS");
     t.run("s2 wait idle 2");
   }
   std::ofstream(file) << "sablespur bans 1\ns-2\n";
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -1,5 +1,5 @@
-// The command line as scripts and operators know it: the text of --help of each command, exit codes, and the
-// keys of what is printed as JSON. The expected texts stand in tests/data/command-line.
+// Tests the command line as scripts and operators use it: the --help text of each command, exit
+// codes and the keys of JSON output. tests/data/command-line contains the expected texts.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -31,25 +31,25 @@
   return text.str();
 }
 
-struct Finished {
+struct ProgramResult {
   int exitCode = -1;  // -1: ended by a signal
   std::string output;
 };
-Finished runProgram(const Arguments& arguments) {
+ProgramResult runProgram(const Arguments& arguments) {
   int out = -1;
   const int pid = spawn("/nowhere", 0, out, arguments);
-  Finished finished;
+  ProgramResult result;
   char bytes[4096];
   for (ssize_t n; (n = ::read(out, bytes, sizeof bytes)) > 0;)
-    finished.output.append(bytes, static_cast<std::size_t>(n));
+    result.output.append(bytes, static_cast<std::size_t>(n));
   close(out);
   int status = 0;
   waitpid(pid, &status, 0);
-  if (WIFEXITED(status)) finished.exitCode = WEXITSTATUS(status);
-  return finished;
+  if (WIFEXITED(status)) result.exitCode = WEXITSTATUS(status);
+  return result;
 }
 
-// Every key of the document as a path, one a line; the elements of an array share theirs.
+// Collects the path of each key of the document. The elements of an array share their paths.
 void collectKeys(const nlohmann::json& value, const std::string& path, std::set<std::string>& paths) {
   if (value.is_array())
     for (const nlohmann::json& element : value) collectKeys(element, path + "[]", paths);
@@ -74,10 +74,10 @@
 };
 class CommandLineHelp : public testing::TestWithParam<HelpCase> {};
 
-TEST_P(CommandLineHelp, IsTheExpectedText) {
-  const Finished finished = runProgram(GetParam().arguments);
-  EXPECT_EQ(finished.exitCode, 0);
-  EXPECT_EQ(finished.output, readFile(std::string(kData) + "command-line/" + GetParam().file + ".txt"));
+TEST_P(CommandLineHelp, MatchesTheExpectedText) {
+  const ProgramResult result = runProgram(GetParam().arguments);
+  EXPECT_EQ(result.exitCode, 0);
+  EXPECT_EQ(result.output, readFile(std::string(kData) + "command-line/" + GetParam().file + ".txt"));
 }
 INSTANTIATE_TEST_SUITE_P(EachCommand, CommandLineHelp,
                          testing::Values(HelpCase{"help", {"--help"}},
@@ -99,7 +99,7 @@
                            return name;
                          });
 
-TEST(CommandLineExitCode, WrongUsageIsTwo) {
+TEST(CommandLineExitCode, IsTwoForAnInvalidCommandLine) {
   for (const Arguments& arguments :
        {Arguments{"nonsense"}, Arguments{"--nonsense"}, Arguments{"serve"}, Arguments{"check"},
         Arguments{"check", "--keys", "file"}, Arguments{"members"}, Arguments{"status"},
@@ -109,15 +109,15 @@
     EXPECT_EQ(runProgram(arguments).exitCode, 2) << testing::PrintToString(arguments);
 }
 
-TEST(CommandLineExitCode, WhatCannotBeDoneIsOneWithALine) {
+TEST(CommandLineExitCode, IsOneWithAMessageForAFailedCommand) {
   for (const Arguments& arguments :
        {Arguments{}, Arguments{"serve", "--config", "/nowhere"}, Arguments{"check", "/nowhere"},
         Arguments{"members", "--config", "/nowhere"}, Arguments{"status", "--config", "/nowhere"},
         Arguments{"store", "check", "/nowhere"}, Arguments{"store", "dump", "/nowhere"},
         Arguments{"store", "compact", "/nowhere"}, Arguments{"store", "stat", "/nowhere"}}) {
-    const Finished finished = runProgram(arguments);
-    EXPECT_EQ(finished.exitCode, 1) << testing::PrintToString(arguments);
-    EXPECT_NE(finished.output.find('\n'), std::string::npos) << testing::PrintToString(arguments);
+    const ProgramResult result = runProgram(arguments);
+    EXPECT_EQ(result.exitCode, 1) << testing::PrintToString(arguments);
+    EXPECT_NE(result.output.find('\n'), std::string::npos) << testing::PrintToString(arguments);
   }
 }
 
@@ -153,7 +153,7 @@
   EXPECT_EQ(runProgram({"check", settingsPath(s)}).exitCode, 1);
 }
 
-TEST_F(CommandLineOutput, StatusWithNoProxyRunningIsOne) {
+TEST_F(CommandLineOutput, StatusExitsOneWhenNoProxyIsRunning) {
   EXPECT_EQ(runProgram({"status", "--config", settingsPath(everyPart())}).exitCode, 1);
 }
 
@@ -163,7 +163,7 @@
   EXPECT_EQ(keysOf(t.status(true)), readFile(std::string(kData) + "command-line/status-keys.txt"));
 }
 
-TEST_F(CommandLineOutput, StatusJsonOfAProxyWithoutTheOptionalPartsHasThemAsNull) {
+TEST_F(CommandLineOutput, StatusJsonContainsNullForDisabledOptionalParts) {
   Setting s;
   s.ini = true;
   s.more = "[status]\nsocket = " + socket + "\n";
@@ -177,23 +177,23 @@
   fs::copy(std::string(kData) + "store-1", store);
   std::string all;
   for (const char* name : {"check", "stat", "compact"}) {
-    const Finished finished = runProgram({"store", name, store, "--json"});
-    EXPECT_EQ(finished.exitCode, 0) << name;
-    all += std::string("# ") + name + "\n" + keysOf(finished.output);
+    const ProgramResult result = runProgram({"store", name, store, "--json"});
+    EXPECT_EQ(result.exitCode, 0) << name;
+    all += std::string("# ") + name + "\n" + keysOf(result.output);
   }
   EXPECT_EQ(all, readFile(std::string(kData) + "command-line/store-keys.txt"));
   EXPECT_EQ(runProgram({"store", "dump", store, "--json"}).exitCode, 0);
 }
 
-TEST_F(CommandLineOutput, ADamagedStoreIsOneAndNamedByItsKeys) {
+TEST_F(CommandLineOutput, CheckOfADamagedStoreExitsOneAndPrintsTheExpectedKeys) {
   fs::copy(std::string(kData) + "store-1", store);
   std::fstream log(store + "/000003.log", std::ios::in | std::ios::out | std::ios::binary);
   log.seekp(600);
   log << "damage";
   log.close();
-  const Finished finished = runProgram({"store", "check", store, "--json"});
-  EXPECT_EQ(finished.exitCode, 1);
-  EXPECT_EQ(keysOf(finished.output), "file\ngood\nkind\noffset\nstore\nwhy\n");
+  const ProgramResult result = runProgram({"store", "check", store, "--json"});
+  EXPECT_EQ(result.exitCode, 1);
+  EXPECT_EQ(keysOf(result.output), "file\ngood\nkind\noffset\nstore\nwhy\n");
 }
 
 }  // namespace
