--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -115,7 +115,7 @@
         app_, "serve", "run the proxy until SIGTERM or SIGINT; SIGHUP reloads the settings file", [this] {
           return serve(readSettings(settingsPath_), [this] { return readSettings(settingsPath_); });
         });
-    command->add_option("--config", settingsPath_, "file of settings (INI)")->required();
+    command->add_option("--config", settingsPath_, "settings file (INI)")->required();
   }
 
   void addCheck() {
@@ -131,7 +131,7 @@
     CLI::App* const command =
         addCommand(app_, "members", "list the data servers that discovery finds",
                    [this] { return showMembers(readSettings(settingsPath_), members_); });
-    command->add_option("--config", settingsPath_, "file of settings (INI)")->required();
+    command->add_option("--config", settingsPath_, "settings file (INI)")->required();
     command->add_flag("--json", members_.json, "print JSON");
     command->add_option("--wait", members_.waitSeconds, "seconds to wait for discovery")
         ->check(CLI::Range(0.1, 300.0))
--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -30,7 +30,7 @@
   std::uint64_t generation() const override { return 0; }
 
   bool arrived() const { return arrived_; }
-  // Why no list has arrived.
+  // Returns the reason why no list has arrived.
   const std::string& failure() const { return failure_; }
 
  private:
--- a/src/app/password_command.hpp
+++ b/src/app/password_command.hpp
@@ -9,7 +9,7 @@
 struct PasswordOptions {
   std::string user;
   bool md5 = false;                 // false: SCRAM
-  std::uint32_t iterations = 4096;  // of SCRAM
+  std::uint32_t iterations = 4096;  // SCRAM iteration count
 };
 
 // Reads the password from standard input, without echo if that is a terminal, and prints the line.
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -42,7 +42,7 @@
     event_add(hangup_.get(), nullptr);
   }
 
-  // Whether the proxy has been drained.
+  // Returns whether the proxy has been drained.
   bool stopped() const { return stopped_; }
 
  private:
