--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -12,13 +12,15 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr Time kLostAfter = std::chrono::milliseconds(500);  // past the deadline, by the rule
-constexpr Time kSlack = std::chrono::milliseconds(70);  // after the deadline an answer still counts as one
-constexpr std::size_t kMostIdle = 40;
+// With `strictEnds`, a request without an answer counts as lost this long after its deadline.
+constexpr Time kLostAfterDeadline = std::chrono::milliseconds(500);
+// Otherwise, an answer is accepted for this long after the deadline.
+constexpr Time kDeadlineSlack = std::chrono::milliseconds(70);
+constexpr std::size_t kMaxIdle = 40;
 
 constexpr Time kCancelAfter = std::chrono::milliseconds(3);
 
-// A literal in the dialect of a version's time.
+// Returns `text` as a quoted SQL literal. With `backslashes`, a backslash is an escape character.
 std::string literalOf(const std::string& text, bool backslashes) {
   std::string s = "'";
   for (const char c : text) {
@@ -30,16 +32,16 @@
 
 }  // namespace
 
-// A CancelRequest on a connection of its own, as a desk of its version sends it.
-struct Clients::Call {
-  Call(Clients& o, const std::string& request) : owner(o) {
+// Sends a CancelRequest on a separate connection, in the protocol version of the desk client.
+struct Clients::CancelConnection {
+  CancelConnection(Clients& o, const std::string& request) : owner(o) {
     bev.reset(bufferevent_socket_new(o.c_.loop.get(), -1, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(
         bev.get(), nullptr, nullptr,
         [](bufferevent*, short what, void* self) {
-          auto& c = *static_cast<Call*>(self);
+          auto& c = *static_cast<CancelConnection*>(self);
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-            c.owner.calls_.remove_if([&](const auto& x) { return x.get() == &c; });
+            c.owner.cancelConnections_.remove_if([&](const auto& x) { return x.get() == &c; });
         },
         this);
     put(bev.get(), request);
@@ -53,9 +55,11 @@
 class Clients::Connection {
  public:
   Connection(Clients& o, Time since, int address)
-      : o_(o), since_(since), address_(address), late_(o.c_, [this] { late(); }), cancel_(o.c_, [this] {
-          o_.callOff(*speaker_);
-        }) {
+      : o_(o),
+        since_(since),
+        address_(address),
+        deadlineTimer_(o.c_, [this] { onDeadline(); }),
+        cancel_(o.c_, [this] { o_.sendCancelRequest(*speaker_); }) {
     if (o.s_.version) {
       Identity who;
       who.password = kDeskPassword;
@@ -76,7 +80,7 @@
             const int on = 1;
             setsockopt(bufferevent_getfd(c.bev_.get()), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
           }
-          if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c.ended();
+          if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c.onClosed();
         },
         this);
     put(bev_.get(), speaker_ ? speaker_->hello() : postgres::startup("api", "ledger"));
@@ -89,22 +93,23 @@
     busy_ = true;
     served_ = refused_ = failed_ = false;
     value_.clear();
-    if (speaker_ && greeted_) askAsDesk();
+    if (speaker_ && loggedIn_) sendDeskRequest();
     if (!speaker_) put(bev_.get(), postgres::query(request_.statement));
-    late_.in(request_.deadline + (o_.s_.strictEnds ? kLostAfter : kSlack) - o_.c_.now());
+    deadlineTimer_.in(request_.deadline + (o_.s_.strictEnds ? kLostAfterDeadline : kDeadlineSlack) -
+                      o_.c_.now());
   }
   bool busy() const { return busy_; }
-  bool greeted() const { return greeted_; }
+  bool loggedIn() const { return loggedIn_; }
 
  private:
-  void askAsDesk() {
+  void sendDeskRequest() {
     const bool simple = o_.s_.way == "simple";
     put(bev_.get(), simple ? speaker_->query(request_.statement)
                            : speaker_->extended(request_.statement, request_.bound, o_.s_.way == "binary"));
     if (request_.cancel) cancel_.in(kCancelAfter);
   }
-  // Until the proxy waits for the next request; this object may be no more then.
-  void readAsDesk(evbuffer* in) {
+  // Reads replies until the proxy is ready for the next request. May destroy this object.
+  void readDeskReply(evbuffer* in) {
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (!bytes.empty()) evbuffer_remove(in, bytes.data(), bytes.size());
     in_ += bytes;
@@ -112,30 +117,30 @@
     if (!send.empty()) put(bev_.get(), send);
     if (got == Speaker::Got::Broken) {
       o_.audit_.hit("replies_broken");
-      return ended();
+      return onClosed();
     }
     if (got == Speaker::Got::More) return;
     const Reply r = speaker_->takeReply();
-    if (!greeted_) {
+    if (!loggedIn_) {
       if (speaker_->version() == Version::V20) o_.audit_.hit("row_1");
       if (r.seen[0] == 'v') o_.audit_.hit("row_11");
       const std::size_t key = speaker_->secret().size();
       if (key != (speaker_->version() == Version::V32 ? 32u : 4u)) o_.audit_.value(false);
-      greeted_ = true;
-      if (busy_) askAsDesk();
+      loggedIn_ = true;
+      if (busy_) sendDeskRequest();
       return;
     }
-    if (busy_) judge(r);
-    ready();
+    if (busy_) checkReply(r);
+    onReadyForQuery();
   }
-  // What the reply holds, against what the request's id makes of it.
-  void judge(const Reply& r) {
+  // Checks the reply against the values that are derived from the request's id.
+  void checkReply(const Reply& r) {
     cancel_.stop();
     const bool two = speaker_->version() == Version::V20;
     served_ = !r.rows.empty();
     refused_ = r.code == "53300" || r.error.find("no data server can take") != std::string::npos;
     if (r.comeBackMs) retryAfter_ = std::chrono::milliseconds(*r.comeBackMs);
-    // What a server tells amid its answer is no business of the client's.
+    // Notices and parameter changes that a server sends within its answer must not reach the client.
     if (!o_.s_.direct && (r.seen.find('N') != std::string::npos || r.seen.find('S') != std::string::npos))
       o_.audit_.value(false);
     if (two) o_.audit_.hit("row_2");
@@ -173,22 +178,22 @@
   }
   void read() {
     evbuffer* const in = bufferevent_get_input(bev_.get());
-    if (speaker_) return readAsDesk(in);
+    if (speaker_) return readDeskReply(in);
     for (;;) {
       char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
       const auto head = postgres::parseHeader(bytes);
-      if (!head) return ended();
+      if (!head) return onClosed();
       const std::size_t whole = sizeof bytes + head->bodySize;
       if (evbuffer_get_length(in) < whole) return;
       const auto* const at =
           reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(whole)));
-      take(head->type, {at + sizeof bytes, head->bodySize});
+      handleMessage(head->type, {at + sizeof bytes, head->bodySize});
       evbuffer_drain(in, whole);
-      if (head->type == 'Z' && ready()) return;  // this object may be no more
+      if (head->type == 'Z' && onReadyForQuery()) return;  // this object may be destroyed
     }
   }
-  void take(char type, std::string_view body) {
+  void handleMessage(char type, std::string_view body) {
     if (type == 'D') {
       if (served_) o_.audit_.extra(o_.c_.now());
       served_ = true;
@@ -204,12 +209,12 @@
         retryAfter_ = std::chrono::milliseconds(std::atoi(body.data() + d + 2));
     }
   }
-  // After ReadyForQuery. True: this connection is used no more.
-  bool ready() {
-    if (!greeted_) {
-      greeted_ = true;
+  // Handles ReadyForQuery. Returns true if the connection was closed and this object destroyed.
+  bool onReadyForQuery() {
+    if (!loggedIn_) {
+      loggedIn_ = true;
       o_.admissions_.push_back(static_cast<double>((o_.c_.now() - since_).count()) / 1e3);
-      // Opened in advance: it waits for its first request.
+      // Opened by reconnect() without a request: idle until the first one.
       if (!busy_) o_.idle_.push_back(this);
       return false;
     }
@@ -218,10 +223,10 @@
       return false;
     }
     busy_ = false;
-    late_.stop();
+    deadlineTimer_.stop();
     Request r = std::move(request_);
     const Got got = served_ ? Got::Served : refused_ ? Got::Refused : Got::Failed;
-    if (o_.idle_.size() < kMostIdle) o_.idle_.push_back(this);
+    if (o_.idle_.size() < kMaxIdle) o_.idle_.push_back(this);
     const bool kept = !o_.idle_.empty() && o_.idle_.back() == this;
     Clients& o = o_;
     const std::string value = value_;
@@ -230,31 +235,31 @@
     o.done(r, got, value, wait);
     return !kept;
   }
-  void late() {
+  void onDeadline() {
     Request r = std::move(request_);
     busy_ = false;
     Clients& o = o_;
-    remove();  // the client leaves
+    remove();  // the client gives up and closes the connection
     o.done(r, Got::Nothing, "", Time(0));
   }
-  void ended() {
+  void onClosed() {
     const bool busy = busy_;
     Request r = std::move(request_);
     Clients& o = o_;
-    if (!greeted_ && refused_) {  // at the door
-      ++o.refusedAtDoor_;
+    if (!loggedIn_ && refused_) {  // rejected before the login was complete
+      ++o.rejectedLogins_;
       const Time wait = retryAfter_, since = since_;
       const int address = address_;
       remove();
       if (busy) return o.done(r, Got::Refused, "", wait);
-      o.comingBack_.emplace(o.c_.now() + wait, std::make_pair(since, address));
-      o.door_.in(o.comingBack_.begin()->first - o.c_.now());
+      o.reconnects_.emplace(o.c_.now() + wait, std::make_pair(since, address));
+      o.reconnectTimer_.in(o.reconnects_.begin()->first - o.c_.now());
       return;
     }
-    const bool greeted = greeted_;
+    const bool loggedIn = loggedIn_;
     remove();
-    if (busy && greeted && o.s_.strictEnds) o.judgeEnd(r);
-    // Without an answer: a connection that ends is a failure that the client sees.
+    if (busy && loggedIn && o.s_.strictEnds) o.auditConnectionClosed(r);
+    // The client sees a connection that closes without an answer as a failed request.
     if (busy) o.done(r, Got::Failed, "", Time(0));
   }
   void remove() {
@@ -264,13 +269,13 @@
   }
 
   Clients& o_;
-  const Time since_;  // when its desk first came
+  const Time since_;  // time of the first connection attempt
   const int address_;
   BufferEventPtr bev_;
-  Timer late_, cancel_;
-  std::unique_ptr<Speaker> speaker_;  // of desks
+  Timer deadlineTimer_, cancel_;
+  std::unique_ptr<Speaker> speaker_;  // desk clients only
   std::string in_;
-  bool greeted_ = false, busy_ = false, served_ = false, refused_ = false, failed_ = false;
+  bool loggedIn_ = false, busy_ = false, served_ = false, refused_ = false, failed_ = false;
   std::string value_;
   Time retryAfter_{};
   Request request_{};
@@ -283,27 +288,30 @@
       classes_(classes),
       s_(s),
       prefix_(prefix),
-      next_(c, [this] { arrive(); }),
-      door_(c, [this] { openAgain(); }),
-      retry_(c, [this] { again(); }) {}
+      arrivalTimer_(c, [this] { arrive(); }),
+      reconnectTimer_(c, [this] { reopenRejected(); }),
+      retryTimer_(c, [this] { sendDueRetries(); }) {}
 Clients::~Clients() = default;
 
-// A request may cross the end of its connection unread; one that was out for longer has been read.
-void Clients::judgeEnd(const Request& r) {
-  constexpr Time kCrossing = std::chrono::milliseconds(50);
+// A request that is sent while the proxy closes the connection may never be read. One that was
+// outstanding for longer than kReadWithin has been read, so it counts as lost.
+void Clients::auditConnectionClosed(const Request& r) {
+  constexpr Time kReadWithin = std::chrono::milliseconds(50);
   const Time out = c_.now() - r.at;
-  if (r.at <= excusedUntil_) return audit_.hit("ended_by_kill");
-  if (out <= kCrossing) return audit_.hit("crossed_the_end");
+  if (r.at <= closesExcusedUntil_) return audit_.hit("ended_by_kill");
+  if (out <= kReadWithin) return audit_.hit("crossed_the_end");
   const std::string why =
-      "its connection ended without an answer after " + std::to_string(out.count() / 1000) + " ms";
+      "the connection closed without an answer after " + std::to_string(out.count() / 1000) + " ms";
   audit_.lost(r.id, why.c_str());
 }
 
-void Clients::callOff(const Speaker& s) { calls_.push_back(std::make_unique<Call>(*this, s.cancel())); }
+void Clients::sendCancelRequest(const Speaker& s) {
+  cancelConnections_.push_back(std::make_unique<CancelConnection>(*this, s.cancel()));
+}
 
 void Clients::start() {
   running_ = true;
-  next_.in(Time(0));
+  arrivalTimer_.in(Time(0));
 }
 void Clients::stop() { running_ = false; }
 
@@ -311,25 +319,25 @@
   const bool wasQuiet = s_.rate <= 0;
   s_.rate = r;
   if (!running_ || !wasQuiet || r <= 0) return;
-  due_ = c_.now();
-  next_.in(Time(0));
+  nextArrival_ = c_.now();
+  arrivalTimer_.in(Time(0));
 }
 
 void Clients::arrive() {
   if (!running_) return;
-  if (s_.loop) return ask(make());
-  // By a schedule of its own: a timer that comes late must not make for fewer requests.
+  if (s_.loop) return ask(makeRequest());
+  // Arrivals follow their own schedule, so that a late timer does not reduce the number of requests.
   const Time now = c_.now();
-  if (due_ == Time(0)) due_ = now;
-  while (due_ <= now) {
-    if (s_.rate > 0) ask(make());
+  if (nextArrival_ == Time(0)) nextArrival_ = now;
+  while (nextArrival_ <= now) {
+    if (s_.rate > 0) ask(makeRequest());
     const double rate = std::max(s_.rate, 0.1);
-    due_ += Time(static_cast<std::int64_t>(std::exponential_distribution<>(rate)(c_.random) * 1e6));
+    nextArrival_ += Time(static_cast<std::int64_t>(std::exponential_distribution<>(rate)(c_.random) * 1e6));
   }
-  next_.in(due_ - now);
+  arrivalTimer_.in(nextArrival_ - now);
 }
 
-Clients::Request Clients::make() {
+Clients::Request Clients::makeRequest() {
   Request r;
   double part = c_.uniform(0.0, 1.0);
   r.cls = &classes_.back();
@@ -340,7 +348,7 @@
       break;
     }
   }
-  if (r.cls->write) r.key = prefix_ + "k" + std::to_string(ids_);
+  if (r.cls->write) r.key = prefix_ + "k" + std::to_string(lastId_);
   r.retriesLeft = s_.retries;
   r.againLeft = r.key.empty() ? 0 : s_.asksAgain;
   r.group = std::uniform_int_distribution<int>(1, std::max(s_.groups, 1))(c_.random);
@@ -349,15 +357,15 @@
   return r;
 }
 
-// The statement of a try: a new id, what is left of the time.
-void Clients::write(Request& r, Time now) {
-  r.id = prefix_ + std::to_string(++ids_);
+// Builds the statement of an attempt, with a new id and the time that is left until the deadline.
+void Clients::prepareAttempt(Request& r, Time now) {
+  r.id = prefix_ + std::to_string(++lastId_);
   r.at = now;
   const auto left = std::max<std::int64_t>((r.deadline - now).count() / 1000, 1);
   const std::string comment = " /* id=" + r.id + ",c=" + r.cls->name + ",d=" + std::to_string(left) +
                               (r.key.empty() ? "" : ",k=" + r.key) + ",cluster=" + std::to_string(r.group) +
                               " */";
-  const std::string handle = "'h" + std::to_string(ids_ % 1000) + "'";
+  const std::string handle = "'h" + std::to_string(lastId_ % 1000) + "'";
   if (s_.version) {
     const bool two = s_.version == Version::V20;
     const std::string version = two ? "2.0" : s_.version == Version::V30 ? "3.0" : "3.2";
@@ -387,9 +395,9 @@
 }
 
 void Clients::ask(Request r) {
-  write(r, c_.now());
+  prepareAttempt(r, c_.now());
   audit_.request(c_.now(), r.id, r.key);
-  ++out_;
+  ++outstanding_;
   Connection* c = nullptr;
   if (!idle_.empty()) {
     c = idle_.back();
@@ -409,33 +417,33 @@
   for (int k = 0; k < connections; ++k)
     connections_.push_back(std::make_unique<Connection>(*this, c_.now(), k % s_.addresses));
 }
-void Clients::openAgain() {
+void Clients::reopenRejected() {
   const Time now = c_.now();
-  while (!comingBack_.empty() && comingBack_.begin()->first <= now) {
-    const auto [since, address] = comingBack_.begin()->second;
-    comingBack_.erase(comingBack_.begin());
+  while (!reconnects_.empty() && reconnects_.begin()->first <= now) {
+    const auto [since, address] = reconnects_.begin()->second;
+    reconnects_.erase(reconnects_.begin());
     if (running_) connections_.push_back(std::make_unique<Connection>(*this, since, address));
   }
-  if (!comingBack_.empty()) door_.in(comingBack_.begin()->first - now);
+  if (!reconnects_.empty()) reconnectTimer_.in(reconnects_.begin()->first - now);
 }
-std::size_t Clients::outside() const {
-  return comingBack_.size() +
+std::size_t Clients::notLoggedIn() const {
+  return reconnects_.size() +
          static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
-                                                [](const auto& c) { return !c->greeted(); }));
+                                                [](const auto& c) { return !c->loggedIn(); }));
 }
 
-void Clients::again() {
+void Clients::sendDueRetries() {
   const Time now = c_.now();
   while (!waiting_.empty() && waiting_.begin()->first <= now) {
     Request r = std::move(waiting_.begin()->second);
     waiting_.erase(waiting_.begin());
     ask(std::move(r));
   }
-  if (!waiting_.empty()) retry_.in(waiting_.begin()->first - now);
+  if (!waiting_.empty()) retryTimer_.in(waiting_.begin()->first - now);
 }
 
 void Clients::done(Request& r, Got got, const std::string& value, Time retryAfter) {
-  --out_;
+  --outstanding_;
   const Time now = c_.now(), latency = now - r.first;
   const bool inTime = got == Got::Served && latency <= r.cls->aim;
   const bool refused = got == Got::Refused && r.retriesLeft > 0 && now + retryAfter < r.deadline;
@@ -443,7 +451,7 @@
       r.againLeft > 0 &&
       (got == Got::Served ? s_.doubles > 0 && c_.uniform(0.0, 1.0) < s_.doubles : got != Got::Refused);
   const bool again = refused || unknown;
-  const double worth = again ? 0 : r.cls->worth;  // a request's worth counts once, with its last try
+  const double worth = again ? 0 : r.cls->worth;  // a request's worth counts once, with its last attempt
   const double earned = got != Got::Served ? 0 : inTime ? worth : worth * r.cls->lateWorth;
   std::string plain = value;
   if (s_.valueBytes > 0 && !s_.version) plain = plain.substr(0, plain.find('.'));
@@ -461,13 +469,13 @@
     r.first = when;
     r.deadline = when + r.cls->giveUp;
     waiting_.emplace(when, r);
-    retry_.in(waiting_.begin()->first - now);
+    retryTimer_.in(waiting_.begin()->first - now);
   } else if (again) {
     --r.retriesLeft;
     waiting_.emplace(now + retryAfter + c_.uniform(Time(0), Time(20000)), r);
-    retry_.in(waiting_.begin()->first - now);
+    retryTimer_.in(waiting_.begin()->first - now);
   } else if (s_.loop && running_) {
-    next_.in(Time(0));
+    arrivalTimer_.in(Time(0));
   }
 }
 
--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -1,6 +1,6 @@
-// Clients of one proxy: open-loop load (arrivals are drawn ahead of the answers and do not wait for them),
-// deadlines, and retries after refusals. Or, with `loop`, one connection that asks again as soon as it is
-// answered.
+// Clients of one proxy. Generates open-loop load (Poisson arrivals that do not wait for earlier
+// answers) with deadlines and with retries after rejections. With `loop`, it is a closed loop on one
+// connection: the next request is sent as soon as the previous one has ended.
 #pragma once
 
 #include <functional>
@@ -18,24 +18,27 @@
 namespace sablespur::lab {
 
 struct ClientSettings {
-  double rate = 60;  // requests a second, first tries
-  int retries = 0;   // after a refusal, once its word on when to come back is kept
-  // A keyed write of which it does not know whether it ran is asked for again with its key, so many times,
-  // each after a while.
+  double rate = 60;  // first attempts per second
+  int retries = 0;   // after a rejection, once its retry-after delay has passed
+  // How often a write with an idempotency key is sent again with the same key when its outcome is
+  // unknown. Each retry waits for a random delay between againLeast and againMost.
   int asksAgain = 0;
-  double doubles = 0;  // share of those that were served and that ask again all the same
+  double doubles = 0;  // share of the served keyed writes that are sent again anyway
   Time againLeast = std::chrono::milliseconds(200), againMost = std::chrono::seconds(4);
   bool loop = false;  // closed loop on one connection
   std::size_t valueBytes = 0;
   int groups = 2;
   bool direct = false;      // to a data server, without a proxy
-  bool strictEnds = false;  // a connection that ends with a request out has lost it
-  // Desks of a generation, whose values are checked byte by byte.
+  bool strictEnds = false;  // a request is lost if its connection closes before the answer
+  // Protocol version of desk clients, whose result values are checked byte by byte.
+  // std::nullopt: plain clients.
   std::optional<Version> version;
-  std::string way = "simple";       // or extended, binary
-  double cancels = 0, missing = 0;  // shares: called off after a moment; of a column that is not there
-  std::vector<std::pair<std::string, std::string>> startup;  // more parameters of it
-  std::string address;  // the first of those that it comes from; empty: where the system says
+  std::string way = "simple";  // query protocol: simple, extended or binary (extended, binary values)
+  // Shares of the requests that are canceled shortly after they are sent, and that select a column
+  // that does not exist.
+  double cancels = 0, missing = 0;
+  std::vector<std::pair<std::string, std::string>> startup;  // additional startup parameters
+  std::string address;  // first source address; empty: chosen by the operating system
   int addresses = 1;
 };
 
@@ -46,23 +49,25 @@
 
   void target(const sockaddr_in& a) { target_ = a; }
   void start();
-  void stop();  // no new requests; what is out goes on
-  // Called when a request has ended; `begun`: when it was sent.
+  void stop();  // sends no new requests; requests in flight continue
+  // Called when a request has ended; `begun` is the time when it was sent.
   using Ended = std::function<void(const ClassModel&, int group, Time begun, bool served)>;
   void onEnded(Ended call) { ended_ = std::move(call); }
   void rate(double r);
-  std::size_t open() const { return out_; }
-  // The proxy was killed: ends of connections are no fault of its for requests that were asked until then.
-  void excuseUntil(Time t) { excusedUntil_ = std::max(excusedUntil_, t); }
-  // All desks at once: every idle connection is dropped, and so many new ones come.
+  std::size_t open() const { return outstanding_; }
+  // After the proxy was killed: a connection that closes is not a fault of the proxy for requests that
+  // were sent up to `t`.
+  void excuseClosesUntil(Time t) { closesExcusedUntil_ = std::max(closesExcusedUntil_, t); }
+  // Closes every idle connection and opens `connections` new ones at once.
   void reconnect(int connections);
-  // How long connections took to be let in, from the first try on, ms; and how many were refused on the way.
+  // Time from the first connection attempt to the completed login, in ms, for each connection.
   const std::vector<double>& admissions() const { return admissions_; }
-  std::size_t refusedAtDoor() const { return refusedAtDoor_; }
-  std::size_t outside() const;  // connections that are not let in yet
+  // Connections that the proxy rejected before the login was complete.
+  std::size_t rejectedLogins() const { return rejectedLogins_; }
+  std::size_t notLoggedIn() const;  // connections whose login is not complete
   std::size_t asked() const { return asked_; }
   std::size_t served() const { return served_; }
-  const std::vector<double>& latencies() const { return latencies_; }  // ms, of what was served
+  const std::vector<double>& latencies() const { return latencies_; }  // ms, of served requests
 
  private:
   class Connection;
@@ -72,42 +77,44 @@
     Time at{}, deadline{}, first{};
     int retriesLeft = 0, againLeft = 0, group = 1;
     std::string key;
-    bool cancel = false, missing = false;  // of desks
+    bool cancel = false, missing = false;  // used by desk clients only
     std::vector<Bound> bound;
   };
   void arrive();
   void ask(Request);
-  Request make();
-  void write(Request&, Time now);
-  void judgeEnd(const Request&);
+  Request makeRequest();
+  void prepareAttempt(Request&, Time now);
+  void auditConnectionClosed(const Request&);
   void done(Request&, Got, const std::string& value, Time retryAfter);
 
   Context& c_;
   Audit& audit_;
   const std::vector<ClassModel>& classes_;
   ClientSettings s_;
-  Time excusedUntil_{-1};
+  Time closesExcusedUntil_{-1};
   const std::string prefix_;
   sockaddr_in target_{};
-  Timer next_;
-  Time due_{};  // of the next arrival
+  Timer arrivalTimer_;
+  Time nextArrival_{};  // time of the next arrival
   bool running_ = false;
   Ended ended_;
-  std::size_t out_ = 0, asked_ = 0, served_ = 0, refusedAtDoor_ = 0;
+  std::size_t outstanding_ = 0, asked_ = 0, served_ = 0, rejectedLogins_ = 0;
   int nextAddress_ = 0;
   std::vector<double> admissions_;
-  std::multimap<Time, std::pair<Time, int>> comingBack_;  // to the door: when, since when, from which address
-  Timer door_;
-  void openAgain();
-  std::uint64_t ids_ = 0;
+  // Rejected connections that will be opened again: time of the reconnect -> time of the first attempt
+  // and index of the source address.
+  std::multimap<Time, std::pair<Time, int>> reconnects_;
+  Timer reconnectTimer_;
+  void reopenRejected();
+  std::uint64_t lastId_ = 0;
   std::list<std::unique_ptr<Connection>> connections_;
   std::vector<Connection*> idle_;
-  void again();
-  void callOff(const Speaker&);
-  struct Call;
-  std::list<std::unique_ptr<Call>> calls_;  // CancelRequests on their way
-  std::multimap<Time, Request> waiting_;    // for their next try
-  Timer retry_;
+  void sendDueRetries();
+  void sendCancelRequest(const Speaker&);
+  struct CancelConnection;
+  std::list<std::unique_ptr<CancelConnection>> cancelConnections_;  // CancelRequests in flight
+  std::multimap<Time, Request> waiting_;                            // requests to be retried, by time
+  Timer retryTimer_;
   std::vector<double> latencies_;
 };
 
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char* kDomain = "lab.example.org";
 constexpr const char* kService = "_postgresql._tcp";
-constexpr Time kReady = std::chrono::seconds(10), kFinish = std::chrono::seconds(5);
+constexpr Time kStartTimeout = std::chrono::seconds(10), kFinishTimeout = std::chrono::seconds(5);
 
 Audit::Rules auditRules(const Experiment& e) {
   Audit::Rules rules;
@@ -31,7 +31,7 @@
   return rules;
 }
 
-double sum(const std::vector<double>& v) {
+double total(const std::vector<double>& v) {
   double s = 0;
   for (const double x : v) s += x;
   return s;
@@ -50,9 +50,9 @@
       c_(e.seed),
       audit_(auditRules(e)),
       availability_(availabilityRules(e)),
-      steps_(c_, [this] { nextStep(); }),
-      seconds_(c_, [this] { second(); }),
-      lag_(c_, [this] { measureLag(); }),
+      stepTimer_(c_, [this] { executeDueSteps(); }),
+      sampleTimer_(c_, [this] { sampleSecond(); }),
+      lagTimer_(c_, [this] { measureLag(); }),
       availabilityTimer_(c_, [this] { observeAvailability(); }) {}
 Run::~Run() = default;
 
@@ -73,7 +73,8 @@
   else
     s += "source = registry\nregistry = 127.0.0.1:" + std::to_string(p.registry->port()) + "\n";
   for (const ClassModel& m : e_.classes) s += "[class " + m.name + "]\n" + m.settings;
-  // The experiment's own keys go into the sections that stand already.
+  // Inserts the experiment's own keys at the head of their sections. Sections that do not exist are
+  // appended.
   std::string text = s;
   std::string section;
   for (std::size_t at = 0; at < e_.settings.size();) {
@@ -88,43 +89,43 @@
     const std::size_t place = text.find(section + "\n");
     text.insert(place + section.size() + 1, line + "\n");
   }
-  // What each proxy has of its own: {proxy} is its number, {peer} where it hears the others; then all are
-  // peers.
+  // Expands the placeholders: {proxy} is the number of the proxy, {peer} the address at which it listens
+  // for its peers. With {peer}, a [peer] section is added for every proxy.
   const auto peer = [&](std::size_t n) {
     return addressText(loopbackAddress(250, static_cast<int>(n) + 1, e_.fleet.basePort));
   };
-  const std::string own = "{peer}";
-  if (const std::size_t at = text.find(own); at != std::string::npos) {
-    text.replace(at, own.size(), peer(k));
+  const std::string peerPlaceholder = "{peer}";
+  if (const std::size_t at = text.find(peerPlaceholder); at != std::string::npos) {
+    text.replace(at, peerPlaceholder.size(), peer(k));
     for (std::size_t n = 0; n < proxies_.size(); ++n)
       text += "[peer p" + std::to_string(n + 1) + "]\naddress = " + peer(n) + "\n";
   }
-  const std::string mine = "{proxy}";
-  for (std::size_t at = 0; (at = text.find(mine, at)) != std::string::npos;)
-    text.replace(at, mine.size(), std::to_string(k + 1));
+  const std::string proxyPlaceholder = "{proxy}";
+  for (std::size_t at = 0; (at = text.find(proxyPlaceholder, at)) != std::string::npos;)
+    text.replace(at, proxyPlaceholder.size(), std::to_string(k + 1));
   return text;
 }
 
 namespace {
-// A file that nobody else may read.
-void secret(const std::string& path, const std::string& text) {
+// Writes a file that only its owner may read.
+void writePrivateFile(const std::string& path, const std::string& text) {
   std::ofstream(path) << text;
   chmod(path.c_str(), 0600);
 }
 }  // namespace
 
-void Run::open() {
-  secret(o_.directory + "/inner", std::string(kInnerPassword) + "\n");
-  secret(o_.directory + "/users",
-         "desk:" + auth::makeVerifier(kDeskPassword, "0123456789abcdef", 4096).text() +
-             "\ndesk:" + auth::md5Stored("desk", kDeskPassword) + "\n");
+void Run::startAll() {
+  writePrivateFile(o_.directory + "/inner", std::string(kInnerPassword) + "\n");
+  writePrivateFile(o_.directory + "/users",
+                   "desk:" + auth::makeVerifier(kDeskPassword, "0123456789abcdef", 4096).text() +
+                       "\ndesk:" + auth::md5Stored("desk", kDeskPassword) + "\n");
   if (e_.fleet.basePort == 0) e_.fleet.basePort = 10000 + getpid() * 8 % 20000;
   fleet_ = std::make_unique<Fleet>(c_, audit_, e_.fleet, e_.classes);
   proxies_.resize(static_cast<std::size_t>(e_.proxies));
   for (std::size_t k = 0; k < proxies_.size(); ++k) {
     Proxy& p = proxies_[k];
     const int number = static_cast<int>(k) + 1;
-    const auto told = [this, number](const std::string& name, bool in) {
+    const auto onListed = [this, number](const std::string& name, bool in) {
       for (const auto& s : fleet_->servers())
         if (s->name() == name) audit_.told(c_.now(), number, s->number(), in);
     };
@@ -137,7 +138,7 @@
         }
       };
     } else {
-      p.registry = std::make_unique<Registry>(c_, told);
+      p.registry = std::make_unique<Registry>(c_, onListed);
     }
   }
   for (const auto& s : fleet_->servers()) publish(*s, false);
@@ -180,18 +181,18 @@
   }
   for (const DirectLoad& d : e_.direct) {
     DataServer* const s = fleet_->byName(d.server);
-    if (!s) throw std::runtime_error("[load " + d.name + "] server: there is no " + d.server);
+    if (!s) throw std::runtime_error("[load " + d.name + "] server: there is no data server " + d.server);
     ClientSettings load = d.settings;
     load.groups = 1;
     load.valueBytes = load.valueBytes > 0 ? load.valueBytes : e_.fleet.valueBytes;
     direct_.push_back(std::make_unique<Clients>(c_, audit_, fleet_->classes(), load, d.name + "-"));
     direct_.back()->target(s->address(0));
   }
-  const auto up = [this] {
+  const auto allReady = [this] {
     return std::all_of(proxies_.begin(), proxies_.end(), [](const Proxy& p) { return p.ready; });
   };
-  if (!wait(kReady, up))
-    throw std::runtime_error("a proxy did not come up; see " + o_.directory + "/proxy-1.log");
+  if (!wait(kStartTimeout, allReady))
+    throw std::runtime_error("a proxy did not start in time; see " + o_.directory + "/proxy-1.log");
 }
 
 bool Run::wait(Time most, const std::function<bool()>& done) {
@@ -234,15 +235,15 @@
   for (Proxy& p : proxies_) p.names ? p.names->withdraw(s.name()) : p.registry->left(s.name());
 }
 
-void Run::act(const Step& step) {
+void Run::execute(const Step& step) {
   const std::vector<std::string>& w = step.words;
   const std::string& what = w[0];
-  const auto complain = [&](const std::string& why) {
+  const auto fail = [&](const std::string& why) {
     throw std::runtime_error(e_.file + ":" + std::to_string(step.line) + ": [script]: " + why);
   };
   const auto server = [&]() -> DataServer& {
     DataServer* const s = fleet_->byName(w[1]);
-    if (!s) complain("there is no data server " + w[1]);
+    if (!s) fail("there is no data server " + w[1]);
     return *s;
   };
   const auto value = [&](std::size_t k) { return std::atof(w[k].c_str()); };
@@ -289,38 +290,38 @@
     if (s && w[1] == "hang") s->hang(true);
     if (s && w[1] == "vanish") s->vanish(true);
     if (s && w[1] == "stepdown") fleet_->stepDown(std::atoi(w[2].c_str()));
-  } else if (what == "revive") {  // "revive 1": what hangs or has vanished of group 1 answers again
+  } else if (what == "revive") {  // "revive 1": servers of group 1 that hang or have vanished answer again
     fleet_->revive(std::atoi(w[1].c_str()));
-  } else if (what == "load") {  // "load 2 15": so many requests a second at proxy 2
+  } else if (what == "load") {  // "load 2 15": 15 requests per second at proxy 2
     const auto k = static_cast<std::size_t>(std::atoi(w[1].c_str())) - 1;
-    if (k >= proxies_.size()) complain("there is no proxy " + w[1]);
+    if (k >= proxies_.size()) fail("there is no proxy " + w[1]);
     proxies_[k].clients->rate(value(2));
   } else if (what == "dns") {
     NameServer::Mood mood{};
-    if (!NameServer::moodOf(w[1], mood)) complain("there is no mood " + w[1]);
+    if (!NameServer::moodOf(w[1], mood)) fail("there is no name server fault mode " + w[1]);
     for (Proxy& p : proxies_)
       if (p.names) p.names->mood(mood);
   } else if (what == "registry") {
     for (Proxy& p : proxies_)
-      if (p.registry && !setRegistry(*p.registry, w[1])) complain("there is no mood " + w[1]);
-  } else if (what == "logins") {  // "logins 200 3.0": so many at once, at the first proxy
+      if (p.registry && !setRegistryMode(*p.registry, w[1])) fail("there is no registry fault mode " + w[1]);
+  } else if (what == "logins") {  // "logins 200 3.0": 200 logins at once at proxy 1, in version 3.0
     const auto version = versionOf(w[2]);
-    if (!version) complain("there is no version " + w[2]);
+    if (!version) fail("there is no protocol version " + w[2]);
     bursts_.push_back(
         std::make_unique<LoginBurst>(c_, proxies_[0].address, *version, std::atoi(w[1].c_str())));
-  } else if (what == "reconnect") {  // "reconnect 40": all desks at once, so many in all
+  } else if (what == "reconnect") {  // "reconnect 40": drops idle connections, opens 40 new ones in all
     for (Proxy& p : proxies_)
       p.clients->reconnect(std::atoi(w[1].c_str()) / static_cast<int>(proxies_.size()));
-  } else if (what == "power") {  // "power 300 1500": all ends at once; each is back within so many ms
+  } else if (what == "power") {  // "power 300 1500": servers are back after 300 to 1500 ms (see power.hpp)
     power_->lose(std::chrono::milliseconds(std::atoi(w[1].c_str())),
                  std::chrono::milliseconds(std::atoi(w[2].c_str())));
   } else if (what == "rate") {
     for (Proxy& p : proxies_) p.clients->rate(value(1) / static_cast<double>(proxies_.size()));
   } else if (what == "proxy") {  // "proxy 2 kill"
     const auto k = static_cast<std::size_t>(std::atoi(w[1].c_str())) - 1;
-    if (k >= proxies_.size()) complain("there is no proxy " + w[1]);
+    if (k >= proxies_.size()) fail("there is no proxy " + w[1]);
     Proxy& p = proxies_[k];
-    if (w[2] == "term" || w[2] == "kill") p.cpuGone += p.process->cpuSeconds() - p.cpuAtStart;
+    if (w[2] == "term" || w[2] == "kill") p.cpuOfEndedProcesses += p.process->cpuSeconds() - p.cpuAtStart;
     if (w[2] == "term" || w[2] == "kill") p.cpuAtStart = 0;
     if (w[2] == "term")
       terminateProxy(p);
@@ -335,7 +336,7 @@
     else if (w[2] == "start")
       startProxy(k);
     else
-      complain("a proxy can be sent term, hup, stop, cont, kill or start");
+      fail("the proxy action must be term, hup, stop, cont, kill or start");
   }
 }
 
@@ -344,10 +345,11 @@
   p.process->signal(SIGTERM);
 }
 
-// What SIGKILL finds unanswered is lost if it came more than 0.7 s after SIGTERM; without SIGTERM nothing is.
+// A request that is unanswered at SIGKILL counts as lost only if it was sent more than 0.7 s after SIGTERM.
+// Without a SIGTERM before, no unanswered request counts as lost.
 void Run::killProxy(Proxy& p) {
-  constexpr Time kTakenAfterTerm = std::chrono::milliseconds(700);
-  p.clients->excuseUntil(p.terminatedAt ? *p.terminatedAt + kTakenAfterTerm : c_.now());
+  constexpr Time kAcceptedAfterTerm = std::chrono::milliseconds(700);
+  p.clients->excuseClosesUntil(p.terminatedAt ? *p.terminatedAt + kAcceptedAfterTerm : c_.now());
   p.process->kill();
 }
 
@@ -360,14 +362,14 @@
   p.process->start([this, k](int port) { proxies_[k].clients->target(loopbackAddress(0, 1, port)); });
 }
 
-// False: there is no such mood.
-bool Run::setRegistry(Registry& registry, const std::string& mood) {
+// Sets the fault mode of a registry stand-in. Returns false if `mood` names no mode.
+bool Run::setRegistryMode(Registry& registry, const std::string& mood) {
   static const std::map<std::string, Registry::Mood> kMoods{{"well", Registry::Mood::Well},
                                                             {"silent", Registry::Mood::WatchesSilent},
                                                             {"cut", Registry::Mood::Cut},
                                                             {"pieces", Registry::Mood::Pieces},
                                                             {"older", Registry::Mood::Older}};
-  const std::string slow = "slow-";  // with the milliseconds of each call
+  const std::string slow = "slow-";  // followed by the delay of each call in ms
   if (mood == "down" || mood == "up")
     registry.down(mood == "down");
   else if (mood == "reset")
@@ -381,19 +383,19 @@
   return true;
 }
 
-void Run::nextStep() {
+void Run::executeDueSteps() {
   const Time now = c_.now() - started_;
-  while (step_ < e_.script.size() && e_.script[step_].at <= now) act(e_.script[step_++]);
-  if (step_ < e_.script.size()) steps_.in(e_.script[step_].at - now);
+  while (step_ < e_.script.size() && e_.script[step_].at <= now) execute(e_.script[step_++]);
+  if (step_ < e_.script.size()) stepTimer_.in(e_.script[step_].at - now);
 }
 
 double Run::cpu() const {
   double s = 0;
-  for (const Proxy& p : proxies_) s += p.process->cpuSeconds() - p.cpuAtStart + p.cpuGone;
+  for (const Proxy& p : proxies_) s += p.process->cpuSeconds() - p.cpuAtStart + p.cpuOfEndedProcesses;
   return s;
 }
 
-void Run::second() {
+void Run::sampleSecond() {
   Second s;
   s.at = static_cast<double>((c_.now() - started_).count()) / 1e6;
   s.cpu = cpu();
@@ -402,8 +404,8 @@
   s.refused = audit_.count(Got::Refused);
   s.failed = audit_.count(Got::Failed) + audit_.count(Got::Nothing);
   for (const auto& [server, in] : listed_) s.members += in;
-  const Second before = second_.empty() ? Second() : second_.back();
-  second_.push_back(s);
+  const Second before = samples_.empty() ? Second() : samples_.back();
+  samples_.push_back(s);
   if (o_.progress) {
     std::fprintf(
         stderr,
@@ -413,7 +415,7 @@
     if (o_.forEver) std::fprintf(stderr, "\n");
     std::fflush(stderr);
   }
-  seconds_.in(std::chrono::seconds(1));
+  sampleTimer_.in(std::chrono::seconds(1));
 }
 
 void Run::measureLag() {
@@ -421,10 +423,11 @@
   const Time now = c_.now();
   if (lagDue_ > Time(0)) worstLag_ = std::max(worstLag_, now - lagDue_);
   lagDue_ = now + kInterval;
-  lag_.in(kInterval);
+  lagTimer_.in(kInterval);
 }
 
-// Half of the tightest bound, so that what is available stays so for the time of a few round trips.
+// Uses half of the tightest staleness bound, so that data that counts as available stays fresh enough for
+// a few more round trips.
 void Run::observeAvailability() {
   constexpr Time kInterval = std::chrono::milliseconds(20);
   Time bound{};
@@ -449,7 +452,7 @@
 void Run::stop() { stopped_ = true; }
 
 Outcome Run::play() {
-  open();
+  startAll();
   wait(e_.warmup, [] { return false; });
   started_ = c_.now();
   for (Proxy& p : proxies_) p.cpuAtStart = p.process->cpuSeconds();
@@ -466,12 +469,12 @@
   hands.directory = o_.directory;
   hands.proxy = [this](int k, bool on) {
     if (proxies_[static_cast<std::size_t>(k) - 1].process->running() != on)
-      act({{}, {"proxy", std::to_string(k), on ? "start" : "kill"}, 0});
+      execute({{}, {"proxy", std::to_string(k), on ? "start" : "kill"}, 0});
   };
   power_ = std::make_unique<Power>(c_, *fleet_, audit_, std::move(hands));
   if (e_.takeoverRules) observeAvailability();
-  nextStep();
-  seconds_.in(std::chrono::seconds(1));
+  executeDueSteps();
+  sampleTimer_.in(std::chrono::seconds(1));
   measureLag();
   wait(o_.forEver ? std::chrono::hours(24 * 365) : e_.duration, [this] { return stopped_; });
   const Time loaded = c_.now() - started_;
@@ -482,21 +485,21 @@
     for (const auto& d : p.crowds) d->stop();
   }
   for (const auto& d : direct_) d->stop();
-  wait(kFinish, [this] {
+  wait(kFinishTimeout, [this] {
     return std::all_of(proxies_.begin(), proxies_.end(), [](const Proxy& p) {
       return p.clients->open() == 0 &&
              std::all_of(p.desks.begin(), p.desks.end(), [](const auto& d) { return d->open() == 0; }) &&
              std::all_of(p.crowds.begin(), p.crowds.end(), [](const auto& d) { return d->open() == 0; });
     });
   });
-  seconds_.stop();
-  steps_.stop();
+  sampleTimer_.stop();
+  stepTimer_.stop();
   if (o_.progress) std::fprintf(stderr, "\n");
   fleet_->finish(c_.now());
   audit_.finish(c_.now());
 
   Outcome out;
-  out.seconds = second_;
+  out.seconds = samples_;
   out.figures["proxy_cpu_s"] = cpuUsed;
   figures(out, loaded);
   for (const Claim& claim : e_.claims) {
@@ -505,7 +508,7 @@
     const auto it = out.figures.find(claim.figure);
     j.known = it != out.figures.end();
     j.measured = j.known ? it->second : 0;
-    j.held = j.known && claim.holds(j.measured);  // what was not measured is not claimed
+    j.held = j.known && claim.holds(j.measured);  // a figure that was not measured breaks its claim
     out.claims.push_back(j);
   }
   return out;
@@ -516,20 +519,20 @@
   for (const auto& [name, v] : audit_.figures()) f[name] = v;
   const double seconds = static_cast<double>(loaded.count()) / 1e6;
   f["seconds"] = seconds;
-  std::size_t through = 0, crashed = 0;
+  std::size_t servedTotal = 0, crashed = 0;
   std::vector<double> latencies;
   double dns = 0, peak = 0;
   for (Proxy& p : proxies_) {
-    through += p.clients->latencies().size();
+    servedTotal += p.clients->latencies().size();
     latencies.insert(latencies.end(), p.clients->latencies().begin(), p.clients->latencies().end());
     for (const auto& d : p.desks) {
-      through += d->latencies().size();
+      servedTotal += d->latencies().size();
       latencies.insert(latencies.end(), d->latencies().begin(), d->latencies().end());
     }
     crashed += !p.process->running() && p.process->exitStatus() != 0;
     if (p.names) dns += static_cast<double>(p.names->counts().udp + p.names->counts().tcp);
   }
-  for (const Second& s : second_) peak = std::max(peak, s.residentMb);
+  for (const Second& s : samples_) peak = std::max(peak, s.residentMb);
   for (const auto& b : bursts_) {
     f["logins"] += static_cast<double>(b->in());
     f["logins_failed"] += static_cast<double>(b->failed());
@@ -539,15 +542,15 @@
     f["logins_most_ms"] = q.most();
     if (q.most() > 0) f["logins_per_s"] = 1e3 * static_cast<double>(b->in()) / q.most();
   }
-  // The door, as the load and the crowds met it.
+  // Admission of connections, as seen by the load and by the crowds.
   double asked = 0, served = 0;
   Quantiles admitted;
   for (const Proxy& p : proxies_) {
     asked += static_cast<double>(p.clients->asked());
     served += static_cast<double>(p.clients->served());
     for (const double ms : p.clients->admissions()) admitted.add(ms);
-    f["load_refused_at_door"] += static_cast<double>(p.clients->refusedAtDoor());
-    f["load_outside"] += static_cast<double>(p.clients->outside());
+    f["load_refused_at_door"] += static_cast<double>(p.clients->rejectedLogins());
+    f["load_outside"] += static_cast<double>(p.clients->notLoggedIn());
     for (const auto& d : p.crowds) {
       const Crowd::Counts& n = d->counts();
       f["crowd_opened"] += static_cast<double>(n.opened);
@@ -573,8 +576,8 @@
   f["resident_mb"] = peak;
   f["worst_lag_ms"] = static_cast<double>(worstLag_.count()) / 1e3;
   f["proxy_cpu_share"] = f["proxy_cpu_s"] / seconds / static_cast<double>(proxies_.size());
-  if (f["requests"] > 0 && through > 0)
-    f["proxy_cpu_us_per_request"] = 1e6 * f["proxy_cpu_s"] / static_cast<double>(through);
+  if (f["requests"] > 0 && servedTotal > 0)
+    f["proxy_cpu_us_per_request"] = 1e6 * f["proxy_cpu_s"] / static_cast<double>(servedTotal);
   f["requests_per_s"] = f["requests"] / seconds;
   f["dns_queries_per_s_and_proxy"] = (dns - dnsAtStart_) / seconds / static_cast<double>(proxies_.size());
   const auto median = [](const std::vector<double>& v) {
@@ -585,7 +588,7 @@
   for (const auto& d : direct_) {
     f["direct_p50_ms"] = median(d->latencies());
     f["direct_mean_ms"] =
-        d->latencies().empty() ? 0 : sum(d->latencies()) / static_cast<double>(d->latencies().size());
+        d->latencies().empty() ? 0 : total(d->latencies()) / static_cast<double>(d->latencies().size());
     f["proxied_p50_ms"] = median(latencies);
     f["added_p50_us"] = 1e3 * (f["proxied_p50_ms"] - f["direct_p50_ms"]);
   }
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -1,4 +1,5 @@
-// One run of an experiment: stand-ins, real proxies, clients, the script, and what came of it.
+// Runs an experiment: starts the stand-in servers, the real proxies and the clients, executes the
+// script, and computes the figures and the results of the claims.
 #pragma once
 
 #include <map>
@@ -17,7 +18,8 @@
 
 namespace sablespur::lab {
 
-struct Second {  // of the run, all proxies together
+// Totals of all proxies, sampled once per second. Counters and CPU time run from the start of the load.
+struct Second {
   double at = 0, cpu = 0, residentMb = 0;
   std::size_t served = 0, refused = 0, failed = 0, members = 0;
 };
@@ -37,22 +39,22 @@
 class Run {
  public:
   struct Options {
-    std::string program;    // the proxy's
+    std::string program;    // path of the proxy binary
     std::string directory;  // for settings and logs
-    bool progress = false;  // a line on standard error each second
-    bool forEver = false;   // until stop is called
+    bool progress = false;  // prints a line on standard error every second
+    bool forEver = false;   // runs until stop() is called, ignoring the experiment's duration
   };
   Run(const Experiment&, const Options&);
   ~Run();
 
-  // Throws std::runtime_error where a stand-in or a proxy does not come up.
+  // Throws std::runtime_error if a stand-in or a proxy does not start, or on an invalid script step.
   Outcome play();
-  void stop();  // ends the load; from a signal's handler in the loop
+  void stop();  // ends the load; called from a signal handler of the event loop
   event_base* loop() { return c_.loop.get(); }
   const Audit& audit() const { return audit_; }
   const Availability& availability() const { return availability_; }
   const Fleet& fleet() const { return *fleet_; }
-  Time startedAt() const { return started_; }  // of the load and the script
+  Time startedAt() const { return started_; }  // start of the load and of the script
 
  private:
   struct Proxy {
@@ -65,23 +67,24 @@
     sockaddr_in address{};
     std::string settingsPath;
     bool ready = false;
-    std::optional<Time> terminatedAt;  // of the process that runs
-    double cpuAtStart = 0, cpuGone = 0;
+    std::optional<Time> terminatedAt;  // when SIGTERM was sent to the current process
+    // CPU seconds: of the current process when the load started, and of earlier processes.
+    double cpuAtStart = 0, cpuOfEndedProcesses = 0;
   };
-  void open();
+  void startAll();
   void publish(DataServer&, bool leaving);
   void withdraw(DataServer&);
   void list(DataServer&);
-  void act(const Step&);
-  static bool setRegistry(Registry&, const std::string& mood);
+  void execute(const Step&);
+  static bool setRegistryMode(Registry&, const std::string& mood);
   void terminateProxy(Proxy&);
   void killProxy(Proxy&);
   void startProxy(std::size_t k);
-  void nextStep();
-  void measureLag();  // of this process's own loop
+  void executeDueSteps();
+  void measureLag();  // measures how late timers of the lab's own event loop fire
   void observeAvailability();
   void watchReads(Clients&, int proxy);
-  void second();
+  void sampleSecond();
   std::string settings(std::size_t proxy) const;
   double cpu() const;
   bool wait(Time most, const std::function<bool()>& done);
@@ -97,13 +100,13 @@
   std::vector<std::unique_ptr<Clients>> direct_;
   std::vector<std::unique_ptr<LoginBurst>> bursts_;
   std::unique_ptr<Power> power_;
-  std::map<int, bool> listed_;  // by server: published now
+  std::map<int, bool> listed_;  // by server number: whether it is published
   std::size_t step_ = 0;
   Time started_{};
   bool stopped_ = false;
-  Timer steps_, seconds_, lag_, availabilityTimer_;
+  Timer stepTimer_, sampleTimer_, lagTimer_, availabilityTimer_;
   Time lagDue_{}, worstLag_{};
-  std::vector<Second> second_;
+  std::vector<Second> samples_;
   double dnsAtStart_ = 0;
 };
 
