--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -140,7 +140,7 @@
     served_ = !r.rows.empty();
     refused_ = r.code == "53300" || r.error.find("no data server can take") != std::string::npos;
     if (r.comeBackMs) retryAfter_ = std::chrono::milliseconds(*r.comeBackMs);
-    // Notices and parameter changes that a server sends within its answer must not reach the client.
+    // Notices and parameter changes that a server sends in its answer must not reach the client.
     if (!o_.s_.direct && (r.seen.find('N') != std::string::npos || r.seen.find('S') != std::string::npos))
       o_.audit_.value(false);
     if (two) o_.audit_.hit("row_2");
@@ -326,7 +326,7 @@
 void Clients::arrive() {
   if (!running_) return;
   if (s_.loop) return ask(makeRequest());
-  // Arrivals follow their own schedule, so that a late timer does not reduce the number of requests.
+  // Arrivals follow their own schedule: a late timer must not reduce the number of requests.
   const Time now = c_.now();
   if (nextArrival_ == Time(0)) nextArrival_ = now;
   while (nextArrival_ <= now) {
@@ -451,7 +451,8 @@
       r.againLeft > 0 &&
       (got == Got::Served ? s_.doubles > 0 && c_.uniform(0.0, 1.0) < s_.doubles : got != Got::Refused);
   const bool again = refused || unknown;
-  const double worth = again ? 0 : r.cls->worth;  // a request's worth counts once, with its last attempt
+  // A request's worth counts once, with its last attempt.
+  const double worth = again ? 0 : r.cls->worth;
   const double earned = got != Got::Served ? 0 : inTime ? worth : worth * r.cls->lateWorth;
   std::string plain = value;
   if (s_.valueBytes > 0 && !s_.version) plain = plain.substr(0, plain.find('.'));
--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -1,6 +1,6 @@
 // Clients of one proxy. Generates open-loop load (Poisson arrivals that do not wait for earlier
-// answers) with deadlines and with retries after rejections. With `loop`, it is a closed loop on one
-// connection: the next request is sent as soon as the previous one has ended.
+// answers) with deadlines and with retries after rejections. With `loop`, it runs a closed loop on
+// one connection: the next request is sent as soon as the previous one has ended.
 #pragma once
 
 #include <functional>
@@ -55,8 +55,8 @@
   void onEnded(Ended call) { ended_ = std::move(call); }
   void rate(double r);
   std::size_t open() const { return outstanding_; }
-  // After the proxy was killed: a connection that closes is not a fault of the proxy for requests that
-  // were sent up to `t`.
+  // Called after the proxy was killed: requests that were sent up to `t` do not count as lost when
+  // their connection closes.
   void excuseClosesUntil(Time t) { closesExcusedUntil_ = std::max(closesExcusedUntil_, t); }
   // Closes every idle connection and opens `connections` new ones at once.
   void reconnect(int connections);
@@ -101,8 +101,8 @@
   std::size_t outstanding_ = 0, asked_ = 0, served_ = 0, rejectedLogins_ = 0;
   int nextAddress_ = 0;
   std::vector<double> admissions_;
-  // Rejected connections that will be opened again: time of the reconnect -> time of the first attempt
-  // and index of the source address.
+  // Rejected connections that will be opened again, by time; the values are the time of the first
+  // attempt and the index of the source address.
   std::multimap<Time, std::pair<Time, int>> reconnects_;
   Timer reconnectTimer_;
   void reopenRejected();
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -14,31 +14,31 @@
 namespace sablespur::lab {
 namespace {
 
-// Each time limit of the rules is 50 ms longer on sockets.
+// Added to each time limit of the rules, to allow for delays of the sockets.
 constexpr Time kSocketSlack = std::chrono::milliseconds(50);
 
-std::string number32(std::uint32_t v) {
+std::string encodeInt32(std::uint32_t v) {
   return {static_cast<char>(v >> 24), static_cast<char>(v >> 16), static_cast<char>(v >> 8),
           static_cast<char>(v)};
 }
-std::string row(const std::string& value) {
+std::string resultRow(const std::string& value) {
   std::string column("\0\1blob\0", 7);
   column.append(18, '\0');
   return postgres::message('T', column) +
          postgres::message(
-             'D', std::string("\0\1", 2) + number32(static_cast<std::uint32_t>(value.size())) + value);
+             'D', std::string("\0\1", 2) + encodeInt32(static_cast<std::uint32_t>(value.size())) + value);
 }
-std::string parameter(const std::string& name, const std::string& value) {
+std::string parameterStatus(const std::string& name, const std::string& value) {
   return postgres::message('S', name + '\0' + value + '\0');
 }
-// The work of a request is its own, whoever serves it.
-double fraction(std::string_view id) {
+// Hashes a request id to [0, 1). The work of a request depends only on its id, not on the server.
+double hashFraction(std::string_view id) {
   std::uint64_t h = 0xcbf29ce484222325ull;
   for (const unsigned char c : id) h = (h ^ c) * 0x100000001b3ull;
   h ^= h >> 29;
   return static_cast<double>((h * 0xbf58476d1ce4e5b9ull) >> 11) / 9007199254740992.0;
 }
-std::string_view field(std::string_view text, std::string_view name) {
+std::string_view commentField(std::string_view text, std::string_view name) {
   const std::size_t open = text.rfind("/*");
   if (open == std::string_view::npos) return {};
   text.remove_prefix(open);
@@ -81,11 +81,14 @@
 }
 void put(bufferevent* to, std::string_view bytes) { bufferevent_write(to, bytes.data(), bytes.size()); }
 
-// One connection: greeted at once, a query at a time.
+// One client or proxy connection. Accepts every plain login and processes one query at a time.
 class DataServer::Connection {
  public:
   Connection(DataServer& s, int proxy, evutil_socket_t fd)
-      : s_(s), proxy_(proxy), number_(++s.numbers_), done_(s.c_, [this] { finish(); }) {
+      : s_(s),
+        proxy_(proxy),
+        number_(++s.lastConnectionNumber_),
+        completionTimer_(s.c_, [this] { finish(); }) {
     if (s.generation_) speaker_ = std::make_unique<ServerSpeaker>(*s.generation_, number_);
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -93,27 +96,27 @@
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->read(); }, nullptr,
         [](bufferevent*, short what, void* self) {
-          if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) static_cast<Connection*>(self)->gone();
+          if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) static_cast<Connection*>(self)->close();
         },
         this);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
     s_.connections_.insert(this);
   }
   ~Connection() {
-    giveUp();
+    abandonAttempt();
     s_.connections_.erase(this);
   }
-  void reset() {
+  void resetOnClose() {
     const linger hard{1, 0};
     setsockopt(bufferevent_getfd(bev_.get()), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
   }
   void read() {
-    if (s_.vanished_) return;  // what has come waits until it is back
+    if (s_.vanished_) return;  // input stays buffered until the server is back
     evbuffer* const in = bufferevent_get_input(bev_.get());
     while (!busy_ && !closing_) {
       const std::size_t have = evbuffer_get_length(in);
       if (!greeted_ && speaker_) {
-        if (!startup(in)) return;
+        if (!readStartup(in)) return;
         continue;
       }
       if (!greeted_) {
@@ -127,39 +130,39 @@
       char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
       const auto head = postgres::parseHeader(bytes);
-      if (!head || head->type == 'X') return gone();
+      if (!head || head->type == 'X') return close();
       if (have < sizeof bytes + head->bodySize) return;
       const auto* const at = reinterpret_cast<const char*>(
           evbuffer_pullup(in, static_cast<ev_ssize_t>(sizeof bytes + head->bodySize)));
       const std::string text(at + sizeof bytes, head->bodySize > 0 ? head->bodySize - 1 : 0);
       evbuffer_drain(in, sizeof bytes + head->bodySize);
-      if (head->type != 'Q') return gone();
+      if (head->type != 'Q') return close();
       query(text);
     }
   }
 
-  // By a CancelRequest that came on another connection.
-  void callOff() {
+  // Cancels the current statement, after a CancelRequest on another connection.
+  void cancelStatement() {
     if (!busy_) return;
     s_.audit_.hit("cancels_reached_servers");
     const Time now = s_.c_.now();
     if (end_ > now) s_.machine_->stop(now, end_);
-    done_.stop();
+    completionTimer_.stop();
     error("57014", "canceling statement due to user request");
   }
   std::uint32_t number() const { return number_; }
 
  private:
-  // False: wait, or this object is no more.
-  bool startup(evbuffer* in) {
+  // Processes startup messages. Returns false if more input is needed or this object was destroyed.
+  bool readStartup(evbuffer* in) {
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (bytes.empty()) return false;
     evbuffer_remove(in, bytes.data(), bytes.size());
-    before_ += bytes;
+    startupBytes_ += bytes;
     ServerSpeaker::Got got;
     do {
-      got = speaker_->take(before_, send);
-    } while (got == ServerSpeaker::Got::More && !send.empty() && !before_.empty());
+      got = speaker_->take(startupBytes_, send);
+    } while (got == ServerSpeaker::Got::More && !send.empty() && !startupBytes_.empty());
     if (!send.empty()) put(bev_.get(), send);
     switch (got) {
       case ServerSpeaker::Got::More:
@@ -173,22 +176,22 @@
         const std::set<Connection*> all = s_.connections_;
         for (Connection* c : all)
           if (c->number() == speaker_->cancelled()) {
-            c->callOff();
+            c->cancelStatement();
             break;
           }
-        gone();
+        close();
         return false;
       }
       case ServerSpeaker::Got::Out:
         closing_ = true;
-        done_.in(Time(0));
+        completionTimer_.in(Time(0));
         return false;
     }
     return false;
   }
-  void gone() { delete this; }
-  // The work of an attempt that is given up stops.
-  void giveUp() {
+  void close() { delete this; }
+  // Stops the work of an attempt whose connection has closed.
+  void abandonAttempt() {
     if (!busy_) return;
     busy_ = false;
     if (end_ > s_.c_.now()) s_.machine_->stop(s_.c_.now(), end_);
@@ -206,19 +209,19 @@
                     static_cast<double>(s_.c_.unixMs(s_.position(now))) / 1e3,
                     s_.fleet_.primary(s_.group_) == &s_ ? 1 : 0, s_.machine_->held(now));
       s_.audit_.roleTold(now, proxy_, s_.number_, s_.fleet_.primary(s_.group_) == &s_);
-      return put(bev_.get(),
-                 row(report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
+      return put(bev_.get(), resultRow(report) + postgres::message('C', std::string("SHOW\0", 5)) +
+                                 postgres::readyForQuery());
     }
     const postgres::Comment comment = postgres::parseComment(text);
     const ClassModel* const cls = comment.fault ? nullptr : s_.fleet_.find(std::string(comment.className));
     if (!cls) return error("08P01", "not in this form");
     const bool primary = s_.fleet_.primary(s_.group_) == &s_;
     id_ = std::string(comment.id);
-    if (speaker_ && !check(text)) return;
-    key_ = std::string(field(text, "k"));
+    if (speaker_ && !checkDeskStatement(text)) return;
+    key_ = std::string(commentField(text, "k"));
     cls_ = cls;
     const double work = static_cast<double>(cls->workLeast.count()) +
-                        fraction(id_) * static_cast<double>((cls->workMost - cls->workLeast).count());
+                        hashFraction(id_) * static_cast<double>((cls->workMost - cls->workLeast).count());
     Audit::Send send;
     send.at = now;
     send.proxy = proxy_;
@@ -236,25 +239,26 @@
     end_ = Time(0);
     if (s_.machine_->sent(now, work)) {
       s_.audit_.felled(now, s_.number_);
-      s_.fallen_ = true;
-      return s_.dying_.in(Time(0));  // not now: its connections, this one among them, end with it
+      s_.fellOver_ = true;
+      return s_.killTimer_.in(Time(0));  // deferred: it destroys this connection
     }
     if (s_.hangs_) return;
     if (cls->write && !primary) return error("25006", "this is no primary");
     if (s_.errors_ > 0 && s_.c_.uniform(0.0, 1.0) < s_.errors_) return error("XX000", "scripted");
     if (s_.resets_ > 0 && s_.c_.uniform(0.0, 1.0) < s_.resets_) {
-      reset();
+      resetOnClose();
       closing_ = true;
-      return done_.in(Time(0));
+      return completionTimer_.in(Time(0));
     }
     if (work <= 0) return complete();
     const auto end = s_.machine_->take(now, work);
     if (!end) return error("53300", "the queue is full");
     end_ = *end;
-    done_.in(end_ - now);
+    completionTimer_.in(end_ - now);
   }
-  // What a desk has written has to arrive as it meant it. False: it is answered already.
-  bool check(const std::string& text) {
+  // Checks that the literal of a desk client arrives with the value that the client meant. Returns
+  // false if the statement has already been answered.
+  bool checkDeskStatement(const std::string& text) {
     if (text.rfind("SELECT missing", 0) == 0) {
       put(bev_.get(),
           speaker_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
@@ -275,7 +279,7 @@
     put(bev_.get(), postgres::error("ERROR", code, text) + postgres::readyForQuery());
   }
   void finish() {
-    if (closing_) return gone();
+    if (closing_) return close();
     complete();
     read();
   }
@@ -299,20 +303,20 @@
     if (!between.empty()) s_.audit_.hit("row_14"), s_.audit_.hit("row_15");
     const std::size_t size = std::max<std::size_t>(s_.fleet_.s_.valueBytes, 1);
     put(bev_.get(),
-        between + (speaker_ ? speaker_->row(bytesOf(id_, size)) : row(value)) +
+        between + (speaker_ ? speaker_->row(bytesOf(id_, size)) : resultRow(value)) +
             postgres::message('C', std::string(cls_->write ? "INSERT 0 1" : "SELECT 1") + '\0') +
-            parameter("role", primary ? "primary" : "replica") +
-            parameter("applied_ms", std::to_string(s_.c_.unixMs(position) + (cls_->write ? 1 : 0))) +
+            parameterStatus("role", primary ? "primary" : "replica") +
+            parameterStatus("applied_ms", std::to_string(s_.c_.unixMs(position) + (cls_->write ? 1 : 0))) +
             postgres::readyForQuery());
   }
 
   DataServer& s_;
   const int proxy_;
   const std::uint32_t number_;
-  std::unique_ptr<ServerSpeaker> speaker_;  // of a fleet with generations
-  std::string before_;                      // of the startup
+  std::unique_ptr<ServerSpeaker> speaker_;  // only in a fleet with generations
+  std::string startupBytes_;                // unprocessed startup bytes
   BufferEventPtr bev_;
-  Timer done_;
+  Timer completionTimer_;
   bool greeted_ = false, busy_ = false, closing_ = false;
   std::string id_, key_;
   const ClassModel* cls_ = nullptr;
@@ -330,7 +334,7 @@
       name_("s-" + std::to_string(number)),
       zone_(zone),
       speed_(speed),
-      dying_(c, [this] { kill(); }) {
+      killTimer_(c, [this] { kill(); }) {
   if (const auto& all = fleet.s_.generations; !all.empty())
     generation_ = all[static_cast<std::size_t>(number - 1) % all.size()];
   MachineSettings m = fleet.s_.machine;
@@ -340,7 +344,7 @@
   runs_ = true;
   listen();
 }
-DataServer::~DataServer() { dropAll(false); }
+DataServer::~DataServer() { closeAll(false); }
 
 sockaddr_in DataServer::address(int proxy) const {
   return loopbackAddress(proxy, 1 + (number_ - 1) % 250, fleet_.s_.basePort + (number_ - 1) / 250);
@@ -348,37 +352,37 @@
 
 void DataServer::listen() {
   for (int proxy = 0; proxy <= fleet_.s_.proxies; ++proxy) {
-    ways_.push_back(std::make_unique<Way>(Way{this, proxy}));
+    listenerContexts_.push_back(std::make_unique<ListenerContext>(ListenerContext{this, proxy}));
     const sockaddr_in a = address(proxy);
     ListenerPtr l(evconnlistener_new_bind(
         c_.loop.get(),
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* of) {
-          const auto& to = *static_cast<Way*>(of);
-          to.server->dialed();
+          const auto& to = *static_cast<ListenerContext*>(of);
+          to.server->onAccepted();
           new Connection(*to.server, to.proxy, fd);  // it deletes itself
         },
-        ways_.back().get(), LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 512,
-        reinterpret_cast<const sockaddr*>(&a), sizeof a));
-    if (!l) throw std::runtime_error("a stand-in cannot listen at " + addressText(a));
+        listenerContexts_.back().get(), LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
+        512, reinterpret_cast<const sockaddr*>(&a), sizeof a));
+    if (!l) throw std::runtime_error("a stand-in server cannot listen at " + addressText(a));
     listeners_.push_back(std::move(l));
   }
 }
 
-// Each is work for a server that has just started, whoever dials.
-void DataServer::dialed() {
+// Counts new connections while the server is cold, from any client: each of them costs it work.
+void DataServer::onAccepted() {
   const Time now = c_.now();
   if (startedAt_ == Time(0) || now >= startedAt_ + fleet_.s_.machine.coldFor) return;
-  dials_.push_back(now);
-  while (dials_.front() <= now - std::chrono::seconds(1)) dials_.pop_front();
-  mostDials_ = std::max(mostDials_, dials_.size());
+  recentAccepts_.push_back(now);
+  while (recentAccepts_.front() <= now - std::chrono::seconds(1)) recentAccepts_.pop_front();
+  peakAccepts_ = std::max(peakAccepts_, recentAccepts_.size());
 }
 
-void DataServer::dropAll(bool reset) {
+void DataServer::closeAll(bool reset) {
   listeners_.clear();
-  ways_.clear();
+  listenerContexts_.clear();
   while (!connections_.empty()) {
     Connection* const c = *connections_.begin();
-    if (reset) c->reset();
+    if (reset) c->resetOnClose();
     delete c;
   }
 }
@@ -387,12 +391,12 @@
   if (!runs_) return;
   runs_ = false;
   audit_.cold(machine_->worst());
-  dropAll(true);
-  if (fleet_.primary(group_) == this) fleet_.lostPrimary(group_);
+  closeAll(true);
+  if (fleet_.primary(group_) == this) fleet_.onPrimaryLost(group_);
 }
 
 void DataServer::start() {
-  if (runs_ || fallen_) return;
+  if (runs_ || fellOver_) return;
   MachineSettings m = fleet_.s_.machine;
   m.speed = speed_;
   const Time now = c_.now();
@@ -408,7 +412,7 @@
 void DataServer::vanish(bool on) {
   vanished_ = on;
   for (const auto& l : listeners_) on ? evconnlistener_disable(l.get()) : evconnlistener_enable(l.get());
-  if (on && fleet_.primary(group_) == this) fleet_.lostPrimary(group_);
+  if (on && fleet_.primary(group_) == this) fleet_.onPrimaryLost(group_);
   if (!on) {
     const std::set<Connection*> all = connections_;
     for (Connection* c : all)
@@ -418,8 +422,8 @@
 
 void DataServer::hang(bool on) {
   hangs_ = on;
-  if (on && fleet_.primary(group_) == this) fleet_.lostPrimary(group_);
-  if (!on) dropAll(true), listen();  // what it held is over
+  if (on && fleet_.primary(group_) == this) fleet_.onPrimaryLost(group_);
+  if (!on) closeAll(true), listen();  // requests that it had read get no answer
 }
 
 Time DataServer::position(Time now) { return fleet_.primary(group_) == this ? now : log_->position(now); }
@@ -453,7 +457,7 @@
 DataServer* Fleet::primary(int group) { return groups_[static_cast<std::size_t>(group - 1)].primary; }
 
 void Fleet::stepDown(int group) {
-  if (primary(group)) lostPrimary(group);
+  if (primary(group)) onPrimaryLost(group);
 }
 
 void Fleet::revive(int group) {
@@ -471,8 +475,8 @@
   });
 }
 
-// The replicas stand still until one of them takes over.
-void Fleet::lostPrimary(int group) {
+// The positions of the replicas do not advance until one of them takes over.
+void Fleet::onPrimaryLost(int group) {
   Group& g = groups_[static_cast<std::size_t>(group - 1)];
   const Time now = c_.now();
   DataServer* const old = g.primary;
@@ -503,11 +507,11 @@
                          Time arrived, Time now) {
   Group& g = groups_[static_cast<std::size_t>(group - 1)];
   if (!key.empty()) {
-    const auto it = g.keys.find(key);
-    // By when each was sent here: what waits in a queue must not make a repeat one that came too late.
-    if (it != g.keys.end() && arrived - it->second.at <= cls.droppedFor + kSocketSlack)
-      return value;  // it has run: nothing happens
-    g.keys[key] = {arrived, value};
+    const auto it = g.appliedWrites.find(key);
+    // Compares arrival times, so that the time in the queue does not move a repeat out of the window.
+    if (it != g.appliedWrites.end() && arrived - it->second.at <= cls.droppedFor + kSocketSlack)
+      return value;  // a repeat: no effect
+    g.appliedWrites[key] = {arrived, value};
     audit_.ran(now, key, cls.droppedFor);
   }
   for (const auto& s : servers_)
--- a/lab/fleet.hpp
+++ b/lab/fleet.hpp
@@ -1,8 +1,9 @@
-// Stand-in data servers, many in one process: PostgreSQL v3 on loopback, in groups of a primary and its
-// replicas.
+// Stand-in data servers, all in this process. They speak PostgreSQL v3 on loopback addresses and form
+// groups of one primary and its replicas.
 //
-// Each server listens at one address for each proxy (127.0.PROXY.SERVER) and one for clients that go to it
-// directly, so that every send tells who made it. What a server can do and how far it has the log: model.hpp.
+// Each server listens at one address per proxy (127.0.PROXY.SERVER) and at one for direct clients, so
+// that the address shows who sent a request. model.hpp models the capacity of a server and its
+// replication position.
 #pragma once
 
 #include <deque>
@@ -23,15 +24,15 @@
   double share = 1;
   Time workLeast{}, workMost{};
   bool write = false;
-  Time bound{};       // reads: the age that is allowed; 0: any
-  Time droppedFor{};  // writes with a key: repeats
+  Time bound{};       // reads: the greatest staleness that is allowed; 0: any
+  Time droppedFor{};  // keyed writes: the deduplication window
   Time aim{}, giveUp{};
   double worth = 1, lateWorth = 0;
-  std::string settings;  // the lines of its section for the proxy
+  std::string settings;  // lines of the class section in the proxy's settings file
 };
 
 struct FleetSettings {
-  int groups = 2, members = 7, proxies = 5, basePort = 0;  // 0: chosen by the process's number
+  int groups = 2, members = 7, proxies = 5, basePort = 0;  // 0: derived from the process id
   MachineSettings machine;
   double speedLeast = 0.85, speedMost = 1.1;
   Time shipLeast = std::chrono::milliseconds(3), shipMost = std::chrono::milliseconds(12);
@@ -40,8 +41,8 @@
   Time detectLeast = Time(1100000), detectMost = Time(2400000), takeoverLeast = Time(1700000),
        takeoverMost = Time(3500000);
   std::vector<std::string> zones{"ruwi", "seeb"};
-  std::size_t valueBytes = 0;  // 0: as long as the id
-  // Servers take them in turn. None: all are plain, and answer one column of text.
+  std::size_t valueBytes = 0;  // minimum length of a value; 0: only as long as the request's id needs
+  // Assigned to the servers round-robin. Empty: all servers are plain and answer one text column.
   std::vector<Generation> generations;
 };
 
@@ -57,19 +58,19 @@
   int group() const { return group_; }
   const std::string& zone() const { return zone_; }
   bool runs() const { return runs_; }
-  // Takes requests and answers them without a scripted fault.
+  // Whether the server runs and no scripted fault keeps it from answering.
   bool isHealthy() const { return runs_ && !vanished_ && !hangs_ && errors_ <= 0 && resets_ <= 0; }
   bool hasBeenPrimary() const { return hasBeenPrimary_; }
   const Generation* generation() const { return generation_ ? &*generation_ : nullptr; }
   double speed() const { return speed_; }
   Time startedAt() const { return startedAt_; }  // 0: before the run
-  sockaddr_in address(int proxy) const;          // proxy 0: for those that come directly
+  sockaddr_in address(int proxy) const;          // proxy 0: for direct clients
 
-  // The script's.
-  void kill();        // its process dies: connections are reset, new ones refused
-  void start();       // and starts anew, cold
-  void vanish(bool);  // says nothing more, takes nothing; its connections stay open
-  void hang(bool);    // takes requests and answers none of them
+  // Faults that the script injects.
+  void kill();        // as if the process died: connections are reset and new ones refused
+  void start();       // starts the server again, cold
+  void vanish(bool);  // neither reads nor answers nor accepts; its connections stay open
+  void hang(bool);    // reads requests but answers none
   void slow(double f) { machine_->slow(f); }
   void errors(double share) { errors_ = share; }
   void resets(double share) { resets_ = share; }
@@ -79,14 +80,15 @@
   Time position(Time now);
   LogApply& log() { return *log_; }
   double coldMultiple() const { return machine_->worst(); }
-  std::size_t coldDials() const { return mostDials_; }  // in a second, the most while it was cold
+  // Greatest number of connections accepted within one second while the server was cold.
+  std::size_t coldDials() const { return peakAccepts_; }
 
  private:
   friend class Fleet;
   class Connection;
   void listen();
-  void dialed();
-  void dropAll(bool reset);
+  void onAccepted();
+  void closeAll(bool reset);
 
   Context& c_;
   Fleet& fleet_;
@@ -97,20 +99,20 @@
   const double speed_;
   std::optional<Generation> generation_;
   Time startedAt_{};
-  Timer dying_;
+  Timer killTimer_;
   std::unique_ptr<Machine> machine_;
   std::unique_ptr<LogApply> log_;
-  struct Way {  // who comes through a listener
+  struct ListenerContext {  // the server and the proxy that a listener serves
     DataServer* server;
     int proxy;
   };
-  std::vector<std::unique_ptr<Way>> ways_;
+  std::vector<std::unique_ptr<ListenerContext>> listenerContexts_;
   std::vector<ListenerPtr> listeners_;
   std::set<Connection*> connections_;
-  std::uint32_t numbers_ = 0;  // of connections, for their keys
-  std::deque<Time> dials_;
-  std::size_t mostDials_ = 0;
-  bool runs_ = false, vanished_ = false, hangs_ = false, fallen_ = false;
+  std::uint32_t lastConnectionNumber_ = 0;  // part of the connections' cancel keys
+  std::deque<Time> recentAccepts_;
+  std::size_t peakAccepts_ = 0;
+  bool runs_ = false, vanished_ = false, hangs_ = false, fellOver_ = false;
   bool hasBeenPrimary_ = false;
   double errors_ = 0, resets_ = 0;
 };
@@ -127,11 +129,11 @@
   const std::vector<std::unique_ptr<DataServer>>& servers() const { return servers_; }
   DataServer* byName(const std::string&);
   DataServer* primary(int group);
-  // The script's: the primary goes on as a replica, and another one takes over after a while.
+  // Script action: the primary becomes a replica, and after a failover delay a server takes over.
   void stepDown(int group);
-  // The script's: servers of the group that hang or have vanished answer again.
+  // Script action: servers of the group that hang or have vanished answer again.
   void revive(int group);
-  // Whether a healthy server of the group has data of at most that age.
+  // Whether a healthy server of the group has data that is at most `maxAge` old.
   bool isAvailable(int group, Time maxAge);
   bool hasHealthyPrimary(int group) { return primary(group) && primary(group)->isHealthy(); }
   void finish(Time now);
@@ -141,15 +143,16 @@
   struct Group {
     DataServer* primary = nullptr;
     std::unique_ptr<Timer> failover;
-    struct Kept {
+    struct AppliedWrite {
       Time at;
       std::string value;
     };
-    std::map<std::string, Kept> keys;
+    std::map<std::string, AppliedWrite> appliedWrites;  // by idempotency key
   };
-  void lostPrimary(int group);
+  void onPrimaryLost(int group);
   void takeOver(int group);
-  // What a write answers; it takes effect unless its key was seen within the class's time.
+  // Applies a write and returns its answer. A write whose idempotency key was seen within the
+  // deduplication window of its class has no effect.
   std::string write(int group, const ClassModel&, const std::string& key, const std::string& value,
                     Time arrived, Time now);
 
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -89,8 +89,8 @@
     const std::size_t place = text.find(section + "\n");
     text.insert(place + section.size() + 1, line + "\n");
   }
-  // Expands the placeholders: {proxy} is the number of the proxy, {peer} the address at which it listens
-  // for its peers. With {peer}, a [peer] section is added for every proxy.
+  // Expands the placeholders: {proxy} is the number of the proxy, {peer} the address at which it
+  // listens for its peers. With {peer}, a [peer] section is added for every proxy.
   const auto peer = [&](std::size_t n) {
     return addressText(loopbackAddress(250, static_cast<int>(n) + 1, e_.fleet.basePort));
   };
@@ -290,7 +290,8 @@
     if (s && w[1] == "hang") s->hang(true);
     if (s && w[1] == "vanish") s->vanish(true);
     if (s && w[1] == "stepdown") fleet_->stepDown(std::atoi(w[2].c_str()));
-  } else if (what == "revive") {  // "revive 1": servers of group 1 that hang or have vanished answer again
+  } else if (what == "revive") {
+    // "revive 1": servers of group 1 that hang or have vanished answer again
     fleet_->revive(std::atoi(w[1].c_str()));
   } else if (what == "load") {  // "load 2 15": 15 requests per second at proxy 2
     const auto k = static_cast<std::size_t>(std::atoi(w[1].c_str())) - 1;
@@ -309,10 +310,13 @@
     if (!version) fail("there is no protocol version " + w[2]);
     bursts_.push_back(
         std::make_unique<LoginBurst>(c_, proxies_[0].address, *version, std::atoi(w[1].c_str())));
-  } else if (what == "reconnect") {  // "reconnect 40": drops idle connections, opens 40 new ones in all
+  } else if (what == "reconnect") {
+    // "reconnect 40": replaces the idle connections by 40 new ones, over all proxies
     for (Proxy& p : proxies_)
       p.clients->reconnect(std::atoi(w[1].c_str()) / static_cast<int>(proxies_.size()));
-  } else if (what == "power") {  // "power 300 1500": servers are back after 300 to 1500 ms (see power.hpp)
+  } else if (what == "power") {
+    // "power 300 1500": kills all servers and proxies at once; each restarts within 1500 ms, servers not
+    // before 300 ms and proxies not before 100 ms
     power_->lose(std::chrono::milliseconds(std::atoi(w[1].c_str())),
                  std::chrono::milliseconds(std::atoi(w[2].c_str())));
   } else if (what == "rate") {
@@ -345,8 +349,8 @@
   p.process->signal(SIGTERM);
 }
 
-// A request that is unanswered at SIGKILL counts as lost only if it was sent more than 0.7 s after SIGTERM.
-// Without a SIGTERM before, no unanswered request counts as lost.
+// A request that is unanswered at SIGKILL counts as lost only if it was sent more than 0.7 s after
+// SIGTERM. Without a SIGTERM before, no unanswered request counts as lost.
 void Run::killProxy(Proxy& p) {
   constexpr Time kAcceptedAfterTerm = std::chrono::milliseconds(700);
   p.clients->excuseClosesUntil(p.terminatedAt ? *p.terminatedAt + kAcceptedAfterTerm : c_.now());
@@ -426,8 +430,8 @@
   lagTimer_.in(kInterval);
 }
 
-// Uses half of the tightest staleness bound, so that data that counts as available stays fresh enough for
-// a few more round trips.
+// Uses half of the tightest staleness bound, so that data that counts as available stays fresh enough
+// for a few more round trips.
 void Run::observeAvailability() {
   constexpr Time kInterval = std::chrono::milliseconds(20);
   Time bound{};
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -18,7 +18,7 @@
 
 namespace sablespur::lab {
 
-// Totals of all proxies, sampled once per second. Counters and CPU time run from the start of the load.
+// Totals of all proxies, sampled once per second. Counters and CPU time start with the load.
 struct Second {
   double at = 0, cpu = 0, residentMb = 0;
   std::size_t served = 0, refused = 0, failed = 0, members = 0;
@@ -47,7 +47,7 @@
   Run(const Experiment&, const Options&);
   ~Run();
 
-  // Throws std::runtime_error if a stand-in or a proxy does not start, or on an invalid script step.
+  // Throws std::runtime_error if a stand-in or a proxy does not start, or if a script step is invalid.
   Outcome play();
   void stop();  // ends the load; called from a signal handler of the event loop
   event_base* loop() { return c_.loop.get(); }
