--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -11,20 +11,22 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr Time kSlack = std::chrono::milliseconds(70);  // after the deadline an answer still counts as one
-constexpr std::int64_t kReturnWindow = 100000;          // microseconds
+constexpr Time kDeadlineSlack =
+    std::chrono::milliseconds(70);  // an answer is accepted for this long after the deadline
+constexpr std::int64_t kReturnWindowUs = 100000;
 
 }  // namespace
 
-struct Crowd::One {
-  One(Crowd& o, std::uint32_t from, int fd) : owner(o), address(from), timer(o.c_, [this] { late(); }) {
+struct Crowd::Client {
+  Client(Crowd& o, std::uint32_t from, int fd)
+      : owner(o), address(from), timer(o.c_, [this] { onTimeout(); }) {
     bev.reset(bufferevent_socket_new(o.c_.loop.get(), fd, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(
-        bev.get(), [](bufferevent*, void* self) { static_cast<One*>(self)->read(); }, nullptr,
+        bev.get(), [](bufferevent*, void* self) { static_cast<Client*>(self)->read(); }, nullptr,
         [](bufferevent*, short what, void* self) {
-          auto& one = *static_cast<One*>(self);
-          if (what & BEV_EVENT_CONNECTED) one.connected = true;
-          if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) one.gone();
+          auto& client = *static_cast<Client*>(self);
+          if (what & BEV_EVENT_CONNECTED) client.connected = true;
+          if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) client.onClosed();
         },
         this);
     if (o.s_.way != "silent") put(bev.get(), postgres::startup("api", "ledger"));
@@ -38,7 +40,7 @@
     const auto reads = std::find_if(owner.classes_.begin(), owner.classes_.end(),
                                     [](const ClassModel& m) { return !m.write; });
     cls = &*reads;
-    id = owner.prefix_ + std::to_string(++owner.ids_);
+    id = owner.prefix_ + std::to_string(++owner.lastId_);
     const int group = std::uniform_int_distribution<int>(1, std::max(owner.s_.groups, 1))(owner.c_.random);
     at = owner.c_.now();
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(cls->giveUp).count();
@@ -46,36 +48,36 @@
         postgres::query("SELECT blob FROM rows WHERE handle = 'crowd' /* id=" + id + ",c=" + cls->name +
                         ",d=" + std::to_string(ms) + ",cluster=" + std::to_string(group) + " */"));
     asked = true;
-    ++owner.asking_;
+    ++owner.outstanding_;
     owner.audit_.request(at, id);
-    timer.in(cls->giveUp + kSlack);
+    timer.in(cls->giveUp + kDeadlineSlack);
   }
   void answer(Got got) {
     if (!asked || answered) return;
     answered = true;
-    --owner.asking_;
+    --owner.outstanding_;
     const Time latency = owner.c_.now() - at;
     const bool inTime = got == Got::Served && latency <= cls->aim;
-    owner.audit_.answer(owner.c_.now(), id, got, value, latency, inTime, 0, 0);  // its worth is not counted
+    owner.audit_.answer(owner.c_.now(), id, got, value, latency, inTime, 0, 0);  // worth 0
     owner.n_.served += got == Got::Served;
     owner.n_.turnedAway += got == Got::Refused;
   }
-  // It leaves: its stay is over, or its time is up.
-  void late() {
+  // Closes the connection after its stay, or when the request has no answer in time.
+  void onTimeout() {
     if (asked && !answered) answer(Got::Nothing);
-    owner.ended(*this);
+    owner.remove(*this);
   }
-  void gone() {
+  void onClosed() {
     if (refused) {
-      owner.waiting_.emplace(owner.c_.now() + comeBack, address);
-      owner.back_.in(owner.waiting_.begin()->first - owner.c_.now());
+      owner.reconnects_.emplace(owner.c_.now() + retryAfter, address);
+      owner.reconnectTimer_.in(owner.reconnects_.begin()->first - owner.c_.now());
     } else if (!connected) {
       ++owner.n_.failed;
     } else if (!in) {
       ++owner.n_.cut;
     }
     answer(Got::Failed);
-    owner.ended(*this);
+    owner.remove(*this);
   }
   void read() {
     evbuffer* const from = bufferevent_get_input(bev.get());
@@ -83,12 +85,12 @@
       char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(from, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
       const auto head = postgres::parseHeader(bytes);
-      if (!head) return gone();
+      if (!head) return onClosed();
       const std::size_t whole = sizeof bytes + head->bodySize;
       if (evbuffer_get_length(from) < whole) return;
       const auto* const first =
           reinterpret_cast<const char*>(evbuffer_pullup(from, static_cast<ev_ssize_t>(whole)));
-      take(head->type, {first + sizeof bytes, head->bodySize});
+      handleMessage(head->type, {first + sizeof bytes, head->bodySize});
       evbuffer_drain(from, whole);
       if (head->type != 'Z') continue;
       if (!in) {
@@ -101,7 +103,7 @@
       }
     }
   }
-  void take(char type, std::string_view body) {
+  void handleMessage(char type, std::string_view body) {
     if (type == 'D') {
       served = true;
       if (const auto v = postgres::parseColumn(body)) value = std::string(*v);
@@ -113,7 +115,7 @@
     refused = true;
     ++owner.n_.refused;
     const std::size_t d = body.find(std::string("\0D", 2));
-    if (d != std::string_view::npos) comeBack = std::chrono::milliseconds(std::atoi(body.data() + d + 2));
+    if (d != std::string_view::npos) retryAfter = std::chrono::milliseconds(std::atoi(body.data() + d + 2));
   }
 
   Crowd& owner;
@@ -122,7 +124,7 @@
   BufferEventPtr bev;
   std::string id, value;
   const ClassModel* cls = nullptr;
-  Time at{}, comeBack{};
+  Time at{}, retryAfter{};
   bool connected = false, in = false, refused = false, asked = false, answered = false, served = false,
        turnedAway = false;
 };
@@ -134,30 +136,30 @@
       classes_(classes),
       s_(s),
       prefix_(prefix),
-      next_(c, [this] { arrive(); }),
-      back_(c, [this] { back(); }) {}
+      arrivalTimer_(c, [this] { arrive(); }),
+      reconnectTimer_(c, [this] { reconnectDue(); }) {}
 Crowd::~Crowd() = default;
 
 void Crowd::start() {
   running_ = true;
   started_ = c_.now();
-  due_ = started_ + s_.from;
-  next_.in(s_.from);
+  nextArrival_ = started_ + s_.from;
+  arrivalTimer_.in(s_.from);
 }
 void Crowd::stop() {
   running_ = false;
-  waiting_.clear();
-  next_.stop();
+  reconnects_.clear();
+  arrivalTimer_.stop();
 }
 
 void Crowd::arrive() {
   const Time now = c_.now();
-  for (; running_ && due_ <= now && due_ < started_ + s_.until;
-       due_ += Time(static_cast<std::int64_t>(1e6 / s_.rate))) {
+  for (; running_ && nextArrival_ <= now && nextArrival_ < started_ + s_.until;
+       nextArrival_ += Time(static_cast<std::int64_t>(1e6 / s_.rate))) {
     connect(addressNumber(s_.address) + std::uniform_int_distribution<std::uint32_t>(
                                             0, static_cast<std::uint32_t>(s_.addresses) - 1)(c_.random));
   }
-  if (running_ && due_ < started_ + s_.until) next_.in(due_ - now);
+  if (running_ && nextArrival_ < started_ + s_.until) arrivalTimer_.in(nextArrival_ - now);
 }
 
 void Crowd::connect(std::uint32_t address) {
@@ -167,26 +169,26 @@
     return;
   }
   ++n_.opened;
-  auto one = std::make_unique<One>(*this, address, fd);
-  One* const key = one.get();
-  all_.emplace(key, std::move(one));
+  auto client = std::make_unique<Client>(*this, address, fd);
+  Client* const key = client.get();
+  clients_.emplace(key, std::move(client));
 }
 
-// Each at the time that it was told, not before.
-void Crowd::back() {
+// Reconnects rejected clients at the time that the proxy asked for, not earlier.
+void Crowd::reconnectDue() {
   const Time now = c_.now();
-  while (!waiting_.empty() && waiting_.begin()->first <= now) {
-    const auto [told, address] = *waiting_.begin();
-    waiting_.erase(waiting_.begin());
+  while (!reconnects_.empty() && reconnects_.begin()->first <= now) {
+    const auto [due, address] = *reconnects_.begin();
+    reconnects_.erase(reconnects_.begin());
     if (!running_ || !s_.returns) continue;
     ++n_.returned;
-    n_.early += now < told;
-    n_.peakReturns = std::max(n_.peakReturns, ++returns_[now.count() / kReturnWindow]);
+    n_.early += now < due;
+    n_.peakReturns = std::max(n_.peakReturns, ++returnsByWindow_[now.count() / kReturnWindowUs]);
     connect(address);
   }
-  if (!waiting_.empty()) back_.in(waiting_.begin()->first - now);
+  if (!reconnects_.empty()) reconnectTimer_.in(reconnects_.begin()->first - now);
 }
 
-void Crowd::ended(One& one) { all_.erase(&one); }
+void Crowd::remove(Client& client) { clients_.erase(&client); }
 
 }  // namespace sablespur::lab
--- a/lab/crowd.hpp
+++ b/lab/crowd.hpp
@@ -1,5 +1,6 @@
-// A crowd before one proxy: new connections at a rate, from many loopback addresses, whatever becomes of the
-// earlier ones. What a ship that docks looks like, or one machine that connects in a loop.
+// Opens connections to one proxy at a fixed rate, from many loopback addresses, whatever happens to the
+// earlier ones. Models the many clients of a docking ship that connect at once, or one machine that
+// connects in a loop.
 #pragma once
 
 #include <deque>
@@ -15,15 +16,18 @@
 namespace sablespur::lab {
 
 struct CrowdSettings {
-  double rate = 100;  // new connections a second
+  double rate = 100;  // new connections per second
   Time from{}, until = std::chrono::hours(1);
-  std::string address = "127.64.0.1";  // the first of so many
+  std::string address = "127.64.0.1";  // the first of `addresses` consecutive source addresses
   int addresses = 1;
-  // ask: one read, then it stays; silent: nothing at all is sent; startup: a startup and no query; mute: as
-  // ask, but what comes is not read.
+  // What each connection sends:
+  // - ask: a startup message and one read, then the connection stays open;
+  // - silent: nothing;
+  // - startup: a startup message, but no query;
+  // - mute: as ask, but the client never reads.
   std::string way = "ask";
-  Time stay = std::chrono::seconds(2);  // and closes
-  bool returns = true;                  // when it was told to, once refused; as often as it is refused
+  Time stay = std::chrono::seconds(2);  // before the client closes the connection
+  bool returns = true;  // after each rejection, connects again at the time that the proxy asked for
   int groups = 2;
 };
 
@@ -33,24 +37,25 @@
   ~Crowd();
   void target(const sockaddr_in& a) { target_ = a; }
   void start();
-  void stop();  // no new ones; who has asked waits for its answer
-  std::size_t open() const { return asking_; }
+  void stop();  // opens no new connections; requests in flight continue
+  std::size_t open() const { return outstanding_; }
 
   struct Counts {
-    std::uint64_t opened = 0, in = 0, refused = 0, cut = 0;  // cut: its connection ended without a word
-    std::uint64_t failed = 0;                                // to connect
-    std::uint64_t served = 0, turnedAway = 0;                // of those that asked
-    std::uint64_t returned = 0, early = 0;                   // early: before it was told to
-    std::uint64_t peakReturns = 0;                           // most within 100 ms
+    // Connections. in: login completed; cut: closed by the proxy before the login, without an error.
+    std::uint64_t opened = 0, in = 0, refused = 0, cut = 0;
+    std::uint64_t failed = 0;                  // could not connect
+    std::uint64_t served = 0, turnedAway = 0;  // requests: answered with a row; rejected
+    std::uint64_t returned = 0, early = 0;     // reconnects after a rejection; too early ones among them
+    std::uint64_t peakReturns = 0;             // greatest number of reconnects within 100 ms
   };
   const Counts& counts() const { return n_; }
 
  private:
-  struct One;
+  struct Client;
   void arrive();
   void connect(std::uint32_t address);
-  void back();
-  void ended(One&);
+  void reconnectDue();
+  void remove(Client&);
 
   Context& c_;
   Audit& audit_;
@@ -58,15 +63,16 @@
   const CrowdSettings s_;
   const std::string prefix_;
   sockaddr_in target_{};
-  Timer next_, back_;
-  Time started_{}, due_{};
+  Timer arrivalTimer_, reconnectTimer_;
+  Time started_{}, nextArrival_{};
   bool running_ = false;
-  std::uint64_t ids_ = 0;
-  std::size_t asking_ = 0;
+  std::uint64_t lastId_ = 0;
+  std::size_t outstanding_ = 0;
   Counts n_;
-  std::unordered_map<One*, std::unique_ptr<One>> all_;
-  std::multimap<Time, std::uint32_t> waiting_;  // who was refused, by when it may come back
-  std::map<std::int64_t, std::uint64_t> returns_;
+  std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
+  std::multimap<Time, std::uint32_t>
+      reconnects_;  // addresses of rejected connections, by the time of the reconnect
+  std::map<std::int64_t, std::uint64_t> returnsByWindow_;
 };
 
 }  // namespace sablespur::lab
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -12,15 +12,15 @@
 namespace sablespur::lab {
 namespace {
 
-std::vector<std::string> split(const std::string& text) {
+std::vector<std::string> splitWords(const std::string& text) {
   std::istringstream in(text);
   std::vector<std::string> all;
   for (std::string w; in >> w;) all.push_back(w);
   return all;
 }
 
-// What a script may say, and how many words follow.
-const std::map<std::string, std::size_t>& actions() {
+// The actions of a script, with the number of arguments that each takes.
+const std::map<std::string, std::size_t>& actionArguments() {
   static const std::map<std::string, std::size_t> all{
       {"withdraw", 1}, {"publish", 1}, {"toggle", 1}, {"drain", 1},  {"rename", 2},  {"empty", 0},
       {"refill", 0},   {"kill", 1},    {"start", 1},  {"vanish", 1}, {"back", 1},    {"hang", 1},
@@ -53,7 +53,7 @@
       else if (s.type == "crowd")
         crowd(s);
       else if (s.type == "class")
-        aClass(s);
+        requestClass(s);
       else if (s.type == "settings")
         settings(s);
       else if (s.type == "script")
@@ -84,7 +84,7 @@
     faults_.push_back({path_, line, std::move(where), std::move(problem), std::move(fix)});
   }
   template <typename T, typename V>
-  Setter put(T& to, Read<V> (*read)(std::string_view)) {
+  Setter setter(T& to, Read<V> (*read)(std::string_view)) {
     return [this, &to, read](const IniEntry& e) {
       const auto v = read(e.value);
       if (const ValueError* w = std::get_if<ValueError>(&v))
@@ -93,13 +93,13 @@
         to = static_cast<T>(std::get<V>(v));
     };
   }
-  Setter time(Time& to) { return put(to, readTime); }
+  Setter time(Time& to) { return setter(to, readTime); }
   template <typename T>
   Setter count(T& to) {
-    return put(to, readCount);
+    return setter(to, readCount);
   }
-  Setter number(double& to) { return put(to, readNumber); }
-  Setter share(double& to) { return put(to, readShare); }
+  Setter number(double& to) { return setter(to, readNumber); }
+  Setter share(double& to) { return setter(to, readShare); }
   static Setter text(std::string& to) {
     return [&to](const IniEntry& e) { to = e.value; };
   }
@@ -127,7 +127,7 @@
               {"discovery", text(e.discovery)},
               {"inherited", count(e.inherited)},
               {"descriptors", count(e.descriptors)},
-              {"takeover_rules", put(e.takeoverRules, readFlag)},
+              {"takeover_rules", setter(e.takeoverRules, readFlag)},
               {"seed", count(e.seed)}});
     if (e.proxies < 1 || e.proxies > 200)
       fault(s.line, s.title() + " proxies", "it is out of range", "write 1 to 200");
@@ -157,13 +157,13 @@
               {"probe_work", time(f.probeWork)},
               {"value_bytes", count(f.valueBytes)},
               {"base_port", count(f.basePort)}});
-    for (const std::string& name : split(generations)) {
+    for (const std::string& name : splitWords(generations)) {
       const auto g = generationOf(name);
       if (g)
         f.generations.push_back(*g);
       else
         fault(s.line, s.title() + " generations", "there is no generation '" + name + "'",
-              "write some of plain, old, modern");
+              "write one or more of plain, old, modern");
     }
   }
   void load(const IniSection& s) {
@@ -171,13 +171,13 @@
     std::string server, version;
     bool loop = false;
     apply(s, {{"rate", number(c.rate)},
-              {"strict_ends", put(c.strictEnds, readFlag)},
+              {"strict_ends", setter(c.strictEnds, readFlag)},
               {"retries", count(c.retries)},
               {"asks_again", count(c.asksAgain)},
               {"doubles", share(c.doubles)},
               {"again_least", time(c.againLeast)},
               {"again_most", time(c.againMost)},
-              {"loop", put(loop, readFlag)},
+              {"loop", setter(loop, readFlag)},
               {"value_bytes", count(c.valueBytes)},
               {"version", text(version)},
               {"way", text(c.way)},
@@ -186,7 +186,7 @@
               {"server", text(server)}});
     if (c.addresses < 1) fault(s.line, s.title() + " addresses", "it is out of range", "write 1 or more");
     if (c.againMost < c.againLeast)
-      fault(s.line, s.title() + " again_most", "it is below again_least", "raise it, or lower the other");
+      fault(s.line, s.title() + " again_most", "it is below again_least", "raise it, or lower again_least");
     c.loop = loop;
     c.version = versionOf(version);
     if (s.name.empty()) {
@@ -208,12 +208,13 @@
               {"addresses", count(c.addresses)},
               {"way", text(c.way)},
               {"stay", time(c.stay)},
-              {"returns", put(returns, readFlag)}});
+              {"returns", setter(returns, readFlag)}});
     c.returns = returns;
     if (c.way != "ask" && c.way != "silent" && c.way != "startup" && c.way != "mute")
-      fault(s.line, s.title() + " way", "'" + c.way + "' is none", "write ask, silent, startup or mute");
+      fault(s.line, s.title() + " way", "'" + c.way + "' is not a way of a crowd",
+            "write ask, silent, startup or mute");
     if (c.rate <= 0 || c.addresses < 1)
-      fault(s.line, s.title(), "its rate or its addresses are out of range", "write more than 0");
+      fault(s.line, s.title(), "rate or addresses is out of range", "write more than 0");
     e_.crowds.push_back({s.name, c});
   }
   void desks(const IniSection& s) {
@@ -223,7 +224,7 @@
     apply(s, {{"version", text(version)},
               {"way", text(c.way)},
               {"rate", number(c.rate)},
-              {"loop", put(loop, readFlag)},
+              {"loop", setter(loop, readFlag)},
               {"retries", count(c.retries)},
               {"cancels", share(c.cancels)},
               {"missing", share(c.missing)},
@@ -233,35 +234,36 @@
     c.version = versionOf(version);
     if (!extension.empty()) c.startup.emplace_back("_pq_." + extension, "on");
     if (!c.version)
-      fault(s.line, s.title() + " version", "'" + version + "' is no version", "write 2.0, 3.0 or 3.2");
+      fault(s.line, s.title() + " version", "'" + version + "' is not a protocol version",
+            "write 2.0, 3.0 or 3.2");
     if (c.way != "simple" && ((c.way != "extended" && c.way != "binary") || c.version == Version::V20))
-      fault(s.line, s.title() + " way", "'" + c.way + "' is no way of this version",
+      fault(s.line, s.title() + " way", "'" + c.way + "' is not available in this version",
             "write simple, and for 3.x extended or binary");
     e_.desks.push_back({s.name, c});
   }
-  void aClass(const IniSection& s) {
+  void requestClass(const IniSection& s) {
     ClassModel m;
     m.name = s.name;
     std::string data, age, dropped, aim, giveUp, worth, late;
-    const auto forProxy = [&](const IniEntry& e) { m.settings += e.key + " = " + e.value + "\n"; };
-    const auto both = [&](const Setter& set) {
-      return Setter([set, forProxy](const IniEntry& e) {
+    const auto forwardToProxy = [&](const IniEntry& e) { m.settings += e.key + " = " + e.value + "\n"; };
+    const auto setAndForward = [&](const Setter& set) {
+      return Setter([set, forwardToProxy](const IniEntry& e) {
         set(e);
-        forProxy(e);
+        forwardToProxy(e);
       });
     };
     apply(s,
           {{"share", share(m.share)},
            {"work_least", time(m.workLeast)},
            {"work_most", time(m.workMost)},
-           {"data", both(text(data))},
-           {"max_age", both(time(m.bound))},
-           {"repeats_dropped_for", both(time(m.droppedFor))},
-           {"aim", both(time(m.aim))},
-           {"give_up", both(time(m.giveUp))},
-           {"worth", both(number(m.worth))},
-           {"late_worth", both(share(m.lateWorth))}},
-          forProxy);
+           {"data", setAndForward(text(data))},
+           {"max_age", setAndForward(time(m.bound))},
+           {"repeats_dropped_for", setAndForward(time(m.droppedFor))},
+           {"aim", setAndForward(time(m.aim))},
+           {"give_up", setAndForward(time(m.giveUp))},
+           {"worth", setAndForward(number(m.worth))},
+           {"late_worth", setAndForward(share(m.lateWorth))}},
+          forwardToProxy);
     m.write = data == "write";
     e_.classes.push_back(std::move(m));
   }
@@ -269,7 +271,7 @@
     for (const IniEntry& e : s.entries) {
       const std::size_t dot = e.key.find('.');
       if (dot == std::string::npos)
-        fault(e.line, s.title() + " " + e.key, "it names no section",
+        fault(e.line, s.title() + " " + e.key, "the key names no section",
               "write SECTION.KEY, such as dnssd.refresh_most");
       else
         settings_[e.key.substr(0, dot)] += e.key.substr(dot + 1) + " = " + e.value + "\n";
@@ -277,7 +279,7 @@
     }
   }
 
-  std::optional<Time> at(const IniEntry& e, const std::string& word) {
+  std::optional<Time> parseTime(const IniEntry& e, const std::string& word) {
     const auto t = readTime(word);
     if (const ValueError* w = std::get_if<ValueError>(&t)) {
       fault(e.line, "[script]", w->problem,
@@ -286,14 +288,14 @@
     }
     return std::get<Time>(t);
   }
-  // "5s withdraw s-3", or "from 2s every 400ms until 42s toggle s-4".
+  // A line is "5s withdraw s-3" or, repeated, "from 2s every 400ms until 42s toggle s-4".
   void script(const IniSection& s) {
     for (const IniEntry& e : s.entries) {
-      std::vector<std::string> words = split(e.value);
+      std::vector<std::string> words = splitWords(e.value);
       Time from{}, every{}, until{};
       std::size_t skip = 1;
       if (words.size() > 6 && words[0] == "from" && words[2] == "every" && words[4] == "until") {
-        const auto a = at(e, words[1]), b = at(e, words[3]), c = at(e, words[5]);
+        const auto a = parseTime(e, words[1]), b = parseTime(e, words[3]), c = parseTime(e, words[5]);
         if (!a || !b || !c) continue;
         from = *a;
         every = *b;
@@ -304,17 +306,18 @@
           continue;
         }
       } else {
-        const auto a = words.empty() ? std::nullopt : at(e, words[0]);
+        const auto a = words.empty() ? std::nullopt : parseTime(e, words[0]);
         if (!a) continue;
         from = until = *a;
         every = Time(1);
       }
       words.erase(words.begin(), words.begin() + static_cast<std::ptrdiff_t>(skip));
-      const auto known = words.empty() ? actions().end() : actions().find(words[0]);
-      if (known == actions().end() || words.size() < 1 + known->second) {
+      const auto known = words.empty() ? actionArguments().end() : actionArguments().find(words[0]);
+      if (known == actionArguments().end() || words.size() < 1 + known->second) {
         std::string list;
-        for (const auto& [name, n] : actions()) list += (list.empty() ? "" : ", ") + name;
-        fault(e.line, "[script]", "'" + e.value + "' is no action, or lacks a word", "actions are " + list);
+        for (const auto& [name, n] : actionArguments()) list += (list.empty() ? "" : ", ") + name;
+        fault(e.line, "[script]", "'" + e.value + "' is not an action, or an argument is missing",
+              "actions are " + list);
         continue;
       }
       for (Time t = from; t <= until; t += every) e_.script.push_back({t, words, e.line});
@@ -322,7 +325,7 @@
   }
   void claims(const IniSection& s) {
     for (const IniEntry& e : s.entries) {
-      const std::vector<std::string> w = split(e.value);
+      const std::vector<std::string> w = splitWords(e.value);
       static const std::vector<std::string> relations{"=", "<", "<=", ">", ">="};
       if (w.size() == 3 && std::find(relations.begin(), relations.end(), w[1]) != relations.end()) {
         const auto v = readNumber(w[2]);
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -1,5 +1,6 @@
-// An experiment as its file says it: INI with the sections [experiment], [fleet], [load] (and [load NAME] for
-// clients that go directly to a server), [desks NAME], [class NAME], [settings], [script] and [claims].
+// Reads an experiment from an INI file with the sections [experiment], [fleet], [load], [load NAME] (clients
+// that connect directly to a server), [desks NAME], [crowd NAME], [class NAME], [settings], [script]
+// and [claims].
 #pragma once
 
 #include <optional>
@@ -13,6 +14,7 @@
 
 namespace sablespur::lab {
 
+// A condition that a figure of the run must meet, such as `late_sends = 0`.
 struct Claim {
   std::string text, figure, relation;
   double value = 0;
@@ -22,7 +24,7 @@
 
 struct Step {
   Time at{};
-  std::vector<std::string> words;  // "withdraw", "s-3"
+  std::vector<std::string> words;  // the action and its arguments: "withdraw", "s-3"
   int line = 0;
 };
 
@@ -33,7 +35,7 @@
 
 struct CrowdLoad {
   std::string name;
-  CrowdSettings settings;  // of all proxies together
+  CrowdSettings settings;  // totals over all proxies
 };
 
 struct Desks {
@@ -50,18 +52,18 @@
   FleetSettings fleet;
   ClientSettings load;
   std::vector<DirectLoad> direct;
-  std::vector<Desks> desks;  // before each proxy
+  std::vector<Desks> desks;  // each group connects to every proxy
   std::vector<CrowdLoad> crowds;
-  bool probes = true;                  // whether data servers may be probed, as the proxies' settings have it
-  bool takeoverRules = false;          // judged by Audit::Rules::judgeTakeovers and Availability, too
-  int inherited = 0, descriptors = 0;  // of each proxy: open from the start; the system's limit
+  bool probes = true;  // `data_servers.probes` of the proxies' settings: whether they send health checks
+  bool takeoverRules = false;          // also applies Audit::Rules::judgeTakeovers and Availability
+  int inherited = 0, descriptors = 0;  // see ProxyProcess::limits
   std::vector<ClassModel> classes;
-  std::string settings;  // for the proxies, as INI
+  std::string settings;  // additional settings of the proxies, as INI
   std::vector<Step> script;
   std::vector<Claim> claims;
 };
 
-// Everything that is wrong with the file goes to `faults`; then the experiment is of no use.
+// Appends every error of the file to `faults`. The result must not be used if there are any.
 Experiment parseExperiment(const std::string& text, const std::string& file, std::vector<Fault>& faults);
 Experiment readExperiment(const std::string& path, std::vector<Fault>& faults);
 
