--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -103,9 +103,9 @@
 
  private:
   void sendDeskRequest() {
-    const bool simple = o_.s_.way == "simple";
+    const bool simple = o_.s_.mode == "simple";
     put(bev_.get(), simple ? speaker_->query(request_.statement)
-                           : speaker_->extended(request_.statement, request_.bound, o_.s_.way == "binary"));
+                           : speaker_->extended(request_.statement, request_.bound, o_.s_.mode == "binary"));
     if (request_.cancel) cancel_.in(kCancelAfter);
   }
   // Reads replies until the proxy is ready for the next request. May destroy this object.
@@ -156,7 +156,7 @@
     if (!served_) return;
     const auto& row = r.rows[0];
     const std::string expected = bytesOf(request_.id, std::max<std::size_t>(o_.s_.valueBytes, 1));
-    const bool binary = o_.s_.way == "binary";
+    const bool binary = o_.s_.mode == "binary";
     std::string size = std::to_string(expected.size()), got;
     if (binary) {
       size.clear();
@@ -350,7 +350,7 @@
   }
   if (r.cls->write) r.key = prefix_ + "k" + std::to_string(lastId_);
   r.retriesLeft = s_.retries;
-  r.againLeft = r.key.empty() ? 0 : s_.asksAgain;
+  r.unknownOutcomeRetriesLeft = r.key.empty() ? 0 : s_.unknownOutcomeRetries;
   r.group = std::uniform_int_distribution<int>(1, std::max(s_.groups, 1))(c_.random);
   r.first = c_.now();
   r.deadline = r.first + r.cls->giveUp;
@@ -369,13 +369,13 @@
   if (s_.version) {
     const bool two = s_.version == Version::V20;
     const std::string version = two ? "2.0" : s_.version == Version::V30 ? "3.0" : "3.2";
-    r.missing = !r.cls->write && c_.uniform(0.0, 1.0) < s_.missing;
-    r.cancel = !r.missing && c_.uniform(0.0, 1.0) < s_.cancels;
+    r.missing = !r.cls->write && c_.uniform(0.0, 1.0) < s_.missingColumnShare;
+    r.cancel = !r.missing && c_.uniform(0.0, 1.0) < s_.cancelShare;
     const std::string what = r.missing      ? "SELECT missing FROM rows"
                              : r.cls->write ? "UPDATE rows SET note = "
                                             : "SELECT size, blob, note FROM rows WHERE note = ";
     r.bound.clear();
-    if (s_.way == "simple") {
+    if (s_.mode == "simple") {
       r.statement =
           what + (r.missing ? "" : literalOf(textOf(r.id), two)) + " /* by " + version + " */" + comment;
       return;
@@ -383,7 +383,7 @@
     std::string named = comment;
     named.replace(named.find("id=") + 3, r.id.size(), r.missing ? "$1" : "$2");
     r.statement = what + (r.missing ? "" : "$1") + " /* by " + version + " */" + named;
-    if (!r.missing) r.bound.push_back({textOf(r.id), 25, s_.way == "binary"});
+    if (!r.missing) r.bound.push_back({textOf(r.id), 25, s_.mode == "binary"});
     r.bound.push_back({r.id, 25, false});
     return;
   }
@@ -447,9 +447,9 @@
   const Time now = c_.now(), latency = now - r.first;
   const bool inTime = got == Got::Served && latency <= r.cls->aim;
   const bool refused = got == Got::Refused && r.retriesLeft > 0 && now + retryAfter < r.deadline;
-  const bool unknown =
-      r.againLeft > 0 &&
-      (got == Got::Served ? s_.doubles > 0 && c_.uniform(0.0, 1.0) < s_.doubles : got != Got::Refused);
+  const bool unknown = r.unknownOutcomeRetriesLeft > 0 &&
+                       (got == Got::Served ? s_.duplicateShare > 0 && c_.uniform(0.0, 1.0) < s_.duplicateShare
+                                           : got != Got::Refused);
   const bool again = refused || unknown;
   // A request's worth counts once, with its last attempt.
   const double worth = again ? 0 : r.cls->worth;
@@ -464,9 +464,9 @@
   }
   if (got == Got::Served) latencies_.push_back(static_cast<double>((now - r.at).count()) / 1e3);
   if (unknown) {
-    --r.againLeft;
+    --r.unknownOutcomeRetriesLeft;
     audit_.hit("asked_again");
-    const Time when = now + c_.uniform(s_.againLeast, s_.againMost);
+    const Time when = now + c_.uniform(s_.repeatDelayLeast, s_.repeatDelayMost);
     r.first = when;
     r.deadline = when + r.cls->giveUp;
     waiting_.emplace(when, r);
--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -21,10 +21,11 @@
   double rate = 60;  // first attempts per second
   int retries = 0;   // after a rejection, once its retry-after delay has passed
   // How often a write with an idempotency key is sent again with the same key when its outcome is
-  // unknown. Each retry waits for a random delay between againLeast and againMost.
-  int asksAgain = 0;
-  double doubles = 0;  // share of the served keyed writes that are sent again anyway
-  Time againLeast = std::chrono::milliseconds(200), againMost = std::chrono::seconds(4);
+  // unknown. Each retry waits for a random delay between repeatDelayLeast and
+  // repeatDelayMost.
+  int unknownOutcomeRetries = 0;
+  double duplicateShare = 0;  // share of the served keyed writes that are sent again anyway
+  Time repeatDelayLeast = std::chrono::milliseconds(200), repeatDelayMost = std::chrono::seconds(4);
   bool loop = false;  // closed loop on one connection
   std::size_t valueBytes = 0;
   int groups = 2;
@@ -33,10 +34,10 @@
   // Protocol version of desk clients, whose result values are checked byte by byte.
   // std::nullopt: plain clients.
   std::optional<Version> version;
-  std::string way = "simple";  // query protocol: simple, extended or binary (extended, binary values)
+  std::string mode = "simple";  // query protocol: simple, extended or binary (extended, binary values)
   // Shares of the requests that are canceled shortly after they are sent, and that select a column
   // that does not exist.
-  double cancels = 0, missing = 0;
+  double cancelShare = 0, missingColumnShare = 0;
   std::vector<std::pair<std::string, std::string>> startup;  // additional startup parameters
   std::string address;  // first source address; empty: chosen by the operating system
   int addresses = 1;
@@ -75,7 +76,7 @@
     std::string id, statement;
     const ClassModel* cls;
     Time at{}, deadline{}, first{};
-    int retriesLeft = 0, againLeft = 0, group = 1;
+    int retriesLeft = 0, unknownOutcomeRetriesLeft = 0, group = 1;
     std::string key;
     bool cancel = false, missing = false;  // used by desk clients only
     std::vector<Bound> bound;
--- a/lab/context.hpp
+++ b/lab/context.hpp
@@ -1,4 +1,4 @@
-// What all parts of a run share: the loop, the clock, the random numbers.
+// State that all parts of a run share: the event loop, the clock and the random number generator.
 #pragma once
 
 #include <event2/buffer.h>
@@ -19,16 +19,16 @@
 
 namespace sablespur::lab {
 
-struct Release {
+struct EventDeleter {
   void operator()(event_base* p) const { event_base_free(p); }
   void operator()(event* p) const { event_free(p); }
   void operator()(bufferevent* p) const { bufferevent_free(p); }
   void operator()(evconnlistener* p) const { evconnlistener_free(p); }
 };
-using LoopPtr = std::unique_ptr<event_base, Release>;
-using EventPtr = std::unique_ptr<event, Release>;
-using BufferEventPtr = std::unique_ptr<bufferevent, Release>;
-using ListenerPtr = std::unique_ptr<evconnlistener, Release>;
+using LoopPtr = std::unique_ptr<event_base, EventDeleter>;
+using EventPtr = std::unique_ptr<event, EventDeleter>;
+using BufferEventPtr = std::unique_ptr<bufferevent, EventDeleter>;
+using ListenerPtr = std::unique_ptr<evconnlistener, EventDeleter>;
 
 class Context {
  public:
@@ -54,14 +54,14 @@
   const Time wall_;
 };
 
-// A timer that calls back; it dies with its owner, and so does the call.
+// One-shot timer on the event loop. Destroying it cancels a pending call.
 class Timer {
  public:
-  Timer(Context& c, std::function<void()> then)
-      : then_(std::move(then)),
+  Timer(Context& c, std::function<void()> callback)
+      : callback_(std::move(callback)),
         event_(event_new(
             c.loop.get(), -1, 0,
-            [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->then_(); }, this)) {}
+            [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->callback_(); }, this)) {}
   void in(Time t) {
     const auto us = std::max<std::int64_t>(t.count(), 0);
     const timeval tv{static_cast<time_t>(us / 1000000), static_cast<suseconds_t>(us % 1000000)};
@@ -70,12 +70,12 @@
   void stop() { event_del(event_.get()); }
 
  private:
-  std::function<void()> then_;
+  std::function<void()> callback_;
   EventPtr event_;
 };
 
-// 127.0.HOST.LAST:port; what a proxy reaches is at addresses of its own, so that what is seen tells who sent
-// it.
+// Returns 127.0.HOST.LAST:port. Each proxy has its own address for every server (HOST is the proxy's
+// number), so that the address shows who sent a request.
 inline sockaddr_in loopbackAddress(int host, int last, int port) {
   sockaddr_in a{};
   a.sin_family = AF_INET;
@@ -85,10 +85,10 @@
   return a;
 }
 std::string hostText(const sockaddr_in&);     // "127.0.1.7"
-std::string addressText(const sockaddr_in&);  // with the port
+std::string addressText(const sockaddr_in&);  // "127.0.1.7:5432"
 void put(bufferevent*, std::string_view);
-// A socket that comes from this address, at a port that the system chooses when it connects; -1: there is
-// none.
+// Creates a non-blocking TCP socket that is bound to `address`; the system chooses the port when it
+// connects. Returns -1 on failure.
 int socketFrom(std::uint32_t address);
 std::uint32_t addressNumber(const std::string& text);  // "127.1.0.1"
 
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -11,8 +11,8 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr Time kDeadlineSlack =
-    std::chrono::milliseconds(70);  // an answer is accepted for this long after the deadline
+// An answer is accepted for this long after the deadline.
+constexpr Time kDeadlineSlack = std::chrono::milliseconds(70);
 constexpr std::int64_t kReturnWindowUs = 100000;
 
 }  // namespace
@@ -29,9 +29,9 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) client.onClosed();
         },
         this);
-    if (o.s_.way != "silent") put(bev.get(), postgres::startup("api", "ledger"));
-    bufferevent_enable(bev.get(), o.s_.way == "mute" ? EV_WRITE : EV_READ | EV_WRITE);
-    if (o.s_.way == "mute") ask();
+    if (o.s_.mode != "silent") put(bev.get(), postgres::startup("api", "ledger"));
+    bufferevent_enable(bev.get(), o.s_.mode == "mute" ? EV_WRITE : EV_READ | EV_WRITE);
+    if (o.s_.mode == "mute") ask();
     bufferevent_socket_connect(bev.get(), reinterpret_cast<const sockaddr*>(&o.target_), sizeof o.target_);
     if (!asked) timer.in(o.s_.stay);
   }
@@ -58,7 +58,8 @@
     --owner.outstanding_;
     const Time latency = owner.c_.now() - at;
     const bool inTime = got == Got::Served && latency <= cls->aim;
-    owner.audit_.answer(owner.c_.now(), id, got, value, latency, inTime, 0, 0);  // worth 0
+    // The requests of a crowd do not count towards the worth that is served.
+    owner.audit_.answer(owner.c_.now(), id, got, value, latency, inTime, 0, 0);
     owner.n_.served += got == Got::Served;
     owner.n_.turnedAway += got == Got::Refused;
   }
@@ -96,7 +97,7 @@
       if (!in) {
         in = true;
         ++owner.n_.in;
-        if (owner.s_.way == "ask" && owner.running_) ask();
+        if (owner.s_.mode == "ask" && owner.running_) ask();
       } else if (asked && !answered) {
         answer(served ? Got::Served : turnedAway ? Got::Refused : Got::Failed);
         timer.in(owner.s_.stay);
--- a/lab/crowd.hpp
+++ b/lab/crowd.hpp
@@ -1,6 +1,6 @@
-// Opens connections to one proxy at a fixed rate, from many loopback addresses, whatever happens to the
-// earlier ones. Models the many clients of a docking ship that connect at once, or one machine that
-// connects in a loop.
+// Opens connections to one proxy at a fixed rate, from many loopback addresses, whatever happens to
+// the earlier ones. Models the many clients of a docking ship that connect at once, or one machine
+// that connects in a loop.
 #pragma once
 
 #include <deque>
@@ -25,7 +25,7 @@
   // - silent: nothing;
   // - startup: a startup message, but no query;
   // - mute: as ask, but the client never reads.
-  std::string way = "ask";
+  std::string mode = "ask";
   Time stay = std::chrono::seconds(2);  // before the client closes the connection
   bool returns = true;  // after each rejection, connects again at the time that the proxy asked for
   int groups = 2;
@@ -70,8 +70,7 @@
   std::size_t outstanding_ = 0;
   Counts n_;
   std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
-  std::multimap<Time, std::uint32_t>
-      reconnects_;  // addresses of rejected connections, by the time of the reconnect
+  std::multimap<Time, std::uint32_t> reconnects_;  // source addresses, by the time of the reconnect
   std::map<std::int64_t, std::uint64_t> returnsByWindow_;
 };
 
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -173,19 +173,19 @@
     apply(s, {{"rate", number(c.rate)},
               {"strict_ends", setter(c.strictEnds, readFlag)},
               {"retries", count(c.retries)},
-              {"asks_again", count(c.asksAgain)},
-              {"doubles", share(c.doubles)},
-              {"again_least", time(c.againLeast)},
-              {"again_most", time(c.againMost)},
+              {"asks_again", count(c.unknownOutcomeRetries)},
+              {"doubles", share(c.duplicateShare)},
+              {"again_least", time(c.repeatDelayLeast)},
+              {"again_most", time(c.repeatDelayMost)},
               {"loop", setter(loop, readFlag)},
               {"value_bytes", count(c.valueBytes)},
               {"version", text(version)},
-              {"way", text(c.way)},
+              {"way", text(c.mode)},
               {"address", text(c.address)},
               {"addresses", count(c.addresses)},
               {"server", text(server)}});
     if (c.addresses < 1) fault(s.line, s.title() + " addresses", "it is out of range", "write 1 or more");
-    if (c.againMost < c.againLeast)
+    if (c.repeatDelayMost < c.repeatDelayLeast)
       fault(s.line, s.title() + " again_most", "it is below again_least", "raise it, or lower again_least");
     c.loop = loop;
     c.version = versionOf(version);
@@ -206,12 +206,12 @@
               {"until", time(c.until)},
               {"address", text(c.address)},
               {"addresses", count(c.addresses)},
-              {"way", text(c.way)},
+              {"way", text(c.mode)},
               {"stay", time(c.stay)},
               {"returns", setter(returns, readFlag)}});
     c.returns = returns;
-    if (c.way != "ask" && c.way != "silent" && c.way != "startup" && c.way != "mute")
-      fault(s.line, s.title() + " way", "'" + c.way + "' is not a way of a crowd",
+    if (c.mode != "ask" && c.mode != "silent" && c.mode != "startup" && c.mode != "mute")
+      fault(s.line, s.title() + " way", "'" + c.mode + "' is not a way of a crowd",
             "write ask, silent, startup or mute");
     if (c.rate <= 0 || c.addresses < 1)
       fault(s.line, s.title(), "rate or addresses is out of range", "write more than 0");
@@ -222,12 +222,12 @@
     std::string version, extension;
     bool loop = false;
     apply(s, {{"version", text(version)},
-              {"way", text(c.way)},
+              {"way", text(c.mode)},
               {"rate", number(c.rate)},
               {"loop", setter(loop, readFlag)},
               {"retries", count(c.retries)},
-              {"cancels", share(c.cancels)},
-              {"missing", share(c.missing)},
+              {"cancels", share(c.cancelShare)},
+              {"missing", share(c.missingColumnShare)},
               {"extension", text(extension)},
               {"value_bytes", count(c.valueBytes)}});
     c.loop = loop;
@@ -236,8 +236,8 @@
     if (!c.version)
       fault(s.line, s.title() + " version", "'" + version + "' is not a protocol version",
             "write 2.0, 3.0 or 3.2");
-    if (c.way != "simple" && ((c.way != "extended" && c.way != "binary") || c.version == Version::V20))
-      fault(s.line, s.title() + " way", "'" + c.way + "' is not available in this version",
+    if (c.mode != "simple" && ((c.mode != "extended" && c.mode != "binary") || c.version == Version::V20))
+      fault(s.line, s.title() + " way", "'" + c.mode + "' is not available in this version",
             "write simple, and for 3.x extended or binary");
     e_.desks.push_back({s.name, c});
   }
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -1,6 +1,6 @@
-// Reads an experiment from an INI file with the sections [experiment], [fleet], [load], [load NAME] (clients
-// that connect directly to a server), [desks NAME], [crowd NAME], [class NAME], [settings], [script]
-// and [claims].
+// Reads an experiment from an INI file with the sections [experiment], [fleet], [load], [load NAME]
+// (clients that connect directly to a server), [desks NAME], [crowd NAME], [class NAME], [settings],
+// [script] and [claims].
 #pragma once
 
 #include <optional>
@@ -54,7 +54,7 @@
   std::vector<DirectLoad> direct;
   std::vector<Desks> desks;  // each group connects to every proxy
   std::vector<CrowdLoad> crowds;
-  bool probes = true;  // `data_servers.probes` of the proxies' settings: whether they send health checks
+  bool probes = true;                  // whether the proxies send health checks: `data_servers.probes`
   bool takeoverRules = false;          // also applies Audit::Rules::judgeTakeovers and Availability
   int inherited = 0, descriptors = 0;  // see ProxyProcess::limits
   std::vector<ClassModel> classes;
--- a/lab/proxy_process.cpp
+++ b/lab/proxy_process.cpp
@@ -13,23 +13,27 @@
 namespace sablespur::lab {
 
 ProxyProcess::ProxyProcess(Context& c, std::string program, std::string settingsPath, std::string logPath)
-    : c_(c), program_(std::move(program)), settings_(std::move(settingsPath)), log_(std::move(logPath)) {}
+    : c_(c),
+      program_(std::move(program)),
+      settingsPath_(std::move(settingsPath)),
+      logPath_(std::move(logPath)) {}
 
 ProxyProcess::~ProxyProcess() {
   kill();
   readable_.reset();
-  if (err_ >= 0) close(err_);
+  if (output_ >= 0) close(output_);
 }
 
 void ProxyProcess::start(std::function<void(int)> ready) {
   if (running()) return;
   ready_ = std::move(ready);
-  told_ = false;
-  text_.clear();
+  portReported_ = false;
+  startupOutput_.clear();
   readable_.reset();
-  if (err_ >= 0) close(err_);
+  if (output_ >= 0) close(output_);
   int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+  if (pipe2(ends, O_CLOEXEC) != 0)
+    throw std::runtime_error("cannot create a pipe for the output of the proxy");
   pid_ = fork();
   if (pid_ == 0) {
     dup2(ends[1], 1);
@@ -40,43 +44,44 @@
       const rlimit limit{static_cast<rlim_t>(descriptors_), static_cast<rlim_t>(descriptors_)};
       setrlimit(RLIMIT_NOFILE, &limit);
     }
-    execl(program_.c_str(), "sablespur", "serve", "--config", settings_.c_str(), static_cast<char*>(nullptr));
+    execl(program_.c_str(), "sablespur", "serve", "--config", settingsPath_.c_str(),
+          static_cast<char*>(nullptr));
     _exit(127);
   }
   close(ends[1]);
-  err_ = ends[0];
-  fcntl(err_, F_SETFL, O_NONBLOCK);
+  output_ = ends[0];
+  fcntl(output_, F_SETFL, O_NONBLOCK);
   readable_.reset(event_new(
-      c_.loop.get(), err_, EV_READ | EV_PERSIST,
+      c_.loop.get(), output_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<ProxyProcess*>(self)->read(); }, this));
   event_add(readable_.get(), nullptr);
 }
 
 void ProxyProcess::read() {
   char bytes[4096];
-  const ssize_t n = ::read(err_, bytes, sizeof bytes);
+  const ssize_t n = ::read(output_, bytes, sizeof bytes);
   if (n <= 0) {
     event_del(readable_.get());
     return;
   }
-  std::ofstream(log_, std::ios::app).write(bytes, n);
-  if (told_) return;
-  text_.append(bytes, static_cast<std::size_t>(n));
-  const std::size_t at = text_.find("event=listening");
-  if (at == std::string::npos || text_.find('\n', at) == std::string::npos) return;
-  told_ = true;
-  const int port = std::atoi(text_.c_str() + text_.find(" port=", at) + 6);
+  std::ofstream(logPath_, std::ios::app).write(bytes, n);
+  if (portReported_) return;
+  startupOutput_.append(bytes, static_cast<std::size_t>(n));
+  const std::size_t at = startupOutput_.find("event=listening");
+  if (at == std::string::npos || startupOutput_.find('\n', at) == std::string::npos) return;
+  portReported_ = true;
+  const int port = std::atoi(startupOutput_.c_str() + startupOutput_.find(" port=", at) + 6);
   if (ready_) ready_(port);
 }
 
-void ProxyProcess::signal(int which) const {
-  if (pid_ > 0) ::kill(pid_, which);
+void ProxyProcess::signal(int number) const {
+  if (pid_ > 0) ::kill(pid_, number);
 }
 bool ProxyProcess::running() {
   if (pid_ <= 0) return false;
   int status = 0;
   if (waitpid(pid_, &status, WNOHANG) != pid_) return true;
-  status_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+  exitStatus_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   pid_ = -1;
   return false;
 }
@@ -89,7 +94,7 @@
 
 double ProxyProcess::cpuSeconds() const {
   if (pid_ <= 0) return 0;
-  // Nanoseconds on a core; /proc/PID/stat counts in hundredths of a second.
+  // schedstat counts in nanoseconds; /proc/PID/stat counts only in hundredths of a second.
   std::ifstream stat("/proc/" + std::to_string(pid_) + "/schedstat");
   double ns = 0;
   stat >> ns;
--- a/lab/proxy_process.hpp
+++ b/lab/proxy_process.hpp
@@ -1,4 +1,5 @@
-// A real sablespur process: its settings, its log, its signals, what it uses.
+// Runs a real sablespur process: starts it, appends its output to a log file, sends it signals, and
+// measures its CPU time and memory.
 #pragma once
 
 #include <functional>
@@ -15,16 +16,18 @@
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
 
-  // Of each start: descriptors that are open in it already, and the system's limit; 0: as it is.
+  // Applies to each start: `inherited` is the number of extra descriptors that the process inherits,
+  // `descriptors` its RLIMIT_NOFILE; 0 leaves the limit unchanged.
   void limits(int inherited, int descriptors) {
     inherited_ = inherited;
     descriptors_ = descriptors;
   }
+  // Does nothing if the process runs. Calls `ready` with the port once the process is listening.
   void start(std::function<void(int port)> ready);
   void signal(int) const;
-  void kill();  // at once, and waits for it
+  void kill();  // sends SIGKILL and waits for the process to end
   bool running();
-  int exitStatus() const { return status_; }  // of the last that ended by itself; -1: none
+  int exitStatus() const { return exitStatus_; }  // of the last process not ended by kill(); -1: none
   double cpuSeconds() const;
   double residentMb() const;
 
@@ -32,12 +35,12 @@
   void read();
 
   Context& c_;
-  const std::string program_, settings_, log_;
+  const std::string program_, settingsPath_, logPath_;
   std::function<void(int)> ready_;
   int inherited_ = 0, descriptors_ = 0;
-  int pid_ = -1, err_ = -1, status_ = -1;
-  std::string text_;
-  bool told_ = false;
+  int pid_ = -1, output_ = -1, exitStatus_ = -1;
+  std::string startupOutput_;
+  bool portReported_ = false;
   EventPtr readable_;
 };
 
--- a/lab/report.hpp
+++ b/lab/report.hpp
@@ -1,4 +1,4 @@
-// What a run leaves behind: CSV files, a Markdown page, SVG charts by gnuplot.
+// Writes the report of a run: CSV files, a Markdown page, and SVG charts drawn by gnuplot.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace sablespur::lab {
 
-// Writes to the directory; false: there is no gnuplot, so there are no charts (the page says so).
+// Writes the report to `directory`. Returns false if the charts could not be drawn, for example
+// because gnuplot is not installed; the page then says that there are none.
 bool writeReport(const std::string& directory, const Experiment&, const Outcome&, const Audit&, const Fleet&);
 std::string markdown(const Experiment&, const Outcome&, const Audit&, bool charts);
 
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-std::size_t Outcome::broken() const {
+std::size_t Outcome::brokenClaims() const {
   return static_cast<std::size_t>(
       std::count_if(claims.begin(), claims.end(), [](const Judged& j) { return !j.held; }));
 }
@@ -400,7 +400,7 @@
 }
 
 void Run::sampleSecond() {
-  Second s;
+  SecondTotals s;
   s.at = static_cast<double>((c_.now() - started_).count()) / 1e6;
   s.cpu = cpu();
   for (const Proxy& p : proxies_) s.residentMb = std::max(s.residentMb, p.process->residentMb());
@@ -408,7 +408,7 @@
   s.refused = audit_.count(Got::Refused);
   s.failed = audit_.count(Got::Failed) + audit_.count(Got::Nothing);
   for (const auto& [server, in] : listed_) s.members += in;
-  const Second before = samples_.empty() ? Second() : samples_.back();
+  const SecondTotals before = samples_.empty() ? SecondTotals() : samples_.back();
   samples_.push_back(s);
   if (o_.progress) {
     std::fprintf(
@@ -416,7 +416,7 @@
         "\r%5.0f s  served %zu/s  refused %zu/s  failed %zu/s  members %zu  cpu %.1f%%  memory %.1f MB   ",
         s.at, s.served - before.served, s.refused - before.refused, s.failed - before.failed, s.members,
         100 * (s.cpu - before.cpu), s.residentMb);
-    if (o_.forEver) std::fprintf(stderr, "\n");
+    if (o_.untilStopped) std::fprintf(stderr, "\n");
     std::fflush(stderr);
   }
   sampleTimer_.in(std::chrono::seconds(1));
@@ -480,7 +480,7 @@
   executeDueSteps();
   sampleTimer_.in(std::chrono::seconds(1));
   measureLag();
-  wait(o_.forEver ? std::chrono::hours(24 * 365) : e_.duration, [this] { return stopped_; });
+  wait(o_.untilStopped ? std::chrono::hours(24 * 365) : e_.duration, [this] { return stopped_; });
   const Time loaded = c_.now() - started_;
   const double cpuUsed = cpu();
   for (Proxy& p : proxies_) {
@@ -536,7 +536,7 @@
     crashed += !p.process->running() && p.process->exitStatus() != 0;
     if (p.names) dns += static_cast<double>(p.names->counts().udp + p.names->counts().tcp);
   }
-  for (const Second& s : samples_) peak = std::max(peak, s.residentMb);
+  for (const SecondTotals& s : samples_) peak = std::max(peak, s.residentMb);
   for (const auto& b : bursts_) {
     f["logins"] += static_cast<double>(b->in());
     f["logins_failed"] += static_cast<double>(b->failed());
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -19,7 +19,7 @@
 namespace sablespur::lab {
 
 // Totals of all proxies, sampled once per second. Counters and CPU time start with the load.
-struct Second {
+struct SecondTotals {
   double at = 0, cpu = 0, residentMb = 0;
   std::size_t served = 0, refused = 0, failed = 0, members = 0;
 };
@@ -32,17 +32,17 @@
     bool known = false, held = false;
   };
   std::vector<Judged> claims;
-  std::vector<Second> seconds;
-  std::size_t broken() const;
+  std::vector<SecondTotals> seconds;
+  std::size_t brokenClaims() const;
 };
 
 class Run {
  public:
   struct Options {
-    std::string program;    // path of the proxy binary
-    std::string directory;  // for settings and logs
-    bool progress = false;  // prints a line on standard error every second
-    bool forEver = false;   // runs until stop() is called, ignoring the experiment's duration
+    std::string program;        // path of the proxy binary
+    std::string directory;      // for settings and logs
+    bool progress = false;      // prints a line on standard error every second
+    bool untilStopped = false;  // runs until stop() is called, ignoring the experiment's duration
   };
   Run(const Experiment&, const Options&);
   ~Run();
@@ -106,7 +106,7 @@
   bool stopped_ = false;
   Timer stepTimer_, sampleTimer_, lagTimer_, availabilityTimer_;
   Time lagDue_{}, worstLag_{};
-  std::vector<Second> samples_;
+  std::vector<SecondTotals> samples_;
   double dnsAtStart_ = 0;
 };
 
