--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -21,8 +21,7 @@
   double rate = 60;  // first attempts per second
   int retries = 0;   // after a rejection, once its retry-after delay has passed
   // How often a write with an idempotency key is sent again with the same key when its outcome is
-  // unknown. Each retry waits for a random delay between repeatDelayLeast and
-  // repeatDelayMost.
+  // unknown. Each retry waits for a random delay between repeatDelayLeast and repeatDelayMost.
   int unknownOutcomeRetries = 0;
   double duplicateShare = 0;  // share of the served keyed writes that are sent again anyway
   Time repeatDelayLeast = std::chrono::milliseconds(200), repeatDelayMost = std::chrono::seconds(4);
@@ -31,10 +30,11 @@
   int groups = 2;
   bool direct = false;      // to a data server, without a proxy
   bool strictEnds = false;  // a request is lost if its connection closes before the answer
-  // Protocol version of desk clients, whose result values are checked byte by byte.
-  // std::nullopt: plain clients.
+  // Set for desk clients: the protocol version in which they log in, with a password. Their result
+  // values are checked byte by byte. std::nullopt: plain clients.
   std::optional<Version> version;
-  std::string mode = "simple";  // query protocol: simple, extended or binary (extended, binary values)
+  // Query protocol: simple, extended, or binary (extended with values in binary format).
+  std::string mode = "simple";
   // Shares of the requests that are canceled shortly after they are sent, and that select a column
   // that does not exist.
   double cancelShare = 0, missingColumnShare = 0;
@@ -96,7 +96,7 @@
   const std::string prefix_;
   sockaddr_in target_{};
   Timer arrivalTimer_;
-  Time nextArrival_{};  // time of the next arrival
+  Time nextArrival_{};
   bool running_ = false;
   Ended ended_;
   std::size_t outstanding_ = 0, asked_ = 0, served_ = 0, rejectedLogins_ = 0;
--- a/lab/crowd.hpp
+++ b/lab/crowd.hpp
@@ -45,7 +45,7 @@
     std::uint64_t opened = 0, in = 0, refused = 0, cut = 0;
     std::uint64_t failed = 0;                  // could not connect
     std::uint64_t served = 0, turnedAway = 0;  // requests: answered with a row; rejected
-    std::uint64_t returned = 0, early = 0;     // reconnects after a rejection; too early ones among them
+    std::uint64_t returned = 0, early = 0;     // reconnects after a rejection; those too early
     std::uint64_t peakReturns = 0;             // greatest number of reconnects within 100 ms
   };
   const Counts& counts() const { return n_; }
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -153,7 +153,8 @@
   std::uint32_t number() const { return number_; }
 
  private:
-  // Processes startup messages. Returns false if more input is needed or this object was destroyed.
+  // Processes startup messages. Returns true once the client is logged in; false if more input is
+  // needed, the connection is about to close, or this object was destroyed.
   bool readStartup(evbuffer* in) {
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (bytes.empty()) return false;
@@ -508,7 +509,7 @@
   Group& g = groups_[static_cast<std::size_t>(group - 1)];
   if (!key.empty()) {
     const auto it = g.appliedWrites.find(key);
-    // Compares arrival times, so that the time in the queue does not move a repeat out of the window.
+    // Compares arrival times, so that time spent in a queue moves no repeat out of the window.
     if (it != g.appliedWrites.end() && arrived - it->second.at <= cls.droppedFor + kSocketSlack)
       return value;  // a repeat: no effect
     g.appliedWrites[key] = {arrived, value};
--- a/lab/fleet.hpp
+++ b/lab/fleet.hpp
@@ -41,7 +41,7 @@
   Time detectLeast = Time(1100000), detectMost = Time(2400000), takeoverLeast = Time(1700000),
        takeoverMost = Time(3500000);
   std::vector<std::string> zones{"ruwi", "seeb"};
-  std::size_t valueBytes = 0;  // minimum length of a value; 0: only as long as the request's id needs
+  std::size_t valueBytes = 0;  // minimum length of a value; 0: as long as the request's id
   // Assigned to the servers round-robin. Empty: all servers are plain and answer one text column.
   std::vector<Generation> generations;
 };
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -24,7 +24,7 @@
 using namespace sablespur::lab;
 namespace fs = std::filesystem;
 
-// Four stand-in servers and one proxy. Server s-4 is withdrawn and published again every 20 s.
+// Four stand-in servers and one proxy. Server s-4 is withdrawn for 10 s in every 20 s, for an hour.
 constexpr const char* kDemo = R"(
 [experiment]
 title = demo
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -315,8 +315,8 @@
     for (Proxy& p : proxies_)
       p.clients->reconnect(std::atoi(w[1].c_str()) / static_cast<int>(proxies_.size()));
   } else if (what == "power") {
-    // "power 300 1500": kills all servers and proxies at once; each restarts within 1500 ms, servers not
-    // before 300 ms and proxies not before 100 ms
+    // "power 300 1500": kills all servers and proxies at once. Servers restart after 300 to 1500 ms,
+    // proxies after 100 to 1500 ms.
     power_->lose(std::chrono::milliseconds(std::atoi(w[1].c_str())),
                  std::chrono::milliseconds(std::atoi(w[2].c_str())));
   } else if (what == "rate") {
