--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -41,7 +41,7 @@
 
 std::size_t Outcome::brokenClaims() const {
   return static_cast<std::size_t>(
-      std::count_if(claims.begin(), claims.end(), [](const Judged& j) { return !j.held; }));
+      std::count_if(claims.begin(), claims.end(), [](const ClaimResult& j) { return !j.held; }));
 }
 
 Run::Run(const Experiment& e, const Options& o)
@@ -507,7 +507,7 @@
   out.figures["proxy_cpu_s"] = cpuUsed;
   figures(out, loaded);
   for (const Claim& claim : e_.claims) {
-    Outcome::Judged j;
+    Outcome::ClaimResult j;
     j.claim = claim;
     const auto it = out.figures.find(claim.figure);
     j.known = it != out.figures.end();
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -26,12 +26,12 @@
 
 struct Outcome {
   std::map<std::string, double> figures;
-  struct Judged {
+  struct ClaimResult {
     Claim claim;
     double measured = 0;
     bool known = false, held = false;
   };
-  std::vector<Judged> claims;
+  std::vector<ClaimResult> claims;
   std::vector<SecondTotals> seconds;
   std::size_t brokenClaims() const;
 };
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -370,7 +370,7 @@
   lab::Run run(e, o);
   const Outcome out = run.play();
   std::filesystem::remove_all(dir);
-  for (const Outcome::Judged& j : out.claims)
+  for (const Outcome::ClaimResult& j : out.claims)
     EXPECT_TRUE(j.held) << j.claim.text << ", measured " << j.measured;
 }
 
