--- a/lab/fleet.hpp
+++ b/lab/fleet.hpp
@@ -81,7 +81,7 @@
   LogApply& log() { return *log_; }
   double coldMultiple() const { return machine_->worst(); }
   // Greatest number of connections accepted within one second while the server was cold.
-  std::size_t coldDials() const { return peakAccepts_; }
+  std::size_t peakColdConnections() const { return peakAccepts_; }
 
  private:
   friend class Fleet;
--- a/lab/power.cpp
+++ b/lab/power.cpp
@@ -98,7 +98,7 @@
       ++never;
   }
   for (const auto& s : fleet_.servers())
-    f["cold_dials_peak"] = std::max(f["cold_dials_peak"], static_cast<double>(s->coldDials()));
+    f["cold_dials_peak"] = std::max(f["cold_dials_peak"], static_cast<double>(s->peakColdConnections()));
   f["power_losses"] = static_cast<double>(losses_.size());
   f["power_first_answer_ms"] = first.at(0.5);
   f["power_first_answer_most_ms"] = first.most();
