--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -211,7 +211,7 @@
               {"returns", setter(returns, readFlag)}});
     c.returns = returns;
     if (c.mode != "ask" && c.mode != "silent" && c.mode != "startup" && c.mode != "mute")
-      fault(s.line, s.title() + " way", "'" + c.mode + "' is not a way of a crowd",
+      fault(s.line, s.title() + " way", "'" + c.mode + "' is not a supported way",
             "write ask, silent, startup or mute");
     if (c.rate <= 0 || c.addresses < 1)
       fault(s.line, s.title(), "rate or addresses is out of range", "write more than 0");
