--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -24,9 +24,9 @@
                          const std::string& others = "", const std::string& minIdleTime = "0") {
   Setting s;
   s.ini = true;
-  s.more = "[admission]\ndoor = yes\nidle_least = " + minIdleTime + "\n" + admission +
-           "[admission_group desks]\nnetworks = 127.1.0.0/16\n" + desks + "[admission_group others]\n" +
-           others;
+  s.extraSections = "[admission]\ndoor = yes\nidle_least = " + minIdleTime + "\n" + admission +
+                    "[admission_group desks]\nnetworks = 127.1.0.0/16\n" + desks +
+                    "[admission_group others]\n" + others;
   return s;
 }
 // Repeats `steps` for the numbers `from` to `to`, replacing $ by the client's name and # by the
@@ -130,7 +130,7 @@
 TEST(AdmissionScenario, AReloadMovesAnAddressToAnotherGroup) {
   const StatusSocket socket;
   Setting s = admissionSetting("", "reserve = 1\n");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   Scenario t(s);
   t.run("c1 from 127.9.0.1\nc1 expect in\n");
   const auto holds = [&](const std::string& group) {
@@ -237,7 +237,7 @@
 TEST(AdmissionScenario, SilentConnectionsUseOnlyTheUnadmittedLimit) {
   const StatusSocket socket;
   Setting s = admissionSetting("connections = 1\nantechamber = 4\n", "reserve = 1\n");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   Scenario t(s);
   t.run(forEachNumber("x", 1, 60, "$ from 127.9.0.1\n$ send bytes") + "d1 from 127.1.0.1\n" +
         answeredRead("d1", "1") + "x60 expect closed\nx1 expect closed\n");  // x1 is closed after 2 s
@@ -353,7 +353,7 @@
   Setting s;
   s.ini = true;
   s.clients = "unread_answer = 300ms\n";
-  s.more = socket.section();
+  s.extraSections = socket.section();
   Scenario t(s);
   // Every data server answers. If only one did, a single late answer would eject it, the requests
   // to the others would time out, and the short errors would never fill the socket buffers.
@@ -646,7 +646,7 @@
 TEST(ResourceExhaustion, TheDescriptorLimitLowersTheConnectionLimit) {
   const StatusSocket socket;
   Setting s = admissionSetting("");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   s.sockets = 1024;
   s.descriptors = 200;
   Scenario t(s);
@@ -659,7 +659,7 @@
   const StatusSocket socket;
   Setting s = admissionSetting("connections = 4\nrequests = fixed\nlimit = 7\n", "reserve = 2\n",
                                "connections_by_address = 1\n");
-  s.more += socket.section();
+  s.extraSections += socket.section();
   Scenario t(s);
   t.run("c1 from 127.9.0.1\nc2 from 127.9.0.1\n" + answeredRead("c1", "1") + "c2 expect refused\n");
   const std::string table = t.status();
@@ -681,7 +681,7 @@
   // The end of the first scenario kills the proxy, so its socket is not removed.
   for (int round = 0; round < 2; ++round) {
     Setting s = admissionSetting("");
-    s.more += socket.section();
+    s.extraSections += socket.section();
     Scenario t(s);
     EXPECT_NE(t.status().find("the door: 0 of"), std::string::npos);
   }
@@ -690,7 +690,7 @@
   const StatusSocket socket;
   Setting s;
   s.ini = true;
-  s.more = socket.section();
+  s.extraSections = socket.section();
   Scenario t(s);
   EXPECT_NE(t.status().find("no door: every client is alike"), std::string::npos);
 }
--- a/tests/idempotency_handler_test.cpp
+++ b/tests/idempotency_handler_test.cpp
@@ -508,8 +508,8 @@
   Setting setting(const std::string& window = "9s") {
     Setting s;
     s.ini = true;
-    s.more = "[class brief]\ndata = write\nrepeats = keyed\nrepeats_dropped_for = " + window +
-             "\naim = 2s\ngive_up = 5s\n[store]\ndirectory = " + folder.path + "/store\n";
+    s.extraSections = "[class brief]\ndata = write\nrepeats = keyed\nrepeats_dropped_for = " + window +
+                      "\naim = 2s\ngive_up = 5s\n[store]\ndirectory = " + folder.path + "/store\n";
     return s;
   }
 };
@@ -539,7 +539,7 @@
 // endpoint as primary before s1 confirms that it is.
 TEST_F(StoreProgramTest, RecoveryReadsTheSnapshotAndWaitsForADataServerToConfirmThePrimary) {
   Setting s = setting();
-  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  s.extraSections += "[recovery]\nsnapshot_every = 20ms\n";
   Scenario t(s);
   t.run(R"(
     proxy expect log event=recovery_started snapshot=none
@@ -567,7 +567,7 @@
 TEST_F(StoreProgramTest, EndpointsOfTheSnapshotServeWhileDiscoveryDoesNotAnswer) {
   Setting s = setting();
   s.dnssd = true;
-  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  s.extraSections += "[recovery]\nsnapshot_every = 20ms\n";
   Scenario t(s);
   t.run(R"(
     c1 send query INSERT 1 /* id=1,c=brief,d=4000,k=K1,cluster=3 */
@@ -603,7 +603,7 @@
   Setting s = setting("1500ms");
   // After a restart the endpoints count as cold, and slow start may reject a write: not what is
   // tested here.
-  s.more += "[rules]\ncold_for = 0s\n";
+  s.extraSections += "[rules]\ncold_for = 0s\n";
   Scenario t(s);
   t.run(R"(
     c1 send query INSERT 1 /* id=1,c=brief,d=4000,k=K1,cluster=3 */
@@ -655,7 +655,7 @@
 
 TEST_F(StoreProgramTest, ASnapshotWriteFailureIsLoggedOnceAndThePreviousSnapshotRemains) {
   Setting s = setting();
-  s.more += "[recovery]\nsnapshot_every = 20ms\n";
+  s.extraSections += "[recovery]\nsnapshot_every = 20ms\n";
   const std::string path = folder.path + "/store.snapshot";
   Scenario t(s);
   t.serveUntil([&] { return fs::exists(path); });
@@ -735,7 +735,7 @@
 TEST_F(StoreProgramTest, ADamagedStoreIsSetAsideIfTheSettingsAllowIt) {
   const std::string dir = folder.path + "/store";
   Setting s = setting();
-  s.more += "damaged = set_aside\n";
+  s.extraSections += "damaged = set_aside\n";
   {
     Scenario t(s);
     t.run("c1 expect in\n");
@@ -754,8 +754,8 @@
 }
 TEST_F(StoreProgramTest, IncompletePeerSettingsAreRejectedWithTheirKey) {
   const std::string path = folder.path + "/settings.ini";
-  const auto check = [&](const std::string& more) {
-    std::ofstream(path) << settingsFile(setting(), 1, {1, 2}) << more;
+  const auto check = [&](const std::string& extraSections) {
+    std::ofstream(path) << settingsFile(setting(), 1, {1, 2}) << extraSections;
     return runCommand({"check", path}).text;
   };
   EXPECT_NE(check("[peers]\nlisten = 127.0.0.1:7001\n").find("[peers] listen"), std::string::npos);
@@ -769,7 +769,7 @@
 }
 TEST_F(StoreProgramTest, ARetentionShorterThanTheWindowIsRejected) {
   Setting s = setting("4s");
-  s.more += "keep = 5s\n";
+  s.extraSections += "keep = 5s\n";
   std::ofstream(folder.path + "/n0.ini") << settingsFile(s, 1, {11, 12});
   const CommandResult t = runCommand({"check", folder.path + "/n0.ini"});
   EXPECT_EQ(t.status, 1);
@@ -780,7 +780,7 @@
   Setting s = setting();
   s.sockets = 300;
   const Config with = parseSettings(settingsFile(s, 1, {11, 12}), folder.path + "/n0.ini");
-  s.more.clear();
+  s.extraSections.clear();
   const Config without = parseSettings(settingsFile(s, 1, {11, 12}), folder.path + "/n0.ini");
   EXPECT_EQ(with.clientConnections + with.serverConnections + kStoreDescriptors,
             without.clientConnections + without.serverConnections);
