--- a/tests/protocol_versions_test.cpp
+++ b/tests/protocol_versions_test.cpp
@@ -315,10 +315,10 @@
 
 // ---- servers of another minor version -----------------------------------------------------------------
 TEST(ProtocolVersions, FallsBackFromVersion32To30WithAnOlderServer) {
-  for (const std::string speaks : {"3.2", "old", "fatal"}) {
-    SCOPED_TRACE(speaks);
+  for (const std::string serverProtocol : {"3.2", "old", "fatal"}) {
+    SCOPED_TRACE(serverProtocol);
     Setting s = iniSetting("protocol = 3.2\n");
-    s.speaks = speaks;
+    s.serverProtocol = serverProtocol;
     Scenario t(s);
     t.run(R"(
       s2 wait idle 2
@@ -331,7 +331,7 @@
       s2 close idle
       s2 wait idle 2
       s2 expect minor )" +
-          std::string(speaks == "3.2" ? "2" : "0"));  // a rejected version is not requested again
+          std::string(serverProtocol == "3.2" ? "2" : "0"));  // a rejected version is not requested again
   }
 }
 
