--- a/src/discovery/registry/call.cpp
+++ b/src/discovery/registry/call.cpp
@@ -32,7 +32,7 @@
   bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
   if (socket_ < 0 ||
       bufferevent_socket_connect(connection_.get(), address_.data(), static_cast<int>(address_.size())) != 0)
-    return end("connect failed");
+    return end("no connection");
   bufferevent_setcb(
       connection_.get(), [](bufferevent*, void* self) { static_cast<RegistryCall*>(self)->read(); }, nullptr,
       [](bufferevent*, short what, void* self) {
--- a/src/durability/idempotency_handler.hpp
+++ b/src/durability/idempotency_handler.hpp
@@ -16,7 +16,7 @@
 //
 // Rejections and failures are delivered without waiting for the disk: if their record is lost, the
 // store has less information and is stricter. While the store is down, or a commit takes longer
-// than the commit timeout (`StoreConfig::patience`), keyed writes are rejected with a retry-after.
+// than the commit timeout (`StoreConfig::commitTimeout`), keyed writes are rejected with a retry-after.
 // Reads are still served, but session reads only by endpoints that are up to date.
 #pragma once
 
--- a/tests/idempotency_handler_test.cpp
+++ b/tests/idempotency_handler_test.cpp
@@ -361,7 +361,7 @@
   config.settings.sessionTokensCarried = false;
   config.sessions = true;
   replicaLag = std::chrono::seconds(2);
-  // A slow commit on a busy machine must not exceed the commit timeout (patience), since sessions
+  // A slow commit on a busy machine must not exceed the commit timeout, since sessions
   // would then read from the primary.
   StoreConfig patient = *config.store;
   patient.commitTimeout = std::chrono::seconds(5);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -740,7 +740,7 @@
   const auto [shown, table] = runProgram({"members", "--config", path, "--wait", "5"});
   EXPECT_EQ(shown, 1);
   EXPECT_NE(table.find("127.0.0.1:2"), std::string::npos) << table;
-  EXPECT_NE(table.find("shown is what the settings know"), std::string::npos) << table;
+  EXPECT_NE(table.find("showing the members from the settings"), std::string::npos) << table;
   std::ofstream(path) << settingsFile({}, 1, {2}) << "[log]\nlevel = loud\n[rules]\nfall_for = 3\n";
   const auto [faulty, faults] = runProgram({"check", path});
   EXPECT_EQ(faulty, 1);
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -578,13 +578,13 @@
   EXPECT_EQ(login("pencil", unmodified), "in");
   EXPECT_EQ(login("pencils", unmodified), "final: a wrong password");
   EXPECT_EQ(login("pencil", [](std::string& m) { m.replace(m.find("servernonce"), 11, "othersnonce"); }),
-            "final: another nonce than at first");
+            "final: the nonce differs from the first message");
   EXPECT_EQ(login("pencil", [](std::string& m) { m.replace(m.find("biws"), 4, "eSws"); }),
-            "final: another binding than at first");
+            "final: the channel binding differs from the first message");
   EXPECT_EQ(login("pencil", [](std::string& m) { m[m.size() - 5] = m[m.size() - 5] == 'A' ? 'B' : 'A'; }),
             "final: a wrong password");
   EXPECT_EQ(login("pencil", [](std::string& m) { m.resize(m.rfind(",p=")); }),
-            "final: a malformed last message");
+            "final: a malformed final message");
 }
 TEST(Md5, MatchesPostgres) {
   EXPECT_EQ(auth::md5Stored("user", "pencil"), "md520c46e3762c864548e296b33c3406aa9");
