--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -132,7 +132,7 @@
     case TimerKind::Housekeeping:
       if (timerId(token) == 0) runHousekeeping(context);
       break;
-    // A timer of its own, because a waiting request must not outlast its client.
+    // A separate timer, because a waiting request must not outlive its client.
     case TimerKind::RequestWait:
       resumeRequest(context, timerId(token));
       break;
--- a/src/balancer/balancer.hpp
+++ b/src/balancer/balancer.hpp
@@ -63,7 +63,7 @@
   // The endpoint list or changes to it. The first call is made right after construction.
   void endpointsListed(Time now, ListKind, const std::vector<ListedEndpoint>&);
 
-  // A client's request. The Balancer owes it exactly one final answer from here on.
+  // A client's request. From this call on, the Balancer must give it exactly one final answer.
   void request(Time now, const Request&);
 
   // Called exactly once for each attempt that was sent, including one that timed out at the
@@ -94,9 +94,9 @@
   // allows; the outcome of the attempt is then AttemptResult::StaleAnswer.
   bool isFreshEnough(Time now, const AttemptOutcome&);
 
-  // Suspends an endpoint or restores it, by an administrator and whatever the list says. A
-  // suspended endpoint gets no new requests or health checks; attempts in flight continue. A
-  // restored endpoint counts as just started, unless the list reports a later start.
+  // Suspends or restores an endpoint for an administrator, regardless of the list. A suspended
+  // endpoint gets no new requests or health checks; attempts in flight continue. A restored
+  // endpoint counts as just started, unless the list reports a later start.
   void suspend(Time now, EndpointId, bool suspended);
 
   // Replaces the settings. Classes that pending requests may use keep their indices; new classes
--- a/src/balancer/consistency.cpp
+++ b/src/balancer/consistency.cpp
@@ -78,8 +78,8 @@
   const Time commit = positionOf(context.settings, outcome.replicationStatus).value_or(context.now);
   const std::optional<Time> newestForgotten = context.sessionCommits.record(session, commit);
   if (!newestForgotten) return;
-  // Reads of forgotten sessions must not become stale: the newest forgotten commit stands in for
-  // all.
+  // Reads of forgotten sessions must not become stale: all of them require the newest
+  // forgotten commit.
   for (auto& entry : context.groups) {
     Group& group = entry.second;
     group.forgottenCommit = std::max(group.forgottenCommit, *newestForgotten);
--- a/src/balancer/context.hpp
+++ b/src/balancer/context.hpp
@@ -64,7 +64,8 @@
   KnownList knownList;
   WorkIndex work;
 
-  // Number of lists and list changes received, plus 1; 0 stands for none.
+  // Number of lists and list changes received, plus 1: where the number of an
+  // update is stored, 0 means none.
   std::uint64_t listUpdates = 1;
   bool started = false;         // the first list has been received
   bool gossipReceived = false;  // other proxies share what they observe of endpoints
--- a/src/balancer/fleet_traffic.cpp
+++ b/src/balancer/fleet_traffic.cpp
@@ -12,7 +12,7 @@
 namespace sablespur::balancer {
 namespace {
 
-// Most that is assumed to be asked of a group, as a multiple of its capacity.
+// Upper bound on the assumed demand on a group, as a multiple of its capacity.
 constexpr double kGroupOverloadFactor = 1.5;
 constexpr double kMinWeight = 1e-9;  // avoids a division by zero
 
@@ -36,8 +36,8 @@
   if (std::exchange(updatedAt_, context.now) == context.now) return;
   const bool expired = totals_.validUntil != kNever && context.now >= totals_.validUntil;
   if (totals_.stale || expired) recount(context);
-  // If no endpoint is warm, the requested work is assumed to be the most that the groups can be
-  // asked for.
+  // If no endpoint is warm, the requested work is assumed to be the greatest demand that is
+  // assumed for the groups.
   workPerWeightUnit_ = totals_.warmWeight > 0
                            ? workPerWindow(context, totals_.warmServed, startedAt_) / totals_.warmWeight
                            : workPerWindow(context, requested_, startedAt_) /
--- a/src/balancer/fleet_traffic.hpp
+++ b/src/balancer/fleet_traffic.hpp
@@ -1,5 +1,5 @@
-// Estimates the work that the fleet is asked for and serves, from the traffic of this proxy. Slow
-// start bases its budgets on it.
+// Estimates the work that clients request from the fleet and the work that the fleet serves, from
+// the traffic of this proxy. Slow start bases its budgets on these estimates.
 #pragma once
 
 #include <map>
--- a/src/balancer/load_shedding.hpp
+++ b/src/balancer/load_shedding.hpp
@@ -1,13 +1,13 @@
-// Load shedding: decides how long a request is worth attempts, and which attempts are likely to
-// succeed.
+// Load shedding: decides until when attempts of a request are useful, and which attempts are likely
+// to succeed.
 #pragma once
 
 #include "balancer/context.hpp"
 
 namespace sablespur::balancer {
 
-// Returns the instant after which an answer is worth nothing: the deadline, or the latency
-// objective for a class without worth for late answers.
+// Returns the instant after which an answer has no value: the deadline, or the latency objective
+// for a class whose late answers have no value.
 Time usefulUntil(const Context&, const PendingRequest&);
 
 // Returns the instant after which a new attempt can no longer produce a useful answer.
--- a/src/balancer/primary_discovery.hpp
+++ b/src/balancer/primary_discovery.hpp
@@ -23,8 +23,8 @@
 // the primary, it may also begin after a pause that doubles up to one second.
 Endpoint* nextPrimaryCandidate(Context&, Group&, const PendingRequest& write);
 
-// While a request waits for a primary, asks every usable endpoint of the group for its role by
-// health checks.
+// While a request waits for a primary, queries every usable endpoint of the group for its role
+// with health checks.
 void checkForPrimary(Context&, const Group&);
 
 }  // namespace sablespur::balancer
--- a/src/balancer/replica_selection.cpp
+++ b/src/balancer/replica_selection.cpp
@@ -12,7 +12,7 @@
 namespace sablespur::balancer {
 namespace {
 
-// Wanted probability that at least one endpoint of the read set answers in time.
+// Target probability that at least one endpoint of the read set answers in time.
 constexpr double kTargetOnTimeProbability = 0.95;
 constexpr double kMinMissProbability = 1e-9;  // keeps products of probabilities above 0
 // How long after Group::lastFailureAt a read set has to do without its best member
--- a/src/balancer/settings.hpp
+++ b/src/balancer/settings.hpp
@@ -48,10 +48,10 @@
   Time deduplicationWindow{};
   // Bounded staleness only: greatest age of the data at the time of the send.
   Time maxStaleness{};
-  Time latencyObjective{};    // an answer within this time earns its full worth
+  Time latencyObjective{};    // an answer within this time has its full worth
   Time deadline{};            // from the arrival; the client leaves at this time
   double priorityWeight = 1;  // worth of an answer
-  double lateWeight = 0;      // share of the worth that an answer after the objective earns
+  double lateWeight = 0;      // share of the worth that an answer after the objective has
 };
 
 struct Settings {
@@ -71,7 +71,7 @@
   bool parallelAttemptsAllowed = false;
   bool retryAfterAllowed = false;
   // A cached first list may be older than the changes of which discovery counts this proxy as
-  // informed. Discovery is asked at once.
+  // informed. Discovery is queried at once.
   bool knownListMayBeOld = false;
   // Only Lifecycle::Draining stops new requests, not Lifecycle::Gone.
   bool removedEndpointsStayUsable = false;
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -96,7 +96,7 @@
 struct Endpoint {
   ListedEndpoint listed;
   bool seenDraining = false;
-  bool suspended = false;  // by an administrator, whatever the list says
+  bool suspended = false;  // by an administrator, regardless of the list
   Time suspendedAt = kNever;
   Time goneAt = kNever;  // when it first became absent from the list or was listed as gone
   RoleEvidence role;
