--- a/src/auth/login.hpp
+++ b/src/auth/login.hpp
@@ -19,7 +19,7 @@
 // The server's next step after a message of the client.
 enum class AuthenticationStep {
   Continue,      // send response() and wait for the next message
-  Accepted,      // the client is logged in; response(), if not empty, goes first
+  Accepted,      // the client is logged in; response(), if not empty, is sent first
   Rejected,      // the password is wrong or the message is malformed
   SaltPassword,  // run saltingWork() on a worker and give its result to passwordSalted()
 };
--- a/src/config/settings_document.hpp
+++ b/src/config/settings_document.hpp
@@ -22,7 +22,7 @@
   // The first section of the type without a name, or null.
   const IniSection* unnamedSection(const std::string& type) const;
 
-  // Reports an error. `where` is "[section] key"; line 0 stands for the file as a whole.
+  // Reports an error. `where` is "[section] key"; line 0 means the file as a whole.
   void report(int line, std::string where, ValueError);
   // Reports an error at the line of the key, or of its section if the key is missing.
   void reportKey(const IniSection&, const char* key, ValueError);
--- a/src/discovery/call_schedule.hpp
+++ b/src/discovery/call_schedule.hpp
@@ -28,7 +28,7 @@
 };
 const char* toString(CallReason);
 
-// Why the schedule wants a call closed.
+// Why the schedule closes a call.
 enum class CloseReason {
   Superseded,  // another call has delivered a list
   Silent,      // its response began, then stalled for kResponseSilence
--- a/src/translation/answer.hpp
+++ b/src/translation/answer.hpp
@@ -13,7 +13,7 @@
 
 namespace sablespur::translation {
 
-// The formats in which a client wants the values of an answer.
+// The formats that a client requested for the values of an answer.
 struct ResultFormat {
   std::optional<ByteaForm> bytea;  // std::nullopt: as the server sent them
   // 1 binary, 0 text. Empty: all columns are text; one entry: it applies to all columns; otherwise
