--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -63,7 +63,7 @@
                         static_cast<char>(v)};
   return {bytes, 4};
 }
-// "big" stands for a value of the maximum size, 64 KiB.
+// "big" means a value of the maximum size, 64 KiB.
 std::string expandValue(const std::string& text) { return text == "big" ? std::string(65536, '\x7f') : text; }
 std::string rowMessages(const std::string& text) {
   std::string column("\0\1blob\0", 7);
@@ -990,8 +990,8 @@
                     postgres::readyForQuery());
 }
 
-// Handles the client's next login message; the SCRAM faults of "s2 asks" are made here. True when
-// the login has succeeded.
+// Handles the client's next login message; the SCRAM faults of "s2 asks" are made here. Returns
+// true when the login has succeeded.
 bool Scenario::continueLogin(Server&, Connection& c) {
   char type = 0;
   std::string body;
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -8,7 +8,7 @@
 //   c1 from 127.9.0.1      sets the source address; must be the client's first step
 //   c1 send query TEXT     c1 send bytes HEX   (as the first step: in place of the startup message)
 //   c1 send header TEXT    sends a PROXY protocol line before the startup message
-//   c1 expect row TEXT     a one-column row, then ReadyForQuery; "big" stands for a value of 64 KiB
+//   c1 expect row TEXT     a one-column row, then ReadyForQuery; "big" means a value of 64 KiB
 //   c1 expect empty        EmptyQueryResponse
 //   c1 expect error CODE   c1 expect closed   c1 close
 //   c1 expect in           the login has succeeded
@@ -47,7 +47,8 @@
 //   s2 serves TEXT         answers each query with the row TEXT; INSERT on a replica gets error 25006,
 //                          a statement with "fail" gets error 42703, one with "hang" gets no answer
 //   s2 becomes primary     all others become replicas; s2 becomes replica
-//   s2 stands MS           its data stay as of MS ago, and so grow stale; s2 stands up: current again
+//   s2 stands MS           keeps its data as of MS ago, so they become stale; s2 stands up: makes
+//                          them current again
 //   s2 tells all|role|nothing   whether its answers report its role and replication position
 //   s2 report TEXT         answers health checks with TEXT
 //   s2 drop probes N       closes the connection in place of an answer to the next N health checks
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -355,7 +355,7 @@
                                 << x.worstRequests << " requests where N is " << x.worstBudget;
   }
 }
-// The settings name fewer proxies than there are, and no proxy knows of the others.
+// The settings name fewer proxies than there are, and no proxy knows the others.
 class UnderstatedProxyCount : public testing::TestWithParam<int> {};
 TEST_P(UnderstatedProxyCount, NoColdServerIsOverloadedByMoreProxiesThanConfigured) {
   std::uint64_t seed = 100;
