--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -1,4 +1,4 @@
-// What a decision at the door costs, by how much it has to look at.
+// Benchmarks of admission decisions, by the number of networks, connections and requests.
 #include <benchmark/benchmark.h>
 
 #include <pcg_random.hpp>
@@ -16,7 +16,8 @@
 
 IpAddress address(std::uint32_t n) { return asio::ip::address_v4(n); }
 
-// So many networks of a dozen lengths, as a list that was put together over years has them.
+// Returns `entries` random networks with prefix lengths from 20 to 32, as in a list that grew over
+// years.
 std::shared_ptr<const Networks> networks(std::size_t entries) {
   auto all = std::make_shared<Networks>();
   pcg64 random(7);
@@ -29,12 +30,12 @@
   return all;
 }
 
-void find(benchmark::State& state) {
+void findNetwork(benchmark::State& state) {
   const auto all = networks(static_cast<std::size_t>(state.range(0)));
   pcg64 random(1);
   for (auto _ : state) benchmark::DoNotOptimize(all->find(address(static_cast<std::uint32_t>(random())), 1));
 }
-BENCHMARK(find)->Arg(10)->Arg(1000)->Arg(100000)->Name("network_of_an_address/entries");
+BENCHMARK(findNetwork)->Arg(10)->Arg(1000)->Arg(100000)->Name("network_of_an_address/entries");
 
 ConnectionAdmissionSettings settings() {
   ConnectionAdmissionSettings s;
@@ -46,8 +47,8 @@
   s.groups[1].maxPerPrefix = 4000;
   return s;
 }
-// One comes and one goes while so many are held.
-void comeAndGo(benchmark::State& state) {
+// Admits and removes one connection per iteration while state.range(1) connections are open.
+void admitAndRemove(benchmark::State& state) {
   const auto held = static_cast<ConnectionId>(state.range(1));
   ConnectionAdmission door(settings(), networks(static_cast<std::size_t>(state.range(0))));
   pcg64 random(1);
@@ -65,15 +66,15 @@
     door.remove(++oldest);
   }
 }
-BENCHMARK(comeAndGo)
+BENCHMARK(admitAndRemove)
     ->Args({10, 10000})
     ->Args({1000, 10000})
     ->Args({100000, 10000})
     ->Args({1000, 100})
     ->Name("connection_comes_and_goes/entries/held");
 
-// The door is full: an idle one is found to make way, or the newcomer is refused.
-void full(benchmark::State& state) {
+// All connections are in use: an idle one is closed for the new one, or the new one is rejected.
+void admitWhenFull(benchmark::State& state) {
   ConnectionAdmissionSettings s = settings();
   s.maxConnections = 10000;
   ConnectionAdmission door(s, networks(1000));
@@ -91,18 +92,19 @@
     benchmark::DoNotOptimize(w);
   }
 }
-BENCHMARK(full)->Arg(1)->Arg(0)->Name("full_with_10000_held/idle_ones");
+BENCHMARK(admitWhenFull)->Arg(1)->Arg(0)->Name("full_with_10000_held/idle_ones");
 
-void served(benchmark::State& state) {
+void recordResponse(benchmark::State& state) {
   RecentClients known{RecentClientsSettings{}};
   pcg64 random(1);
   Time now = 1s;
   for (auto _ : state) known.recordResponse(now += 10us, address(static_cast<std::uint32_t>(random())));
 }
-BENCHMARK(served)->Name("served_before_is_noted");
+BENCHMARK(recordResponse)->Name("served_before_is_noted");
 
-// A request that goes on at once and ends, with so many out.
-void request(benchmark::State& state) {
+// Submits a request that is sent at once, and completes one, with state.range(0) requests in
+// progress.
+void submitAndComplete(benchmark::State& state) {
   RequestLimiterSettings s;
   s.limit.kind = LimitKind::Gradient;
   s.limit.initial = s.limit.min = 2000;
@@ -120,7 +122,7 @@
     benchmark::DoNotOptimize(lanes.complete(now, ++oldest, 60ms, false));
   }
 }
-BENCHMARK(request)->Arg(10)->Arg(1000)->Name("request_goes_and_ends/out");
+BENCHMARK(submitAndComplete)->Arg(10)->Arg(1000)->Name("request_goes_and_ends/out");
 
 }  // namespace
 
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -1,8 +1,8 @@
-// What the store costs, as Markdown tables and CSV: see docs/measurements/store.
+// Measures the store's costs and prints Markdown tables and CSV; see docs/measurements/store.
 //
 //   build/sablespur_bench_store DIR [CSVDIR]
 //
-// DIR has to be on the disk that is to be measured.
+// DIR has to be on the disk to be measured.
 #include <event2/event.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -45,7 +45,7 @@
     }
   return 0;
 }
-// In a process of its own, so that memory is what this alone takes.
+// Runs in a process of its own, so that the measured memory is that of this measurement only.
 void apart(const std::function<void()>& work) {
   std::fflush(stdout);
   const pid_t pid = fork();
@@ -74,7 +74,7 @@
       true};
 }
 
-// One thread, groups of a size: what a commit costs and what grouping saves.
+// Commits groups of a fixed size from one thread: the cost of a commit and the gain from grouping.
 void groups(const std::string& dir) {
   std::printf(
       "| operations a commit | commits/s | operations/s | commit p50, us | p99, us |\n| --- | --- | --- | "
@@ -100,8 +100,8 @@
   }
 }
 
-// Through the writer, at a rate: from asking to the call back in the loop, and how late the loop's own timer
-// comes.
+// Commits through the writer at a fixed rate: measures the time from the request to the callback in
+// the event loop, and how late the loop's own timer fires.
 void rates(const std::string& dir, const std::string& csv) {
   std::printf(
       "| keyed writes/s | intent p50, us | p99, us | outcome p50, us | p99, us | operations a commit | loop "
@@ -109,7 +109,7 @@
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
   std::ofstream out(csv + "/rates.csv");
   out << "rate,intent_p50,intent_p99,outcome_p50,outcome_p99\n";
-  for (const int rate : {0, 20, 100, 500, 2000, 8000}) {  // 0: what the loop's timer does by itself
+  for (const int rate : {0, 20, 100, 500, 2000, 8000}) {  // 0: baseline of the loop's timer
     fs::remove_all(dir);
     struct State {
       event_base* base = nullptr;
@@ -182,7 +182,7 @@
     std::vector<Operation> group;
     for (int k = 0; k < 1000 && n < keys; ++k, ++n) {
       group.push_back(ask(n));
-      if (n % 100 != 0) group.push_back(finish(n));  // one in a hundred is open at the end
+      if (n % 100 != 0) group.push_back(finish(n));  // one write in a hundred stays open
     }
     ledger.apply(group);
   }
@@ -212,7 +212,7 @@
   }
 }
 
-// An hour of new keys: the ledger's clock is told that time passes.
+// Simulates an hour of new keys; the ledger's clock is advanced artificially.
 void hour(const std::string& dir, const std::string& csv) {
   fs::remove_all(dir);
   std::ofstream out(csv + "/hour.csv");
--- a/bench/store_libraries.cpp
+++ b/bench/store_libraries.cpp
@@ -1,11 +1,12 @@
-// What embedded libraries do with the ledger's workload: small records, each batch durable before it counts.
-// Prints one Markdown table each for prices and for damage. See docs/design/store.md.
+// Runs the ledger's workload on embedded storage libraries: small records, each batch made durable
+// before it is acknowledged. Prints a Markdown table of costs and one of behaviour on damaged
+// files. See docs/design/store.md.
 //
 //   build/sablespur_bench_store_libraries DIR [RECORDS]
 //
-// Damage: records are written one durable batch at a time by a process that then dies. Each data file is cut
-// at, and separately has a byte inverted at, many offsets; another process opens the copy and reads
-// everything.
+// Damage: a process writes records, one durable batch at a time, and exits without closing the
+// database. Each data file is truncated at many offsets, and separately has a byte inverted at many
+// offsets; another process opens the damaged copy and reads everything.
 #include <fcntl.h>
 #include <leveldb/db.h>
 #include <leveldb/write_batch.h>
@@ -198,7 +199,7 @@
   return std::make_unique<Sqlite>();
 }
 
-// A keyed write's intent is about this long.
+// Sized like the intent record of a write with an idempotency key.
 std::pair<std::string, std::string> record(int n) {
   char key[32];
   std::snprintf(key, sizeof key, "k%08d", n);
@@ -216,7 +217,8 @@
   return 0;
 }
 
-// Runs in a process of its own, since a library may end it; its numbers come back, or nothing.
+// Runs the function in a child process, since a library may abort. Returns its numbers, or an empty
+// vector if the child failed.
 std::vector<double> apart(const std::function<std::vector<double>()>& work) {
   int ends[2];
   if (pipe(ends) != 0) std::abort();
@@ -245,7 +247,9 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// us at the median and 99%, one by one; records a second in batches of 64; pause, MB, start in ms.
+// Returns the median and 99th percentile in us of single-record batches, the records per second in
+// batches of 64, the longest batch in ms, the memory in MB when empty and when full, the start in
+// ms and the files' MB.
 std::vector<double> prices(const std::string& name, const std::string& dir, int records) {
   fs::remove_all(dir);
   const double before = residentMb();
@@ -305,7 +309,7 @@
     if (!db->open(dir)) return {};
     for (int k = 0; k < kRecords; ++k)
       if (!db->put({record(k)})) return {};
-    _exit(0);  // dies with its files as they are
+    _exit(0);  // exits without closing the database
   });
   for (const bool cut : {true, false}) {
     std::map<Found, int> found;
--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -58,7 +58,8 @@
     if (s.at - out->second > rules_.drainGrace)
       breaks(s.at, "late_sends",
              "to server " + std::to_string(s.server) + " by proxy " + std::to_string(s.proxy) + ", " +
-                 std::to_string((s.at - out->second).count() / 1000) + " ms after it was told");
+                 std::to_string((s.at - out->second).count() / 1000) +
+                 " ms after it was told of the withdrawal");
     else
       ++inGrace_;
   }
@@ -93,7 +94,8 @@
   return told == replicaSince_.end() || s.at < told->second + rules_.roleKnownAfter;
 }
 
-// The client is given the answer of the last attempt that was served.
+// Checks the staleness of a delivered answer: the client receives the answer of the last served
+// attempt.
 void Audit::judgeDelivered(Time at, const std::string& id) {
   const auto read = servedReads_.find(id);
   if (read == servedReads_.end()) return;
@@ -101,12 +103,14 @@
   servedReads_.erase(read);
   if (served.age <= served.bound + rules_.staleSlack) return;
   breaks(at, "stale_answers",
-         "id " + id + " was given data of server " + std::to_string(served.server) + ", " +
+         "id " + id + " was answered with data from server " + std::to_string(served.server) + ", " +
              std::to_string(served.age.count() / 1000) + " ms old, " +
              std::to_string(served.bound.count() / 1000) + " allowed");
 }
 
-// An attempt that is still out when the next one has come may be one whose connection's end is on its way.
+// Reports overlapping attempts of one request that are older than the allowed overlap. An attempt
+// that is still open when the next one arrives may already have ended, with the closing of its
+// connection on the way.
 void Audit::settle(Time now) {
   std::size_t kept = 0;
   for (auto& [at, id] : overlaps_) {
@@ -118,7 +122,8 @@
     if (it == open_.end()) continue;
     for (const Out& o : it->second)
       if (o.overlappedAt == at)
-        breaks(at, "second_copies", "id " + id + " is still out at server " + std::to_string(o.server));
+        breaks(at, "second_copies",
+               "id " + id + " still has an open attempt at server " + std::to_string(o.server));
   }
   overlaps_.resize(kept);
 }
@@ -181,13 +186,14 @@
   ++count_["requests"];
   const auto key = keys_.find(id);
   if (got == Got::Served && key != keys_.end()) acknowledged_.insert(key->second);
-  // What another request of its key was answered is an answer to this one, too.
+  // A recorded answer to another request with the same idempotency key is a valid answer to this
+  // one.
   const auto other = value.size() > 2 && value != "v-" + id ? keys_.find(value.substr(2)) : keys_.end();
   const bool recorded = other != keys_.end() && key != keys_.end() && other->second == key->second;
   if (got == Got::Served && recorded) hit("recorded_answers");
   if (got == Got::Served && value != "v-" + id && !recorded)
     breaks(at, "lost", "id " + id + " was served '" + value.substr(0, 40) + "'");
-  if (got == Got::Nothing) breaks(at, "lost", "id " + id + ": no answer when its time was up");
+  if (got == Got::Nothing) breaks(at, "lost", "id " + id + ": no answer before its deadline");
   answers_.push_back({at, latency, id, got, {}});
 }
 
@@ -200,7 +206,7 @@
   settle(now + rules_.overlap + Time(1));
   for (const std::string& key : acknowledged_)
     if (effects_.count(key) == 0)
-      breaks(now, "lost_writes", "key " + key + " was served, and never took effect");
+      breaks(now, "lost_writes", "key " + key + " was acknowledged but never took effect");
 }
 
 std::map<std::string, double> Audit::figures() const {
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -1,5 +1,6 @@
-// Judges a run by what the stand-ins saw on their sockets, and by what the clients got. Pure: facts come with
-// their times, in the order in which they happened.
+// Checks a run against the proxy's rules, from what the stand-in servers saw on their sockets and
+// from the answers that the clients received. Performs no I/O and reads no clock: every event is
+// passed in with its time, in the order of the events.
 #pragma once
 
 #include <cstdint>
@@ -20,60 +21,61 @@
   Failed,
   Late,
   Nothing
-};  // Nothing: its time was up, and no answer had come
+};  // Nothing: no answer before the request's deadline
 
 class Audit {
  public:
   struct Rules {
-    Time drainGrace = std::chrono::milliseconds(1050);  // 1 s and 50 ms for the sockets
-    Time overlap = std::chrono::milliseconds(20);    // the end of a connection is noticed no later than that
-    Time staleSlack = std::chrono::milliseconds(5);  // from the proxy's send to what the stand-in sees of it
-    // A send to a server that has been primary is excused until one of its answers has told the proxy that it
-    // is none; but what the client is given is judged as well.
+    Time drainGrace = std::chrono::milliseconds(1050);  // 1 s, plus 50 ms for socket delays
+    Time overlap = std::chrono::milliseconds(20);       // longest delay until a closed connection is seen
+    Time staleSlack = std::chrono::milliseconds(5);     // longest delay from the proxy's send to its arrival
+    // If true, a stale read sent to a current or former primary is no violation until one of the
+    // server's answers has reported to the proxy that it is a replica; in return, answers delivered
+    // to clients are checked for staleness as well.
     bool judgeTakeovers = false;
-    Time roleKnownAfter = std::chrono::milliseconds(100);  // from when it was written
+    Time roleKnownAfter = std::chrono::milliseconds(100);  // after the report was written to the socket
   };
   explicit Audit(const Rules& rules) : rules_(rules) {}
   Audit() : Audit(Rules()) {}
 
-  // Of the list: what a proxy has been told of a server, by the stand-in that told it.
-  void withdrawn(Time, int server);                 // by the script: from here on it is to be told
-  void restarted(int proxy);                        // a new process: it has been told nothing
-  void told(Time, int proxy, int server, bool in);  // in: it may be sent work
+  // Events of the endpoint list, reported by the stand-in registry or name server.
+  void withdrawn(Time, int server);  // the script withdrew the server; the proxies are to be notified
+  void restarted(int proxy);         // a new process, which has received no endpoint list yet
+  void told(Time, int proxy, int server, bool in);  // the proxy was sent the server's state; in: usable
 
-  // Of the servers.
+  // Events at the data servers.
   struct Send {
     Time at{};
     int proxy = 0, server = 0;
     std::string id, key;
     std::string cls;
     bool read = false;
-    Time age{}, bound{};          // of the data there at that time; bound 0: any age will do
-    bool hasBeenPrimary = false;  // the server, now or earlier
-    std::uint64_t token = 0;      // of this attempt, given by send
+    Time age{}, bound{};          // staleness at that time; bound 0: unbounded
+    bool hasBeenPrimary = false;  // whether the server is or was the primary
+    std::uint64_t token = 0;      // identifies the attempt; assigned by send()
   };
   std::uint64_t send(Send);
-  void ended(Time, std::uint64_t token, bool served);       // answered, or its connection ended
-  void ran(Time, const std::string& key, Time droppedFor);  // a write took effect, and it was not a repeat
-  void felled(Time, int server);
+  void ended(Time, std::uint64_t token, bool served);       // answered or connection closed
+  void ran(Time, const std::string& key, Time droppedFor);  // a write took effect, not deduplicated
+  void felled(Time, int server);                            // failed from overload while cold
   void crashed(Time, int proxy, int status);
-  void cold(double multiple);
+  void cold(double multiple);  // load on a cold server, as a multiple of its capacity
   void probe(Time) { ++probes_; }
-  void roleTold(Time, int proxy, int server, bool primary);  // with an answer or a report
+  void roleTold(Time, int proxy, int server, bool primary);  // in an answer or a load report
 
-  // Of the clients: every request ends in one of these, once.
+  // Events at the clients. Every request ends in exactly one of these.
   void request(Time at, const std::string& id, const std::string& key = {});
   void answer(Time at, const std::string& id, Got, const std::string& value, Time latency, bool onTime,
               double worth, double earned);
-  void hit(const char* what) { ++hits_[what]; }  // something happened that an experiment wants to see
+  void hit(const char* what) { ++hits_[what]; }  // counts an event under a figure's name
   void value(bool right) { right ? ++valuesRight_ : ++valuesWrong_; }
-  void extra(Time) { ++extraAnswers_; }  // an answer that nobody waited for
+  void extra(Time) { ++extraAnswers_; }  // an answer without a waiting request
   void lost(const std::string& id, const char* why);
 
-  void finish(Time);  // judges what is still open
+  void finish(Time);  // checks what is still open at the end of the run
 
-  std::size_t count(Got) const;  // so far; cheap
-  // Figures, by the names that claims use.
+  std::size_t count(Got) const;  // so far; cheap enough to poll
+  // Returns the figures by the names that the claims of experiments use.
   std::map<std::string, double> figures() const;
   const std::vector<Send>& sends() const { return sends_; }
   struct Answer {
@@ -92,7 +94,7 @@
     Time at{};
     int proxy, server;
     bool in;
-    Time after{};  // the withdrawal
+    Time after{};  // since the withdrawal; -1 us where there was none
   };
   const std::vector<Told>& tellings() const { return told_; }
 
@@ -113,18 +115,18 @@
   void settle(Time now);
 
   const Rules rules_;
-  std::map<std::pair<int, int>, Time> outSince_;  // proxy, server
+  std::map<std::pair<int, int>, Time> outSince_;  // (proxy, server): withdrawn since
   std::map<std::pair<int, int>, bool> in_;
   std::map<int, Time> withdrawnAt_;
-  std::unordered_map<std::string, std::vector<Out>> open_;  // attempts by id
+  std::unordered_map<std::string, std::vector<Out>> open_;  // unfinished attempts, by request id
   std::unordered_map<std::uint64_t, std::string> idOf_;
-  std::unordered_map<std::string, Time> waiting_;      // requests without an answer
-  std::unordered_map<std::string, Time> effects_;      // by key
-  std::unordered_map<std::string, std::string> keys_;  // of requests, by id
-  std::set<std::string> acknowledged_;                // keys of which a client was told that they were served
-  std::map<std::pair<int, int>, Time> replicaSince_;  // proxy, server: told to be none, as it was last told
-  std::unordered_map<std::uint64_t, ServedRead> readsOut_;   // by token
-  std::unordered_map<std::string, ServedRead> servedReads_;  // by id: the last attempt that was answered
+  std::unordered_map<std::string, Time> waiting_;            // unanswered requests: id -> start
+  std::unordered_map<std::string, Time> effects_;            // first effect of each idempotency key
+  std::unordered_map<std::string, std::string> keys_;        // idempotency keys, by request id
+  std::set<std::string> acknowledged_;                       // keys of writes acknowledged to a client
+  std::map<std::pair<int, int>, Time> replicaSince_;         // (proxy, server): known as replica since
+  std::unordered_map<std::uint64_t, ServedRead> readsOut_;   // unfinished bounded reads, by token
+  std::unordered_map<std::string, ServedRead> servedReads_;  // last answered attempt, by request id
   std::vector<std::pair<Time, std::string>> overlaps_;
   std::vector<Send> sends_;
   std::vector<Answer> answers_;
--- a/lab/availability.cpp
+++ b/lab/availability.cpp
@@ -33,7 +33,7 @@
     failing_.erase(key);
     return;
   }
-  // A read that was sent while no server could have served it tells nothing.
+  // A read that was sent before any server could have served it does not count.
   if (begun < *available) return;
   Failing& failing = failing_.try_emplace(key, Failing{begun, 0}).first->second;
   failing.since = std::min(failing.since, begun);
--- a/lab/availability.hpp
+++ b/lab/availability.hpp
@@ -1,5 +1,6 @@
-// Judges whether a proxy turns away every read of a group that a healthy server with fresh data could have
-// served. Pure: facts come with their times, in the order in which they happened.
+// Detects read outages: times in which a proxy fails every read of a group although a healthy
+// server with fresh data could have served them. Performs no I/O and reads no clock: every event is
+// passed in with its time, in the order of the events.
 #pragma once
 
 #include <map>
@@ -14,20 +15,21 @@
 class Availability {
  public:
   struct Rules {
-    Time patience = std::chrono::seconds(2);  // so long every read may fail
-    int leastReads = 3;                       // fewer failures tell nothing
-    // Without health checks nothing but a write can find a new primary: a proxy is judged once one that its
-    // clients sent since the group is available has ended.
+    Time patience = std::chrono::seconds(2);  // every read may fail for this long
+    int leastReads = 3;                       // fewer failed reads are not an outage
+    // Without health checks only a write can find a new primary. If true, a proxy is checked only
+    // once a write that its clients sent after the group became available has ended.
     bool foundByWrites = false;
   };
   explicit Availability(const Rules& rules) : rules_(rules) {}
   Availability() : Availability(Rules()) {}
 
-  // Whether some server of the group can be reached, answers without faults and has fresh data. To be told
-  // often.
+  // Records whether some server of the group is reachable, answers without errors and has fresh
+  // data. To be called often, since the time of a change is that of the call.
   void observe(Time, int group, bool available);
   void writeEnded(Time now, int proxy, int group, Time begun);
-  // A read that a client sent at `begun` has ended.
+  // Records the end of a read that a client sent at `begun`, and the outage that it completes, if
+  // any.
   void readEnded(Time now, int proxy, int group, Time begun, bool served);
 
   struct Outage {
@@ -44,13 +46,14 @@
     int reads = 0;
   };
 
-  // Since when the proxy could have served reads of the group; nothing: it could not.
+  // Returns the time since which the proxy could have served reads of the group, or std::nullopt if
+  // it could not.
   std::optional<Time> couldServeSince(int proxy, int group) const;
 
   const Rules rules_;
-  std::map<int, std::optional<Time>> availableSince_;  // by group; nothing: it is not available
-  std::map<std::pair<int, int>, Time> firstWrite_;     // by proxy and group: since it is available
-  std::map<std::pair<int, int>, Failing> failing_;     // by proxy and group
+  std::map<int, std::optional<Time>> availableSince_;  // by group; std::nullopt: not available
+  std::map<std::pair<int, int>, Time> firstWrite_;     // end of the first write since, by (proxy, group)
+  std::map<std::pair<int, int>, Failing> failing_;     // failed reads in series, by (proxy, group)
   std::vector<Outage> outages_;
 };
 
--- a/lab/fault_schedule.cpp
+++ b/lab/fault_schedule.cpp
@@ -28,9 +28,9 @@
   }
 
  private:
-  // Seldom the first, which is the primary.
+  // Rarely the first server, which is the primary.
   std::string server() { return "s-" + std::to_string(chance(15) ? 1 : between(2, servers_)); }
-  // The primary and one replica stay.
+  // The primary and one replica never leave.
   std::string leavingServer() { return "s-" + std::to_string(between(3, servers_)); }
 
   void drawDeployment() {
@@ -57,7 +57,8 @@
          << "\nfrom = " << between(1, 8) << "s\nstay = 4s\n";
   }
 
-  // A fault that lasts longer than the list may be old, with a drain soon after its begin.
+  // A registry fault that outlasts the allowed age of the endpoint list, with a drain soon after it
+  // starts.
   void drawRegistryFaults() {
     static constexpr const char* kMoods[] = {"silent", "cut",  "slow-1500", "slow-2200", "slow-2800",
                                              "pieces", "down", "older",     "reset"};
@@ -85,7 +86,7 @@
     }
   }
 
-  // One server after another drains, leaves and comes back.
+  // Servers drain, leave and return, one after another.
   void drawServerChanges() {
     for (std::int64_t time = between(1500, 5000); time < kDurationMs - 6000; time += between(2500, 5000)) {
       const std::string name = leavingServer();
@@ -96,7 +97,7 @@
     }
   }
 
-  // Signals in series, an end with the earliest kill, a crash, or a short stop.
+  // Repeated signals and a shutdown with the earliest allowed SIGKILL, a crash, or a short SIGSTOP.
   void drawProxyFaults() {
     std::int64_t time = between(1000, 5000);
     for (int proxy = 1; proxy <= proxies_ && time < kDurationMs - 7000; ++proxy) {
@@ -123,7 +124,8 @@
     if (chance(50)) at(time + between(1, 300), who + "term");
     const std::int64_t kill =
         time + std::min(longestDeadline_, kLongestCountedDeadlineMs) + kKillAfterDeadlineMs;
-    // "no sooner than": with the longest deadline counted as 3 s where it is longer.
+    // The earliest allowed SIGKILL follows SIGTERM by the longest deadline, counted as at most 3 s,
+    // plus kKillAfterDeadlineMs.
     at(kill, who + "kill");
     at(kill + between(50, 500), who + "start");
   }
--- a/lab/fault_schedule.hpp
+++ b/lab/fault_schedule.hpp
@@ -1,4 +1,4 @@
-// Draws the experiments of the soak's first kind: overlapping faults of all kinds.
+// Generates the experiments of the soak kind Faults: overlapping faults of all kinds.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace sablespur::lab {
 
-// The experiment of a seed, as INI: its deployment, load and schedule of faults. The same text for the same
-// seed.
+// Returns the experiment of a seed as INI text: its deployment, load and fault schedule.
+// Deterministic: the same seed gives the same text.
 std::string faultExperiment(std::uint64_t seed);
 
 }  // namespace sablespur::lab
--- a/lab/generation.hpp
+++ b/lab/generation.hpp
@@ -1,5 +1,7 @@
-// The server's side of one generation of data servers, for stand-ins: how it greets, lets in, answers and
-// complains. Pure; written from the protocol's description, apart from the proxy's own pool.
+// The server side of the PostgreSQL protocol as one generation of data servers speaks it, for
+// stand-in data servers: startup, authentication, rows, notices and errors. Performs no I/O.
+// Written from the protocol's documentation, independently of the proxy's connection pool, so that
+// a fault of the pool is not repeated.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +15,16 @@
 
 struct Generation {
   std::string name = "plain";
-  int minor = 0;             // of version 3
+  int minor = 0;             // minor version of protocol 3
   bool backslashes = false;  // standard_conforming_strings is off
   bool escape = false;       // bytea in escape form, not in hex
-  std::string login;         // scram, md5, cleartext; empty: trust
-  bool chatty = false;       // notices, parameters amid answers, error fields of today
+  std::string login;         // authentication: scram, md5, cleartext; empty: trust
+  bool chatty = false;       // notices and ParameterStatus within answers; all error fields
 };
 // "plain", "old" (before 9.0: escape form, backslashes, MD5), "modern" (3.2, SCRAM, chatty).
 std::optional<Generation> generationOf(std::string_view name);
 
-// What the stand-ins that want a password let in.
+// The credentials that stand-ins with password authentication accept.
 constexpr const char* kInnerUser = "proxy";
 constexpr const char* kInnerPassword = "inner-word";
 
@@ -30,18 +32,20 @@
  public:
   ServerSpeaker(const Generation& g, std::uint32_t number);
   ~ServerSpeaker();
-  // Startup and login. Cancel: it was a CancelRequest, for number(); Out: end the connection once `send` is
-  // out.
+  // Consumes the startup and login messages in `in` and appends the answers to `send`. In: logged
+  // in; Cancel: a CancelRequest, for the connection cancelled(); Out: close the connection after
+  // `send` is sent.
   enum class Got { More, In, Cancel, Out };
   Got take(std::string& in, std::string& send);
   std::uint32_t cancelled() const { return cancelled_; }
   bool askedForMore() const { return askedMinor_ > generation_.minor; }
 
-  // An answer of a number, the value and a null; of bytea where that is wanted, else of text.
+  // An answer with one row: a number, the value (bytea if requested, else text) and a null.
   std::string row(std::string_view bytes) const;
-  std::string between() const;  // what may stand amid an answer
+  std::string between() const;  // messages that may arrive within an answer
   std::string problem(const char* code, const char* text) const;
-  // A literal of a statement as this generation reads it, from its opening on ("'a''b'", "E'a\\'b'").
+  // Decodes a string literal of a statement as this generation reads it, opening quote included
+  // ("'a''b'", "E'a\\'b'").
   std::optional<std::string> literal(std::string_view statement, std::size_t at) const;
 
  private:
@@ -57,9 +61,9 @@
   std::unique_ptr<Scram> scram_;
 };
 
-// Bytes that only this request has: all 256 values, quotes and backslashes among them.
+// Returns bytes unique to the request: all 256 values, including quotes and backslashes.
 std::string bytesOf(std::string_view id, std::size_t size);
-// A text that only this request has, hard to quote.
+// Returns a text unique to the request, with characters that need escaping.
 std::string textOf(std::string_view id);
 
 }  // namespace sablespur::lab
--- a/lab/logins.hpp
+++ b/lab/logins.hpp
@@ -1,4 +1,4 @@
-// A burst of logins: many desks that connect at the same moment.
+// A burst of logins: many clients that connect at the same moment.
 #pragma once
 
 #include <list>
@@ -16,7 +16,8 @@
   ~LoginBurst();
   std::size_t in() const { return latencies_.size(); }
   std::size_t failed() const { return failed_; }
-  const std::vector<double>& latencies() const { return latencies_; }  // ms, from the connect to being let in
+  // Returns the latencies from connect to the completed login, in ms.
+  const std::vector<double>& latencies() const { return latencies_; }
 
  private:
   struct One;
--- a/lab/model.cpp
+++ b/lab/model.cpp
@@ -46,8 +46,8 @@
 void Machine::stop(Time now, Time wouldEnd) {
   const auto held = std::find(ends_.begin(), ends_.end(), wouldEnd);
   if (held != ends_.end()) ends_.erase(held);
-  // What waits behind it on that core keeps its time: a stopped piece frees its core only where it was the
-  // last.
+  // Work queued behind the canceled work on that core keeps its completion time: the core is freed
+  // only if the canceled work was its last.
   const auto core = std::find(cores_.begin(), cores_.end(), wouldEnd);
   if (core != cores_.end()) *core = now;
 }
@@ -76,7 +76,8 @@
     pending_.pop_front();
   }
   if (cut_) return standsAt_;
-  // With nothing behind it has all that was shipped; else all before the first that it has not applied.
+  // With nothing pending, all that was shipped is applied; else all before the first pending
+  // commit.
   const Time upTo =
       pending_.empty() ? now - ship_ : std::min(pending_.front().committed - Time(1), now - ship_);
   standsAt_ = std::max(standsAt_, upTo);
--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -10,7 +10,7 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr std::size_t kPlainUdp = 512;  // without EDNS0
+constexpr std::size_t kPlainUdp = 512;  // largest UDP answer without EDNS0 (RFC 1035)
 
 sockaddr_in loopback(int port) {
   sockaddr_in a{};
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-// One TCP connection: queries with their lengths before them, answered in order.
+// One TCP connection: length-prefixed queries, answered in order.
 class NameServer::Tcp {
  public:
   Tcp(NameServer& owner, int fd)
@@ -84,7 +84,8 @@
     : base_(base),
       domain_(dns::parseName(domain).value()),
       service_(dns::parseName(service + "." + domain).value()) {
-  // The same port for both; the system chooses it for one, and may have given it away for the other.
+  // UDP and TCP use the same port. The system chooses it for UDP, and it may be taken for TCP:
+  // hence the retries.
   for (int k = 0; k < 50 && listener_ < 0; ++k) {
     if (udp_ >= 0) close(udp_);
     udp_ = openSocket(SOCK_DGRAM, port);
@@ -93,7 +94,8 @@
     listenTcp();
   }
   other_ = openSocket(SOCK_DGRAM, 0);
-  if (udp_ < 0 || listener_ < 0 || other_ < 0) throw std::runtime_error("the name server finds no port");
+  if (udp_ < 0 || listener_ < 0 || other_ < 0)
+    throw std::runtime_error("stand-in name server: cannot bind a UDP and a TCP port");
   readable_ = event_new(
       base, udp_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<NameServer*>(self)->readUdp(); }, this);
@@ -270,7 +272,7 @@
       return std::string(query.substr(0, 2)) + std::string("\x84\x00\xff\xff\xff\xff noise", 12);
     case Mood::Loop: {
       std::string bytes = error(dns::Rcode::NoError);
-      bytes[7] = 1;  // one answer, whose name points at itself
+      bytes[7] = 1;  // one answer, whose compressed name points to itself
       const auto at = bytes.size();
       bytes += {static_cast<char>(0xc0 | at >> 8), static_cast<char>(at), 0, 12, 0, 1, 0, 0, 0, 9, 0, 0};
       return bytes;
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -1,6 +1,7 @@
-// A stand-in name server, authoritative for one domain: DNS-SD records of data servers over UDP and TCP, with
-// the additional records of RFC 6763 section 12, and misbehaviour on request. Written from the RFCs; it
-// shares only the message codec with the proxy. Loopback addresses only.
+// A stand-in name server, authoritative for one domain. Serves the DNS-SD records of data servers
+// over UDP and TCP, with the additional records of RFC 6763 section 12, and simulates faults on
+// request. Written from the RFCs; shares only the message codec with the proxy. Listens on loopback
+// addresses only.
 #pragma once
 
 #include <event2/event.h>
@@ -20,9 +21,8 @@
 namespace sablespur::lab {
 
 struct ServiceInstance {
-  std::string label;  // "s-1"
-  std::vector<std::string>
-      addresses;  // "127.0.0.1"; several: several A or AAAA records; none: no address yet
+  std::string label;                   // "s-1"
+  std::vector<std::string> addresses;  // "127.0.0.1"; one A or AAAA record each; empty: none yet
   std::uint16_t port = 0;
   std::vector<std::string> txt;  // "group=3"
   std::uint32_t ttl = 2;
@@ -33,19 +33,19 @@
  public:
   enum class Mood {
     Good,
-    Silent,  // takes queries and says nothing
+    Silent,  // receives queries, never answers
     ServFail,
     Refused,
-    Lame,           // NOERROR with nothing, not authoritative, no SOA
-    Noise,          // bytes that are no message
-    Loop,           // a name whose compression points at itself
-    Counts,         // a head that promises more records than come
-    WrongId,        // the right answer under another id
-    WrongQuestion,  // to another question, with the zone emptied
-    WrongPort,      // the zone emptied, from another port
-    Truncated,      // TC over UDP
-    TruncatedOnly,  // TC over UDP and no TCP at all
-    NoEdns          // FORMERR for what has an OPT record
+    Lame,           // NOERROR, no records, not authoritative, no SOA
+    Noise,          // bytes that are not a DNS message
+    Loop,           // a name with a compression pointer to itself
+    Counts,         // a header that counts more records than follow
+    WrongId,        // the correct answer under another id
+    WrongQuestion,  // an answer from an empty zone, to another question
+    WrongPort,      // an answer from an empty zone, sent from another port
+    Truncated,      // TC bit over UDP
+    TruncatedOnly,  // TC bit over UDP, and no TCP listener
+    NoEdns          // FORMERR for queries with an OPT record
   };
 
   NameServer(event_base*, const std::string& domain, const std::string& service, int port = 0);
@@ -54,14 +54,15 @@
   NameServer& operator=(const NameServer&) = delete;
 
   int port() const { return port_; }
-  void publish(const ServiceInstance&);  // or replaces
+  void publish(const ServiceInstance&);  // adds or replaces the instance
   void withdraw(const std::string& label);
   void clear() { instances_.clear(); }
   void mood(Mood m);
   void additionals(bool on) { additionals_ = on; }
   void negativeTtl(std::uint32_t s) { negativeTtl_ = s; }
 
-  // Called when an answer that names all instances goes out: each with whether it wants work (state=leaving).
+  // Called when an answer that names all instances is sent: maps each label to whether the instance
+  // accepts new work (false for state=leaving).
   std::function<void(const std::map<std::string, bool>&)> onTold;
 
   struct Counts {
@@ -69,7 +70,8 @@
     std::map<dns::Type, std::uint64_t> types;
   };
   const Counts& counts() const { return counts_; }
-  static bool moodOf(const std::string& name, Mood&);  // "silent", "wrong-id", ...
+  // Parses "silent", "wrong-id", ...; returns false for an unknown name.
+  static bool moodOf(const std::string& name, Mood&);
 
  private:
   class Tcp;
--- a/lab/power.cpp
+++ b/lab/power.cpp
@@ -26,7 +26,7 @@
 }
 
 void Power::lose(Time least, Time most) {
-  later_.clear();  // a second loss while the first is still coming back
+  later_.clear();  // a second loss cancels the pending restarts of the first
   Loss l;
   l.at = c_.now();
   l.servedAtLoss = audit_.count(Got::Served);
@@ -74,7 +74,7 @@
     if (l.first == Time(0) && served > l.servedAtLoss) l.first = now;
     bool primaries = now >= l.serversBack;
     for (int g = 1; g <= fleet_.settings().groups; ++g) primaries = primaries && fleet_.primary(g);
-    // The clock of the return runs from when all that is needed is there.
+    // The time to return counts from when all data servers are back and every group has a primary.
     if (!primaries && l.returned == Time(0)) l.serversBack = std::max(l.serversBack, now);
     const auto was =
         std::find_if(served_.begin(), served_.end(), [&](const auto& s) { return s.first >= now - kOver; });
--- a/lab/power.hpp
+++ b/lab/power.hpp
@@ -1,6 +1,7 @@
-// A loss of power: every data server and every proxy ends at once, mid-write, and each comes back at a moment
-// that was drawn for it. What a proxy had under way on its disk is cut at a drawn byte; one in five disks
-// lies, and has lost of its last snapshot, too.
+// Simulates power losses: every data server and every proxy is killed at once, possibly during a
+// write, and each restarts after a random delay. Files that a proxy was writing are truncated at a
+// random byte. One in five snapshots that were already complete is truncated as well, as by a disk
+// that acknowledged the sync without making the data durable.
 #pragma once
 
 #include <functional>
@@ -19,23 +20,29 @@
  public:
   struct Hands {
     int proxies = 0;
-    std::function<void(int proxy, bool on)> proxy;  // from 1: kill, start
-    std::string directory;                          // of the proxies' files
+    std::function<void(int proxy, bool on)> proxy;  // numbered from 1; true: start, false: kill
+    std::string directory;                          // of the proxies' stores and snapshots
   };
   Power(Context&, Fleet&, const Audit&, Hands);
 
-  // Data servers come back between `least` and `most` from now, proxies between a third of `least` and
-  // `most`.
+  // Cuts the power now. Data servers restart after `least` to `most`, proxies after a third of
+  // `least` to `most`.
   void lose(Time least, Time most);
-  // power_losses; power_first_answer_ms and power_return_ms (after the last data server has come back and
-  // each group has a primary again: until nine tenths of what was served before, over half a second), as
-  // median and most; power_unreturned: losses after which that did not come before the next, or the end.
+  // Adds these figures:
+  // - power_losses: the number of losses;
+  // - power_first_answer_ms, power_first_answer_most_ms: from the loss to the first served
+  //   request, median and maximum;
+  // - power_return_ms, power_return_most_ms: from the moment at which all data servers are back and
+  //   each group has a primary, until the rate of served requests over half a second is nine tenths
+  //   of that before the loss, median and maximum;
+  // - power_unreturned: losses after which that rate was not reached before the next loss or the
+  //   end of the run.
   void figures(std::map<std::string, double>&) const;
 
  private:
   struct Loss {
     Time at{}, serversBack{}, first{}, returned{};
-    double before = 0;  // served a second
+    double before = 0;  // served requests per second before the loss
     std::size_t servedAtLoss = 0;
   };
   void look();
@@ -47,7 +54,7 @@
   const Audit& audit_;
   const Hands hands_;
   std::vector<Loss> losses_;
-  std::vector<std::pair<Time, std::size_t>> served_;  // every kLook
+  std::vector<std::pair<Time, std::size_t>> served_;  // served requests so far, sampled every kLook
   std::vector<std::unique_ptr<Timer>> later_;
   Timer look_;
 };
--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -7,11 +7,11 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr Time kQuiet = std::chrono::seconds(2);  // an empty line comes so often
+constexpr Time kQuiet = std::chrono::seconds(2);  // interval of empty lines on idle watches
 constexpr std::size_t kPieceSize = 64;
 constexpr Time kBetweenPieces = std::chrono::milliseconds(10);
 constexpr Time kCountsAsTold = std::chrono::seconds(6);
-constexpr std::size_t kMostHistory = 16;  // whole lists that are kept for Mood::Older
+constexpr std::size_t kMostHistory = 16;  // whole lists retained for Mood::Older
 constexpr std::uint64_t kOlderBy = 3;     // changes
 
 std::string chunk(const std::string& text) {
@@ -55,11 +55,11 @@
  private:
   void pause() {
     if (silent_ || r_.mood_ == Mood::Cut) return;
-    if (known_ < r_.generation_) return changed();  // it catches up
+    if (known_ < r_.generation_) return changed();  // sends the changes since the older list
     if (left_.empty()) put(bev_.get(), chunk("\n"));
     quiet_.in(kQuiet);
   }
-  // A list, at once or in pieces.
+  // Sends a list, at once or in pieces.
   void send(const std::string& list) {
     left_ += list;
     if (r_.mood_ == Mood::Pieces || left_.size() > list.size()) return piece_.in(kBetweenPieces);
@@ -117,11 +117,11 @@
   listener_.reset(evconnlistener_new_bind(
       c.loop.get(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        new Connection(*static_cast<Registry*>(self), fd);  // it deletes itself
+        new Connection(*static_cast<Registry*>(self), fd);  // deletes itself when closed
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 64, reinterpret_cast<const sockaddr*>(&a),
       sizeof a));
-  if (!listener_) throw std::runtime_error("the stand-in registry finds no port");
+  if (!listener_) throw std::runtime_error("stand-in registry: cannot bind a port");
   sockaddr_in got{};
   socklen_t n = sizeof got;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&got), &n);
@@ -150,7 +150,7 @@
   entries_[name] = {"\"instanceId\":\"" + name + "\",\"lifecycle\":\"left\"", false, true, ++generation_};
   changed();
 }
-// The whole list as it was some changes ago; nothing unless the mood asks for it.
+// Returns the whole list as it was kOlderBy changes ago; std::nullopt unless the mode is Older.
 std::optional<std::pair<std::uint64_t, std::string>> Registry::olderList() const {
   if (mood_ != Mood::Older) return std::nullopt;
   const auto older = history_.lower_bound(generation_ - std::min(generation_, kOlderBy));
@@ -159,7 +159,7 @@
 }
 
 void Registry::tellAll() {
-  if (down_ || mood_ == Mood::Cut) return;  // counted anew when it can be reached
+  if (down_ || mood_ == Mood::Cut) return;  // the delay starts again once the registry is reachable
   for (const auto& [name, e] : entries_) onTold_(name, e.in && !e.gone);
 }
 void Registry::tellAllAfter(Time from) { tell_.in(from + kCountsAsTold - c_.now()); }
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -1,5 +1,6 @@
-// A stand-in HTTP registry: the whole list, or a watch on its changes, as the platform's pages describe. One
-// for each proxy, so that each may be told at its own time.
+// A stand-in HTTP registry that serves the whole endpoint list or a watch on its changes, as the
+// platform's pages describe. Each proxy has its own, so that each proxy can be notified at its own
+// time.
 #pragma once
 
 #include <functional>
@@ -19,19 +20,21 @@
   ~Registry();
 
   int port() const { return port_; }
-  // An instance as JSON without its braces; `in`: it may be sent work. Told at once to whoever watches.
+  // Adds or replaces an instance and notifies all watches at once. `json` is the instance's JSON
+  // object without its braces; `in`: it may be sent requests.
   void set(const std::string& name, const std::string& json, bool in);
   void left(const std::string& name);
-  void down(bool);  // watches end, new calls get 503
+  void down(bool);  // closes watches and answers new calls with 503
 
-  // How it answers from now on. The page's clock counts a change as told after 6 s in each of these.
+  // How calls are answered from now on. In each faulty mode a change counts as known to the proxy
+  // after 6 s, as the platform's pages define.
   enum class Mood {
     Well,
-    WatchesSilent,  // the open ones; new calls are answered
-    Cut,            // nothing is said to anybody
+    WatchesSilent,  // open watches get nothing; new calls are answered
+    Cut,            // neither calls nor watches get anything
     Slow,           // each call is answered after the delay
-    Pieces,         // lists come in small pieces
-    Older           // calls are answered with the whole list of some changes ago, and catch up later
+    Pieces,         // lists are sent in small pieces
+    Older           // calls first get the whole list of kOlderBy changes ago, and the changes later
   };
   void mood(Mood, Time delay = {});
   void resetWatches();
@@ -55,7 +58,7 @@
   bool down_ = false;
   std::uint64_t generation_ = 1;
   std::map<std::string, Entry> entries_;
-  std::map<std::uint64_t, std::string> history_;  // whole lists by generation, the last few
+  std::map<std::uint64_t, std::string> history_;  // the last kMostHistory whole lists, by generation
   Mood mood_ = Mood::Well;
   Time delay_{}, silentSince_{};
   Timer tell_;
--- a/lab/rogue.cpp
+++ b/lab/rogue.cpp
@@ -1,14 +1,15 @@
-// A proxy that breaks one rule on purpose, so that each auditor is seen to find it. It serves as badly as it
-// may otherwise: a thread a client, a connection a request. ROGUE names what it does:
+// A proxy that breaks one rule on purpose, to test that each check of the audit detects it.
+// Otherwise as simple as possible: one thread per client, one connection per request. The
+// environment variable ROGUE selects the rule:
 //
-//   late    goes on sending to servers that were withdrawn
+//   late    keeps sending to withdrawn servers
 //   copies  sends each read to two servers at once
 //   lose    never answers one request in ten
-//   swap    answers with a value that nobody made
-//   stale   sends reads to replicas however far they lag
-//   flood   sends everything to the server that was listed last
-//   twice   sends each write again after its key is forgotten
-//   extra   answers twice
+//   swap    answers with a value that no data server sent
+//   stale   sends reads to replicas regardless of their staleness
+//   flood   sends every read to the server that was listed last
+//   twice   repeats each write after its deduplication window
+//   extra   sends each answer twice
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -43,7 +44,7 @@
 
 std::string mode;
 std::mutex lock;
-std::vector<Server> servers;  // in the order in which they were first seen
+std::vector<Server> servers;  // in the order of their first appearance
 std::atomic<unsigned> turn{0};
 
 sockaddr_in parse(const std::string& text) {
@@ -125,7 +126,7 @@
   }
 }
 
-// One attempt; the answer with its ReadyForQuery, or empty.
+// Sends one attempt. Returns the answer including ReadyForQuery, or an empty string on failure.
 std::string attempt(const Server& s, const std::string& statement) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   std::string greeting, answer;
--- a/lab/schedule_drawer.hpp
+++ b/lab/schedule_drawer.hpp
@@ -1,4 +1,4 @@
-// What the soak's schedules share: draws from a seed, and the steps of a script in the order of their times.
+// Shared by the soak's schedules: seeded random draws, and script steps ordered by time.
 #pragma once
 
 #include <cstddef>
@@ -10,12 +10,12 @@
 
 namespace sablespur::lab {
 
-// The same draws for the same seed.
+// Deterministic: the same seed gives the same draws.
 class ScheduleDrawer {
  public:
   explicit ScheduleDrawer(std::uint64_t seed) : random_(seed) {}
 
-  // Both ends included.
+  // Returns a number from the closed interval [least, most].
   std::int64_t between(std::int64_t least, std::int64_t most) {
     return least + static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most - least + 1));
   }
@@ -25,7 +25,7 @@
     return values[between(0, Count - 1)];
   }
 
-  // Steps of the same time stay in the order in which they were added.
+  // Steps with equal times keep the order in which they were added.
   void at(std::int64_t ms, const std::string& action) { steps_.emplace(ms, action); }
   std::string script() const {
     std::ostringstream lines;
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -21,7 +21,7 @@
 
 using std::chrono::milliseconds;
 
-// A stand-in that was held up for longer cannot tell who was late.
+// If a stand-in was delayed for longer, a late event cannot be attributed to the proxy.
 constexpr double kMostLagMs = 250;
 constexpr int kVoidPercent = 10;
 
@@ -34,7 +34,7 @@
   return text.str();
 }
 
-// What the script did in the seconds before a break.
+// Prints the script steps in the 9 s before a violation.
 void printStepsBefore(const Experiment& experiment, Time at, Time started) {
   constexpr Time kBefore = std::chrono::seconds(9);
   for (const Step& step : experiment.script) {
@@ -46,8 +46,8 @@
   }
 }
 
-// Slow start has its own experiments; there a fall is judged over all proxies.
-bool counts(const Audit::Broken& broken) { return broken.rule != "felled"; }
+// Excludes overloads of cold servers: the slow-start experiments check these, over all proxies.
+bool isSoakViolation(const Audit::Broken& broken) { return broken.rule != "felled"; }
 
 int playSeed(const SoakOptions& options, std::uint64_t seed) {
   constexpr std::size_t kMostPrinted = 5;
@@ -72,7 +72,7 @@
   };
   std::vector<Audit::Broken> broken;
   for (const Audit::Broken& one : played.audit().broken())
-    if (counts(one)) broken.push_back(one);
+    if (isSoakViolation(one)) broken.push_back(one);
   for (const Availability::Outage& outage : played.availability().outages())
     broken.push_back({outage.at, "read_outages",
                       "proxy " + std::to_string(outage.proxy) + " served none of " +
@@ -93,7 +93,7 @@
     printStepsBefore(experiment, broken[k].at, played.startedAt());
   }
   if (!broken.empty())
-    std::printf("  again: sablespur-lab soak%s --seeds %llu..%llu; logs in %s\n",
+    std::printf("  to reproduce: sablespur-lab soak%s --seeds %llu..%llu; logs in %s\n",
                 options.kind == SoakKind::Takeovers ? " --kind takeovers" : "",
                 static_cast<unsigned long long>(seed), static_cast<unsigned long long>(seed),
                 run.directory.c_str());
@@ -102,12 +102,12 @@
   return broken.empty() && !isCrashed ? kHeld : kBroken;
 }
 
-// Each run has a process of its own; this one only counts.
+// Forks a process that plays the seed; the parent only counts the results.
 pid_t startSeed(const SoakOptions& options, std::uint64_t seed) {
   std::fflush(stdout);
   const pid_t pid = fork();
   if (pid != 0) return pid;
-  setvbuf(stdout, nullptr, _IOFBF, std::size_t{1} << 16);  // a run's lines stay together
+  setvbuf(stdout, nullptr, _IOFBF, std::size_t{1} << 16);  // keeps the lines of a run together
   int code = kFailed;
   try {
     code = playSeed(options, seed);
@@ -122,8 +122,7 @@
 
 int playSoak(const SoakOptions& options) {
   if (access(options.program.c_str(), X_OK) != 0)
-    throw std::runtime_error("--proxy " + options.program +
-                             ": there is no such program, or it may not be run");
+    throw std::runtime_error("--proxy " + options.program + ": no such file, or not executable");
   std::map<int, int> counts;
   int running = 0;
   const auto reap = [&] {
@@ -134,7 +133,7 @@
   };
   for (std::uint64_t seed = options.firstSeed; seed <= options.lastSeed; ++seed) {
     while (running >= options.jobs) reap();
-    if (startSeed(options, seed) < 0) throw std::runtime_error("a run cannot be started");
+    if (startSeed(options, seed) < 0) throw std::runtime_error("cannot fork a process for the run");
     ++running;
   }
   while (running > 0) reap();
--- a/lab/soak.hpp
+++ b/lab/soak.hpp
@@ -1,4 +1,4 @@
-// The fault soak: seeded runs of real proxies under overlapping faults, judged by the lab's audit.
+// The soak: seeded runs of real proxies under overlapping faults, checked by the lab's audit.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,21 @@
 
 enum class SoakKind {
   Faults,    // overlapping faults of all kinds
-  Takeovers  // takeovers, quiet times, readers alone; all ways of load reports
+  Takeovers  // takeovers, idle periods, read-only load; all kinds of load reports
 };
 
 struct SoakOptions {
   SoakKind kind = SoakKind::Faults;
-  std::string program;    // the proxy's
-  std::string directory;  // for settings and logs
+  std::string program;    // path of the proxy's executable
+  std::string directory;  // for the runs' settings and logs
   std::uint64_t firstSeed = 1, lastSeed = 1;
   int jobs = 4;
   bool trace = false;  // the proxies log each request, attempt and health check
 };
 
-// Plays the seeds, so many side by side, and prints a line for each. Returns 0 if no rule was broken, 1 if
-// one was, 2 if over a tenth of the runs were void because this machine was too slow for the stand-ins.
+// Plays the seeds, `jobs` of them in parallel, and prints a line for each. Returns the exit code: 0
+// if no rule was broken, 1 if one was or a run failed to play, 2 if over a tenth of the runs are
+// void because this machine was too slow for the stand-ins.
 int playSoak(const SoakOptions&);
 
 }  // namespace sablespur::lab
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -72,7 +72,7 @@
   return version_ == Version::V20 ? take2(in, send) : take3(in, send);
 }
 
-// A login's request. False: it cannot be met.
+// Answers an authentication request. Returns false if the request is unsupported or invalid.
 bool Speaker::login(std::uint32_t request, std::string_view body, std::string& send) {
   const auto say = [&](const std::string& text) {
     send += version_ == Version::V20 ? postgres2::password(text) : withType('p', text + '\0');
@@ -99,7 +99,8 @@
     case 11: {
       const auto c = login_ ? login_->scram.readChallenge(body, why_) : std::nullopt;
       if (!c) return false;
-      // Salted once for all connections: a burst of logins must not measure the stand-in's own work.
+      // The salted password is cached for all connections, so that a burst of logins does not
+      // measure the stand-in's own key derivation.
       static std::map<std::string, std::string> salted;
       std::string& known = salted[who_.password + "/" + c->salt + "/" + std::to_string(c->iterations)];
       if (known.empty()) known = auth::saltPassword(who_.password, c->salt, c->iterations);
@@ -140,7 +141,7 @@
     }
     if (m->type == 'Z') return Got::Ready;
   }
-  if (bad) why_ = "no message of 2.0";
+  if (bad) why_ = "invalid protocol 2.0 message";
   return bad ? Got::Broken : Got::More;
 }
 
@@ -152,7 +153,7 @@
   for (;;) {
     if (in.size() < 5) return Got::More;
     const std::size_t length = postgres::readInt32(in.data() + 1);
-    if (length < 4 || length > (8u << 20)) return broken("a length that is none");
+    if (length < 4 || length > (8u << 20)) return broken("invalid message length");
     if (in.size() < 1 + length) return Got::More;
     const char type = in[0];
     const std::string body = in.substr(5, length - 4);
@@ -162,18 +163,19 @@
       case 'R':
         if (body.size() < 4 ||
             !login(postgres::readInt32(body.data()), std::string_view(body).substr(4), send))
-          return broken("a login that cannot be met");
+          return broken("unsupported or failed authentication request");
         break;
       case 'K': {
         const auto key = postgres::parseKeyData(body);
-        if (!key || (version_ == Version::V30 && key->secret.size() != 4)) return broken("a malformed key");
+        if (!key || (version_ == Version::V30 && key->secret.size() != 4))
+          return broken("malformed BackendKeyData");
         process_ = key->process;
         secret_ = key->secret;
         break;
       }
       case 'v': {
         const auto minor = postgres::parseNegotiate(body);
-        if (!minor) return broken("a malformed negotiation");
+        if (!minor) return broken("malformed NegotiateProtocolVersion");
         minor_ = *minor;
         break;
       }
@@ -183,26 +185,26 @@
         std::size_t at = 2;
         for (std::size_t k = 0; k < columns_; ++k) {
           at = body.find('\0', at);
-          if (at == std::string::npos || body.size() < at + 19) return broken("a malformed description");
+          if (at == std::string::npos || body.size() < at + 19) return broken("malformed RowDescription");
           reply_.types.push_back(postgres::readInt32(body.data() + at + 7));
           at += 19;
         }
         break;
       }
       case 'D': {
-        if (body.size() < 2) return broken("a malformed row");
+        if (body.size() < 2) return broken("malformed DataRow");
         const std::size_t n = static_cast<unsigned char>(body[0]) << 8 | static_cast<unsigned char>(body[1]);
         std::vector<std::optional<std::string>> row;
         std::size_t at = 2;
         for (std::size_t k = 0; k < n; ++k) {
-          if (body.size() < at + 4) return broken("a malformed row");
+          if (body.size() < at + 4) return broken("malformed DataRow");
           const std::uint32_t size = postgres::readInt32(body.data() + at);
           at += 4;
           if (size == 0xffffffff) {
             row.emplace_back();
             continue;
           }
-          if (size > body.size() - at) return broken("a malformed row");
+          if (size > body.size() - at) return broken("malformed DataRow");
           row.emplace_back(body.substr(at, size));
           at += size;
         }
@@ -228,7 +230,7 @@
         return Got::Ready;
       default:
         if (std::string_view("SNI123nst").find(type) == std::string_view::npos)
-          return broken("a message that 3.0 does not know");
+          return broken("message type unknown in protocol 3.0");
     }
   }
 }
--- a/lab/speaker.hpp
+++ b/lab/speaker.hpp
@@ -1,5 +1,6 @@
-// The client's side of one protocol version, for stand-in clients: what it sends, and how it reads what
-// comes. Pure. Written from the protocol's description, apart from the proxy's own front.
+// The client side of one version of the PostgreSQL protocol, for stand-in clients: encodes messages
+// to the proxy and decodes its answers. Performs no I/O. Written from the protocol's documentation,
+// independently of the proxy's frontend, so that a fault of the frontend is not repeated.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +19,10 @@
 struct Reply {
   std::vector<std::vector<std::optional<std::string>>> rows;
   std::vector<std::uint32_t> types;
-  std::string tag, code, error;  // of 2.0 there is no code
+  std::string tag, code, error;  // protocol 2.0 has no code
   std::optional<int> comeBackMs;
-  std::string seen;    // the messages' types, in order
-  std::string fields;  // of an error, their letters
+  std::string seen;    // types of the received messages, in order
+  std::string fields;  // letters of an error's fields
 };
 
 struct Identity {
@@ -30,9 +31,9 @@
   std::string options;
 };
 
-constexpr const char* kDeskPassword = "desk-word";  // of the user "desk", where a run lets clients log in
+constexpr const char* kDeskPassword = "desk-word";  // of the user "desk", in runs with client logins
 
-// A parameter of an extended query; nothing: null.
+// A parameter of an extended query; a value of std::nullopt is NULL.
 struct Bound {
   std::optional<std::string> value;
   std::uint32_t type = 0;
@@ -45,22 +46,23 @@
   Version version() const { return version_; }
   std::string hello() const;
   std::string query(std::string_view statement) const;
-  // Parse, Bind, Describe of the portal, Execute and Sync of the unnamed statement; 3.x alone.
+  // Returns Parse, Bind, Describe (portal), Execute and Sync for the unnamed statement; 3.x only.
   std::string extended(std::string_view statement, const std::vector<Bound>&,
                        bool binaryResults = false) const;
-  std::string cancel() const;  // with the key that was told
+  std::string cancel() const;  // with the key from the proxy's BackendKeyData
   std::string cancelWith(std::uint32_t process, std::string_view secret) const;
 
-  // Reads what has come and takes it out of `in`; `send` gets what a login wants said at once. Ready: the
-  // proxy waits for the next request, and reply() is whole.
+  // Consumes the messages in `in` and appends the login's answers to `send`. More: needs more
+  // bytes; Ready: the proxy waits for the next request, and reply() is complete; Broken: protocol
+  // error, see why().
   enum class Got { More, Ready, Broken };
   Got take(std::string& in, std::string& send);
   const Reply& reply() const { return reply_; }
   Reply takeReply();
   std::uint32_t process() const { return process_; }
   const std::string& secret() const { return secret_; }
-  int minor() const { return minor_; }             // what was agreed
-  const std::string& why() const { return why_; }  // Broken
+  int minor() const { return minor_; }             // the negotiated minor version
+  const std::string& why() const { return why_; }  // the protocol error
 
  private:
   Got take2(std::string& in, std::string& send);
@@ -76,7 +78,7 @@
   struct Login;
   std::shared_ptr<Login> login_;
   std::size_t columns_ = 0;
-  std::shared_ptr<void> reader_;  // of 2.0
+  std::shared_ptr<void> reader_;  // reader of protocol 2.0
 };
 
 }  // namespace sablespur::lab
--- a/lab/takeover_schedule.cpp
+++ b/lab/takeover_schedule.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::int64_t kDurationMs = 24000;
-// Time enough at the end to see whether reads are served again after the last takeover.
+// Leaves enough time after the last takeover to see whether reads are served again.
 constexpr std::int64_t kCalmEndMs = 9000;
 
 class TakeoverSchedule : private ScheduleDrawer {
@@ -31,7 +31,7 @@
     const std::int64_t bound = oneOf(kBoundsMs);
     const std::int64_t deadline = oneOf(kReadDeadlinesMs);
     hasProbes_ = chance(65);
-    // Without probes only a write finds a new primary.
+    // Without health checks only a write finds a new primary.
     const std::int64_t writes = hasProbes_ && chance(50) ? 0 : between(10, 30);
     rate_ = between(10, 30);
     out_ << "[experiment]\ntitle = takeovers " << seed_ << "\nseed = " << seed_
@@ -54,7 +54,7 @@
          << "\ndata_servers.probes = " << (hasProbes_ ? "yes" : "no") << "\n";
   }
 
-  // The primary steps down and goes on as a replica, or hangs for a while; another takes over later.
+  // The primary steps down to replica, or hangs for a while; another server takes over later.
   void drawTakeovers() {
     constexpr std::int64_t kLongestTakeoverMs = 6000;
     for (std::int64_t time = between(1500, 4000); time < kDurationMs - kCalmEndMs;
@@ -68,7 +68,7 @@
     }
   }
 
-  // All requests of one proxy stop, and come again.
+  // The load of one proxy stops completely and resumes later.
   void drawQuietTimes() {
     for (int proxy = 1; proxy <= proxies_; ++proxy) {
       for (std::int64_t time = between(500, 4000); time < kDurationMs - kCalmEndMs;) {
@@ -83,7 +83,7 @@
 
   const std::uint64_t seed_;
   int proxies_ = 0;
-  std::int64_t rate_ = 0;  // requests a second at each proxy
+  std::int64_t rate_ = 0;  // requests per second at each proxy
   bool hasProbes_ = true;
   std::ostringstream out_;
 };
--- a/lab/takeover_schedule.hpp
+++ b/lab/takeover_schedule.hpp
@@ -1,4 +1,4 @@
-// Draws the experiments of the soak's second kind: takeovers, quiet times and readers alone.
+// Generates the experiments of the soak kind Takeovers: takeovers, idle periods and read-only load.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace sablespur::lab {
 
-// The experiment of a seed, as INI. The same text for the same seed.
+// Returns the experiment of a seed as INI text. Deterministic: the same seed gives the same text.
 std::string takeoverExperiment(std::uint64_t seed);
 
 }  // namespace sablespur::lab
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -1,4 +1,4 @@
-// The lab's checkers of takeovers, each with the fault that it is there to find.
+// Tests of the lab's takeover checks, each against the violation that it has to detect.
 #include "lab/availability.hpp"
 
 #include <gtest/gtest.h>
@@ -15,20 +15,20 @@
 constexpr int kProxy = 1;
 constexpr int kGroup = 1;
 
-// A read each 100 ms, each over after 50 ms.
+// Sends a read every 100 ms; each fails after 50 ms.
 void readsFail(Availability& judge, Time from, Time until) {
   for (Time at = from; at < until; at += milliseconds(100))
     judge.readEnded(at + milliseconds(50), kProxy, kGroup, at, false);
 }
 
-TEST(LabAvailability, FindsAProxyThatServesNoReadThoughAServerCould) {
+TEST(LabAvailability, ReportsAProxyThatFailsEveryReadWhileAServerIsAvailable) {
   Availability judge;
   judge.observe(seconds(1), kGroup, true);
   readsFail(judge, seconds(2), seconds(5));
   ASSERT_EQ(judge.outages().size(), 1u);
   EXPECT_GT(judge.outages()[0].lasted, seconds(2));
 }
-TEST(LabAvailability, TwoSecondsAreAllowed) {
+TEST(LabAvailability, AllowsFailuresForTwoSeconds) {
   Availability judge;
   judge.observe(seconds(1), kGroup, true);
   readsFail(judge, seconds(2), milliseconds(3900));
@@ -36,7 +36,7 @@
   readsFail(judge, seconds(4), milliseconds(5900));
   EXPECT_TRUE(judge.outages().empty());
 }
-TEST(LabAvailability, WhereNoServerCouldNoProxyHasTo) {
+TEST(LabAvailability, ReportsNothingWhileNoServerIsAvailable) {
   Availability judge;
   readsFail(judge, seconds(2), seconds(9));
   judge.observe(seconds(9), kGroup, true);
@@ -44,7 +44,7 @@
   readsFail(judge, seconds(10), seconds(19));
   EXPECT_TRUE(judge.outages().empty());
 }
-TEST(LabAvailability, WithoutHealthChecksAWriteHasToFindThePrimaryFirst) {
+TEST(LabAvailability, WithoutHealthChecksOnlyReadsAfterAWriteCount) {
   Availability::Rules rules;
   rules.foundByWrites = true;
   Availability judge(rules);
@@ -75,13 +75,13 @@
   return rules;
 }
 
-TEST(LabTakeoverAudit, ASendToAFormerPrimaryIsExcusedUntilItHasToldThatItIsNone) {
+TEST(LabTakeoverAudit, ASendToAFormerPrimaryIsExcusedUntilItReportsThatItIsAReplica) {
   Audit audit(takeoverRules());
   audit.send(staleSend("a"));
   EXPECT_EQ(audit.figures().at("stale_reads"), 0);
   audit.roleTold(milliseconds(4950), kProxy, 1, false);
   audit.send(staleSend("b"));
-  EXPECT_EQ(audit.figures().at("stale_reads"), 0) << "what an answer tells is known after 100 ms";
+  EXPECT_EQ(audit.figures().at("stale_reads"), 0) << "the role in an answer counts as known after 100 ms";
   Audit::Send later = staleSend("c");
   later.at += milliseconds(60);
   audit.send(later);
@@ -94,12 +94,12 @@
   audit.send(send);
   EXPECT_EQ(audit.figures().at("stale_reads"), 1);
 }
-TEST(LabTakeoverAudit, NothingIsExcusedInTheSoakOfAllFaults) {
+TEST(LabTakeoverAudit, WithoutTakeoverRulesNoSendIsExcused) {
   Audit audit;
   audit.send(staleSend("a"));
   EXPECT_EQ(audit.figures().at("stale_reads"), 1);
 }
-TEST(LabTakeoverAudit, FindsAStaleAnswerThatAClientIsGiven) {
+TEST(LabTakeoverAudit, ReportsAStaleAnswerDeliveredToAClient) {
   Audit audit(takeoverRules());
   audit.request(seconds(5), "a");
   const std::uint64_t attempt = audit.send(staleSend("a"));
@@ -107,7 +107,7 @@
   audit.answer(seconds(6), "a", Got::Served, "v-a", milliseconds(20), true, 1, 1);
   EXPECT_EQ(audit.figures().at("stale_answers"), 1);
 }
-TEST(LabTakeoverAudit, AWithheldAnswerIsNone) {
+TEST(LabTakeoverAudit, AWithheldStaleAnswerIsNoViolation) {
   Audit audit(takeoverRules());
   audit.request(seconds(5), "a");
   audit.ended(seconds(6), audit.send(staleSend("a")), true);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,5 @@
-// The lab itself: its models, its auditors, and each auditor against a proxy that breaks its rule.
+// Tests of the lab: its models, and its audit, each check against a proxy that breaks the checked
+// rule.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -16,37 +17,37 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(LabMachine, ServesAsManyAtOnceAsItHasCores) {
+TEST(LabMachine, ServesOneRequestPerCoreAndQueuesUpToItsLimit) {
   MachineSettings s;
   s.cores = 2;
   s.room = 1;
   Machine m(s, Time(0), true);
   EXPECT_EQ(m.take(Time(0), 1000), Time(1000));
   EXPECT_EQ(m.take(Time(0), 3000), Time(3000));
-  EXPECT_EQ(m.take(Time(0), 1000), Time(2000));  // waits for the first
+  EXPECT_EQ(m.take(Time(0), 1000), Time(2000));  // queued behind the first
   EXPECT_EQ(m.take(Time(0), 1000), std::nullopt);
   EXPECT_EQ(m.held(Time(1500)), 2u);
   m.slow(4);
   EXPECT_EQ(m.take(Time(5000), 1000), Time(9000));
 }
-TEST(LabMachine, IsColdAfterItsStartAndFallsUnderTooMuch) {
+TEST(LabMachine, IsColdAfterItsStartAndFailsUnderOverload) {
   MachineSettings s;
   s.cores = 1;
   Machine m(s, Time(0), false);
   EXPECT_NEAR(m.capacity(Time(0)), 0.21, 1e-9);
   EXPECT_NEAR(m.capacity(seconds(9)), 0.605, 1e-9);
   EXPECT_NEAR(m.capacity(seconds(18)), 1, 1e-9);
-  // 0.21 of a core over 1.5 s are 315 ms; 2.5 times that fells it.
+  // 0.21 of a core over 1.5 s is 315 ms of work; more than 2.5 times that makes the server fail.
   EXPECT_FALSE(m.sent(Time(0), 780e3));
   EXPECT_NEAR(m.worst(), 780.0 / 315, 1e-6);
   EXPECT_TRUE(m.sent(Time(1), 20e3));
   Machine later(s, Time(0), false);
   EXPECT_FALSE(later.sent(Time(0), 700e3));
-  EXPECT_FALSE(later.sent(seconds(2), 700e3));  // another window
+  EXPECT_FALSE(later.sent(seconds(2), 700e3));  // outside the 1.5 s window
   Machine warm(s, Time(0), true);
   EXPECT_FALSE(warm.sent(Time(0), 1e9));
 }
-TEST(LabLog, FallsBehindWhenItIsSlowAndCatchesUp) {
+TEST(LabLogApply, LagsWhileSlowAndCatchesUp) {
   LogApply log(milliseconds(5), milliseconds(10));
   EXPECT_EQ(log.position(seconds(1)), seconds(1) - milliseconds(5));
   log.slow(10);
@@ -66,14 +67,14 @@
   s.id = id;
   return s;
 }
-TEST(LabAudit, CountsSendsAfterTheGraceAndNotThoseWithinIt) {
+TEST(LabAudit, ReportsSendsAfterTheDrainGraceOnly) {
   Audit a;
   a.withdrawn(seconds(1), 3);
   a.told(seconds(2), 1, 3, false);
   a.send(sendOf(seconds(2) + milliseconds(1000), 3, "a"));
   a.send(sendOf(seconds(2) + milliseconds(1100), 3, "b"));
   Audit::Send other = sendOf(seconds(9), 3, "c");
-  other.proxy = 2;  // it was told nothing
+  other.proxy = 2;  // was not told of the withdrawal
   a.send(other);
   a.told(seconds(10), 1, 3, true);
   a.send(sendOf(seconds(30), 3, "d"));
@@ -81,18 +82,18 @@
   EXPECT_EQ(a.figures()["sends_in_grace"], 1);
   EXPECT_EQ(a.figures()["told_max_ms"], 1000);
 }
-TEST(LabAudit, ASecondAttemptIsACopyOnlyWhileTheFirstIsOut) {
+TEST(LabAudit, ReportsASecondAttemptOnlyWhileTheFirstIsOpen) {
   Audit a;
   const auto first = a.send(sendOf(Time(0), 1, "a"));
   a.send(sendOf(milliseconds(5), 2, "a"));
-  a.ended(milliseconds(10), first, false);  // its end was on its way
+  a.ended(milliseconds(10), first, false);  // within the allowed overlap
   const auto second = a.send(sendOf(seconds(1), 1, "b"));
   a.send(sendOf(seconds(1) + milliseconds(5), 2, "b"));
   a.ended(seconds(1) + milliseconds(40), second, true);
   a.finish(seconds(2));
   EXPECT_EQ(a.figures()["second_copies"], 1);
 }
-TEST(LabAudit, EveryRequestIsAnsweredOnceWithItsOwnValue) {
+TEST(LabAudit, ReportsMissingForeignAndExtraAnswers) {
   Audit a;
   for (const char* id : {"a", "b", "c"}) a.request(Time(0), id);
   a.answer(seconds(1), "a", Got::Served, "v-a", seconds(1), true, 1, 1);
@@ -105,7 +106,7 @@
   EXPECT_EQ(f["requests"], 3);
   EXPECT_EQ(f["worth_share"], 0.5);
 }
-TEST(LabExperiment, FaultsNameTheLine) {
+TEST(LabExperiment, FaultsNameTheirLine) {
   std::vector<Fault> faults;
   parseExperiment(
       "[experiment]\nduration = 5\n[fleet]\nmember = 3\n[class r]\nshare = 1\n[script]\n5s withdraw\n5x kill "
@@ -120,7 +121,7 @@
         "x.ini:12: [claims]: 'lost == 0' is no claim"})
     EXPECT_NE(all.find(wanted), std::string::npos) << wanted << "\nin\n" << all;
 }
-TEST(LabExperiment, ThoseInTheFolderAreFreeOfFaults) {
+TEST(LabExperiment, AllExperimentFilesParse) {
   int n = 0;
   for (const auto& entry :
        std::filesystem::recursive_directory_iterator(SABLESPUR_SOURCE "/lab/experiments")) {
@@ -136,14 +137,15 @@
   EXPECT_GE(n, 8);
 }
 
-// Each rule, broken on purpose by a rogue proxy under the same small experiment: its auditor must find it.
-// What no rogue breaks is free of it, so that an auditor that always cries is found, too.
+// Guards against a check that never detects its rule's violation, and against one that always
+// reports it: a rogue proxy breaks each rule under the same small experiment, and the checks of
+// other rules must report nothing.
 struct Rogue {
   const char* mode;
   const char* figure;
 };
 class LabRogue : public testing::TestWithParam<Rogue> {};
-TEST_P(LabRogue, IsFound) {
+TEST_P(LabRogue, IsDetectedByItsCheck) {
   setenv("ROGUE", GetParam().mode, 1);
   std::vector<Fault> faults;
   const Experiment e = parseExperiment(R"(
@@ -184,8 +186,10 @@
                                        "rogue", faults);
   ASSERT_TRUE(faults.empty()) << faults.front().text();
   Experiment changed = e;
-  if (std::string(GetParam().mode) == "flood") changed.load.rate = 500;  // what a warm one could just do
-  if (std::string(GetParam().mode) == "late") {                          // the server stays, its record goes
+  // About the most that one warm server can serve.
+  if (std::string(GetParam().mode) == "flood") changed.load.rate = 500;
+  // The server keeps running; only its record is withdrawn.
+  if (std::string(GetParam().mode) == "late") {
     changed.script.clear();
     changed.script.push_back({milliseconds(200), {"withdraw", "s-3"}, 0});
   }
@@ -199,7 +203,7 @@
   std::filesystem::remove_all(dir);
   EXPECT_GT(out.figures[GetParam().figure], 0) << "by " << GetParam().mode;
   EXPECT_GT(out.figures["served"], 0);
-  // The auditors that this rogue gives nothing to find.
+  // Checks of the rules that this rogue does not break.
   for (const char* other : {"late_sends", "second_copies", "double_effects", "extra_answers"})
     if (std::string(other) != GetParam().figure) {
       EXPECT_EQ(out.figures[other], 0) << other << " by " << GetParam().mode;
@@ -212,9 +216,10 @@
                                          Rogue{"twice", "double_effects"}, Rogue{"extra", "extra_answers"}),
                          [](const auto& i) { return std::string(i.param.mode); });
 
-// Twenty real proxies on their stores and ten data servers lose power together, twice, the second time while
-// service is still returning. What hangs on how fast the machine is stays with lab/experiments/recovery.
-Outcome lossesOfPower(const std::string& recovery, const std::string& script, int proxies) {
+// Guards against broken rules after a power loss: twenty real proxies with stores and ten data
+// servers lose power together, twice, the second time while service is still returning. Figures that
+// depend on the machine's speed are checked by lab/experiments/recovery.
+Outcome playPowerLosses(const std::string& recovery, const std::string& script, int proxies) {
   std::vector<Fault> faults;
   const Experiment e = parseExperiment(R"(
 [experiment]
@@ -270,7 +275,7 @@
   o.directory = mkdtemp(made);
   auto run = std::make_unique<Run>(e, o);
   Outcome out = run->play();
-  run.reset();  // ends the proxies, which write there
+  run.reset();  // stops the proxies before their files are read and removed
   for (int k = 1; k <= proxies; ++k) {
     std::ifstream log(o.directory + "/proxy-" + std::to_string(k) + ".log");
     for (std::string line; std::getline(log, line);) {
@@ -283,23 +288,25 @@
   std::filesystem::remove_all(o.directory);
   return out;
 }
-TEST(LabPower, TwoLossesBreakNoPromiseAndProxiesComeBackOnWhatTheyKept) {
+TEST(LabPower, TwoLossesBreakNoRuleAndProxiesRecoverFromSnapshotsAndPeers) {
   Outcome out =
-      lossesOfPower("", "2s power 200 900\n2010ms registry down\n2800ms registry up\n3s power 200 900", 20);
+      playPowerLosses("", "2s power 200 900\n2010ms registry down\n2800ms registry up\n3s power 200 900", 20);
   auto& f = out.figures;
   EXPECT_EQ(f["power_losses"], 2);
   for (const char* none :
        {"double_effects", "lost_writes", "felled", "second_copies", "extra_answers", "crashes"})
     EXPECT_EQ(f[none], 0) << none;
-  EXPECT_GE(f["recovery_started"], 60) << "three starts of twenty";
-  EXPECT_GT(f["snapshot_read"], 15) << "one disk in five lies, and some end before their first";
+  EXPECT_GE(f["recovery_started"], 60) << "three starts of twenty proxies";
+  EXPECT_GT(f["snapshot_read"], 15)
+      << "one snapshot in five is truncated, and some proxies are killed before their first";
   EXPECT_GT(f["snapshot_rejected"], 0);
   EXPECT_GT(f["peer_state_accepted"], 20);
   EXPECT_GT(f["served"], 0);
 }
-// A small ship: the crowd, the desks that come back at once, a table that fills. What hangs on how fast the
-// machine is stays with the experiments in lab/experiments/admission.
-TEST(LabCrowd, MeetsADoorAndAFullTableWithoutABrokenRule) {
+// Guards against broken rules under a connection flood: crowds of clients, regular clients that all
+// reconnect at once, and a descriptor table that fills up. Figures that depend on the machine's
+// speed are checked by lab/experiments/admission.
+TEST(LabCrowd, ConnectionLimitsAndAFullDescriptorTableBreakNoRule) {
   std::vector<Fault> faults;
   const Experiment e = parseExperiment(R"(
 [experiment]
