--- a/bench/store_libraries.cpp
+++ b/bench/store_libraries.cpp
@@ -219,7 +219,7 @@
 
 // Runs the function in a child process, since a library may abort. Returns its numbers, or an empty
 // vector if the child failed.
-std::vector<double> apart(const std::function<std::vector<double>()>& work) {
+std::vector<double> runInChild(const std::function<std::vector<double>()>& work) {
   int ends[2];
   if (pipe(ends) != 0) std::abort();
   const pid_t pid = fork();
@@ -250,7 +250,7 @@
 // Returns the median and 99th percentile in us of single-record batches, the records per second in
 // batches of 64, the longest batch in ms, the memory in MB when empty and when full, the start in
 // ms and the files' MB.
-std::vector<double> prices(const std::string& name, const std::string& dir, int records) {
+std::vector<double> measureCosts(const std::string& name, const std::string& dir, int records) {
   fs::remove_all(dir);
   const double before = residentMb();
   double emptyMb = 0, fullMb = 0, worst = 0, perSecond = 0;
@@ -288,7 +288,7 @@
 enum Found { Whole, Shorter, Hole, Refused, Crashed };
 
 Found open(const std::string& name, const std::string& dir, int records) {
-  const auto got = apart([&]() -> std::vector<double> {
+  const auto got = runInChild([&]() -> std::vector<double> {
     const auto db = make(name);
     std::map<std::string, std::string> all;
     if (!db->open(dir) || !db->all(all)) return {Refused};
@@ -304,7 +304,7 @@
   constexpr int kRecords = 60;
   const std::string dir = base + "/original", copy = base + "/copy";
   fs::remove_all(dir);
-  apart([&]() -> std::vector<double> {
+  runInChild([&]() -> std::vector<double> {
     const auto db = make(name);
     if (!db->open(dir)) return {};
     for (int k = 0; k < kRecords; ++k)
@@ -356,7 +356,7 @@
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
       records);
   for (const char* name : {"LevelDB", "RocksDB", "LMDB", "SQLite"}) {
-    const auto p = apart([&] { return prices(name, base + "/prices", records); });
+    const auto p = runInChild([&] { return measureCosts(name, base + "/prices", records); });
     if (p.size() < 8) return std::fprintf(stderr, "%s failed\n", name), 1;
     std::printf("| %s | %.0f | %.0f | %.0f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", name, p[0], p[1], p[2],
                 p[3], p[4], p[5], p[6], p[7]);
--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -7,11 +7,11 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr const char* kGotNames[] = {"served", "refused", "failed", "late", "unanswered"};
+constexpr const char* kResultNames[] = {"served", "refused", "failed", "late", "unanswered"};
 
 double ms(Time t) { return static_cast<double>(t.count()) / 1e3; }
 
-void into(std::map<std::string, double>& to, const std::string& prefix, const Quantiles& q) {
+void addQuantiles(std::map<std::string, double>& to, const std::string& prefix, const Quantiles& q) {
   if (q.count() == 0) return;
   to[prefix + "p50_ms"] = q.at(0.5);
   to[prefix + "p90_ms"] = q.at(0.9);
@@ -21,61 +21,61 @@
 
 }  // namespace
 
-void Audit::breaks(Time at, const char* rule, std::string what) {
+void Audit::reportViolation(Time at, const char* rule, std::string what) {
   ++count_[rule];
-  if (broken_.size() < 1000) broken_.push_back({at, rule, std::move(what)});
+  if (violations_.size() < 1000) violations_.push_back({at, rule, std::move(what)});
 }
 
 void Audit::withdrawn(Time at, int server) { withdrawnAt_[server] = at; }
 
 void Audit::restarted(int proxy) {
   const auto isOf = [proxy](const auto& entry) { return entry.first.first == proxy; };
-  for (auto entry = outSince_.begin(); entry != outSince_.end();)
-    entry = isOf(*entry) ? outSince_.erase(entry) : std::next(entry);
-  for (auto entry = in_.begin(); entry != in_.end();)
-    entry = isOf(*entry) ? in_.erase(entry) : std::next(entry);
+  for (auto entry = withdrawnSince_.begin(); entry != withdrawnSince_.end();)
+    entry = isOf(*entry) ? withdrawnSince_.erase(entry) : std::next(entry);
+  for (auto entry = usable_.begin(); entry != usable_.end();)
+    entry = isOf(*entry) ? usable_.erase(entry) : std::next(entry);
 }
 
 void Audit::told(Time at, int proxy, int server, bool in) {
   const auto key = std::make_pair(proxy, server);
-  const auto was = in_.find(key);
-  if (was != in_.end() && was->second == in) return;
-  in_[key] = in;
+  const auto was = usable_.find(key);
+  if (was != usable_.end() && was->second == in) return;
+  usable_[key] = in;
   if (in) {
-    outSince_.erase(key);
+    withdrawnSince_.erase(key);
   } else {
-    outSince_[key] = at;
+    withdrawnSince_[key] = at;
   }
   const auto w = withdrawnAt_.find(server);
-  told_.push_back({at, proxy, server, in, !in && w != withdrawnAt_.end() ? at - w->second : Time(-1)});
+  listUpdates_.push_back({at, proxy, server, in, !in && w != withdrawnAt_.end() ? at - w->second : Time(-1)});
 }
 
 std::uint64_t Audit::send(Send s) {
-  settle(s.at);
+  reportOverlaps(s.at);
   s.token = ++tokens_;
-  const auto out = outSince_.find({s.proxy, s.server});
-  if (out != outSince_.end()) {
+  const auto out = withdrawnSince_.find({s.proxy, s.server});
+  if (out != withdrawnSince_.end()) {
     if (s.at - out->second > rules_.drainGrace)
-      breaks(s.at, "late_sends",
-             "to server " + std::to_string(s.server) + " by proxy " + std::to_string(s.proxy) + ", " +
-                 std::to_string((s.at - out->second).count() / 1000) +
-                 " ms after it was told of the withdrawal");
+      reportViolation(s.at, "late_sends",
+                      "to server " + std::to_string(s.server) + " by proxy " + std::to_string(s.proxy) +
+                          ", " + std::to_string((s.at - out->second).count() / 1000) +
+                          " ms after it was told of the withdrawal");
     else
-      ++inGrace_;
+      ++sendsInGrace_;
   }
   const bool isBounded = s.read && s.bound > Time(0);
-  if (isBounded && s.age > s.bound + rules_.staleSlack && !isExcused(s))
-    breaks(s.at, "stale_reads",
-           "id " + s.id + ": data " + std::to_string(s.age.count() / 1000) + " ms old, " +
-               std::to_string(s.bound.count() / 1000) + " allowed");
+  if (isBounded && s.age > s.bound + rules_.staleSlack && !isExcusedByTakeover(s))
+    reportViolation(s.at, "stale_reads",
+                    "id " + s.id + ": data " + std::to_string(s.age.count() / 1000) + " ms old, " +
+                        std::to_string(s.bound.count() / 1000) + " allowed");
   auto& all = open_[s.id];
-  for (Out& o : all)
+  for (OpenAttempt& o : all)
     if (!o.overlappedAt) {
       o.overlappedAt = s.at;
       overlaps_.emplace_back(s.at, s.id);
     }
   all.push_back({s.token, s.server, s.at, std::nullopt});
-  if (isBounded && rules_.judgeTakeovers) readsOut_[s.token] = {s.server, s.age, s.bound};
+  if (isBounded && rules_.judgeTakeovers) openReads_[s.token] = {s.server, s.age, s.bound};
   idOf_[s.token] = s.id;
   sends_.push_back(std::move(s));
   return sends_.back().token;
@@ -88,7 +88,7 @@
     replicaSince_.try_emplace({proxy, server}, at);
 }
 
-bool Audit::isExcused(const Send& s) const {
+bool Audit::isExcusedByTakeover(const Send& s) const {
   if (!rules_.judgeTakeovers || !s.hasBeenPrimary) return false;
   const auto told = replicaSince_.find({s.proxy, s.server});
   return told == replicaSince_.end() || s.at < told->second + rules_.roleKnownAfter;
@@ -96,53 +96,53 @@
 
 // Checks the staleness of a delivered answer: the client receives the answer of the last served
 // attempt.
-void Audit::judgeDelivered(Time at, const std::string& id) {
+void Audit::checkDeliveredAnswer(Time at, const std::string& id) {
   const auto read = servedReads_.find(id);
   if (read == servedReads_.end()) return;
   const ServedRead served = read->second;
   servedReads_.erase(read);
   if (served.age <= served.bound + rules_.staleSlack) return;
-  breaks(at, "stale_answers",
-         "id " + id + " was answered with data from server " + std::to_string(served.server) + ", " +
-             std::to_string(served.age.count() / 1000) + " ms old, " +
-             std::to_string(served.bound.count() / 1000) + " allowed");
+  reportViolation(at, "stale_answers",
+                  "id " + id + " was answered with data from server " + std::to_string(served.server) + ", " +
+                      std::to_string(served.age.count() / 1000) + " ms old, " +
+                      std::to_string(served.bound.count() / 1000) + " allowed");
 }
 
 // Reports overlapping attempts of one request that are older than the allowed overlap. An attempt
 // that is still open when the next one arrives may already have ended, with the closing of its
 // connection on the way.
-void Audit::settle(Time now) {
-  std::size_t kept = 0;
+void Audit::reportOverlaps(Time now) {
+  std::size_t retained = 0;
   for (auto& [at, id] : overlaps_) {
     if (now - at <= rules_.overlap) {
-      overlaps_[kept++] = {at, std::move(id)};
+      overlaps_[retained++] = {at, std::move(id)};
       continue;
     }
     const auto it = open_.find(id);
     if (it == open_.end()) continue;
-    for (const Out& o : it->second)
+    for (const OpenAttempt& o : it->second)
       if (o.overlappedAt == at)
-        breaks(at, "second_copies",
-               "id " + id + " still has an open attempt at server " + std::to_string(o.server));
+        reportViolation(at, "second_copies",
+                        "id " + id + " still has an open attempt at server " + std::to_string(o.server));
   }
-  overlaps_.resize(kept);
+  overlaps_.resize(retained);
 }
 
 void Audit::ended(Time at, std::uint64_t token, bool served) {
-  settle(at);
+  reportOverlaps(at);
   const auto named = idOf_.find(token);
   if (named == idOf_.end()) return;
   const auto it = open_.find(named->second);
   if (it != open_.end()) {
     auto& all = it->second;
-    all.erase(std::remove_if(all.begin(), all.end(), [&](const Out& o) { return o.token == token; }),
+    all.erase(std::remove_if(all.begin(), all.end(), [&](const OpenAttempt& o) { return o.token == token; }),
               all.end());
     if (all.empty()) open_.erase(it);
   }
-  const auto read = readsOut_.find(token);
-  if (read != readsOut_.end()) {
+  const auto read = openReads_.find(token);
+  if (read != openReads_.end()) {
     if (served) servedReads_[named->second] = read->second;
-    readsOut_.erase(read);
+    openReads_.erase(read);
   }
   idOf_.erase(named);
   count_["attempts_served"] += served;
@@ -151,14 +151,14 @@
 void Audit::ran(Time at, const std::string& key, Time droppedFor) {
   const auto [it, fresh] = effects_.emplace(key, at);
   if (!fresh)
-    breaks(at, "double_effects",
-           "key " + key + " took effect twice, " + std::to_string((at - it->second).count() / 1000) +
-               " ms apart; repeats are dropped for " + std::to_string(droppedFor.count() / 1000));
+    reportViolation(at, "double_effects",
+                    "key " + key + " took effect twice, " + std::to_string((at - it->second).count() / 1000) +
+                        " ms apart; repeats are dropped for " + std::to_string(droppedFor.count() / 1000));
 }
 
-void Audit::felled(Time at, int server) { breaks(at, "felled", "server " + std::to_string(server)); }
+void Audit::felled(Time at, int server) { reportViolation(at, "felled", "server " + std::to_string(server)); }
 void Audit::crashed(Time at, int proxy, int status) {
-  breaks(at, "crashed", "proxy " + std::to_string(proxy) + " ended with " + std::to_string(status));
+  reportViolation(at, "crashed", "proxy " + std::to_string(proxy) + " ended with " + std::to_string(status));
 }
 void Audit::cold(double multiple) { worstCold_ = std::max(worstCold_, multiple); }
 
@@ -167,7 +167,9 @@
   if (!key.empty()) keys_[id] = key;
 }
 
-void Audit::lost(const std::string& id, const char* why) { breaks(Time(0), "lost", "id " + id + ": " + why); }
+void Audit::lost(const std::string& id, const char* why) {
+  reportViolation(Time(0), "lost", "id " + id + ": " + why);
+}
 
 void Audit::answer(Time at, const std::string& id, Got got, const std::string& value, Time latency,
                    bool onTime, double worth, double earned) {
@@ -179,8 +181,8 @@
   waiting_.erase(it);
   worth_ += worth;
   earned_ += earned;
-  ++count_[kGotNames[static_cast<int>(got)]];
-  if (got == Got::Served) judgeDelivered(at, id);
+  ++count_[kResultNames[static_cast<int>(got)]];
+  if (got == Got::Served) checkDeliveredAnswer(at, id);
   servedReads_.erase(id);
   count_["on_time"] += onTime;
   ++count_["requests"];
@@ -192,21 +194,21 @@
   const bool recorded = other != keys_.end() && key != keys_.end() && other->second == key->second;
   if (got == Got::Served && recorded) hit("recorded_answers");
   if (got == Got::Served && value != "v-" + id && !recorded)
-    breaks(at, "lost", "id " + id + " was served '" + value.substr(0, 40) + "'");
-  if (got == Got::Nothing) breaks(at, "lost", "id " + id + ": no answer before its deadline");
+    reportViolation(at, "lost", "id " + id + " was served '" + value.substr(0, 40) + "'");
+  if (got == Got::Nothing) reportViolation(at, "lost", "id " + id + ": no answer before its deadline");
   answers_.push_back({at, latency, id, got, {}});
 }
 
 std::size_t Audit::count(Got g) const {
-  const auto it = count_.find(kGotNames[static_cast<int>(g)]);
+  const auto it = count_.find(kResultNames[static_cast<int>(g)]);
   return it == count_.end() ? 0 : it->second;
 }
 
 void Audit::finish(Time now) {
-  settle(now + rules_.overlap + Time(1));
+  reportOverlaps(now + rules_.overlap + Time(1));
   for (const std::string& key : acknowledged_)
     if (effects_.count(key) == 0)
-      breaks(now, "lost_writes", "key " + key + " was acknowledged but never took effect");
+      reportViolation(now, "lost_writes", "key " + key + " was acknowledged but never took effect");
 }
 
 std::map<std::string, double> Audit::figures() const {
@@ -227,7 +229,7 @@
   f.emplace("asked_again", 0);
   f["extra_answers"] = static_cast<double>(extraAnswers_);
   f["sends"] = static_cast<double>(sends_.size());
-  f["sends_in_grace"] = static_cast<double>(inGrace_);
+  f["sends_in_grace"] = static_cast<double>(sendsInGrace_);
   f["probes"] = static_cast<double>(probes_);
   f["worst_cold_multiple"] = worstCold_;
   f["worth_share"] = worth_ > 0 ? earned_ / worth_ : 0;
@@ -236,10 +238,10 @@
   Quantiles latency, told;
   for (const Answer& a : answers_)
     if (a.got == Got::Served) latency.add(ms(a.latency));
-  for (const Told& t : told_)
+  for (const ListUpdate& t : listUpdates_)
     if (!t.in && t.after >= Time(0)) told.add(ms(t.after));
-  into(f, "", latency);
-  into(f, "told_", told);
+  addQuantiles(f, "", latency);
+  addQuantiles(f, "told_", told);
   f["withdrawals_told"] = static_cast<double>(told.count());
   return f;
 }
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -85,21 +85,21 @@
     std::string cls;
   };
   const std::vector<Answer>& answers() const { return answers_; }
-  struct Broken {
+  struct Violation {
     Time at{};
     std::string rule, what;
   };
-  const std::vector<Broken>& broken() const { return broken_; }
-  struct Told {
+  const std::vector<Violation>& broken() const { return violations_; }
+  struct ListUpdate {
     Time at{};
     int proxy, server;
     bool in;
     Time after{};  // since the withdrawal; -1 us where there was none
   };
-  const std::vector<Told>& tellings() const { return told_; }
+  const std::vector<ListUpdate>& tellings() const { return listUpdates_; }
 
  private:
-  struct Out {
+  struct OpenAttempt {
     std::uint64_t token;
     int server;
     Time at;
@@ -109,30 +109,30 @@
     int server;
     Time age, bound;
   };
-  bool isExcused(const Send&) const;
-  void judgeDelivered(Time, const std::string& id);
-  void breaks(Time, const char* rule, std::string what);
-  void settle(Time now);
+  bool isExcusedByTakeover(const Send&) const;
+  void checkDeliveredAnswer(Time, const std::string& id);
+  void reportViolation(Time, const char* rule, std::string what);
+  void reportOverlaps(Time now);
 
   const Rules rules_;
-  std::map<std::pair<int, int>, Time> outSince_;  // (proxy, server): withdrawn since
-  std::map<std::pair<int, int>, bool> in_;
+  std::map<std::pair<int, int>, Time> withdrawnSince_;  // (proxy, server): withdrawn since
+  std::map<std::pair<int, int>, bool> usable_;
   std::map<int, Time> withdrawnAt_;
-  std::unordered_map<std::string, std::vector<Out>> open_;  // unfinished attempts, by request id
+  std::unordered_map<std::string, std::vector<OpenAttempt>> open_;  // unfinished attempts, by request id
   std::unordered_map<std::uint64_t, std::string> idOf_;
   std::unordered_map<std::string, Time> waiting_;            // unanswered requests: id -> start
   std::unordered_map<std::string, Time> effects_;            // first effect of each idempotency key
   std::unordered_map<std::string, std::string> keys_;        // idempotency keys, by request id
   std::set<std::string> acknowledged_;                       // keys of writes acknowledged to a client
   std::map<std::pair<int, int>, Time> replicaSince_;         // (proxy, server): known as replica since
-  std::unordered_map<std::uint64_t, ServedRead> readsOut_;   // unfinished bounded reads, by token
+  std::unordered_map<std::uint64_t, ServedRead> openReads_;  // unfinished bounded reads, by token
   std::unordered_map<std::string, ServedRead> servedReads_;  // last answered attempt, by request id
   std::vector<std::pair<Time, std::string>> overlaps_;
   std::vector<Send> sends_;
   std::vector<Answer> answers_;
-  std::vector<Told> told_;
-  std::vector<Broken> broken_;
-  std::uint64_t tokens_ = 0, extraAnswers_ = 0, probes_ = 0, inGrace_ = 0;
+  std::vector<ListUpdate> listUpdates_;
+  std::vector<Violation> violations_;
+  std::uint64_t tokens_ = 0, extraAnswers_ = 0, probes_ = 0, sendsInGrace_ = 0;
   double worstCold_ = 0, worth_ = 0, earned_ = 0;
   std::map<std::string, std::uint64_t> count_, hits_;
   std::uint64_t valuesRight_ = 0, valuesWrong_ = 0;
--- a/lab/fault_schedule.cpp
+++ b/lab/fault_schedule.cpp
@@ -52,18 +52,18 @@
            "keyed\nrepeats_dropped_for = 2s\naim = "
         << writeDeadline / 2 << "ms\ngive_up = " << writeDeadline << "ms\nworth = 6\n";
     if (!chance(40)) return;
-    static constexpr const char* kWays[] = {"silent", "ask", "startup"};
-    out_ << "[crowd idle]\nrate = " << between(20, 200) << "\nway = " << oneOf(kWays)
+    static constexpr const char* kCrowdWays[] = {"silent", "ask", "startup"};
+    out_ << "[crowd idle]\nrate = " << between(20, 200) << "\nway = " << oneOf(kCrowdWays)
          << "\nfrom = " << between(1, 8) << "s\nstay = 4s\n";
   }
 
   // A registry fault that outlasts the allowed age of the endpoint list, with a drain soon after it
   // starts.
   void drawRegistryFaults() {
-    static constexpr const char* kMoods[] = {"silent", "cut",  "slow-1500", "slow-2200", "slow-2800",
-                                             "pieces", "down", "older",     "reset"};
+    static constexpr const char* kRegistryModes[] = {"silent", "cut",  "slow-1500", "slow-2200", "slow-2800",
+                                                     "pieces", "down", "older",     "reset"};
     for (std::int64_t time = between(1000, 5000); time < kDurationMs - 4000;) {
-      const std::string mood = oneOf(kMoods);
+      const std::string mood = oneOf(kRegistryModes);
       const std::int64_t length = between(2000, 10000);
       at(time, "registry " + mood);
       if (mood.rfind("slow", 0) == 0) at(time + 10, "registry reset");
--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -127,7 +127,7 @@
 
 void NameServer::mood(Mood m) {
   const bool tcp = m != Mood::TruncatedOnly;
-  mood_ = m;
+  responseMode_ = m;
   if (tcp && listener_ < 0) listenTcp();
   if (tcp || listener_ < 0) return;
   connections_.clear();
@@ -174,7 +174,7 @@
     const ssize_t n = recvfrom(udp_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (n < 0) return;
     const std::string reply = answer({bytes, static_cast<std::size_t>(n)}, false);
-    const int by = mood_ == Mood::WrongPort ? other_ : udp_;
+    const int by = responseMode_ == Mood::WrongPort ? other_ : udp_;
     if (!reply.empty()) sendto(by, reply.data(), reply.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
   }
 }
@@ -259,7 +259,7 @@
     m.rcode = dns::Rcode::NxDomain;
     m.authorities = {{domain_, dns::Type::Soa, 60, dns::Soa{serial_, 60}}};
   };
-  switch (mood_) {
+  switch (responseMode_) {
     case Mood::Silent:
       return {};
     case Mood::ServFail:
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -87,7 +87,7 @@
   event* acceptable_ = nullptr;
   std::map<std::string, ServiceInstance> instances_;
   std::list<std::unique_ptr<Tcp>> connections_;
-  Mood mood_ = Mood::Good;
+  Mood responseMode_ = Mood::Good;
   bool additionals_ = true;
   std::uint32_t negativeTtl_ = 1, serial_ = 1;
   Counts counts_;
--- a/lab/power.hpp
+++ b/lab/power.hpp
@@ -40,23 +40,23 @@
   void figures(std::map<std::string, double>&) const;
 
  private:
-  struct Loss {
+  struct LossRecord {
     Time at{}, serversBack{}, first{}, returned{};
     double before = 0;  // served requests per second before the loss
     std::size_t servedAtLoss = 0;
   };
-  void look();
+  void sample();
   void cutFiles();
-  void after(Time, std::function<void()>);
+  void schedule(Time, std::function<void()>);
 
   Context& c_;
   Fleet& fleet_;
   const Audit& audit_;
-  const Hands hands_;
-  std::vector<Loss> losses_;
-  std::vector<std::pair<Time, std::size_t>> served_;  // served requests so far, sampled every kLook
-  std::vector<std::unique_ptr<Timer>> later_;
-  Timer look_;
+  const Hands controls_;
+  std::vector<LossRecord> losses_;
+  std::vector<std::pair<Time, std::size_t>> served_;  // served requests so far, sampled every kSampleInterval
+  std::vector<std::unique_ptr<Timer>> restarts_;
+  Timer sampleTimer_;
 };
 
 }  // namespace sablespur::lab
--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -7,10 +7,10 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr Time kQuiet = std::chrono::seconds(2);  // interval of empty lines on idle watches
+constexpr Time kKeepAliveInterval = std::chrono::seconds(2);  // interval of empty lines on idle watches
 constexpr std::size_t kPieceSize = 64;
 constexpr Time kBetweenPieces = std::chrono::milliseconds(10);
-constexpr Time kCountsAsTold = std::chrono::seconds(6);
+constexpr Time kKnownAfter = std::chrono::seconds(6);
 constexpr std::size_t kMostHistory = 16;  // whole lists retained for Mood::Older
 constexpr std::uint64_t kOlderBy = 3;     // changes
 
@@ -26,7 +26,7 @@
  public:
   Connection(Registry& r, evutil_socket_t fd)
       : r_(r),
-        quiet_(r.c_, [this] { pause(); }),
+        keepAlive_(r.c_, [this] { sendKeepAlive(); }),
         answer_(r.c_, [this] { answer(); }),
         piece_(r.c_, [this] { sendPiece(); }) {
     bev_.reset(bufferevent_socket_new(r.c_.loop.get(), fd, BEV_OPT_CLOSE_ON_FREE));
@@ -45,24 +45,24 @@
   }
   ~Connection() { r_.connections_.erase(this); }
   void changed() {
-    if (!watches_ || silent_ || r_.mood_ == Mood::Cut) return;
+    if (!watches_ || silent_ || r_.responseMode_ == Mood::Cut) return;
     send(r_.changes(known_, false));
     known_ = r_.generation_;
-    quiet_.in(kQuiet);
+    keepAlive_.in(kKeepAliveInterval);
   }
   void silence() { silent_ = silent_ || watches_; }
 
  private:
-  void pause() {
-    if (silent_ || r_.mood_ == Mood::Cut) return;
+  void sendKeepAlive() {
+    if (silent_ || r_.responseMode_ == Mood::Cut) return;
     if (known_ < r_.generation_) return changed();  // sends the changes since the older list
     if (left_.empty()) put(bev_.get(), chunk("\n"));
-    quiet_.in(kQuiet);
+    keepAlive_.in(kKeepAliveInterval);
   }
   // Sends a list, at once or in pieces.
   void send(const std::string& list) {
     left_ += list;
-    if (r_.mood_ == Mood::Pieces || left_.size() > list.size()) return piece_.in(kBetweenPieces);
+    if (r_.responseMode_ == Mood::Pieces || left_.size() > list.size()) return piece_.in(kBetweenPieces);
     put(bev_.get(), chunk(left_));
     left_.clear();
   }
@@ -80,8 +80,8 @@
     if (text.find("\r\n\r\n") == std::string::npos) return;
     evbuffer_drain(in, n);
     request_ = text;
-    if (r_.mood_ == Mood::Cut) return;
-    if (r_.mood_ == Mood::Slow && !r_.down_) return answer_.in(r_.delay_);
+    if (r_.responseMode_ == Mood::Cut) return;
+    if (r_.responseMode_ == Mood::Slow && !r_.down_) return answer_.in(r_.delay_);
     answer();
   }
   void answer() {
@@ -98,21 +98,21 @@
     const auto older = r_.olderList();
     send(older ? older->second : r_.changes(from, from == 0 || from > r_.generation_));
     known_ = older ? older->first : r_.generation_;
-    if (watches_) return quiet_.in(kQuiet);
+    if (watches_) return keepAlive_.in(kKeepAliveInterval);
     last_ = true;
     put(bev_.get(), "0\r\n\r\n");
   }
 
   Registry& r_;
   BufferEventPtr bev_;
-  Timer quiet_, answer_, piece_;
+  Timer keepAlive_, answer_, piece_;
   std::string request_, left_;
   std::uint64_t known_ = 0;
   bool watches_ = false, last_ = false, silent_ = false;
 };
 
 Registry::Registry(Context& c, std::function<void(const std::string&, bool)> onTold)
-    : c_(c), onTold_(std::move(onTold)), tell_(c, [this] { tellAll(); }) {
+    : c_(c), onTold_(std::move(onTold)), notifyTimer_(c, [this] { notifyAll(); }) {
   const sockaddr_in a = loopbackAddress(0, 1, 0);
   listener_.reset(evconnlistener_new_bind(
       c.loop.get(),
@@ -152,26 +152,26 @@
 }
 // Returns the whole list as it was kOlderBy changes ago; std::nullopt unless the mode is Older.
 std::optional<std::pair<std::uint64_t, std::string>> Registry::olderList() const {
-  if (mood_ != Mood::Older) return std::nullopt;
+  if (responseMode_ != Mood::Older) return std::nullopt;
   const auto older = history_.lower_bound(generation_ - std::min(generation_, kOlderBy));
   if (older == history_.end()) return std::nullopt;
   return *older;
 }
 
-void Registry::tellAll() {
-  if (down_ || mood_ == Mood::Cut) return;  // the delay starts again once the registry is reachable
+void Registry::notifyAll() {
+  if (down_ || responseMode_ == Mood::Cut) return;  // the delay starts again once the registry is reachable
   for (const auto& [name, e] : entries_) onTold_(name, e.in && !e.gone);
 }
-void Registry::tellAllAfter(Time from) { tell_.in(from + kCountsAsTold - c_.now()); }
+void Registry::notifyAllAfter(Time from) { notifyTimer_.in(from + kKnownAfter - c_.now()); }
 
 void Registry::mood(Mood mood, Time delay) {
-  const bool wasCut = mood_ == Mood::Cut;
-  mood_ = mood;
+  const bool wasCut = responseMode_ == Mood::Cut;
+  responseMode_ = mood;
   delay_ = delay;
   silentSince_ = c_.now();
   if (mood == Mood::WatchesSilent || mood == Mood::Cut)
     for (Connection* c : connections_) c->silence();
-  if (wasCut) tellAllAfter(c_.now());
+  if (wasCut) notifyAllAfter(c_.now());
 }
 void Registry::resetWatches() {
   while (!connections_.empty()) delete *connections_.begin();
@@ -185,13 +185,13 @@
       "{\"generation\":" + std::to_string(generation_) + ",\"reset\":true,\"instances\":[" + whole + "]}\n";
   if (history_.size() > kMostHistory) history_.erase(history_.begin());
   if (down_) return;
-  tellAllAfter(mood_ == Mood::WatchesSilent ? silentSince_ : c_.now());
+  notifyAllAfter(responseMode_ == Mood::WatchesSilent ? silentSince_ : c_.now());
   const std::set<Connection*> all = connections_;
   for (Connection* c : all) c->changed();
 }
 void Registry::down(bool on) {
   down_ = on;
-  if (!on) tellAllAfter(c_.now());
+  if (!on) notifyAllAfter(c_.now());
   while (on && !connections_.empty()) delete *connections_.begin();
 }
 
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -49,8 +49,8 @@
   std::string changes(std::uint64_t after, bool whole);
   void changed();
   std::optional<std::pair<std::uint64_t, std::string>> olderList() const;  // its generation and text
-  void tellAll();
-  void tellAllAfter(Time);
+  void notifyAll();
+  void notifyAllAfter(Time);
 
   Context& c_;
   const std::function<void(const std::string&, bool)> onTold_;
@@ -59,9 +59,9 @@
   std::uint64_t generation_ = 1;
   std::map<std::string, Entry> entries_;
   std::map<std::uint64_t, std::string> history_;  // the last kMostHistory whole lists, by generation
-  Mood mood_ = Mood::Well;
+  Mood responseMode_ = Mood::Well;
   Time delay_{}, silentSince_{};
-  Timer tell_;
+  Timer notifyTimer_;
   std::set<Connection*> connections_;
   ListenerPtr listener_;
 };
--- a/lab/rogue.cpp
+++ b/lab/rogue.cpp
@@ -56,7 +56,7 @@
   return a;
 }
 
-void look(const sockaddr_in& names, const dns::Name& service) {
+void queryServers(const sockaddr_in& names, const dns::Name& service) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (connect(fd, reinterpret_cast<const sockaddr*>(&names), sizeof names) != 0) return void(close(fd));
   const std::string query = dns::encodeQuery(7, {service, dns::Type::Ptr}, 0);
@@ -226,11 +226,11 @@
   const auto service = dns::parseName("_postgresql._tcp." + domain);
   if (!service) return 1;
   const sockaddr_in server = parse(names);
-  look(server, *service);
+  queryServers(server, *service);
   std::thread([server, service] {
     for (;;) {
       std::this_thread::sleep_for(std::chrono::milliseconds(200));
-      look(server, *service);
+      queryServers(server, *service);
     }
   }).detach();
   const int listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -47,7 +47,7 @@
 }
 
 // Excludes overloads of cold servers: the slow-start experiments check these, over all proxies.
-bool isSoakViolation(const Audit::Broken& broken) { return broken.rule != "felled"; }
+bool isSoakViolation(const Audit::Violation& broken) { return broken.rule != "felled"; }
 
 int playSeed(const SoakOptions& options, std::uint64_t seed) {
   constexpr std::size_t kMostPrinted = 5;
@@ -70,8 +70,8 @@
     const auto found = outcome.figures.find(name);
     return found == outcome.figures.end() ? 0.0 : found->second;
   };
-  std::vector<Audit::Broken> broken;
-  for (const Audit::Broken& one : played.audit().broken())
+  std::vector<Audit::Violation> broken;
+  for (const Audit::Violation& one : played.audit().broken())
     if (isSoakViolation(one)) broken.push_back(one);
   for (const Availability::Outage& outage : played.availability().outages())
     broken.push_back({outage.at, "read_outages",
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -16,44 +16,44 @@
 constexpr int kGroup = 1;
 
 // Sends a read every 100 ms; each fails after 50 ms.
-void readsFail(Availability& judge, Time from, Time until) {
+void failReads(Availability& availability, Time from, Time until) {
   for (Time at = from; at < until; at += milliseconds(100))
-    judge.readEnded(at + milliseconds(50), kProxy, kGroup, at, false);
+    availability.readEnded(at + milliseconds(50), kProxy, kGroup, at, false);
 }
 
 TEST(LabAvailability, ReportsAProxyThatFailsEveryReadWhileAServerIsAvailable) {
-  Availability judge;
-  judge.observe(seconds(1), kGroup, true);
-  readsFail(judge, seconds(2), seconds(5));
-  ASSERT_EQ(judge.outages().size(), 1u);
-  EXPECT_GT(judge.outages()[0].lasted, seconds(2));
+  Availability availability;
+  availability.observe(seconds(1), kGroup, true);
+  failReads(availability, seconds(2), seconds(5));
+  ASSERT_EQ(availability.outages().size(), 1u);
+  EXPECT_GT(availability.outages()[0].lasted, seconds(2));
 }
 TEST(LabAvailability, AllowsFailuresForTwoSeconds) {
-  Availability judge;
-  judge.observe(seconds(1), kGroup, true);
-  readsFail(judge, seconds(2), milliseconds(3900));
-  judge.readEnded(seconds(4), kProxy, kGroup, milliseconds(3950), true);
-  readsFail(judge, seconds(4), milliseconds(5900));
-  EXPECT_TRUE(judge.outages().empty());
+  Availability availability;
+  availability.observe(seconds(1), kGroup, true);
+  failReads(availability, seconds(2), milliseconds(3900));
+  availability.readEnded(seconds(4), kProxy, kGroup, milliseconds(3950), true);
+  failReads(availability, seconds(4), milliseconds(5900));
+  EXPECT_TRUE(availability.outages().empty());
 }
 TEST(LabAvailability, ReportsNothingWhileNoServerIsAvailable) {
-  Availability judge;
-  readsFail(judge, seconds(2), seconds(9));
-  judge.observe(seconds(9), kGroup, true);
-  judge.observe(seconds(10), kGroup, false);
-  readsFail(judge, seconds(10), seconds(19));
-  EXPECT_TRUE(judge.outages().empty());
+  Availability availability;
+  failReads(availability, seconds(2), seconds(9));
+  availability.observe(seconds(9), kGroup, true);
+  availability.observe(seconds(10), kGroup, false);
+  failReads(availability, seconds(10), seconds(19));
+  EXPECT_TRUE(availability.outages().empty());
 }
 TEST(LabAvailability, WithoutHealthChecksOnlyReadsAfterAWriteCount) {
   Availability::Rules rules;
   rules.foundByWrites = true;
-  Availability judge(rules);
-  judge.observe(seconds(1), kGroup, true);
-  readsFail(judge, seconds(2), seconds(9));
-  EXPECT_TRUE(judge.outages().empty());
-  judge.writeEnded(seconds(10), kProxy, kGroup, milliseconds(9900));
-  readsFail(judge, seconds(10), seconds(13));
-  EXPECT_EQ(judge.outages().size(), 1u);
+  Availability availability(rules);
+  availability.observe(seconds(1), kGroup, true);
+  failReads(availability, seconds(2), seconds(9));
+  EXPECT_TRUE(availability.outages().empty());
+  availability.writeEnded(seconds(10), kProxy, kGroup, milliseconds(9900));
+  failReads(availability, seconds(10), seconds(13));
+  EXPECT_EQ(availability.outages().size(), 1u);
 }
 
 Audit::Send staleSend(const std::string& id) {
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -140,11 +140,11 @@
 // Guards against a check that never detects its rule's violation, and against one that always
 // reports it: a rogue proxy breaks each rule under the same small experiment, and the checks of
 // other rules must report nothing.
-struct Rogue {
+struct RogueCase {
   const char* mode;
   const char* figure;
 };
-class LabRogue : public testing::TestWithParam<Rogue> {};
+class LabRogue : public testing::TestWithParam<RogueCase> {};
 TEST_P(LabRogue, IsDetectedByItsCheck) {
   setenv("ROGUE", GetParam().mode, 1);
   std::vector<Fault> faults;
@@ -210,10 +210,11 @@
     }
 }
 INSTANTIATE_TEST_SUITE_P(Each, LabRogue,
-                         testing::Values(Rogue{"late", "late_sends"}, Rogue{"copies", "second_copies"},
-                                         Rogue{"lose", "lost"}, Rogue{"swap", "lost"},
-                                         Rogue{"stale", "stale_reads"}, Rogue{"flood", "felled"},
-                                         Rogue{"twice", "double_effects"}, Rogue{"extra", "extra_answers"}),
+                         testing::Values(RogueCase{"late", "late_sends"},
+                                         RogueCase{"copies", "second_copies"}, RogueCase{"lose", "lost"},
+                                         RogueCase{"swap", "lost"}, RogueCase{"stale", "stale_reads"},
+                                         RogueCase{"flood", "felled"}, RogueCase{"twice", "double_effects"},
+                                         RogueCase{"extra", "extra_answers"}),
                          [](const auto& i) { return std::string(i.param.mode); });
 
 // Guards against broken rules after a power loss: twenty real proxies with stores and ten data
