--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -171,7 +171,7 @@
   reportViolation(Time(0), "lost", "id " + id + ": " + why);
 }
 
-void Audit::answer(Time at, const std::string& id, Got got, const std::string& value, Time latency,
+void Audit::answer(Time at, const std::string& id, Result got, const std::string& value, Time latency,
                    bool onTime, double worth, double earned) {
   const auto it = waiting_.find(id);
   if (it == waiting_.end()) {
@@ -182,24 +182,24 @@
   worth_ += worth;
   earned_ += earned;
   ++count_[kResultNames[static_cast<int>(got)]];
-  if (got == Got::Served) checkDeliveredAnswer(at, id);
+  if (got == Result::Served) checkDeliveredAnswer(at, id);
   servedReads_.erase(id);
   count_["on_time"] += onTime;
   ++count_["requests"];
   const auto key = keys_.find(id);
-  if (got == Got::Served && key != keys_.end()) acknowledged_.insert(key->second);
+  if (got == Result::Served && key != keys_.end()) acknowledged_.insert(key->second);
   // A recorded answer to another request with the same idempotency key is a valid answer to this
   // one.
   const auto other = value.size() > 2 && value != "v-" + id ? keys_.find(value.substr(2)) : keys_.end();
   const bool recorded = other != keys_.end() && key != keys_.end() && other->second == key->second;
-  if (got == Got::Served && recorded) hit("recorded_answers");
-  if (got == Got::Served && value != "v-" + id && !recorded)
+  if (got == Result::Served && recorded) hit("recorded_answers");
+  if (got == Result::Served && value != "v-" + id && !recorded)
     reportViolation(at, "lost", "id " + id + " was served '" + value.substr(0, 40) + "'");
-  if (got == Got::Nothing) reportViolation(at, "lost", "id " + id + ": no answer before its deadline");
+  if (got == Result::Nothing) reportViolation(at, "lost", "id " + id + ": no answer before its deadline");
   answers_.push_back({at, latency, id, got, {}});
 }
 
-std::size_t Audit::count(Got g) const {
+std::size_t Audit::count(Result g) const {
   const auto it = count_.find(kResultNames[static_cast<int>(g)]);
   return it == count_.end() ? 0 : it->second;
 }
@@ -237,7 +237,7 @@
   f["attempts_per_request"] = f["requests"] > 0 ? f["sends"] / f["requests"] : 0;
   Quantiles latency, told;
   for (const Answer& a : answers_)
-    if (a.got == Got::Served) latency.add(ms(a.latency));
+    if (a.got == Result::Served) latency.add(ms(a.latency));
   for (const ListUpdate& t : listUpdates_)
     if (!t.in && t.after >= Time(0)) told.add(ms(t.after));
   addQuantiles(f, "", latency);
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -15,7 +15,7 @@
 
 namespace sablespur::lab {
 
-enum class Got {
+enum class Result {
   Served,
   Refused,
   Failed,
@@ -65,7 +65,7 @@
 
   // Events at the clients. Every request ends in exactly one of these.
   void request(Time at, const std::string& id, const std::string& key = {});
-  void answer(Time at, const std::string& id, Got, const std::string& value, Time latency, bool onTime,
+  void answer(Time at, const std::string& id, Result, const std::string& value, Time latency, bool onTime,
               double worth, double earned);
   void hit(const char* what) { ++hits_[what]; }  // counts an event under a figure's name
   void value(bool right) { right ? ++valuesRight_ : ++valuesWrong_; }
@@ -74,14 +74,14 @@
 
   void finish(Time);  // checks what is still open at the end of the run
 
-  std::size_t count(Got) const;  // so far; cheap enough to poll
+  std::size_t count(Result) const;  // so far; cheap enough to poll
   // Returns the figures by the names that the claims of experiments use.
   std::map<std::string, double> figures() const;
   const std::vector<Send>& sends() const { return sends_; }
   struct Answer {
     Time at{}, latency{};
     std::string id;
-    Got got{};
+    Result got{};
     std::string cls;
   };
   const std::vector<Answer>& answers() const { return answers_; }
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -108,13 +108,13 @@
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (!bytes.empty()) evbuffer_remove(in, bytes.data(), bytes.size());
     in_ += bytes;
-    const Speaker::Got got = speaker_->take(in_, send);
+    const Speaker::Result got = speaker_->take(in_, send);
     if (!send.empty()) put(bev_.get(), send);
-    if (got == Speaker::Got::Broken) {
+    if (got == Speaker::Result::Broken) {
       o_.audit_.hit("replies_broken");
       return ended();
     }
-    if (got == Speaker::Got::More) return;
+    if (got == Speaker::Result::More) return;
     const Reply r = speaker_->takeReply();
     if (!greeted_) {
       if (speaker_->version() == Version::V20) o_.audit_.hit("row_1");
@@ -220,7 +220,7 @@
     busy_ = false;
     late_.stop();
     Request r = std::move(request_);
-    const Got got = served_ ? Got::Served : refused_ ? Got::Refused : Got::Failed;
+    const Result got = served_ ? Result::Served : refused_ ? Result::Refused : Result::Failed;
     if (o_.idle_.size() < kMostIdle) o_.idle_.push_back(this);
     const bool kept = !o_.idle_.empty() && o_.idle_.back() == this;
     Clients& o = o_;
@@ -235,7 +235,7 @@
     busy_ = false;
     Clients& o = o_;
     remove();  // the client leaves
-    o.done(r, Got::Nothing, "", Time(0));
+    o.done(r, Result::Nothing, "", Time(0));
   }
   void ended() {
     const bool busy = busy_;
@@ -246,7 +246,7 @@
       const Time wait = retryAfter_, since = since_;
       const int address = address_;
       remove();
-      if (busy) return o.done(r, Got::Refused, "", wait);
+      if (busy) return o.done(r, Result::Refused, "", wait);
       o.comingBack_.emplace(o.c_.now() + wait, std::make_pair(since, address));
       o.door_.in(o.comingBack_.begin()->first - o.c_.now());
       return;
@@ -255,7 +255,7 @@
     remove();
     if (busy && greeted && o.s_.strictEnds) o.judgeEnd(r);
     // Without an answer: a connection that ends is a failure that the client sees.
-    if (busy) o.done(r, Got::Failed, "", Time(0));
+    if (busy) o.done(r, Result::Failed, "", Time(0));
   }
   void remove() {
     auto& idle = o_.idle_;
@@ -434,26 +434,26 @@
   if (!waiting_.empty()) retry_.in(waiting_.begin()->first - now);
 }
 
-void Clients::done(Request& r, Got got, const std::string& value, Time retryAfter) {
+void Clients::done(Request& r, Result got, const std::string& value, Time retryAfter) {
   --out_;
   const Time now = c_.now(), latency = now - r.first;
-  const bool inTime = got == Got::Served && latency <= r.cls->aim;
-  const bool refused = got == Got::Refused && r.retriesLeft > 0 && now + retryAfter < r.deadline;
+  const bool inTime = got == Result::Served && latency <= r.cls->aim;
+  const bool refused = got == Result::Refused && r.retriesLeft > 0 && now + retryAfter < r.deadline;
   const bool unknown =
       r.againLeft > 0 &&
-      (got == Got::Served ? s_.doubles > 0 && c_.uniform(0.0, 1.0) < s_.doubles : got != Got::Refused);
+      (got == Result::Served ? s_.doubles > 0 && c_.uniform(0.0, 1.0) < s_.doubles : got != Result::Refused);
   const bool again = refused || unknown;
   const double worth = again ? 0 : r.cls->worth;  // a request's worth counts once, with its last try
-  const double earned = got != Got::Served ? 0 : inTime ? worth : worth * r.cls->lateWorth;
+  const double earned = got != Result::Served ? 0 : inTime ? worth : worth * r.cls->lateWorth;
   std::string plain = value;
   if (s_.valueBytes > 0 && !s_.version) plain = plain.substr(0, plain.find('.'));
   audit_.answer(now, r.id, got, plain, latency, inTime, worth, earned);
-  if (ended_) ended_(*r.cls, r.group, r.at, got == Got::Served);
+  if (ended_) ended_(*r.cls, r.group, r.at, got == Result::Served);
   if (!again) {
     ++asked_;
     served_ += inTime;
   }
-  if (got == Got::Served) latencies_.push_back(static_cast<double>((now - r.at).count()) / 1e3);
+  if (got == Result::Served) latencies_.push_back(static_cast<double>((now - r.at).count()) / 1e3);
   if (unknown) {
     --r.againLeft;
     audit_.hit("asked_again");
--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -80,7 +80,7 @@
   Request make();
   void write(Request&, Time now);
   void judgeEnd(const Request&);
-  void done(Request&, Got, const std::string& value, Time retryAfter);
+  void done(Request&, Result, const std::string& value, Time retryAfter);
 
   Context& c_;
   Audit& audit_;
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -50,19 +50,19 @@
     owner.audit_.request(at, id);
     timer.in(cls->giveUp + kSlack);
   }
-  void answer(Got got) {
+  void answer(Result got) {
     if (!asked || answered) return;
     answered = true;
     --owner.asking_;
     const Time latency = owner.c_.now() - at;
-    const bool inTime = got == Got::Served && latency <= cls->aim;
+    const bool inTime = got == Result::Served && latency <= cls->aim;
     owner.audit_.answer(owner.c_.now(), id, got, value, latency, inTime, 0, 0);  // its worth is not counted
-    owner.n_.served += got == Got::Served;
-    owner.n_.turnedAway += got == Got::Refused;
+    owner.n_.served += got == Result::Served;
+    owner.n_.turnedAway += got == Result::Refused;
   }
   // It leaves: its stay is over, or its time is up.
   void late() {
-    if (asked && !answered) answer(Got::Nothing);
+    if (asked && !answered) answer(Result::Nothing);
     owner.ended(*this);
   }
   void gone() {
@@ -74,7 +74,7 @@
     } else if (!in) {
       ++owner.n_.cut;
     }
-    answer(Got::Failed);
+    answer(Result::Failed);
     owner.ended(*this);
   }
   void read() {
@@ -96,7 +96,7 @@
         ++owner.n_.in;
         if (owner.s_.way == "ask" && owner.running_) ask();
       } else if (asked && !answered) {
-        answer(served ? Got::Served : turnedAway ? Got::Refused : Got::Failed);
+        answer(served ? Result::Served : turnedAway ? Result::Refused : Result::Failed);
         timer.in(owner.s_.stay);
       }
     }
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -156,20 +156,20 @@
     if (bytes.empty()) return false;
     evbuffer_remove(in, bytes.data(), bytes.size());
     before_ += bytes;
-    ServerSpeaker::Got got;
+    ServerSpeaker::Result got;
     do {
       got = speaker_->take(before_, send);
-    } while (got == ServerSpeaker::Got::More && !send.empty() && !before_.empty());
+    } while (got == ServerSpeaker::Result::More && !send.empty() && !before_.empty());
     if (!send.empty()) put(bev_.get(), send);
     switch (got) {
-      case ServerSpeaker::Got::More:
+      case ServerSpeaker::Result::More:
         return false;
-      case ServerSpeaker::Got::In:
+      case ServerSpeaker::Result::In:
         greeted_ = true;
         if (s_.generation_->login == "scram") s_.audit_.hit("scram_logins_at_servers");
         if (speaker_->askedForMore()) s_.audit_.hit("row_16");
         return true;
-      case ServerSpeaker::Got::Cancel: {
+      case ServerSpeaker::Result::Cancel: {
         const std::set<Connection*> all = s_.connections_;
         for (Connection* c : all)
           if (c->number() == speaker_->cancelled()) {
@@ -179,7 +179,7 @@
         gone();
         return false;
       }
-      case ServerSpeaker::Got::Out:
+      case ServerSpeaker::Result::Out:
         closing_ = true;
         done_.in(Time(0));
         return false;
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -42,51 +42,51 @@
   return m + postgres::readyForQuery();
 }
 
-ServerSpeaker::Got ServerSpeaker::take(std::string& in, std::string& send) {
+ServerSpeaker::Result ServerSpeaker::take(std::string& in, std::string& send) {
   if (!started_) {
-    if (in.size() < 8 || in.size() < postgres::readInt32(in.data())) return Got::More;
+    if (in.size() < 8 || in.size() < postgres::readInt32(in.data())) return Result::More;
     const std::string packet = in.substr(0, postgres::readInt32(in.data()));
     in.erase(0, packet.size());
     if (const auto key = postgres::parseCancel(packet)) {
       cancelled_ = key->process;
       const bool right = key->secret == std::string(generation_.minor > 0 ? 32 : 4, 'k');
-      return right ? Got::Cancel : Got::Out;
+      return right ? Result::Cancel : Result::Out;
     }
     const auto hello = postgres::parseStartup(packet);
-    if (!hello) return Got::Out;
+    if (!hello) return Result::Out;
     started_ = true;
     askedMinor_ = hello->minor;
     if (hello->minor > generation_.minor) send += postgres::negotiate(generation_.minor, {});
     if (generation_.login.empty()) {
       send += greeting();
-      return Got::In;
+      return Result::In;
     }
-    if (hello->user != kInnerUser) return Got::Out;
+    if (hello->user != kInnerUser) return Result::Out;
     send += generation_.login == "scram" ? postgres::saslMechanisms()
             : generation_.login == "md5" ? postgres::authentication(postgres::kAuthMd5, "salt")
                                          : postgres::authentication(postgres::kAuthCleartext);
   }
-  if (in.size() < 5 || in.size() < 1 + postgres::readInt32(in.data() + 1)) return Got::More;
+  if (in.size() < 5 || in.size() < 1 + postgres::readInt32(in.data() + 1)) return Result::More;
   const std::size_t length = postgres::readInt32(in.data() + 1);
   const char type = in[0];
   const std::string body = in.substr(5, length - 4);
   in.erase(0, 1 + length);
-  Got got = Got::More;
+  Result got = Result::More;
   if (!login(type, body, send, got)) {
     send += postgres::error("FATAL", "28P01", "password authentication failed");
-    return Got::Out;
+    return Result::Out;
   }
-  if (got == Got::In) send += greeting();
+  if (got == Result::In) send += greeting();
   return got;
 }
 
-bool ServerSpeaker::login(char type, const std::string& body, std::string& send, Got& got) {
+bool ServerSpeaker::login(char type, const std::string& body, std::string& send, Result& got) {
   if (type != 'p') return false;
   if (generation_.login == "cleartext" || generation_.login == "md5") {
     const std::string wanted = generation_.login == "md5"
                                    ? auth::md5Answer(auth::md5Stored(kInnerUser, kInnerPassword), "salt")
                                    : std::string(kInnerPassword);
-    got = Got::In;
+    got = Result::In;
     return body == wanted + '\0';
   }
   std::string why;
@@ -101,7 +101,7 @@
   const auto last = scram_->server.final(body, why);
   if (!last) return false;
   send += postgres::authentication(postgres::kAuthSaslFinal, *last);
-  got = Got::In;
+  got = Result::In;
   return true;
 }
 
--- a/lab/generation.hpp
+++ b/lab/generation.hpp
@@ -35,8 +35,8 @@
   // Consumes the startup and login messages in `in` and appends the answers to `send`. In: logged
   // in; Cancel: a CancelRequest, for the connection cancelled(); Out: close the connection after
   // `send` is sent.
-  enum class Got { More, In, Cancel, Out };
-  Got take(std::string& in, std::string& send);
+  enum class Result { More, In, Cancel, Out };
+  Result take(std::string& in, std::string& send);
   std::uint32_t cancelled() const { return cancelled_; }
   bool askedForMore() const { return askedMinor_ > generation_.minor; }
 
@@ -50,7 +50,7 @@
 
  private:
   std::string greeting() const;
-  bool login(char type, const std::string& body, std::string& send, Got& got);
+  bool login(char type, const std::string& body, std::string& send, Result& got);
   const Generation generation_;
   const std::uint32_t number_;
   int askedMinor_ = 0;
--- a/lab/logins.cpp
+++ b/lab/logins.cpp
@@ -17,7 +17,7 @@
           one.in += bytes;
           const auto got = one.speaker.take(one.in, send);
           if (!send.empty()) put(b, send);
-          if (got != Speaker::Got::More) one.owner.ended(one, got == Speaker::Got::Ready);
+          if (got != Speaker::Result::More) one.owner.ended(one, got == Speaker::Result::Ready);
         },
         nullptr,
         [](bufferevent*, short what, void* self) {
--- a/lab/power.cpp
+++ b/lab/power.cpp
@@ -31,7 +31,7 @@
   restarts_.clear();  // a second loss cancels the pending restarts of the first
   LossRecord l;
   l.at = c_.now();
-  l.servedAtLoss = audit_.count(Got::Served);
+  l.servedAtLoss = audit_.count(Result::Served);
   const auto from = std::find_if(served_.begin(), served_.end(),
                                  [&](const auto& s) { return s.first >= l.at - kBaselineWindow; });
   if (from != served_.end() && l.at > from->first)
@@ -68,7 +68,7 @@
 
 void Power::sample() {
   const Time now = c_.now();
-  const std::size_t served = audit_.count(Got::Served);
+  const std::size_t served = audit_.count(Result::Served);
   served_.emplace_back(now, served);
   if (served_.size() > 4096) served_.erase(served_.begin(), served_.begin() + 2048);
   if (!losses_.empty()) {
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -11,7 +11,7 @@
 namespace sablespur::lab {
 namespace {
 
-const char* gotName(Got g) {
+const char* gotName(Result g) {
   static const char* const names[] = {"served", "refused", "failed", "late", "unanswered"};
   return names[static_cast<int>(g)];
 }
@@ -52,7 +52,7 @@
   std::map<long, std::map<int, std::size_t>> sends;
   for (const auto& x : a.answers()) {
     const long second = static_cast<long>(x.at.count() / 1000000);
-    if (x.got == Got::Served)
+    if (x.got == Result::Served)
       latency[second].add(seconds(x.latency) * 1e3);
     else
       ++unserved[second];
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -398,9 +398,9 @@
   s.at = static_cast<double>((c_.now() - started_).count()) / 1e6;
   s.cpu = cpu();
   for (const Proxy& p : proxies_) s.residentMb = std::max(s.residentMb, p.process->residentMb());
-  s.served = audit_.count(Got::Served);
-  s.refused = audit_.count(Got::Refused);
-  s.failed = audit_.count(Got::Failed) + audit_.count(Got::Nothing);
+  s.served = audit_.count(Result::Served);
+  s.refused = audit_.count(Result::Refused);
+  s.failed = audit_.count(Result::Failed) + audit_.count(Result::Nothing);
   for (const auto& [server, in] : listed_) s.members += in;
   const Second before = second_.empty() ? Second() : second_.back();
   second_.push_back(s);
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -68,7 +68,7 @@
   return r;
 }
 
-Speaker::Got Speaker::take(std::string& in, std::string& send) {
+Speaker::Result Speaker::take(std::string& in, std::string& send) {
   return version_ == Version::V20 ? take2(in, send) : take3(in, send);
 }
 
@@ -114,7 +114,7 @@
   }
 }
 
-Speaker::Got Speaker::take2(std::string& in, std::string& send) {
+Speaker::Result Speaker::take2(std::string& in, std::string& send) {
   if (!reader_) reader_ = std::make_shared<postgres2::Reader>();
   auto& reader = *static_cast<postgres2::Reader*>(reader_.get());
   std::size_t size = 0;
@@ -122,7 +122,7 @@
   while (const auto m = reader.take(in, size, bad)) {
     in.erase(0, size);
     reply_.seen += m->type;
-    if (m->type == 'R' && !login(m->number, m->text, send)) return Got::Broken;
+    if (m->type == 'R' && !login(m->number, m->text, send)) return Result::Broken;
     if (m->type == 'K') {
       process_ = m->key.process;
       secret_.clear();
@@ -139,22 +139,22 @@
       const std::size_t retry = m->text.find("\nRETRY:  ");
       if (retry != std::string::npos) reply_.comeBackMs = std::atoi(m->text.c_str() + retry + 9);
     }
-    if (m->type == 'Z') return Got::Ready;
+    if (m->type == 'Z') return Result::Ready;
   }
   if (bad) why_ = "invalid protocol 2.0 message";
-  return bad ? Got::Broken : Got::More;
+  return bad ? Result::Broken : Result::More;
 }
 
-Speaker::Got Speaker::take3(std::string& in, std::string& send) {
+Speaker::Result Speaker::take3(std::string& in, std::string& send) {
   const auto broken = [&](const char* why) {
     why_ = why;
-    return Got::Broken;
+    return Result::Broken;
   };
   for (;;) {
-    if (in.size() < 5) return Got::More;
+    if (in.size() < 5) return Result::More;
     const std::size_t length = postgres::readInt32(in.data() + 1);
     if (length < 4 || length > (8u << 20)) return broken("invalid message length");
-    if (in.size() < 1 + length) return Got::More;
+    if (in.size() < 1 + length) return Result::More;
     const char type = in[0];
     const std::string body = in.substr(5, length - 4);
     in.erase(0, 1 + length);
@@ -227,7 +227,7 @@
         }
         break;
       case 'Z':
-        return Got::Ready;
+        return Result::Ready;
       default:
         if (std::string_view("SNI123nst").find(type) == std::string_view::npos)
           return broken("message type unknown in protocol 3.0");
--- a/lab/speaker.hpp
+++ b/lab/speaker.hpp
@@ -55,8 +55,8 @@
   // Consumes the messages in `in` and appends the login's answers to `send`. More: needs more
   // bytes; Ready: the proxy waits for the next request, and reply() is complete; Broken: protocol
   // error, see why().
-  enum class Got { More, Ready, Broken };
-  Got take(std::string& in, std::string& send);
+  enum class Result { More, Ready, Broken };
+  Result take(std::string& in, std::string& send);
   const Reply& reply() const { return reply_; }
   Reply takeReply();
   std::uint32_t process() const { return process_; }
@@ -65,8 +65,8 @@
   const std::string& why() const { return why_; }  // the protocol error
 
  private:
-  Got take2(std::string& in, std::string& send);
-  Got take3(std::string& in, std::string& send);
+  Result take2(std::string& in, std::string& send);
+  Result take3(std::string& in, std::string& send);
   bool login(std::uint32_t request, std::string_view body, std::string& send);
 
   const Version version_;
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -104,7 +104,7 @@
   audit.request(seconds(5), "a");
   const std::uint64_t attempt = audit.send(staleSend("a"));
   audit.ended(seconds(6), attempt, true);
-  audit.answer(seconds(6), "a", Got::Served, "v-a", milliseconds(20), true, 1, 1);
+  audit.answer(seconds(6), "a", Result::Served, "v-a", milliseconds(20), true, 1, 1);
   EXPECT_EQ(audit.figures().at("stale_answers"), 1);
 }
 TEST(LabTakeoverAudit, AWithheldStaleAnswerIsNoViolation) {
@@ -115,7 +115,7 @@
   second.server = 2;
   second.age = Time(0);
   audit.ended(seconds(7), audit.send(second), true);
-  audit.answer(seconds(7), "a", Got::Served, "v-a", milliseconds(20), true, 1, 1);
+  audit.answer(seconds(7), "a", Result::Served, "v-a", milliseconds(20), true, 1, 1);
   EXPECT_EQ(audit.figures().at("stale_answers"), 0);
   EXPECT_TRUE(audit.broken().empty());
 }
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -496,8 +496,8 @@
         std::string send;
         const auto got = d.speaker->take(d.c.in, send);
         if (!send.empty()) put(d.c.fd, send);
-        EXPECT_NE(got, lab::Speaker::Got::Broken) << at_ << ": " << d.speaker->why();
-        return got != lab::Speaker::Got::More || d.c.ended;
+        EXPECT_NE(got, lab::Speaker::Result::Broken) << at_ << ": " << d.speaker->why();
+        return got != lab::Speaker::Result::More || d.c.ended;
       },
       "a reply");
   return d.speaker->takeReply();
