--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -195,7 +195,7 @@
   if (got == Result::Served && recorded) hit("recorded_answers");
   if (got == Result::Served && value != "v-" + id && !recorded)
     reportViolation(at, "lost", "id " + id + " was served '" + value.substr(0, 40) + "'");
-  if (got == Result::Nothing) reportViolation(at, "lost", "id " + id + ": no answer before its deadline");
+  if (got == Result::Unanswered) reportViolation(at, "lost", "id " + id + ": no answer before its deadline");
   answers_.push_back({at, latency, id, got, {}});
 }
 
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -20,8 +20,8 @@
   Refused,
   Failed,
   Late,
-  Nothing
-};  // Nothing: no answer before the request's deadline
+  Unanswered
+};  // Unanswered: no answer before the request's deadline
 
 class Audit {
  public:
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -235,7 +235,7 @@
     busy_ = false;
     Clients& o = o_;
     remove();  // the client leaves
-    o.done(r, Result::Nothing, "", Time(0));
+    o.done(r, Result::Unanswered, "", Time(0));
   }
   void ended() {
     const bool busy = busy_;
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -62,7 +62,7 @@
   }
   // It leaves: its stay is over, or its time is up.
   void late() {
-    if (asked && !answered) answer(Result::Nothing);
+    if (asked && !answered) answer(Result::Unanswered);
     owner.ended(*this);
   }
   void gone() {
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -400,7 +400,7 @@
   for (const Proxy& p : proxies_) s.residentMb = std::max(s.residentMb, p.process->residentMb());
   s.served = audit_.count(Result::Served);
   s.refused = audit_.count(Result::Refused);
-  s.failed = audit_.count(Result::Failed) + audit_.count(Result::Nothing);
+  s.failed = audit_.count(Result::Failed) + audit_.count(Result::Unanswered);
   for (const auto& [server, in] : listed_) s.members += in;
   const Second before = second_.empty() ? Second() : second_.back();
   second_.push_back(s);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -98,7 +98,7 @@
   for (const char* id : {"a", "b", "c"}) a.request(Time(0), id);
   a.answer(seconds(1), "a", Result::Served, "v-a", seconds(1), true, 1, 1);
   a.answer(seconds(1), "b", Result::Served, "v-a", seconds(1), true, 1, 1);
-  a.answer(seconds(1), "c", Result::Nothing, "", seconds(1), false, 2, 0);
+  a.answer(seconds(1), "c", Result::Unanswered, "", seconds(1), false, 2, 0);
   a.answer(seconds(1), "a", Result::Served, "v-a", seconds(1), true, 1, 1);
   auto f = a.figures();
   EXPECT_EQ(f["lost"], 2);
