--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -86,7 +86,7 @@
  public:
   Connection(DataServer& s, int proxy, evutil_socket_t fd)
       : s_(s), proxy_(proxy), number_(++s.numbers_), done_(s.c_, [this] { finish(); }) {
-    if (s.generation_) speaker_ = std::make_unique<ServerSpeaker>(*s.generation_, number_);
+    if (s.generation_) speaker_ = std::make_unique<ServerProtocol>(*s.generation_, number_);
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     bev_.reset(bufferevent_socket_new(s.c_.loop.get(), fd, BEV_OPT_CLOSE_ON_FREE));
@@ -156,20 +156,20 @@
     if (bytes.empty()) return false;
     evbuffer_remove(in, bytes.data(), bytes.size());
     before_ += bytes;
-    ServerSpeaker::Result got;
+    ServerProtocol::Result got;
     do {
       got = speaker_->take(before_, send);
-    } while (got == ServerSpeaker::Result::More && !send.empty() && !before_.empty());
+    } while (got == ServerProtocol::Result::More && !send.empty() && !before_.empty());
     if (!send.empty()) put(bev_.get(), send);
     switch (got) {
-      case ServerSpeaker::Result::More:
+      case ServerProtocol::Result::More:
         return false;
-      case ServerSpeaker::Result::In:
+      case ServerProtocol::Result::In:
         greeted_ = true;
         if (s_.generation_->login == "scram") s_.audit_.hit("scram_logins_at_servers");
         if (speaker_->askedForMore()) s_.audit_.hit("row_16");
         return true;
-      case ServerSpeaker::Result::Cancel: {
+      case ServerProtocol::Result::Cancel: {
         const std::set<Connection*> all = s_.connections_;
         for (Connection* c : all)
           if (c->number() == speaker_->cancelled()) {
@@ -179,7 +179,7 @@
         gone();
         return false;
       }
-      case ServerSpeaker::Result::Out:
+      case ServerProtocol::Result::Out:
         closing_ = true;
         done_.in(Time(0));
         return false;
@@ -309,8 +309,8 @@
   DataServer& s_;
   const int proxy_;
   const std::uint32_t number_;
-  std::unique_ptr<ServerSpeaker> speaker_;  // of a fleet with generations
-  std::string before_;                      // of the startup
+  std::unique_ptr<ServerProtocol> speaker_;  // of a fleet with generations
+  std::string before_;                       // of the startup
   BufferEventPtr bev_;
   Timer done_;
   bool greeted_ = false, busy_ = false, closing_ = false;
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-struct ServerSpeaker::Scram {
+struct ServerProtocol::Scram {
   auth::ScramServer server;
 };
 
@@ -25,11 +25,11 @@
   return std::nullopt;
 }
 
-ServerSpeaker::ServerSpeaker(const Generation& g, std::uint32_t number)
+ServerProtocol::ServerProtocol(const Generation& g, std::uint32_t number)
     : generation_(g), number_(number), nonce_("standin" + std::to_string(number)) {}
-ServerSpeaker::~ServerSpeaker() = default;
+ServerProtocol::~ServerProtocol() = default;
 
-std::string ServerSpeaker::greeting() const {
+std::string ServerProtocol::greeting() const {
   std::string m = postgres::authentication(postgres::kAuthOk);
   m += postgres::parameterStatus("server_version", generation_.backslashes ? "8.4.22"
                                                    : generation_.minor > 0 ? "18.1"
@@ -42,7 +42,7 @@
   return m + postgres::readyForQuery();
 }
 
-ServerSpeaker::Result ServerSpeaker::take(std::string& in, std::string& send) {
+ServerProtocol::Result ServerProtocol::take(std::string& in, std::string& send) {
   if (!started_) {
     if (in.size() < 8 || in.size() < postgres::readInt32(in.data())) return Result::More;
     const std::string packet = in.substr(0, postgres::readInt32(in.data()));
@@ -80,7 +80,7 @@
   return got;
 }
 
-bool ServerSpeaker::login(char type, const std::string& body, std::string& send, Result& got) {
+bool ServerProtocol::login(char type, const std::string& body, std::string& send, Result& got) {
   if (type != 'p') return false;
   if (generation_.login == "cleartext" || generation_.login == "md5") {
     const std::string wanted = generation_.login == "md5"
@@ -105,7 +105,7 @@
   return true;
 }
 
-std::string ServerSpeaker::row(std::string_view bytes) const {
+std::string ServerProtocol::row(std::string_view bytes) const {
   const postgres::Codec codec(generation_.minor);
   const std::string value = translation::writeBytea(
       generation_.escape ? translation::ByteaForm::Escape : translation::ByteaForm::Hex, bytes);
@@ -115,14 +115,14 @@
          codec.row({std::string_view(size), std::string_view(value), std::nullopt}, false);
 }
 
-std::string ServerSpeaker::between() const {
+std::string ServerProtocol::between() const {
   if (!generation_.chatty) return {};
   std::string notice = postgres::error("NOTICE", "01000", "the weather is fine");
   notice[0] = 'N';
   return postgres::parameterStatus("in_hot_standby", "on") + notice;
 }
 
-std::string ServerSpeaker::problem(const char* code, const char* text) const {
+std::string ServerProtocol::problem(const char* code, const char* text) const {
   translation::ErrorReport p;
   p.code = code;
   p.text = text;
@@ -134,7 +134,7 @@
   return postgres::Codec(generation_.chatty ? 2 : 0).errorResponse(p);
 }
 
-std::optional<std::string> ServerSpeaker::literal(std::string_view s, std::size_t at) const {
+std::optional<std::string> ServerProtocol::literal(std::string_view s, std::size_t at) const {
   const bool escape = at < s.size() && (s[at] == 'E' || s[at] == 'e');
   if (escape) ++at;
   if (at >= s.size() || s[at] != '\'') return std::nullopt;
--- a/lab/generation.hpp
+++ b/lab/generation.hpp
@@ -28,10 +28,10 @@
 constexpr const char* kInnerUser = "proxy";
 constexpr const char* kInnerPassword = "inner-word";
 
-class ServerSpeaker {
+class ServerProtocol {
  public:
-  ServerSpeaker(const Generation& g, std::uint32_t number);
-  ~ServerSpeaker();
+  ServerProtocol(const Generation& g, std::uint32_t number);
+  ~ServerProtocol();
   // Consumes the startup and login messages in `in` and appends the answers to `send`. In: logged
   // in; Cancel: a CancelRequest, for the connection cancelled(); Out: close the connection after
   // `send` is sent.
