--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -61,7 +61,7 @@
       who.password = kDeskPassword;
       who.settings = o.s_.startup;
       if (o.s_.version == Version::V20) who.settings.clear();
-      speaker_ = std::make_unique<Speaker>(*o.s_.version, who);
+      speaker_ = std::make_unique<ClientProtocol>(*o.s_.version, who);
     }
     bev_.reset(bufferevent_socket_new(
         o.c_.loop.get(),
@@ -108,13 +108,13 @@
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (!bytes.empty()) evbuffer_remove(in, bytes.data(), bytes.size());
     in_ += bytes;
-    const Speaker::Result got = speaker_->take(in_, send);
+    const ClientProtocol::Result got = speaker_->take(in_, send);
     if (!send.empty()) put(bev_.get(), send);
-    if (got == Speaker::Result::Broken) {
+    if (got == ClientProtocol::Result::Broken) {
       o_.audit_.hit("replies_broken");
       return ended();
     }
-    if (got == Speaker::Result::More) return;
+    if (got == ClientProtocol::Result::More) return;
     const Reply r = speaker_->takeReply();
     if (!greeted_) {
       if (speaker_->version() == Version::V20) o_.audit_.hit("row_1");
@@ -268,7 +268,7 @@
   const int address_;
   BufferEventPtr bev_;
   Timer late_, cancel_;
-  std::unique_ptr<Speaker> speaker_;  // of desks
+  std::unique_ptr<ClientProtocol> speaker_;  // of desks
   std::string in_;
   bool greeted_ = false, busy_ = false, served_ = false, refused_ = false, failed_ = false;
   std::string value_;
@@ -299,7 +299,9 @@
   audit_.lost(r.id, why.c_str());
 }
 
-void Clients::callOff(const Speaker& s) { calls_.push_back(std::make_unique<Call>(*this, s.cancel())); }
+void Clients::callOff(const ClientProtocol& s) {
+  calls_.push_back(std::make_unique<Call>(*this, s.cancel()));
+}
 
 void Clients::start() {
   running_ = true;
--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -103,7 +103,7 @@
   std::list<std::unique_ptr<Connection>> connections_;
   std::vector<Connection*> idle_;
   void again();
-  void callOff(const Speaker&);
+  void callOff(const ClientProtocol&);
   struct Call;
   std::list<std::unique_ptr<Call>> calls_;  // CancelRequests on their way
   std::multimap<Time, Request> waiting_;    // for their next try
--- a/lab/logins.cpp
+++ b/lab/logins.cpp
@@ -17,7 +17,7 @@
           one.in += bytes;
           const auto got = one.speaker.take(one.in, send);
           if (!send.empty()) put(b, send);
-          if (got != Speaker::Result::More) one.owner.ended(one, got == Speaker::Result::Ready);
+          if (got != ClientProtocol::Result::More) one.owner.ended(one, got == ClientProtocol::Result::Ready);
         },
         nullptr,
         [](bufferevent*, short what, void* self) {
@@ -35,7 +35,7 @@
     return who;
   }
   LoginBurst& owner;
-  Speaker speaker;
+  ClientProtocol speaker;
   BufferEventPtr bev;
   std::string in;
 };
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-struct Speaker::Login {
+struct ClientProtocol::Login {
   auth::ScramClient scram;
   bool verified = false;
 };
@@ -29,7 +29,7 @@
   return std::nullopt;
 }
 
-std::string Speaker::hello() const {
+std::string ClientProtocol::hello() const {
   if (version_ == Version::V20)
     return postgres2::startup({postgres2::kVersion, who_.database, who_.user, who_.options});
   postgres::Startup s;
@@ -40,11 +40,11 @@
   if (!who_.options.empty()) s.settings.emplace_back("options", who_.options);
   return postgres::startup(s);
 }
-std::string Speaker::query(std::string_view statement) const {
+std::string ClientProtocol::query(std::string_view statement) const {
   return version_ == Version::V20 ? postgres2::query(statement) : postgres::query(statement);
 }
-std::string Speaker::extended(std::string_view statement, const std::vector<Bound>& bound,
-                              bool binaryResults) const {
+std::string ClientProtocol::extended(std::string_view statement, const std::vector<Bound>& bound,
+                                     bool binaryResults) const {
   std::vector<std::uint32_t> types;
   postgres::Bind b;
   for (const Bound& p : bound) {
@@ -56,24 +56,24 @@
   return postgres::parseMessage("", statement, types) + postgres::bindMessage(b) +
          postgres::describeMessage({true, ""}) + postgres::executeMessage({"", 0}) + postgres::syncMessage();
 }
-std::string Speaker::cancel() const { return cancelWith(process_, secret_); }
-std::string Speaker::cancelWith(std::uint32_t process, std::string_view secret) const {
+std::string ClientProtocol::cancel() const { return cancelWith(process_, secret_); }
+std::string ClientProtocol::cancelWith(std::uint32_t process, std::string_view secret) const {
   if (version_ == Version::V20) return postgres2::cancel({process, postgres::readInt32(secret.data())});
   return postgres::cancel({process, std::string(secret)});
 }
 
-Reply Speaker::takeReply() {
+Reply ClientProtocol::takeReply() {
   Reply r = std::move(reply_);
   reply_ = {};
   return r;
 }
 
-Speaker::Result Speaker::take(std::string& in, std::string& send) {
+ClientProtocol::Result ClientProtocol::take(std::string& in, std::string& send) {
   return version_ == Version::V20 ? take2(in, send) : take3(in, send);
 }
 
 // Answers an authentication request. Returns false if the request is unsupported or invalid.
-bool Speaker::login(std::uint32_t request, std::string_view body, std::string& send) {
+bool ClientProtocol::login(std::uint32_t request, std::string_view body, std::string& send) {
   const auto say = [&](const std::string& text) {
     send += version_ == Version::V20 ? postgres2::password(text) : withType('p', text + '\0');
   };
@@ -114,7 +114,7 @@
   }
 }
 
-Speaker::Result Speaker::take2(std::string& in, std::string& send) {
+ClientProtocol::Result ClientProtocol::take2(std::string& in, std::string& send) {
   if (!reader_) reader_ = std::make_shared<postgres2::Reader>();
   auto& reader = *static_cast<postgres2::Reader*>(reader_.get());
   std::size_t size = 0;
@@ -145,7 +145,7 @@
   return bad ? Result::Broken : Result::More;
 }
 
-Speaker::Result Speaker::take3(std::string& in, std::string& send) {
+ClientProtocol::Result ClientProtocol::take3(std::string& in, std::string& send) {
   const auto broken = [&](const char* why) {
     why_ = why;
     return Result::Broken;
--- a/lab/speaker.hpp
+++ b/lab/speaker.hpp
@@ -40,9 +40,9 @@
   bool binary = false;
 };
 
-class Speaker {
+class ClientProtocol {
  public:
-  Speaker(Version v, Identity who) : version_(v), who_(std::move(who)) {}
+  ClientProtocol(Version v, Identity who) : version_(v), who_(std::move(who)) {}
   Version version() const { return version_; }
   std::string hello() const;
   std::string query(std::string_view statement) const;
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -425,7 +425,7 @@
       else
         who.settings.emplace_back(key, text);
     }
-    d.speaker = std::make_unique<lab::Speaker>(*lab::versionOf(first), who);
+    d.speaker = std::make_unique<lab::ClientProtocol>(*lab::versionOf(first), who);
     dial(d.c);
     put(d.c.fd, d.speaker->hello());
     return;
@@ -496,8 +496,8 @@
         std::string send;
         const auto got = d.speaker->take(d.c.in, send);
         if (!send.empty()) put(d.c.fd, send);
-        EXPECT_NE(got, lab::Speaker::Result::Broken) << at_ << ": " << d.speaker->why();
-        return got != lab::Speaker::Result::More || d.c.ended;
+        EXPECT_NE(got, lab::ClientProtocol::Result::Broken) << at_ << ": " << d.speaker->why();
+        return got != lab::ClientProtocol::Result::More || d.c.ended;
       },
       "a reply");
   return d.speaker->takeReply();
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -149,7 +149,7 @@
   void client(Connection&, const std::string& verb, const std::string& what, const std::string& rest);
   struct Desk {
     Connection c;
-    std::unique_ptr<lab::Speaker> speaker;
+    std::unique_ptr<lab::ClientProtocol> speaker;
   };
   void desk(const std::string& name, const std::string& verb, const std::string& rest);
   lab::Reply reply(Desk&);
