--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -125,8 +125,8 @@
   event_add(acceptable_, nullptr);
 }
 
-void NameServer::mood(Mood m) {
-  const bool tcp = m != Mood::TruncatedOnly;
+void NameServer::mood(ResponseMode m) {
+  const bool tcp = m != ResponseMode::TruncatedOnly;
   responseMode_ = m;
   if (tcp && listener_ < 0) listenTcp();
   if (tcp || listener_ < 0) return;
@@ -137,21 +137,21 @@
   listener_ = -1;
 }
 
-bool NameServer::moodOf(const std::string& name, Mood& m) {
-  static const std::map<std::string, Mood> all{{"good", Mood::Good},
-                                               {"silent", Mood::Silent},
-                                               {"servfail", Mood::ServFail},
-                                               {"refused", Mood::Refused},
-                                               {"lame", Mood::Lame},
-                                               {"noise", Mood::Noise},
-                                               {"loop", Mood::Loop},
-                                               {"counts", Mood::Counts},
-                                               {"wrong-id", Mood::WrongId},
-                                               {"wrong-question", Mood::WrongQuestion},
-                                               {"wrong-port", Mood::WrongPort},
-                                               {"truncated", Mood::Truncated},
-                                               {"truncated-only", Mood::TruncatedOnly},
-                                               {"no-edns", Mood::NoEdns}};
+bool NameServer::moodOf(const std::string& name, ResponseMode& m) {
+  static const std::map<std::string, ResponseMode> all{{"good", ResponseMode::Good},
+                                                       {"silent", ResponseMode::Silent},
+                                                       {"servfail", ResponseMode::ServFail},
+                                                       {"refused", ResponseMode::Refused},
+                                                       {"lame", ResponseMode::Lame},
+                                                       {"noise", ResponseMode::Noise},
+                                                       {"loop", ResponseMode::Loop},
+                                                       {"counts", ResponseMode::Counts},
+                                                       {"wrong-id", ResponseMode::WrongId},
+                                                       {"wrong-question", ResponseMode::WrongQuestion},
+                                                       {"wrong-port", ResponseMode::WrongPort},
+                                                       {"truncated", ResponseMode::Truncated},
+                                                       {"truncated-only", ResponseMode::TruncatedOnly},
+                                                       {"no-edns", ResponseMode::NoEdns}};
   const auto it = all.find(name);
   if (it != all.end()) m = it->second;
   return it != all.end();
@@ -174,7 +174,7 @@
     const ssize_t n = recvfrom(udp_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (n < 0) return;
     const std::string reply = answer({bytes, static_cast<std::size_t>(n)}, false);
-    const int by = responseMode_ == Mood::WrongPort ? other_ : udp_;
+    const int by = responseMode_ == ResponseMode::WrongPort ? other_ : udp_;
     if (!reply.empty()) sendto(by, reply.data(), reply.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
   }
 }
@@ -260,46 +260,46 @@
     m.authorities = {{domain_, dns::Type::Soa, 60, dns::Soa{serial_, 60}}};
   };
   switch (responseMode_) {
-    case Mood::Silent:
+    case ResponseMode::Silent:
       return {};
-    case Mood::ServFail:
+    case ResponseMode::ServFail:
       return error(dns::Rcode::ServFail);
-    case Mood::Refused:
+    case ResponseMode::Refused:
       return error(dns::Rcode::Refused);
-    case Mood::Lame:
+    case ResponseMode::Lame:
       return error(dns::Rcode::NoError);
-    case Mood::Noise:
+    case ResponseMode::Noise:
       return std::string(query.substr(0, 2)) + std::string("\x84\x00\xff\xff\xff\xff noise", 12);
-    case Mood::Loop: {
+    case ResponseMode::Loop: {
       std::string bytes = error(dns::Rcode::NoError);
       bytes[7] = 1;  // one answer, whose compressed name points to itself
       const auto at = bytes.size();
       bytes += {static_cast<char>(0xc0 | at >> 8), static_cast<char>(at), 0, 12, 0, 1, 0, 0, 0, 9, 0, 0};
       return bytes;
     }
-    case Mood::Counts: {
+    case ResponseMode::Counts: {
       std::string bytes = dns::encode(m);
       bytes[6] = 0x7f;
       return bytes;
     }
-    case Mood::WrongId:
+    case ResponseMode::WrongId:
       emptied();
       m.id ^= 1;
       return dns::encode(m, most);
-    case Mood::WrongQuestion:
+    case ResponseMode::WrongQuestion:
       emptied();
       m.question->name = "other." + m.question->name;
       return dns::encode(m, most);
-    case Mood::WrongPort:
+    case ResponseMode::WrongPort:
       emptied();
       return dns::encode(m, most);
-    case Mood::Truncated:
-    case Mood::TruncatedOnly:
+    case ResponseMode::Truncated:
+    case ResponseMode::TruncatedOnly:
       return dns::encode(m, tcp ? most : 0);
-    case Mood::NoEdns:
+    case ResponseMode::NoEdns:
       if (q->udpPayload > 0) return error(dns::Rcode::FormErr);
       break;
-    case Mood::Good:
+    case ResponseMode::Good:
       break;
   }
   const std::string bytes = dns::encode(m, most);
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -31,7 +31,7 @@
 
 class NameServer {
  public:
-  enum class Mood {
+  enum class ResponseMode {
     Good,
     Silent,  // receives queries, never answers
     ServFail,
@@ -57,7 +57,7 @@
   void publish(const ServiceInstance&);  // adds or replaces the instance
   void withdraw(const std::string& label);
   void clear() { instances_.clear(); }
-  void mood(Mood m);
+  void mood(ResponseMode m);
   void additionals(bool on) { additionals_ = on; }
   void negativeTtl(std::uint32_t s) { negativeTtl_ = s; }
 
@@ -71,7 +71,7 @@
   };
   const Counts& counts() const { return counts_; }
   // Parses "silent", "wrong-id", ...; returns false for an unknown name.
-  static bool moodOf(const std::string& name, Mood&);
+  static bool moodOf(const std::string& name, ResponseMode&);
 
  private:
   class Tcp;
@@ -87,7 +87,7 @@
   event* acceptable_ = nullptr;
   std::map<std::string, ServiceInstance> instances_;
   std::list<std::unique_ptr<Tcp>> connections_;
-  Mood responseMode_ = Mood::Good;
+  ResponseMode responseMode_ = ResponseMode::Good;
   bool additionals_ = true;
   std::uint32_t negativeTtl_ = 1, serial_ = 1;
   Counts counts_;
--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kPieceSize = 64;
 constexpr Time kBetweenPieces = std::chrono::milliseconds(10);
 constexpr Time kKnownAfter = std::chrono::seconds(6);
-constexpr std::size_t kMostHistory = 16;  // whole lists retained for Mood::Older
+constexpr std::size_t kMostHistory = 16;  // whole lists retained for ResponseMode::Older
 constexpr std::uint64_t kOlderBy = 3;     // changes
 
 std::string chunk(const std::string& text) {
@@ -45,7 +45,7 @@
   }
   ~Connection() { r_.connections_.erase(this); }
   void changed() {
-    if (!watches_ || silent_ || r_.responseMode_ == Mood::Cut) return;
+    if (!watches_ || silent_ || r_.responseMode_ == ResponseMode::Cut) return;
     send(r_.changes(known_, false));
     known_ = r_.generation_;
     keepAlive_.in(kKeepAliveInterval);
@@ -54,7 +54,7 @@
 
  private:
   void sendKeepAlive() {
-    if (silent_ || r_.responseMode_ == Mood::Cut) return;
+    if (silent_ || r_.responseMode_ == ResponseMode::Cut) return;
     if (known_ < r_.generation_) return changed();  // sends the changes since the older list
     if (left_.empty()) put(bev_.get(), chunk("\n"));
     keepAlive_.in(kKeepAliveInterval);
@@ -62,7 +62,8 @@
   // Sends a list, at once or in pieces.
   void send(const std::string& list) {
     left_ += list;
-    if (r_.responseMode_ == Mood::Pieces || left_.size() > list.size()) return piece_.in(kBetweenPieces);
+    if (r_.responseMode_ == ResponseMode::Pieces || left_.size() > list.size())
+      return piece_.in(kBetweenPieces);
     put(bev_.get(), chunk(left_));
     left_.clear();
   }
@@ -80,8 +81,8 @@
     if (text.find("\r\n\r\n") == std::string::npos) return;
     evbuffer_drain(in, n);
     request_ = text;
-    if (r_.responseMode_ == Mood::Cut) return;
-    if (r_.responseMode_ == Mood::Slow && !r_.down_) return answer_.in(r_.delay_);
+    if (r_.responseMode_ == ResponseMode::Cut) return;
+    if (r_.responseMode_ == ResponseMode::Slow && !r_.down_) return answer_.in(r_.delay_);
     answer();
   }
   void answer() {
@@ -152,24 +153,25 @@
 }
 // Returns the whole list as it was kOlderBy changes ago; std::nullopt unless the mode is Older.
 std::optional<std::pair<std::uint64_t, std::string>> Registry::olderList() const {
-  if (responseMode_ != Mood::Older) return std::nullopt;
+  if (responseMode_ != ResponseMode::Older) return std::nullopt;
   const auto older = history_.lower_bound(generation_ - std::min(generation_, kOlderBy));
   if (older == history_.end()) return std::nullopt;
   return *older;
 }
 
 void Registry::notifyAll() {
-  if (down_ || responseMode_ == Mood::Cut) return;  // the delay starts again once the registry is reachable
+  if (down_ || responseMode_ == ResponseMode::Cut)
+    return;  // the delay starts again once the registry is reachable
   for (const auto& [name, e] : entries_) onTold_(name, e.in && !e.gone);
 }
 void Registry::notifyAllAfter(Time from) { notifyTimer_.in(from + kKnownAfter - c_.now()); }
 
-void Registry::mood(Mood mood, Time delay) {
-  const bool wasCut = responseMode_ == Mood::Cut;
+void Registry::mood(ResponseMode mood, Time delay) {
+  const bool wasCut = responseMode_ == ResponseMode::Cut;
   responseMode_ = mood;
   delay_ = delay;
   silentSince_ = c_.now();
-  if (mood == Mood::WatchesSilent || mood == Mood::Cut)
+  if (mood == ResponseMode::WatchesSilent || mood == ResponseMode::Cut)
     for (Connection* c : connections_) c->silence();
   if (wasCut) notifyAllAfter(c_.now());
 }
@@ -185,7 +187,7 @@
       "{\"generation\":" + std::to_string(generation_) + ",\"reset\":true,\"instances\":[" + whole + "]}\n";
   if (history_.size() > kMostHistory) history_.erase(history_.begin());
   if (down_) return;
-  notifyAllAfter(responseMode_ == Mood::WatchesSilent ? silentSince_ : c_.now());
+  notifyAllAfter(responseMode_ == ResponseMode::WatchesSilent ? silentSince_ : c_.now());
   const std::set<Connection*> all = connections_;
   for (Connection* c : all) c->changed();
 }
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -28,7 +28,7 @@
 
   // How calls are answered from now on. In each faulty mode a change counts as known to the proxy
   // after 6 s, as the platform's pages define.
-  enum class Mood {
+  enum class ResponseMode {
     Well,
     WatchesSilent,  // open watches get nothing; new calls are answered
     Cut,            // neither calls nor watches get anything
@@ -36,7 +36,7 @@
     Pieces,         // lists are sent in small pieces
     Older           // calls first get the whole list of kOlderBy changes ago, and the changes later
   };
-  void mood(Mood, Time delay = {});
+  void mood(ResponseMode, Time delay = {});
   void resetWatches();
 
  private:
@@ -59,7 +59,7 @@
   std::uint64_t generation_ = 1;
   std::map<std::string, Entry> entries_;
   std::map<std::uint64_t, std::string> history_;  // the last kMostHistory whole lists, by generation
-  Mood responseMode_ = Mood::Well;
+  ResponseMode responseMode_ = ResponseMode::Well;
   Time delay_{}, silentSince_{};
   Timer notifyTimer_;
   std::set<Connection*> connections_;
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -296,7 +296,7 @@
     if (k >= proxies_.size()) complain("there is no proxy " + w[1]);
     proxies_[k].clients->rate(value(2));
   } else if (what == "dns") {
-    NameServer::Mood mood{};
+    NameServer::ResponseMode mood{};
     if (!NameServer::moodOf(w[1], mood)) complain("there is no mood " + w[1]);
     for (Proxy& p : proxies_)
       if (p.names) p.names->mood(mood);
@@ -362,18 +362,20 @@
 
 // False: there is no such mood.
 bool Run::setRegistry(Registry& registry, const std::string& mood) {
-  static const std::map<std::string, Registry::Mood> kMoods{{"well", Registry::Mood::Well},
-                                                            {"silent", Registry::Mood::WatchesSilent},
-                                                            {"cut", Registry::Mood::Cut},
-                                                            {"pieces", Registry::Mood::Pieces},
-                                                            {"older", Registry::Mood::Older}};
+  static const std::map<std::string, Registry::ResponseMode> kMoods{
+      {"well", Registry::ResponseMode::Well},
+      {"silent", Registry::ResponseMode::WatchesSilent},
+      {"cut", Registry::ResponseMode::Cut},
+      {"pieces", Registry::ResponseMode::Pieces},
+      {"older", Registry::ResponseMode::Older}};
   const std::string slow = "slow-";  // with the milliseconds of each call
   if (mood == "down" || mood == "up")
     registry.down(mood == "down");
   else if (mood == "reset")
     registry.resetWatches();
   else if (mood.rfind(slow, 0) == 0)
-    registry.mood(Registry::Mood::Slow, std::chrono::milliseconds(std::atoi(mood.c_str() + slow.size())));
+    registry.mood(Registry::ResponseMode::Slow,
+                  std::chrono::milliseconds(std::atoi(mood.c_str() + slow.size())));
   else if (const auto known = kMoods.find(mood); known != kMoods.end())
     registry.mood(known->second);
   else
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -767,7 +767,7 @@
 
 void Scenario::dns(const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "mood") {
-    lab::NameServer::Mood mood{};
+    lab::NameServer::ResponseMode mood{};
     ASSERT_TRUE(lab::NameServer::moodOf(what, mood)) << at_;
     return names_->mood(mood);
   }
