--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -137,7 +137,7 @@
   listener_ = -1;
 }
 
-bool NameServer::moodOf(const std::string& name, ResponseMode& m) {
+bool NameServer::parseResponseMode(const std::string& name, ResponseMode& m) {
   static const std::map<std::string, ResponseMode> all{{"good", ResponseMode::Good},
                                                        {"silent", ResponseMode::Silent},
                                                        {"servfail", ResponseMode::ServFail},
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -71,7 +71,7 @@
   };
   const Counts& counts() const { return counts_; }
   // Parses "silent", "wrong-id", ...; returns false for an unknown name.
-  static bool moodOf(const std::string& name, ResponseMode&);
+  static bool parseResponseMode(const std::string& name, ResponseMode&);
 
  private:
   class Tcp;
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -297,7 +297,7 @@
     proxies_[k].clients->rate(value(2));
   } else if (what == "dns") {
     NameServer::ResponseMode mood{};
-    if (!NameServer::moodOf(w[1], mood)) complain("there is no mood " + w[1]);
+    if (!NameServer::parseResponseMode(w[1], mood)) complain("there is no mood " + w[1]);
     for (Proxy& p : proxies_)
       if (p.names) p.names->mood(mood);
   } else if (what == "registry") {
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -466,7 +466,7 @@
   for (const char* name : {"silent", "servfail", "refused", "lame", "noise", "loop", "counts", "wrong-id",
                            "wrong-question", "wrong-port"}) {
     lab::NameServer::ResponseMode mood{};
-    ASSERT_TRUE(lab::NameServer::moodOf(name, mood)) << name;
+    ASSERT_TRUE(lab::NameServer::parseResponseMode(name, mood)) << name;
     first.mood(mood);
     second.mood(mood);
     const auto before = failures;
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -768,7 +768,7 @@
 void Scenario::dns(const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "mood") {
     lab::NameServer::ResponseMode mood{};
-    ASSERT_TRUE(lab::NameServer::moodOf(what, mood)) << at_;
+    ASSERT_TRUE(lab::NameServer::parseResponseMode(what, mood)) << at_;
     return names_->mood(mood);
   }
   if (verb == "move") {  // another domain, at the same name server's port
