--- a/lab/fault_schedule.cpp
+++ b/lab/fault_schedule.cpp
@@ -63,12 +63,12 @@
     static constexpr const char* kRegistryModes[] = {"silent", "cut",  "slow-1500", "slow-2200", "slow-2800",
                                                      "pieces", "down", "older",     "reset"};
     for (std::int64_t time = between(1000, 5000); time < kDurationMs - 4000;) {
-      const std::string mood = oneOf(kRegistryModes);
+      const std::string responseMode = oneOf(kRegistryModes);
       const std::int64_t length = between(2000, 10000);
-      at(time, "registry " + mood);
-      if (mood.rfind("slow", 0) == 0) at(time + 10, "registry reset");
+      at(time, "registry " + responseMode);
+      if (responseMode.rfind("slow", 0) == 0) at(time + 10, "registry reset");
       if (chance(70)) at(time + between(20, 1500), "drain " + leavingServer());
-      at(time + length, mood == "down" ? "registry up" : "registry well");
+      at(time + length, responseMode == "down" ? "registry up" : "registry well");
       time += length + between(500, 4000);
     }
   }
--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -125,7 +125,7 @@
   event_add(acceptable_, nullptr);
 }
 
-void NameServer::mood(ResponseMode m) {
+void NameServer::responseMode(ResponseMode m) {
   const bool tcp = m != ResponseMode::TruncatedOnly;
   responseMode_ = m;
   if (tcp && listener_ < 0) listenTcp();
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -57,7 +57,7 @@
   void publish(const ServiceInstance&);  // adds or replaces the instance
   void withdraw(const std::string& label);
   void clear() { instances_.clear(); }
-  void mood(ResponseMode m);
+  void responseMode(ResponseMode m);
   void additionals(bool on) { additionals_ = on; }
   void negativeTtl(std::uint32_t s) { negativeTtl_ = s; }
 
--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -166,12 +166,12 @@
 }
 void Registry::notifyAllAfter(Time from) { notifyTimer_.in(from + kKnownAfter - c_.now()); }
 
-void Registry::mood(ResponseMode mood, Time delay) {
+void Registry::responseMode(ResponseMode responseMode, Time delay) {
   const bool wasCut = responseMode_ == ResponseMode::Cut;
-  responseMode_ = mood;
+  responseMode_ = responseMode;
   delay_ = delay;
   silentSince_ = c_.now();
-  if (mood == ResponseMode::WatchesSilent || mood == ResponseMode::Cut)
+  if (responseMode == ResponseMode::WatchesSilent || responseMode == ResponseMode::Cut)
     for (Connection* c : connections_) c->silence();
   if (wasCut) notifyAllAfter(c_.now());
 }
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -36,7 +36,7 @@
     Pieces,         // lists are sent in small pieces
     Older           // calls first get the whole list of kOlderBy changes ago, and the changes later
   };
-  void mood(ResponseMode, Time delay = {});
+  void responseMode(ResponseMode, Time delay = {});
   void resetWatches();
 
  private:
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -296,10 +296,10 @@
     if (k >= proxies_.size()) complain("there is no proxy " + w[1]);
     proxies_[k].clients->rate(value(2));
   } else if (what == "dns") {
-    NameServer::ResponseMode mood{};
-    if (!NameServer::parseResponseMode(w[1], mood)) complain("there is no mood " + w[1]);
+    NameServer::ResponseMode responseMode{};
+    if (!NameServer::parseResponseMode(w[1], responseMode)) complain("there is no mood " + w[1]);
     for (Proxy& p : proxies_)
-      if (p.names) p.names->mood(mood);
+      if (p.names) p.names->responseMode(responseMode);
   } else if (what == "registry") {
     for (Proxy& p : proxies_)
       if (p.registry && !setRegistry(*p.registry, w[1])) complain("there is no mood " + w[1]);
@@ -361,7 +361,7 @@
 }
 
 // False: there is no such mood.
-bool Run::setRegistry(Registry& registry, const std::string& mood) {
+bool Run::setRegistry(Registry& registry, const std::string& responseMode) {
   static const std::map<std::string, Registry::ResponseMode> kMoods{
       {"well", Registry::ResponseMode::Well},
       {"silent", Registry::ResponseMode::WatchesSilent},
@@ -369,15 +369,15 @@
       {"pieces", Registry::ResponseMode::Pieces},
       {"older", Registry::ResponseMode::Older}};
   const std::string slow = "slow-";  // with the milliseconds of each call
-  if (mood == "down" || mood == "up")
-    registry.down(mood == "down");
-  else if (mood == "reset")
+  if (responseMode == "down" || responseMode == "up")
+    registry.down(responseMode == "down");
+  else if (responseMode == "reset")
     registry.resetWatches();
-  else if (mood.rfind(slow, 0) == 0)
-    registry.mood(Registry::ResponseMode::Slow,
-                  std::chrono::milliseconds(std::atoi(mood.c_str() + slow.size())));
-  else if (const auto known = kMoods.find(mood); known != kMoods.end())
-    registry.mood(known->second);
+  else if (responseMode.rfind(slow, 0) == 0)
+    registry.responseMode(Registry::ResponseMode::Slow,
+                          std::chrono::milliseconds(std::atoi(responseMode.c_str() + slow.size())));
+  else if (const auto known = kMoods.find(responseMode); known != kMoods.end())
+    registry.responseMode(known->second);
   else
     return false;
   return true;
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -73,7 +73,7 @@
   void withdraw(DataServer&);
   void list(DataServer&);
   void act(const Step&);
-  static bool setRegistry(Registry&, const std::string& mood);
+  static bool setRegistry(Registry&, const std::string& responseMode);
   void terminateProxy(Proxy&);
   void killProxy(Proxy&);
   void startProxy(std::size_t k);
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -465,15 +465,15 @@
   until([&] { return members.size() == 3; });
   for (const char* name : {"silent", "servfail", "refused", "lame", "noise", "loop", "counts", "wrong-id",
                            "wrong-question", "wrong-port"}) {
-    lab::NameServer::ResponseMode mood{};
-    ASSERT_TRUE(lab::NameServer::parseResponseMode(name, mood)) << name;
-    first.mood(mood);
-    second.mood(mood);
+    lab::NameServer::ResponseMode responseMode{};
+    ASSERT_TRUE(lab::NameServer::parseResponseMode(name, responseMode)) << name;
+    first.responseMode(responseMode);
+    second.responseMode(responseMode);
     const auto before = failures;
     until([&] { return failures > before; });
     EXPECT_EQ(members.size(), 3u) << name;
-    first.mood(lab::NameServer::ResponseMode::Good);
-    second.mood(lab::NameServer::ResponseMode::Good);
+    first.responseMode(lab::NameServer::ResponseMode::Good);
+    second.responseMode(lab::NameServer::ResponseMode::Good);
     const auto asked = first.counts().udp + second.counts().udp;
     until([&] { return first.counts().udp + second.counts().udp > asked + 1; });
   }
@@ -481,32 +481,32 @@
   EXPECT_EQ(lists, 1u);
 }
 TEST_F(SourceTest, FailsOverAndStaysThere) {
-  first.mood(lab::NameServer::ResponseMode::Silent);
+  first.responseMode(lab::NameServer::ResponseMode::Silent);
   start();
   until([&] { return members.size() == 3; });
   EXPECT_EQ(failures, 0u);
-  first.mood(lab::NameServer::ResponseMode::Good);
+  first.responseMode(lab::NameServer::ResponseMode::Good);
   const auto before = first.counts().udp;
   const auto asked = second.counts().udp;
   until([&] { return second.counts().udp > asked + 4; });
   EXPECT_EQ(first.counts().udp, before);
 }
 TEST_F(SourceTest, GoesOverTcpAfterTruncationAndListsStandWhereTcpIsRefused) {
-  first.mood(lab::NameServer::ResponseMode::Truncated);
+  first.responseMode(lab::NameServer::ResponseMode::Truncated);
   start();
   until([&] { return members.size() == 3; });
   EXPECT_GT(first.counts().tcp, 0u);
-  first.mood(lab::NameServer::ResponseMode::TruncatedOnly);
-  second.mood(lab::NameServer::ResponseMode::TruncatedOnly);
+  first.responseMode(lab::NameServer::ResponseMode::TruncatedOnly);
+  second.responseMode(lab::NameServer::ResponseMode::TruncatedOnly);
   until([&] { return failures >= 2; });
   EXPECT_EQ(members.size(), 3u);
-  second.mood(lab::NameServer::ResponseMode::Good);
+  second.responseMode(lab::NameServer::ResponseMode::Good);
   second.withdraw("s-3");
   until([&] { return members.size() == 2; });
 }
 TEST_F(SourceTest, DoesWithoutEdnsWhereItIsTurnedDown) {
-  first.mood(lab::NameServer::ResponseMode::NoEdns);
-  second.mood(lab::NameServer::ResponseMode::Silent);
+  first.responseMode(lab::NameServer::ResponseMode::NoEdns);
+  second.responseMode(lab::NameServer::ResponseMode::Silent);
   start();
   until([&] { return members.size() == 3; });
   EXPECT_EQ(failures, 0u);
@@ -548,7 +548,7 @@
   i.label = "t-1";
   i.port = 6100;
   other.publish(i);
-  other.mood(lab::NameServer::ResponseMode::Silent);
+  other.responseMode(lab::NameServer::ResponseMode::Silent);
   config.dnssd.domain = "seeb.example.org";
   config.dnssd.servers = {*Address::parse("127.0.0.1:" + std::to_string(other.port()))};
   const auto before = lists;
@@ -556,7 +556,7 @@
   until([&] { return failures > 0; });
   EXPECT_EQ(members.size(), 3u);
   EXPECT_EQ(lists, before);
-  other.mood(lab::NameServer::ResponseMode::Good);
+  other.responseMode(lab::NameServer::ResponseMode::Good);
   until([&] { return members.size() == 2; });
   EXPECT_EQ(lists, before + 1);
   EXPECT_EQ(members.count("s-1") + members.count("t-1"), 2u);
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -767,9 +767,9 @@
 
 void Scenario::dns(const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "mood") {
-    lab::NameServer::ResponseMode mood{};
-    ASSERT_TRUE(lab::NameServer::parseResponseMode(what, mood)) << at_;
-    return names_->mood(mood);
+    lab::NameServer::ResponseMode responseMode{};
+    ASSERT_TRUE(lab::NameServer::parseResponseMode(what, responseMode)) << at_;
+    return names_->responseMode(responseMode);
   }
   if (verb == "move") {  // another domain, at the same name server's port
     const int port = names_->port();
