--- a/lab/power.cpp
+++ b/lab/power.cpp
@@ -15,19 +15,19 @@
 
 }  // namespace
 
-Power::Power(Context& c, Fleet& fleet, const Audit& audit, Hands hands)
+PowerLossSimulator::PowerLossSimulator(Context& c, Fleet& fleet, const Audit& audit, Hands hands)
     : c_(c), fleet_(fleet), audit_(audit), controls_(std::move(hands)), sampleTimer_(c, [this] {
         sample();
       }) {
   sample();
 }
 
-void Power::schedule(Time in, std::function<void()> then) {
+void PowerLossSimulator::schedule(Time in, std::function<void()> then) {
   restarts_.push_back(std::make_unique<Timer>(c_, std::move(then)));
   restarts_.back()->in(in);
 }
 
-void Power::lose(Time least, Time most) {
+void PowerLossSimulator::lose(Time least, Time most) {
   restarts_.clear();  // a second loss cancels the pending restarts of the first
   LossRecord l;
   l.at = c_.now();
@@ -50,7 +50,7 @@
   losses_.push_back(l);
 }
 
-void Power::cutFiles() {
+void PowerLossSimulator::cutFiles() {
   namespace fs = std::filesystem;
   std::vector<fs::path> files;
   std::error_code none;
@@ -66,7 +66,7 @@
   }
 }
 
-void Power::sample() {
+void PowerLossSimulator::sample() {
   const Time now = c_.now();
   const std::size_t served = audit_.count(Result::Served);
   served_.emplace_back(now, served);
@@ -89,7 +89,7 @@
   sampleTimer_.in(kSampleInterval);
 }
 
-void Power::figures(std::map<std::string, double>& f) const {
+void PowerLossSimulator::figures(std::map<std::string, double>& f) const {
   if (losses_.empty()) return;
   Quantiles first, back;
   double never = 0;
--- a/lab/power.hpp
+++ b/lab/power.hpp
@@ -16,14 +16,14 @@
 
 namespace sablespur::lab {
 
-class Power {
+class PowerLossSimulator {
  public:
   struct Hands {
     int proxies = 0;
     std::function<void(int proxy, bool on)> proxy;  // numbered from 1; true: start, false: kill
     std::string directory;                          // of the proxies' stores and snapshots
   };
-  Power(Context&, Fleet&, const Audit&, Hands);
+  PowerLossSimulator(Context&, Fleet&, const Audit&, Hands);
 
   // Cuts the power now. Data servers restart after `least` to `most`, proxies after a third of
   // `least` to `most`.
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -96,7 +96,7 @@
   std::vector<Proxy> proxies_;
   std::vector<std::unique_ptr<Clients>> direct_;
   std::vector<std::unique_ptr<LoginBurst>> bursts_;
-  std::unique_ptr<Power> power_;
+  std::unique_ptr<PowerLossSimulator> power_;
   std::map<int, bool> listed_;  // by server: published now
   std::size_t step_ = 0;
   Time started_{};
