--- a/lab/power.cpp
+++ b/lab/power.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-PowerLossSimulator::PowerLossSimulator(Context& c, Fleet& fleet, const Audit& audit, Hands hands)
+PowerLossSimulator::PowerLossSimulator(Context& c, Fleet& fleet, const Audit& audit, Controls hands)
     : c_(c), fleet_(fleet), audit_(audit), controls_(std::move(hands)), sampleTimer_(c, [this] {
         sample();
       }) {
--- a/lab/power.hpp
+++ b/lab/power.hpp
@@ -18,12 +18,12 @@
 
 class PowerLossSimulator {
  public:
-  struct Hands {
+  struct Controls {
     int proxies = 0;
     std::function<void(int proxy, bool on)> proxy;  // numbered from 1; true: start, false: kill
     std::string directory;                          // of the proxies' stores and snapshots
   };
-  PowerLossSimulator(Context&, Fleet&, const Audit&, Hands);
+  PowerLossSimulator(Context&, Fleet&, const Audit&, Controls);
 
   // Cuts the power now. Data servers restart after `least` to `most`, proxies after a third of
   // `least` to `most`.
@@ -52,7 +52,7 @@
   Context& c_;
   Fleet& fleet_;
   const Audit& audit_;
-  const Hands controls_;
+  const Controls controls_;
   std::vector<LossRecord> losses_;
   std::vector<std::pair<Time, std::size_t>> served_;  // served requests so far, sampled every kSampleInterval
   std::vector<std::unique_ptr<Timer>> restarts_;
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -463,7 +463,7 @@
     for (const auto& d : p.crowds) d->start();
   }
   for (const auto& d : direct_) d->start();
-  PowerLossSimulator::Hands hands;
+  PowerLossSimulator::Controls hands;
   hands.proxies = static_cast<int>(proxies_.size());
   hands.directory = o_.directory;
   hands.proxy = [this](int k, bool on) {
