--- a/lab/power.cpp
+++ b/lab/power.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-PowerLossSimulator::PowerLossSimulator(Context& c, Fleet& fleet, const Audit& audit, Controls hands)
-    : c_(c), fleet_(fleet), audit_(audit), controls_(std::move(hands)), sampleTimer_(c, [this] {
+PowerLossSimulator::PowerLossSimulator(Context& c, Fleet& fleet, const Audit& audit, Controls controls)
+    : c_(c), fleet_(fleet), audit_(audit), controls_(std::move(controls)), sampleTimer_(c, [this] {
         sample();
       }) {
   sample();
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -463,14 +463,14 @@
     for (const auto& d : p.crowds) d->start();
   }
   for (const auto& d : direct_) d->start();
-  PowerLossSimulator::Controls hands;
-  hands.proxies = static_cast<int>(proxies_.size());
-  hands.directory = o_.directory;
-  hands.proxy = [this](int k, bool on) {
+  PowerLossSimulator::Controls controls;
+  controls.proxies = static_cast<int>(proxies_.size());
+  controls.directory = o_.directory;
+  controls.proxy = [this](int k, bool on) {
     if (proxies_[static_cast<std::size_t>(k) - 1].process->running() != on)
       act({{}, {"proxy", std::to_string(k), on ? "start" : "kill"}, 0});
   };
-  power_ = std::make_unique<PowerLossSimulator>(c_, *fleet_, audit_, std::move(hands));
+  power_ = std::make_unique<PowerLossSimulator>(c_, *fleet_, audit_, std::move(controls));
   if (e_.takeoverRules) observeAvailability();
   nextStep();
   seconds_.in(std::chrono::seconds(1));
