--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -96,7 +96,7 @@
     bool in;
     Time after{};  // since the withdrawal; -1 us where there was none
   };
-  const std::vector<ListUpdate>& tellings() const { return listUpdates_; }
+  const std::vector<ListUpdate>& listUpdates() const { return listUpdates_; }
 
  private:
   struct OpenAttempt {
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -34,7 +34,7 @@
     sends << seconds(x.at) << ',' << x.proxy << ',' << x.server << ',' << x.cls << ',' << x.id << ','
           << seconds(x.age) * 1e3 << '\n';
   members << "at_s,proxy,server,in,after_withdrawal_ms\n";
-  for (const auto& x : a.tellings())
+  for (const auto& x : a.listUpdates())
     members << seconds(x.at) << ',' << x.proxy << ',' << x.server << ',' << x.in << ','
             << (x.after >= Time(0) ? number(seconds(x.after) * 1e3) : "") << '\n';
   each << "at_s,served,refused,failed,members,cpu_s,resident_mb\n";
