--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -81,7 +81,7 @@
   return sends_.back().token;
 }
 
-void Audit::roleTold(Time at, int proxy, int server, bool primary) {
+void Audit::roleReported(Time at, int proxy, int server, bool primary) {
   if (primary)
     replicaSince_.erase({proxy, server});
   else
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -61,7 +61,7 @@
   void crashed(Time, int proxy, int status);
   void cold(double multiple);  // load on a cold server, as a multiple of its capacity
   void probe(Time) { ++probes_; }
-  void roleTold(Time, int proxy, int server, bool primary);  // in an answer or a load report
+  void roleReported(Time, int proxy, int server, bool primary);  // in an answer or a load report
 
   // Events at the clients. Every request ends in exactly one of these.
   void request(Time at, const std::string& id, const std::string& key = {});
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -205,7 +205,7 @@
       std::snprintf(report, sizeof report, "x0=%.3f,x1=%d,inflight=%zu",
                     static_cast<double>(s_.c_.unixMs(s_.position(now))) / 1e3,
                     s_.fleet_.primary(s_.group_) == &s_ ? 1 : 0, s_.machine_->held(now));
-      s_.audit_.roleTold(now, proxy_, s_.number_, s_.fleet_.primary(s_.group_) == &s_);
+      s_.audit_.roleReported(now, proxy_, s_.number_, s_.fleet_.primary(s_.group_) == &s_);
       return put(bev_.get(),
                  row(report) + postgres::message('C', std::string("SHOW\0", 5)) + postgres::readyForQuery());
     }
@@ -293,7 +293,7 @@
     }
     busy_ = false;
     s_.audit_.ended(now, token_, true);
-    s_.audit_.roleTold(now, proxy_, s_.number_, primary);
+    s_.audit_.roleReported(now, proxy_, s_.number_, primary);
     if (speaker_) s_.audit_.hit(("served_by_" + s_.generation_->name).c_str());
     const std::string between = speaker_ ? speaker_->between() : std::string();
     if (!between.empty()) s_.audit_.hit("row_14"), s_.audit_.hit("row_15");
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -79,7 +79,7 @@
   Audit audit(takeoverRules());
   audit.send(staleSend("a"));
   EXPECT_EQ(audit.figures().at("stale_reads"), 0);
-  audit.roleTold(milliseconds(4950), kProxy, 1, false);
+  audit.roleReported(milliseconds(4950), kProxy, 1, false);
   audit.send(staleSend("b"));
   EXPECT_EQ(audit.figures().at("stale_reads"), 0) << "the role in an answer counts as known after 100 ms";
   Audit::Send later = staleSend("c");
