--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -303,12 +303,12 @@
       break;
   }
   const std::string bytes = dns::encode(m, most);
-  if (onTold && q->question->name == service_ && q->question->type == dns::Type::Ptr) {
+  if (onListSent && q->question->name == service_ && q->question->type == dns::Type::Ptr) {
     std::map<std::string, bool> all;
     for (const auto& [label, i] : instances_)
       all[label] = std::find(i.txt.begin(), i.txt.end(), "state=leaving") == i.txt.end();
     const auto sent = dns::parse(bytes);
-    if (sent && !sent->truncated) onTold(all);
+    if (sent && !sent->truncated) onListSent(all);
   }
   return bytes;
 }
--- a/lab/name_server.hpp
+++ b/lab/name_server.hpp
@@ -63,7 +63,7 @@
 
   // Called when an answer that names all instances is sent: maps each label to whether the instance
   // accepts new work (false for state=leaving).
-  std::function<void(const std::map<std::string, bool>&)> onTold;
+  std::function<void(const std::map<std::string, bool>&)> onListSent;
 
   struct Counts {
     std::uint64_t udp = 0, tcp = 0;
--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -112,8 +112,8 @@
   bool watches_ = false, last_ = false, silent_ = false;
 };
 
-Registry::Registry(Context& c, std::function<void(const std::string&, bool)> onTold)
-    : c_(c), onTold_(std::move(onTold)), notifyTimer_(c, [this] { notifyAll(); }) {
+Registry::Registry(Context& c, std::function<void(const std::string&, bool)> onListSent)
+    : c_(c), onTold_(std::move(onListSent)), notifyTimer_(c, [this] { notifyAll(); }) {
   const sockaddr_in a = loopbackAddress(0, 1, 0);
   listener_.reset(evconnlistener_new_bind(
       c.loop.get(),
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -16,7 +16,7 @@
 
 class Registry {
  public:
-  Registry(Context&, std::function<void(const std::string& name, bool in)> onTold);
+  Registry(Context&, std::function<void(const std::string& name, bool in)> onListSent);
   ~Registry();
 
   int port() const { return port_; }
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -130,7 +130,7 @@
     };
     if (e_.discovery == "dnssd") {
       p.names = std::make_unique<NameServer>(c_.loop.get(), kDomain, kService);
-      p.names->onTold = [this, number](const std::map<std::string, bool>& all) {
+      p.names->onListSent = [this, number](const std::map<std::string, bool>& all) {
         for (const auto& s : fleet_->servers()) {
           const auto it = all.find(s->name());
           audit_.told(c_.now(), number, s->number(), it != all.end() && it->second);
