--- a/lab/registry.cpp
+++ b/lab/registry.cpp
@@ -113,7 +113,7 @@
 };
 
 Registry::Registry(Context& c, std::function<void(const std::string&, bool)> onListSent)
-    : c_(c), onTold_(std::move(onListSent)), notifyTimer_(c, [this] { notifyAll(); }) {
+    : c_(c), onListSent_(std::move(onListSent)), notifyTimer_(c, [this] { notifyAll(); }) {
   const sockaddr_in a = loopbackAddress(0, 1, 0);
   listener_.reset(evconnlistener_new_bind(
       c.loop.get(),
@@ -138,7 +138,7 @@
     if (whole ? e.gone : e.generation <= after) continue;
     list += (list.empty() ? "{" : ",{") + e.json + "}";
   }
-  for (const auto& [name, e] : entries_) onTold_(name, e.in && !e.gone);
+  for (const auto& [name, e] : entries_) onListSent_(name, e.in && !e.gone);
   return "{\"generation\":" + std::to_string(generation_) + ",\"reset\":" + (whole ? "true" : "false") +
          ",\"instances\":[" + list + "]}\n";
 }
@@ -162,7 +162,7 @@
 void Registry::notifyAll() {
   if (down_ || responseMode_ == ResponseMode::Cut)
     return;  // the delay starts again once the registry is reachable
-  for (const auto& [name, e] : entries_) onTold_(name, e.in && !e.gone);
+  for (const auto& [name, e] : entries_) onListSent_(name, e.in && !e.gone);
 }
 void Registry::notifyAllAfter(Time from) { notifyTimer_.in(from + kKnownAfter - c_.now()); }
 
--- a/lab/registry.hpp
+++ b/lab/registry.hpp
@@ -53,7 +53,7 @@
   void notifyAllAfter(Time);
 
   Context& c_;
-  const std::function<void(const std::string&, bool)> onTold_;
+  const std::function<void(const std::string&, bool)> onListSent_;
   int port_ = 0;
   bool down_ = false;
   std::uint64_t generation_ = 1;
