--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -134,7 +134,7 @@
     const bool two = speaker_->version() == Version::V20;
     served_ = !r.rows.empty();
     refused_ = r.code == "53300" || r.error.find("no data server can take") != std::string::npos;
-    if (r.comeBackMs) retryAfter_ = std::chrono::milliseconds(*r.comeBackMs);
+    if (r.retryAfterMs) retryAfter_ = std::chrono::milliseconds(*r.retryAfterMs);
     // What a server tells amid its answer is no business of the client's.
     if (!o_.s_.direct && (r.seen.find('N') != std::string::npos || r.seen.find('S') != std::string::npos))
       o_.audit_.value(false);
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -137,7 +137,7 @@
     if (m->type == 'E') {
       reply_.error = m->text;
       const std::size_t retry = m->text.find("\nRETRY:  ");
-      if (retry != std::string::npos) reply_.comeBackMs = std::atoi(m->text.c_str() + retry + 9);
+      if (retry != std::string::npos) reply_.retryAfterMs = std::atoi(m->text.c_str() + retry + 9);
     }
     if (m->type == 'Z') return Result::Ready;
   }
@@ -223,7 +223,7 @@
           if (field == 'C') reply_.code = text;
           if (field == 'M') reply_.error = text;
           if (field == 'D' && !text.empty() && text.find_first_not_of("0123456789") == std::string::npos)
-            reply_.comeBackMs = std::atoi(text.c_str());
+            reply_.retryAfterMs = std::atoi(text.c_str());
         }
         break;
       case 'Z':
--- a/lab/speaker.hpp
+++ b/lab/speaker.hpp
@@ -20,7 +20,7 @@
   std::vector<std::vector<std::optional<std::string>>> rows;
   std::vector<std::uint32_t> types;
   std::string tag, code, error;  // protocol 2.0 has no code
-  std::optional<int> comeBackMs;
+  std::optional<int> retryAfterMs;
   std::string seen;    // types of the received messages, in order
   std::string fields;  // letters of an error's fields
 };
