--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -167,7 +167,7 @@
       case ServerProtocol::Result::In:
         greeted_ = true;
         if (s_.generation_->login == "scram") s_.audit_.hit("scram_logins_at_servers");
-        if (speaker_->askedForMore()) s_.audit_.hit("row_16");
+        if (speaker_->requestedNewerVersion()) s_.audit_.hit("row_16");
         return true;
       case ServerProtocol::Result::Cancel: {
         const std::set<Connection*> all = s_.connections_;
--- a/lab/generation.hpp
+++ b/lab/generation.hpp
@@ -38,7 +38,7 @@
   enum class Result { More, In, Cancel, Out };
   Result take(std::string& in, std::string& send);
   std::uint32_t cancelled() const { return cancelled_; }
-  bool askedForMore() const { return askedMinor_ > generation_.minor; }
+  bool requestedNewerVersion() const { return askedMinor_ > generation_.minor; }
 
   // An answer with one row: a number, the value (bytea if requested, else text) and a null.
   std::string row(std::string_view bytes) const;
