--- a/lab/fleet.hpp
+++ b/lab/fleet.hpp
@@ -42,7 +42,7 @@
   std::vector<std::string> zones{"ruwi", "seeb"};
   std::size_t valueBytes = 0;  // 0: as long as the id
   // Servers take them in turn. None: all are plain, and answer one column of text.
-  std::vector<Generation> generations;
+  std::vector<ServerGeneration> generations;
 };
 
 class Fleet;
@@ -60,7 +60,7 @@
   // Takes requests and answers them without a scripted fault.
   bool isHealthy() const { return runs_ && !vanished_ && !hangs_ && errors_ <= 0 && resets_ <= 0; }
   bool hasBeenPrimary() const { return hasBeenPrimary_; }
-  const Generation* generation() const { return generation_ ? &*generation_ : nullptr; }
+  const ServerGeneration* generation() const { return generation_ ? &*generation_ : nullptr; }
   double speed() const { return speed_; }
   Time startedAt() const { return startedAt_; }  // 0: before the run
   sockaddr_in address(int proxy) const;          // proxy 0: for those that come directly
@@ -95,7 +95,7 @@
   std::string name_;
   const std::string zone_;
   const double speed_;
-  std::optional<Generation> generation_;
+  std::optional<ServerGeneration> generation_;
   Time startedAt_{};
   Timer dying_;
   std::unique_ptr<Machine> machine_;
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -18,14 +18,14 @@
   auth::ScramServer server;
 };
 
-std::optional<Generation> generationOf(std::string_view name) {
-  if (name == "plain") return Generation{};
-  if (name == "old") return Generation{"old", 0, true, true, "md5", false};
-  if (name == "modern") return Generation{"modern", 2, false, false, "scram", true};
+std::optional<ServerGeneration> generationOf(std::string_view name) {
+  if (name == "plain") return ServerGeneration{};
+  if (name == "old") return ServerGeneration{"old", 0, true, true, "md5", false};
+  if (name == "modern") return ServerGeneration{"modern", 2, false, false, "scram", true};
   return std::nullopt;
 }
 
-ServerProtocol::ServerProtocol(const Generation& g, std::uint32_t number)
+ServerProtocol::ServerProtocol(const ServerGeneration& g, std::uint32_t number)
     : generation_(g), number_(number), nonce_("standin" + std::to_string(number)) {}
 ServerProtocol::~ServerProtocol() = default;
 
--- a/lab/generation.hpp
+++ b/lab/generation.hpp
@@ -13,7 +13,7 @@
 
 namespace sablespur::lab {
 
-struct Generation {
+struct ServerGeneration {
   std::string name = "plain";
   int minor = 0;             // minor version of protocol 3
   bool backslashes = false;  // standard_conforming_strings is off
@@ -22,7 +22,7 @@
   bool chatty = false;       // notices and ParameterStatus within answers; all error fields
 };
 // "plain", "old" (before 9.0: escape form, backslashes, MD5), "modern" (3.2, SCRAM, chatty).
-std::optional<Generation> generationOf(std::string_view name);
+std::optional<ServerGeneration> generationOf(std::string_view name);
 
 // The credentials that stand-ins with password authentication accept.
 constexpr const char* kInnerUser = "proxy";
@@ -30,7 +30,7 @@
 
 class ServerProtocol {
  public:
-  ServerProtocol(const Generation& g, std::uint32_t number);
+  ServerProtocol(const ServerGeneration& g, std::uint32_t number);
   ~ServerProtocol();
   // Consumes the startup and login messages in `in` and appends the answers to `send`. In: logged
   // in; Cancel: a CancelRequest, for the connection cancelled(); Out: close the connection after
@@ -51,7 +51,7 @@
  private:
   std::string greeting() const;
   bool login(char type, const std::string& body, std::string& send, Result& got);
-  const Generation generation_;
+  const ServerGeneration generation_;
   const std::uint32_t number_;
   int askedMinor_ = 0;
   std::uint32_t cancelled_ = 0;
