--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -158,7 +158,7 @@
               {"value_bytes", count(f.valueBytes)},
               {"base_port", count(f.basePort)}});
     for (const std::string& name : split(generations)) {
-      const auto g = generationOf(name);
+      const auto g = serverGenerationOf(name);
       if (g)
         f.generations.push_back(*g);
       else
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -18,7 +18,7 @@
   auth::ScramServer server;
 };
 
-std::optional<ServerGeneration> generationOf(std::string_view name) {
+std::optional<ServerGeneration> serverGenerationOf(std::string_view name) {
   if (name == "plain") return ServerGeneration{};
   if (name == "old") return ServerGeneration{"old", 0, true, true, "md5", false};
   if (name == "modern") return ServerGeneration{"modern", 2, false, false, "scram", true};
--- a/lab/generation.hpp
+++ b/lab/generation.hpp
@@ -22,7 +22,7 @@
   bool chatty = false;       // notices and ParameterStatus within answers; all error fields
 };
 // "plain", "old" (before 9.0: escape form, backslashes, MD5), "modern" (3.2, SCRAM, chatty).
-std::optional<ServerGeneration> generationOf(std::string_view name);
+std::optional<ServerGeneration> serverGenerationOf(std::string_view name);
 
 // The credentials that stand-ins with password authentication accept.
 constexpr const char* kInnerUser = "proxy";
