--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -156,7 +156,9 @@
                         " ms apart; repeats are dropped for " + std::to_string(droppedFor.count() / 1000));
 }
 
-void Audit::felled(Time at, int server) { reportViolation(at, "felled", "server " + std::to_string(server)); }
+void Audit::overloaded(Time at, int server) {
+  reportViolation(at, "felled", "server " + std::to_string(server));
+}
 void Audit::crashed(Time at, int proxy, int status) {
   reportViolation(at, "crashed", "proxy " + std::to_string(proxy) + " ended with " + std::to_string(status));
 }
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -57,7 +57,7 @@
   std::uint64_t send(Send);
   void ended(Time, std::uint64_t token, bool served);       // answered or connection closed
   void ran(Time, const std::string& key, Time droppedFor);  // a write took effect, not deduplicated
-  void felled(Time, int server);                            // failed from overload while cold
+  void overloaded(Time, int server);                        // failed from overload while cold
   void crashed(Time, int proxy, int status);
   void cold(double multiple);  // load on a cold server, as a multiple of its capacity
   void probe(Time) { ++probes_; }
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -235,7 +235,7 @@
     arrived_ = now;
     end_ = Time(0);
     if (s_.machine_->sent(now, work)) {
-      s_.audit_.felled(now, s_.number_);
+      s_.audit_.overloaded(now, s_.number_);
       s_.fallen_ = true;
       return s_.dying_.in(Time(0));  // not now: its connections, this one among them, end with it
     }
