--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -148,7 +148,7 @@
   count_["attempts_served"] += served;
 }
 
-void Audit::ran(Time at, const std::string& key, Time droppedFor) {
+void Audit::writeApplied(Time at, const std::string& key, Time droppedFor) {
   const auto [it, fresh] = effects_.emplace(key, at);
   if (!fresh)
     reportViolation(at, "double_effects",
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -55,9 +55,9 @@
     std::uint64_t token = 0;      // identifies the attempt; assigned by send()
   };
   std::uint64_t send(Send);
-  void ended(Time, std::uint64_t token, bool served);       // answered or connection closed
-  void ran(Time, const std::string& key, Time droppedFor);  // a write took effect, not deduplicated
-  void overloaded(Time, int server);                        // failed from overload while cold
+  void ended(Time, std::uint64_t token, bool served);                // answered or connection closed
+  void writeApplied(Time, const std::string& key, Time droppedFor);  // a write took effect, not deduplicated
+  void overloaded(Time, int server);                                 // failed from overload while cold
   void crashed(Time, int proxy, int status);
   void cold(double multiple);  // load on a cold server, as a multiple of its capacity
   void probe(Time) { ++probes_; }
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -508,7 +508,7 @@
     if (it != g.keys.end() && arrived - it->second.at <= cls.droppedFor + kSocketSlack)
       return value;  // it has run: nothing happens
     g.keys[key] = {arrived, value};
-    audit_.ran(now, key, cls.droppedFor);
+    audit_.writeApplied(now, key, cls.droppedFor);
   }
   for (const auto& s : servers_)
     if (s->group() == group && s.get() != g.primary) s->log().commit(now);
