--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -15,13 +15,8 @@
 
 namespace sablespur::lab {
 
-enum class Result {
-  Served,
-  Refused,
-  Failed,
-  Late,
-  Unanswered
-};  // Unanswered: no answer before the request's deadline
+// How a request ended. Unanswered: no answer before the request's deadline.
+enum class Result { Served, Refused, Failed, Late, Unanswered };
 
 class Audit {
  public:
--- a/lab/logins.hpp
+++ b/lab/logins.hpp
@@ -20,12 +20,12 @@
   const std::vector<double>& latencies() const { return latencies_; }
 
  private:
-  struct One;
-  void ended(One&, bool in);
+  struct Login;
+  void ended(Login&, bool in);
 
   Context& c_;
   const Time started_;
-  std::list<std::unique_ptr<One>> open_;
+  std::list<std::unique_ptr<Login>> open_;
   std::vector<double> latencies_;
   std::size_t failed_ = 0;
 };
--- a/lab/power.hpp
+++ b/lab/power.hpp
@@ -54,7 +54,7 @@
   const Audit& audit_;
   const Controls controls_;
   std::vector<LossRecord> losses_;
-  std::vector<std::pair<Time, std::size_t>> served_;  // served requests so far, sampled every kSampleInterval
+  std::vector<std::pair<Time, std::size_t>> served_;  // served so far, every kSampleInterval
   std::vector<std::unique_ptr<Timer>> restarts_;
   Timer sampleTimer_;
 };
