--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -194,7 +194,7 @@
   // one.
   const auto other = value.size() > 2 && value != "v-" + id ? keys_.find(value.substr(2)) : keys_.end();
   const bool recorded = other != keys_.end() && key != keys_.end() && other->second == key->second;
-  if (got == Result::Served && recorded) hit("recorded_answers");
+  if (got == Result::Served && recorded) countEvent("recorded_answers");
   if (got == Result::Served && value != "v-" + id && !recorded)
     reportViolation(at, "lost", "id " + id + " was served '" + value.substr(0, 40) + "'");
   if (got == Result::Unanswered) reportViolation(at, "lost", "id " + id + ": no answer before its deadline");
--- a/lab/audit.hpp
+++ b/lab/audit.hpp
@@ -62,7 +62,7 @@
   void request(Time at, const std::string& id, const std::string& key = {});
   void answer(Time at, const std::string& id, Result, const std::string& value, Time latency, bool onTime,
               double worth, double earned);
-  void hit(const char* what) { ++hits_[what]; }  // counts an event under a figure's name
+  void countEvent(const char* what) { ++hits_[what]; }  // counts an event under a figure's name
   void value(bool right) { right ? ++valuesRight_ : ++valuesWrong_; }
   void extra(Time) { ++extraAnswers_; }  // an answer without a waiting request
   void lost(const std::string& id, const char* why);
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -111,14 +111,14 @@
     const ClientProtocol::Result got = speaker_->take(in_, send);
     if (!send.empty()) put(bev_.get(), send);
     if (got == ClientProtocol::Result::Broken) {
-      o_.audit_.hit("replies_broken");
+      o_.audit_.countEvent("replies_broken");
       return ended();
     }
     if (got == ClientProtocol::Result::More) return;
     const Reply r = speaker_->takeReply();
     if (!greeted_) {
-      if (speaker_->version() == Version::V20) o_.audit_.hit("row_1");
-      if (r.seen[0] == 'v') o_.audit_.hit("row_11");
+      if (speaker_->version() == Version::V20) o_.audit_.countEvent("row_1");
+      if (r.seen[0] == 'v') o_.audit_.countEvent("row_11");
       const std::size_t key = speaker_->secret().size();
       if (key != (speaker_->version() == Version::V32 ? 32u : 4u)) o_.audit_.value(false);
       greeted_ = true;
@@ -138,13 +138,14 @@
     // What a server tells amid its answer is no business of the client's.
     if (!o_.s_.direct && (r.seen.find('N') != std::string::npos || r.seen.find('S') != std::string::npos))
       o_.audit_.value(false);
-    if (two) o_.audit_.hit("row_2");
-    if (r.code == "57014" || (two && r.error.find("canceling") != std::string::npos)) o_.audit_.hit("row_12");
+    if (two) o_.audit_.countEvent("row_2");
+    if (r.code == "57014" || (two && r.error.find("canceling") != std::string::npos))
+      o_.audit_.countEvent("row_12");
     if (request_.missing) {
       const bool told = r.error.find("column \"missing\" does not exist") != std::string::npos;
-      if (told && two && r.error.rfind("ERROR:  ", 0) == 0) o_.audit_.hit("row_6");
+      if (told && two && r.error.rfind("ERROR:  ", 0) == 0) o_.audit_.countEvent("row_6");
       const bool later = r.fields.find_first_of("stn") != std::string::npos;
-      if (told && !two && later == (speaker_->version() == Version::V32)) o_.audit_.hit("row_7");
+      if (told && !two && later == (speaker_->version() == Version::V32)) o_.audit_.countEvent("row_7");
       if (later && speaker_->version() == Version::V30) o_.audit_.value(false);
       return;
     }
@@ -164,12 +165,12 @@
     o_.audit_.value(right);
     value_ = right ? "v-" + request_.id : "something else";
     if (!right) return;
-    if (binary) o_.audit_.hit("row_10");
+    if (binary) o_.audit_.countEvent("row_10");
     if (!two) return;
-    o_.audit_.hit("row_3");
-    if (r.seen[0] == 'P') o_.audit_.hit("row_4");
-    if (r.tag == "SELECT") o_.audit_.hit("row_5");
-    if (row[1]->rfind("\\x", 0) != 0) o_.audit_.hit("row_8");
+    o_.audit_.countEvent("row_3");
+    if (r.seen[0] == 'P') o_.audit_.countEvent("row_4");
+    if (r.tag == "SELECT") o_.audit_.countEvent("row_5");
+    if (row[1]->rfind("\\x", 0) != 0) o_.audit_.countEvent("row_8");
   }
   void read() {
     evbuffer* const in = bufferevent_get_input(bev_.get());
@@ -292,8 +293,8 @@
 void Clients::judgeEnd(const Request& r) {
   constexpr Time kCrossing = std::chrono::milliseconds(50);
   const Time out = c_.now() - r.at;
-  if (r.at <= excusedUntil_) return audit_.hit("ended_by_kill");
-  if (out <= kCrossing) return audit_.hit("crossed_the_end");
+  if (r.at <= excusedUntil_) return audit_.countEvent("ended_by_kill");
+  if (out <= kCrossing) return audit_.countEvent("crossed_the_end");
   const std::string why =
       "its connection ended without an answer after " + std::to_string(out.count() / 1000) + " ms";
   audit_.lost(r.id, why.c_str());
@@ -458,7 +459,7 @@
   if (got == Result::Served) latencies_.push_back(static_cast<double>((now - r.at).count()) / 1e3);
   if (unknown) {
     --r.againLeft;
-    audit_.hit("asked_again");
+    audit_.countEvent("asked_again");
     const Time when = now + c_.uniform(s_.againLeast, s_.againMost);
     r.first = when;
     r.deadline = when + r.cls->giveUp;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -141,7 +141,7 @@
   // By a CancelRequest that came on another connection.
   void callOff() {
     if (!busy_) return;
-    s_.audit_.hit("cancels_reached_servers");
+    s_.audit_.countEvent("cancels_reached_servers");
     const Time now = s_.c_.now();
     if (end_ > now) s_.machine_->stop(now, end_);
     done_.stop();
@@ -166,8 +166,8 @@
         return false;
       case ServerProtocol::Result::In:
         greeted_ = true;
-        if (s_.generation_->login == "scram") s_.audit_.hit("scram_logins_at_servers");
-        if (speaker_->requestedNewerVersion()) s_.audit_.hit("row_16");
+        if (s_.generation_->login == "scram") s_.audit_.countEvent("scram_logins_at_servers");
+        if (speaker_->requestedNewerVersion()) s_.audit_.countEvent("row_16");
         return true;
       case ServerProtocol::Result::Cancel: {
         const std::set<Connection*> all = s_.connections_;
@@ -265,8 +265,8 @@
     const auto literal = speaker_->literal(text, note + 7);
     s_.audit_.value(literal == textOf(id_));
     const bool two = text.find("/* by 2.0 */") != std::string::npos;
-    if (two && s_.generation_->login == "scram") s_.audit_.hit("row_13");
-    if (s_.generation_->backslashes != two) s_.audit_.hit("row_9");
+    if (two && s_.generation_->login == "scram") s_.audit_.countEvent("row_13");
+    if (s_.generation_->backslashes != two) s_.audit_.countEvent("row_9");
     return true;
   }
   void error(const char* code, const char* text) {
@@ -294,9 +294,9 @@
     busy_ = false;
     s_.audit_.ended(now, token_, true);
     s_.audit_.roleReported(now, proxy_, s_.number_, primary);
-    if (speaker_) s_.audit_.hit(("served_by_" + s_.generation_->name).c_str());
+    if (speaker_) s_.audit_.countEvent(("served_by_" + s_.generation_->name).c_str());
     const std::string between = speaker_ ? speaker_->between() : std::string();
-    if (!between.empty()) s_.audit_.hit("row_14"), s_.audit_.hit("row_15");
+    if (!between.empty()) s_.audit_.countEvent("row_14"), s_.audit_.countEvent("row_15");
     const std::size_t size = std::max<std::size_t>(s_.fleet_.s_.valueBytes, 1);
     put(bev_.get(),
         between + (speaker_ ? speaker_->row(bytesOf(id_, size)) : row(value)) +
