--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -54,14 +54,14 @@
  public:
   Connection(Clients& o, Time since, int address)
       : o_(o), since_(since), address_(address), late_(o.c_, [this] { late(); }), cancel_(o.c_, [this] {
-          o_.callOff(*speaker_);
+          o_.callOff(*protocol_);
         }) {
     if (o.s_.version) {
       Identity who;
       who.password = kDeskPassword;
       who.settings = o.s_.startup;
       if (o.s_.version == Version::V20) who.settings.clear();
-      speaker_ = std::make_unique<ClientProtocol>(*o.s_.version, who);
+      protocol_ = std::make_unique<ClientProtocol>(*o.s_.version, who);
     }
     bev_.reset(bufferevent_socket_new(
         o.c_.loop.get(),
@@ -79,7 +79,7 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c.ended();
         },
         this);
-    put(bev_.get(), speaker_ ? speaker_->hello() : postgres::startup("api", "ledger"));
+    put(bev_.get(), protocol_ ? protocol_->hello() : postgres::startup("api", "ledger"));
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
     bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&o.target_), sizeof o.target_);
   }
@@ -89,8 +89,8 @@
     busy_ = true;
     served_ = refused_ = failed_ = false;
     value_.clear();
-    if (speaker_ && greeted_) askAsDesk();
-    if (!speaker_) put(bev_.get(), postgres::query(request_.statement));
+    if (protocol_ && greeted_) askAsDesk();
+    if (!protocol_) put(bev_.get(), postgres::query(request_.statement));
     late_.in(request_.deadline + (o_.s_.strictEnds ? kLostAfter : kSlack) - o_.c_.now());
   }
   bool busy() const { return busy_; }
@@ -99,8 +99,8 @@
  private:
   void askAsDesk() {
     const bool simple = o_.s_.way == "simple";
-    put(bev_.get(), simple ? speaker_->query(request_.statement)
-                           : speaker_->extended(request_.statement, request_.bound, o_.s_.way == "binary"));
+    put(bev_.get(), simple ? protocol_->query(request_.statement)
+                           : protocol_->extended(request_.statement, request_.bound, o_.s_.way == "binary"));
     if (request_.cancel) cancel_.in(kCancelAfter);
   }
   // Until the proxy waits for the next request; this object may be no more then.
@@ -108,19 +108,19 @@
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (!bytes.empty()) evbuffer_remove(in, bytes.data(), bytes.size());
     in_ += bytes;
-    const ClientProtocol::Result got = speaker_->take(in_, send);
+    const ClientProtocol::Result got = protocol_->take(in_, send);
     if (!send.empty()) put(bev_.get(), send);
     if (got == ClientProtocol::Result::Broken) {
       o_.audit_.countEvent("replies_broken");
       return ended();
     }
     if (got == ClientProtocol::Result::More) return;
-    const Reply r = speaker_->takeReply();
+    const Reply r = protocol_->takeReply();
     if (!greeted_) {
-      if (speaker_->version() == Version::V20) o_.audit_.countEvent("row_1");
+      if (protocol_->version() == Version::V20) o_.audit_.countEvent("row_1");
       if (r.seen[0] == 'v') o_.audit_.countEvent("row_11");
-      const std::size_t key = speaker_->secret().size();
-      if (key != (speaker_->version() == Version::V32 ? 32u : 4u)) o_.audit_.value(false);
+      const std::size_t key = protocol_->secret().size();
+      if (key != (protocol_->version() == Version::V32 ? 32u : 4u)) o_.audit_.value(false);
       greeted_ = true;
       if (busy_) askAsDesk();
       return;
@@ -131,7 +131,7 @@
   // What the reply holds, against what the request's id makes of it.
   void judge(const Reply& r) {
     cancel_.stop();
-    const bool two = speaker_->version() == Version::V20;
+    const bool two = protocol_->version() == Version::V20;
     served_ = !r.rows.empty();
     refused_ = r.code == "53300" || r.error.find("no data server can take") != std::string::npos;
     if (r.retryAfterMs) retryAfter_ = std::chrono::milliseconds(*r.retryAfterMs);
@@ -145,8 +145,8 @@
       const bool told = r.error.find("column \"missing\" does not exist") != std::string::npos;
       if (told && two && r.error.rfind("ERROR:  ", 0) == 0) o_.audit_.countEvent("row_6");
       const bool later = r.fields.find_first_of("stn") != std::string::npos;
-      if (told && !two && later == (speaker_->version() == Version::V32)) o_.audit_.countEvent("row_7");
-      if (later && speaker_->version() == Version::V30) o_.audit_.value(false);
+      if (told && !two && later == (protocol_->version() == Version::V32)) o_.audit_.countEvent("row_7");
+      if (later && protocol_->version() == Version::V30) o_.audit_.value(false);
       return;
     }
     if (!served_) return;
@@ -174,7 +174,7 @@
   }
   void read() {
     evbuffer* const in = bufferevent_get_input(bev_.get());
-    if (speaker_) return readAsDesk(in);
+    if (protocol_) return readAsDesk(in);
     for (;;) {
       char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
@@ -269,7 +269,7 @@
   const int address_;
   BufferEventPtr bev_;
   Timer late_, cancel_;
-  std::unique_ptr<ClientProtocol> speaker_;  // of desks
+  std::unique_ptr<ClientProtocol> protocol_;  // of desks
   std::string in_;
   bool greeted_ = false, busy_ = false, served_ = false, refused_ = false, failed_ = false;
   std::string value_;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -86,7 +86,7 @@
  public:
   Connection(DataServer& s, int proxy, evutil_socket_t fd)
       : s_(s), proxy_(proxy), number_(++s.numbers_), done_(s.c_, [this] { finish(); }) {
-    if (s.generation_) speaker_ = std::make_unique<ServerProtocol>(*s.generation_, number_);
+    if (s.generation_) protocol_ = std::make_unique<ServerProtocol>(*s.generation_, number_);
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     bev_.reset(bufferevent_socket_new(s.c_.loop.get(), fd, BEV_OPT_CLOSE_ON_FREE));
@@ -112,7 +112,7 @@
     evbuffer* const in = bufferevent_get_input(bev_.get());
     while (!busy_ && !closing_) {
       const std::size_t have = evbuffer_get_length(in);
-      if (!greeted_ && speaker_) {
+      if (!greeted_ && protocol_) {
         if (!startup(in)) return;
         continue;
       }
@@ -158,7 +158,7 @@
     before_ += bytes;
     ServerProtocol::Result got;
     do {
-      got = speaker_->take(before_, send);
+      got = protocol_->take(before_, send);
     } while (got == ServerProtocol::Result::More && !send.empty() && !before_.empty());
     if (!send.empty()) put(bev_.get(), send);
     switch (got) {
@@ -167,12 +167,12 @@
       case ServerProtocol::Result::In:
         greeted_ = true;
         if (s_.generation_->login == "scram") s_.audit_.countEvent("scram_logins_at_servers");
-        if (speaker_->requestedNewerVersion()) s_.audit_.countEvent("row_16");
+        if (protocol_->requestedNewerVersion()) s_.audit_.countEvent("row_16");
         return true;
       case ServerProtocol::Result::Cancel: {
         const std::set<Connection*> all = s_.connections_;
         for (Connection* c : all)
-          if (c->number() == speaker_->cancelled()) {
+          if (c->number() == protocol_->cancelled()) {
             c->callOff();
             break;
           }
@@ -214,7 +214,7 @@
     if (!cls) return error("08P01", "not in this form");
     const bool primary = s_.fleet_.primary(s_.group_) == &s_;
     id_ = std::string(comment.id);
-    if (speaker_ && !check(text)) return;
+    if (protocol_ && !check(text)) return;
     key_ = std::string(field(text, "k"));
     cls_ = cls;
     const double work = static_cast<double>(cls->workLeast.count()) +
@@ -257,12 +257,12 @@
   bool check(const std::string& text) {
     if (text.rfind("SELECT missing", 0) == 0) {
       put(bev_.get(),
-          speaker_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
+          protocol_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
       return false;
     }
     const std::size_t note = text.find("note = ");
     if (note == std::string::npos) return true;
-    const auto literal = speaker_->literal(text, note + 7);
+    const auto literal = protocol_->literal(text, note + 7);
     s_.audit_.value(literal == textOf(id_));
     const bool two = text.find("/* by 2.0 */") != std::string::npos;
     if (two && s_.generation_->login == "scram") s_.audit_.countEvent("row_13");
@@ -294,12 +294,12 @@
     busy_ = false;
     s_.audit_.ended(now, token_, true);
     s_.audit_.roleReported(now, proxy_, s_.number_, primary);
-    if (speaker_) s_.audit_.countEvent(("served_by_" + s_.generation_->name).c_str());
-    const std::string between = speaker_ ? speaker_->between() : std::string();
+    if (protocol_) s_.audit_.countEvent(("served_by_" + s_.generation_->name).c_str());
+    const std::string between = protocol_ ? protocol_->between() : std::string();
     if (!between.empty()) s_.audit_.countEvent("row_14"), s_.audit_.countEvent("row_15");
     const std::size_t size = std::max<std::size_t>(s_.fleet_.s_.valueBytes, 1);
     put(bev_.get(),
-        between + (speaker_ ? speaker_->row(bytesOf(id_, size)) : row(value)) +
+        between + (protocol_ ? protocol_->row(bytesOf(id_, size)) : row(value)) +
             postgres::message('C', std::string(cls_->write ? "INSERT 0 1" : "SELECT 1") + '\0') +
             parameter("role", primary ? "primary" : "replica") +
             parameter("applied_ms", std::to_string(s_.c_.unixMs(position) + (cls_->write ? 1 : 0))) +
@@ -309,8 +309,8 @@
   DataServer& s_;
   const int proxy_;
   const std::uint32_t number_;
-  std::unique_ptr<ServerProtocol> speaker_;  // of a fleet with generations
-  std::string before_;                       // of the startup
+  std::unique_ptr<ServerProtocol> protocol_;  // of a fleet with generations
+  std::string before_;                        // of the startup
   BufferEventPtr bev_;
   Timer done_;
   bool greeted_ = false, busy_ = false, closing_ = false;
