--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -79,7 +79,7 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c.ended();
         },
         this);
-    put(bev_.get(), protocol_ ? protocol_->hello() : postgres::startup("api", "ledger"));
+    put(bev_.get(), protocol_ ? protocol_->startupMessage() : postgres::startup("api", "ledger"));
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
     bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&o.target_), sizeof o.target_);
   }
--- a/lab/logins.cpp
+++ b/lab/logins.cpp
@@ -26,7 +26,7 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) login.owner.ended(login, false);
         },
         this);
-    put(bev.get(), protocol.hello());
+    put(bev.get(), protocol.startupMessage());
     bufferevent_enable(bev.get(), EV_READ | EV_WRITE);
     bufferevent_socket_connect(bev.get(), reinterpret_cast<const sockaddr*>(&proxy), sizeof proxy);
   }
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -29,7 +29,7 @@
   return std::nullopt;
 }
 
-std::string ClientProtocol::hello() const {
+std::string ClientProtocol::startupMessage() const {
   if (version_ == Version::V20)
     return postgres2::startup({postgres2::kVersion, who_.database, who_.user, who_.options});
   postgres::Startup s;
--- a/lab/speaker.hpp
+++ b/lab/speaker.hpp
@@ -44,7 +44,7 @@
  public:
   ClientProtocol(Version v, Identity who) : version_(v), who_(std::move(who)) {}
   Version version() const { return version_; }
-  std::string hello() const;
+  std::string startupMessage() const;
   std::string query(std::string_view statement) const;
   // Returns Parse, Bind, Describe (portal), Execute and Sync for the unnamed statement; 3.x only.
   std::string extended(std::string_view statement, const std::vector<Bound>&,
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -427,7 +427,7 @@
     }
     d.speaker = std::make_unique<lab::ClientProtocol>(*lab::versionOf(first), who);
     dial(d.c);
-    put(d.c.fd, d.speaker->hello());
+    put(d.c.fd, d.speaker->startupMessage());
     return;
   }
   if (verb == "asks") return put(d.c.fd, d.speaker->query(rest));
@@ -927,11 +927,11 @@
     return;
   }
   if (!c.greeted && c.method.empty() && c.in.size() >= 4 && c.in.size() >= postgres::readInt32(c.in.data())) {
-    const auto hello =
+    const auto startupMessage =
         postgres::parseStartup(std::string_view(c.in).substr(0, postgres::readInt32(c.in.data())));
     c.in.erase(0, postgres::readInt32(c.in.data()));
-    if (hello) s.minor = hello->minor;
-    if (hello && hello->minor > 0 && s.speaks == "fatal") {
+    if (startupMessage) s.minor = startupMessage->minor;
+    if (startupMessage && startupMessage->minor > 0 && s.speaks == "fatal") {
       put(c.fd,
           postgres::error("FATAL", "0A000", "unsupported frontend protocol 3.2: server supports 1.0 to 3.0"));
       shutdown(c.fd, SHUT_WR);
@@ -942,8 +942,8 @@
     std::istringstream lines(s.says);
     for (std::string line; std::getline(lines, line);)
       says += parameter(line.substr(0, line.find('=')), line.substr(line.find('=') + 1));
-    const int minor = hello && s.speaks == "3.2" ? hello->minor : 0;
-    if (hello && hello->minor > minor) says += postgres::negotiate(minor, {});
+    const int minor = startupMessage && s.speaks == "3.2" ? startupMessage->minor : 0;
+    if (startupMessage && startupMessage->minor > minor) says += postgres::negotiate(minor, {});
     c.number = ++numbers_;
     if (s.asks.empty() || s.asks == "trust") return let(s, c, says);
     c.greeted = false;
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -497,7 +497,7 @@
   }
   std::unique_ptr<Peer> welcomedIn2() {
     auto p = std::make_unique<Peer>(clients->port());
-    p->put(lab::ClientProtocol(*lab::versionOf("2.0"), {}).hello());
+    p->put(lab::ClientProtocol(*lab::versionOf("2.0"), {}).startupMessage());
     std::string got;
     EXPECT_TRUE(until([&] { return !(got += p->take()).empty() && got.back() == 'Z'; }));
     return p;
