--- a/bench/store_libraries.cpp
+++ b/bench/store_libraries.cpp
@@ -1,11 +1,12 @@
-// What embedded libraries do with the ledger's workload: small records, each batch durable before it counts.
-// Prints one Markdown table each for prices and for damage. See docs/design/store.md.
+// Runs the ledger's workload on embedded storage libraries: small records, each batch made durable
+// before it is acknowledged. Prints a Markdown table of costs and one of behaviour on damaged
+// files. See docs/design/store.md.
 //
 //   build/sablespur_bench_store_libraries DIR [RECORDS]
 //
-// Damage: records are written one durable batch at a time by a process that then dies. Each data file is cut
-// at, and separately has a byte inverted at, many offsets; another process opens the copy and reads
-// everything.
+// Damage: a process writes records, one durable batch at a time, and exits without closing the
+// database. Each data file is truncated at many offsets, and separately has a byte inverted at many
+// offsets; another process opens the damaged copy and reads everything.
 #include <fcntl.h>
 #include <leveldb/db.h>
 #include <leveldb/write_batch.h>
@@ -198,7 +199,7 @@
   return std::make_unique<Sqlite>();
 }
 
-// A keyed write's intent is about this long.
+// Sized like the intent record of a write with an idempotency key.
 std::pair<std::string, std::string> record(int n) {
   char key[32];
   std::snprintf(key, sizeof key, "k%08d", n);
@@ -216,8 +217,9 @@
   return 0;
 }
 
-// Runs in a process of its own, since a library may end it; its numbers come back, or nothing.
-std::vector<double> apart(const std::function<std::vector<double>()>& work) {
+// Runs the function in a child process, since a library may abort. Returns its numbers, or an empty
+// vector if the child failed.
+std::vector<double> runInChild(const std::function<std::vector<double>()>& work) {
   int ends[2];
   if (pipe(ends) != 0) std::abort();
   const pid_t pid = fork();
@@ -245,8 +247,10 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// us at the median and 99%, one by one; records a second in batches of 64; pause, MB, start in ms.
-std::vector<double> prices(const std::string& name, const std::string& dir, int records) {
+// Returns the median and 99th percentile in us of single-record batches, the records per second in
+// batches of 64, the longest batch in ms, the memory in MB when empty and when full, the start in
+// ms and the files' MB.
+std::vector<double> measureCosts(const std::string& name, const std::string& dir, int records) {
   fs::remove_all(dir);
   const double before = residentMb();
   double emptyMb = 0, fullMb = 0, worst = 0, perSecond = 0;
@@ -284,7 +288,7 @@
 enum Found { Whole, Shorter, Hole, Refused, Crashed };
 
 Found open(const std::string& name, const std::string& dir, int records) {
-  const auto got = apart([&]() -> std::vector<double> {
+  const auto got = runInChild([&]() -> std::vector<double> {
     const auto db = make(name);
     std::map<std::string, std::string> all;
     if (!db->open(dir) || !db->all(all)) return {Refused};
@@ -300,12 +304,12 @@
   constexpr int kRecords = 60;
   const std::string dir = base + "/original", copy = base + "/copy";
   fs::remove_all(dir);
-  apart([&]() -> std::vector<double> {
+  runInChild([&]() -> std::vector<double> {
     const auto db = make(name);
     if (!db->open(dir)) return {};
     for (int k = 0; k < kRecords; ++k)
       if (!db->put({record(k)})) return {};
-    _exit(0);  // dies with its files as they are
+    _exit(0);  // exits without closing the database
   });
   for (const bool cut : {true, false}) {
     std::map<Found, int> found;
@@ -352,7 +356,7 @@
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
       records);
   for (const char* name : {"LevelDB", "RocksDB", "LMDB", "SQLite"}) {
-    const auto p = apart([&] { return prices(name, base + "/prices", records); });
+    const auto p = runInChild([&] { return measureCosts(name, base + "/prices", records); });
     if (p.size() < 8) return std::fprintf(stderr, "%s failed\n", name), 1;
     std::printf("| %s | %.0f | %.0f | %.0f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", name, p[0], p[1], p[2],
                 p[3], p[4], p[5], p[6], p[7]);
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -59,13 +59,13 @@
         since_(since),
         address_(address),
         deadlineTimer_(o.c_, [this] { onDeadline(); }),
-        cancel_(o.c_, [this] { o_.sendCancelRequest(*speaker_); }) {
+        cancel_(o.c_, [this] { o_.sendCancelRequest(*protocol_); }) {
     if (o.s_.version) {
       Identity who;
       who.password = kDeskPassword;
       who.settings = o.s_.startup;
       if (o.s_.version == Version::V20) who.settings.clear();
-      speaker_ = std::make_unique<Speaker>(*o.s_.version, who);
+      protocol_ = std::make_unique<ClientProtocol>(*o.s_.version, who);
     }
     bev_.reset(bufferevent_socket_new(
         o.c_.loop.get(),
@@ -83,7 +83,7 @@
           if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) c.onClosed();
         },
         this);
-    put(bev_.get(), speaker_ ? speaker_->hello() : postgres::startup("api", "ledger"));
+    put(bev_.get(), protocol_ ? protocol_->startupMessage() : postgres::startup("api", "ledger"));
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
     bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&o.target_), sizeof o.target_);
   }
@@ -93,8 +93,8 @@
     busy_ = true;
     served_ = refused_ = failed_ = false;
     value_.clear();
-    if (speaker_ && loggedIn_) sendDeskRequest();
-    if (!speaker_) put(bev_.get(), postgres::query(request_.statement));
+    if (protocol_ && loggedIn_) sendDeskRequest();
+    if (!protocol_) put(bev_.get(), postgres::query(request_.statement));
     deadlineTimer_.in(request_.deadline + (o_.s_.strictEnds ? kLostAfterDeadline : kDeadlineSlack) -
                       o_.c_.now());
   }
@@ -104,8 +104,8 @@
  private:
   void sendDeskRequest() {
     const bool simple = o_.s_.mode == "simple";
-    put(bev_.get(), simple ? speaker_->query(request_.statement)
-                           : speaker_->extended(request_.statement, request_.bound, o_.s_.mode == "binary"));
+    put(bev_.get(), simple ? protocol_->query(request_.statement)
+                           : protocol_->extended(request_.statement, request_.bound, o_.s_.mode == "binary"));
     if (request_.cancel) cancel_.in(kCancelAfter);
   }
   // Reads replies until the proxy is ready for the next request. May destroy this object.
@@ -113,19 +113,19 @@
     std::string bytes(evbuffer_get_length(in), '\0'), send;
     if (!bytes.empty()) evbuffer_remove(in, bytes.data(), bytes.size());
     in_ += bytes;
-    const Speaker::Got got = speaker_->take(in_, send);
+    const ClientProtocol::Result got = protocol_->take(in_, send);
     if (!send.empty()) put(bev_.get(), send);
-    if (got == Speaker::Got::Broken) {
-      o_.audit_.hit("replies_broken");
+    if (got == ClientProtocol::Result::Broken) {
+      o_.audit_.countEvent("replies_broken");
       return onClosed();
     }
-    if (got == Speaker::Got::More) return;
-    const Reply r = speaker_->takeReply();
+    if (got == ClientProtocol::Result::More) return;
+    const Reply r = protocol_->takeReply();
     if (!loggedIn_) {
-      if (speaker_->version() == Version::V20) o_.audit_.hit("row_1");
-      if (r.seen[0] == 'v') o_.audit_.hit("row_11");
-      const std::size_t key = speaker_->secret().size();
-      if (key != (speaker_->version() == Version::V32 ? 32u : 4u)) o_.audit_.value(false);
+      if (protocol_->version() == Version::V20) o_.audit_.countEvent("row_1");
+      if (r.seen[0] == 'v') o_.audit_.countEvent("row_11");
+      const std::size_t key = protocol_->secret().size();
+      if (key != (protocol_->version() == Version::V32 ? 32u : 4u)) o_.audit_.value(false);
       loggedIn_ = true;
       if (busy_) sendDeskRequest();
       return;
@@ -136,21 +136,22 @@
   // Checks the reply against the values that are derived from the request's id.
   void checkReply(const Reply& r) {
     cancel_.stop();
-    const bool two = speaker_->version() == Version::V20;
+    const bool two = protocol_->version() == Version::V20;
     served_ = !r.rows.empty();
     refused_ = r.code == "53300" || r.error.find("no data server can take") != std::string::npos;
-    if (r.comeBackMs) retryAfter_ = std::chrono::milliseconds(*r.comeBackMs);
+    if (r.retryAfterMs) retryAfter_ = std::chrono::milliseconds(*r.retryAfterMs);
     // Notices and parameter changes that a server sends in its answer must not reach the client.
     if (!o_.s_.direct && (r.seen.find('N') != std::string::npos || r.seen.find('S') != std::string::npos))
       o_.audit_.value(false);
-    if (two) o_.audit_.hit("row_2");
-    if (r.code == "57014" || (two && r.error.find("canceling") != std::string::npos)) o_.audit_.hit("row_12");
+    if (two) o_.audit_.countEvent("row_2");
+    if (r.code == "57014" || (two && r.error.find("canceling") != std::string::npos))
+      o_.audit_.countEvent("row_12");
     if (request_.missing) {
       const bool told = r.error.find("column \"missing\" does not exist") != std::string::npos;
-      if (told && two && r.error.rfind("ERROR:  ", 0) == 0) o_.audit_.hit("row_6");
+      if (told && two && r.error.rfind("ERROR:  ", 0) == 0) o_.audit_.countEvent("row_6");
       const bool later = r.fields.find_first_of("stn") != std::string::npos;
-      if (told && !two && later == (speaker_->version() == Version::V32)) o_.audit_.hit("row_7");
-      if (later && speaker_->version() == Version::V30) o_.audit_.value(false);
+      if (told && !two && later == (protocol_->version() == Version::V32)) o_.audit_.countEvent("row_7");
+      if (later && protocol_->version() == Version::V30) o_.audit_.value(false);
       return;
     }
     if (!served_) return;
@@ -169,16 +170,16 @@
     o_.audit_.value(right);
     value_ = right ? "v-" + request_.id : "something else";
     if (!right) return;
-    if (binary) o_.audit_.hit("row_10");
+    if (binary) o_.audit_.countEvent("row_10");
     if (!two) return;
-    o_.audit_.hit("row_3");
-    if (r.seen[0] == 'P') o_.audit_.hit("row_4");
-    if (r.tag == "SELECT") o_.audit_.hit("row_5");
-    if (row[1]->rfind("\\x", 0) != 0) o_.audit_.hit("row_8");
+    o_.audit_.countEvent("row_3");
+    if (r.seen[0] == 'P') o_.audit_.countEvent("row_4");
+    if (r.tag == "SELECT") o_.audit_.countEvent("row_5");
+    if (row[1]->rfind("\\x", 0) != 0) o_.audit_.countEvent("row_8");
   }
   void read() {
     evbuffer* const in = bufferevent_get_input(bev_.get());
-    if (speaker_) return readDeskReply(in);
+    if (protocol_) return readDeskReply(in);
     for (;;) {
       char bytes[postgres::kHeaderSize];
       if (evbuffer_copyout(in, bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes)) return;
@@ -225,7 +226,7 @@
     busy_ = false;
     deadlineTimer_.stop();
     Request r = std::move(request_);
-    const Got got = served_ ? Got::Served : refused_ ? Got::Refused : Got::Failed;
+    const Result got = served_ ? Result::Served : refused_ ? Result::Refused : Result::Failed;
     if (o_.idle_.size() < kMaxIdle) o_.idle_.push_back(this);
     const bool kept = !o_.idle_.empty() && o_.idle_.back() == this;
     Clients& o = o_;
@@ -240,7 +241,7 @@
     busy_ = false;
     Clients& o = o_;
     remove();  // the client gives up and closes the connection
-    o.done(r, Got::Nothing, "", Time(0));
+    o.done(r, Result::Unanswered, "", Time(0));
   }
   void onClosed() {
     const bool busy = busy_;
@@ -251,7 +252,7 @@
       const Time wait = retryAfter_, since = since_;
       const int address = address_;
       remove();
-      if (busy) return o.done(r, Got::Refused, "", wait);
+      if (busy) return o.done(r, Result::Refused, "", wait);
       o.reconnects_.emplace(o.c_.now() + wait, std::make_pair(since, address));
       o.reconnectTimer_.in(o.reconnects_.begin()->first - o.c_.now());
       return;
@@ -260,7 +261,7 @@
     remove();
     if (busy && loggedIn && o.s_.strictEnds) o.auditConnectionClosed(r);
     // The client sees a connection that closes without an answer as a failed request.
-    if (busy) o.done(r, Got::Failed, "", Time(0));
+    if (busy) o.done(r, Result::Failed, "", Time(0));
   }
   void remove() {
     auto& idle = o_.idle_;
@@ -273,7 +274,7 @@
   const int address_;
   BufferEventPtr bev_;
   Timer deadlineTimer_, cancel_;
-  std::unique_ptr<Speaker> speaker_;  // desk clients only
+  std::unique_ptr<ClientProtocol> protocol_;  // desk clients only
   std::string in_;
   bool loggedIn_ = false, busy_ = false, served_ = false, refused_ = false, failed_ = false;
   std::string value_;
@@ -298,14 +299,14 @@
 void Clients::auditConnectionClosed(const Request& r) {
   constexpr Time kReadWithin = std::chrono::milliseconds(50);
   const Time out = c_.now() - r.at;
-  if (r.at <= closesExcusedUntil_) return audit_.hit("ended_by_kill");
-  if (out <= kReadWithin) return audit_.hit("crossed_the_end");
+  if (r.at <= closesExcusedUntil_) return audit_.countEvent("ended_by_kill");
+  if (out <= kReadWithin) return audit_.countEvent("crossed_the_end");
   const std::string why =
       "the connection closed without an answer after " + std::to_string(out.count() / 1000) + " ms";
   audit_.lost(r.id, why.c_str());
 }
 
-void Clients::sendCancelRequest(const Speaker& s) {
+void Clients::sendCancelRequest(const ClientProtocol& s) {
   cancelConnections_.push_back(std::make_unique<CancelConnection>(*this, s.cancel()));
 }
 
@@ -442,30 +443,31 @@
   if (!waiting_.empty()) retryTimer_.in(waiting_.begin()->first - now);
 }
 
-void Clients::done(Request& r, Got got, const std::string& value, Time retryAfter) {
+void Clients::done(Request& r, Result got, const std::string& value, Time retryAfter) {
   --outstanding_;
   const Time now = c_.now(), latency = now - r.first;
-  const bool inTime = got == Got::Served && latency <= r.cls->aim;
-  const bool refused = got == Got::Refused && r.retriesLeft > 0 && now + retryAfter < r.deadline;
-  const bool unknown = r.unknownOutcomeRetriesLeft > 0 &&
-                       (got == Got::Served ? s_.duplicateShare > 0 && c_.uniform(0.0, 1.0) < s_.duplicateShare
-                                           : got != Got::Refused);
+  const bool inTime = got == Result::Served && latency <= r.cls->aim;
+  const bool refused = got == Result::Refused && r.retriesLeft > 0 && now + retryAfter < r.deadline;
+  const bool unknown =
+      r.unknownOutcomeRetriesLeft > 0 &&
+      (got == Result::Served ? s_.duplicateShare > 0 && c_.uniform(0.0, 1.0) < s_.duplicateShare
+                             : got != Result::Refused);
   const bool again = refused || unknown;
   // A request's worth counts once, with its last attempt.
   const double worth = again ? 0 : r.cls->worth;
-  const double earned = got != Got::Served ? 0 : inTime ? worth : worth * r.cls->lateWorth;
+  const double earned = got != Result::Served ? 0 : inTime ? worth : worth * r.cls->lateWorth;
   std::string plain = value;
   if (s_.valueBytes > 0 && !s_.version) plain = plain.substr(0, plain.find('.'));
   audit_.answer(now, r.id, got, plain, latency, inTime, worth, earned);
-  if (ended_) ended_(*r.cls, r.group, r.at, got == Got::Served);
+  if (ended_) ended_(*r.cls, r.group, r.at, got == Result::Served);
   if (!again) {
     ++asked_;
     served_ += inTime;
   }
-  if (got == Got::Served) latencies_.push_back(static_cast<double>((now - r.at).count()) / 1e3);
+  if (got == Result::Served) latencies_.push_back(static_cast<double>((now - r.at).count()) / 1e3);
   if (unknown) {
     --r.unknownOutcomeRetriesLeft;
-    audit_.hit("asked_again");
+    audit_.countEvent("asked_again");
     const Time when = now + c_.uniform(s_.repeatDelayLeast, s_.repeatDelayMost);
     r.first = when;
     r.deadline = when + r.cls->giveUp;
--- a/lab/clients.hpp
+++ b/lab/clients.hpp
@@ -86,7 +86,7 @@
   Request makeRequest();
   void prepareAttempt(Request&, Time now);
   void auditConnectionClosed(const Request&);
-  void done(Request&, Got, const std::string& value, Time retryAfter);
+  void done(Request&, Result, const std::string& value, Time retryAfter);
 
   Context& c_;
   Audit& audit_;
@@ -111,7 +111,7 @@
   std::list<std::unique_ptr<Connection>> connections_;
   std::vector<Connection*> idle_;
   void sendDueRetries();
-  void sendCancelRequest(const Speaker&);
+  void sendCancelRequest(const ClientProtocol&);
   struct CancelConnection;
   std::list<std::unique_ptr<CancelConnection>> cancelConnections_;  // CancelRequests in flight
   std::multimap<Time, Request> waiting_;                            // requests to be retried, by time
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -52,20 +52,20 @@
     owner.audit_.request(at, id);
     timer.in(cls->giveUp + kDeadlineSlack);
   }
-  void answer(Got got) {
+  void answer(Result got) {
     if (!asked || answered) return;
     answered = true;
     --owner.outstanding_;
     const Time latency = owner.c_.now() - at;
-    const bool inTime = got == Got::Served && latency <= cls->aim;
+    const bool inTime = got == Result::Served && latency <= cls->aim;
     // The requests of a crowd do not count towards the worth that is served.
     owner.audit_.answer(owner.c_.now(), id, got, value, latency, inTime, 0, 0);
-    owner.n_.served += got == Got::Served;
-    owner.n_.turnedAway += got == Got::Refused;
+    owner.n_.served += got == Result::Served;
+    owner.n_.turnedAway += got == Result::Refused;
   }
   // Closes the connection after its stay, or when the request has no answer in time.
   void onTimeout() {
-    if (asked && !answered) answer(Got::Nothing);
+    if (asked && !answered) answer(Result::Unanswered);
     owner.remove(*this);
   }
   void onClosed() {
@@ -77,7 +77,7 @@
     } else if (!in) {
       ++owner.n_.cut;
     }
-    answer(Got::Failed);
+    answer(Result::Failed);
     owner.remove(*this);
   }
   void read() {
@@ -99,7 +99,7 @@
         ++owner.n_.in;
         if (owner.s_.mode == "ask" && owner.running_) ask();
       } else if (asked && !answered) {
-        answer(served ? Got::Served : turnedAway ? Got::Refused : Got::Failed);
+        answer(served ? Result::Served : turnedAway ? Result::Refused : Result::Failed);
         timer.in(owner.s_.stay);
       }
     }
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -89,7 +89,7 @@
         proxy_(proxy),
         number_(++s.lastConnectionNumber_),
         completionTimer_(s.c_, [this] { finish(); }) {
-    if (s.generation_) speaker_ = std::make_unique<ServerSpeaker>(*s.generation_, number_);
+    if (s.generation_) protocol_ = std::make_unique<ServerProtocol>(*s.generation_, number_);
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     bev_.reset(bufferevent_socket_new(s.c_.loop.get(), fd, BEV_OPT_CLOSE_ON_FREE));
@@ -115,7 +115,7 @@
     evbuffer* const in = bufferevent_get_input(bev_.get());
     while (!busy_ && !closing_) {
       const std::size_t have = evbuffer_get_length(in);
-      if (!greeted_ && speaker_) {
+      if (!greeted_ && protocol_) {
         if (!readStartup(in)) return;
         continue;
       }
@@ -144,7 +144,7 @@
   // Cancels the current statement, after a CancelRequest on another connection.
   void cancelStatement() {
     if (!busy_) return;
-    s_.audit_.hit("cancels_reached_servers");
+    s_.audit_.countEvent("cancels_reached_servers");
     const Time now = s_.c_.now();
     if (end_ > now) s_.machine_->stop(now, end_);
     completionTimer_.stop();
@@ -160,30 +160,30 @@
     if (bytes.empty()) return false;
     evbuffer_remove(in, bytes.data(), bytes.size());
     startupBytes_ += bytes;
-    ServerSpeaker::Got got;
+    ServerProtocol::Result got;
     do {
-      got = speaker_->take(startupBytes_, send);
-    } while (got == ServerSpeaker::Got::More && !send.empty() && !startupBytes_.empty());
+      got = protocol_->take(startupBytes_, send);
+    } while (got == ServerProtocol::Result::More && !send.empty() && !startupBytes_.empty());
     if (!send.empty()) put(bev_.get(), send);
     switch (got) {
-      case ServerSpeaker::Got::More:
+      case ServerProtocol::Result::More:
         return false;
-      case ServerSpeaker::Got::In:
+      case ServerProtocol::Result::In:
         greeted_ = true;
-        if (s_.generation_->login == "scram") s_.audit_.hit("scram_logins_at_servers");
-        if (speaker_->askedForMore()) s_.audit_.hit("row_16");
+        if (s_.generation_->login == "scram") s_.audit_.countEvent("scram_logins_at_servers");
+        if (protocol_->requestedNewerVersion()) s_.audit_.countEvent("row_16");
         return true;
-      case ServerSpeaker::Got::Cancel: {
+      case ServerProtocol::Result::Cancel: {
         const std::set<Connection*> all = s_.connections_;
         for (Connection* c : all)
-          if (c->number() == speaker_->cancelled()) {
+          if (c->number() == protocol_->cancelled()) {
             c->cancelStatement();
             break;
           }
         close();
         return false;
       }
-      case ServerSpeaker::Got::Out:
+      case ServerProtocol::Result::Out:
         closing_ = true;
         completionTimer_.in(Time(0));
         return false;
@@ -209,7 +209,7 @@
       std::snprintf(report, sizeof report, "x0=%.3f,x1=%d,inflight=%zu",
                     static_cast<double>(s_.c_.unixMs(s_.position(now))) / 1e3,
                     s_.fleet_.primary(s_.group_) == &s_ ? 1 : 0, s_.machine_->held(now));
-      s_.audit_.roleTold(now, proxy_, s_.number_, s_.fleet_.primary(s_.group_) == &s_);
+      s_.audit_.roleReported(now, proxy_, s_.number_, s_.fleet_.primary(s_.group_) == &s_);
       return put(bev_.get(), resultRow(report) + postgres::message('C', std::string("SHOW\0", 5)) +
                                  postgres::readyForQuery());
     }
@@ -218,7 +218,7 @@
     if (!cls) return error("08P01", "not in this form");
     const bool primary = s_.fleet_.primary(s_.group_) == &s_;
     id_ = std::string(comment.id);
-    if (speaker_ && !checkDeskStatement(text)) return;
+    if (protocol_ && !checkDeskStatement(text)) return;
     key_ = std::string(commentField(text, "k"));
     cls_ = cls;
     const double work = static_cast<double>(cls->workLeast.count()) +
@@ -239,7 +239,7 @@
     arrived_ = now;
     end_ = Time(0);
     if (s_.machine_->sent(now, work)) {
-      s_.audit_.felled(now, s_.number_);
+      s_.audit_.overloaded(now, s_.number_);
       s_.fellOver_ = true;
       return s_.killTimer_.in(Time(0));  // deferred: it destroys this connection
     }
@@ -262,16 +262,16 @@
   bool checkDeskStatement(const std::string& text) {
     if (text.rfind("SELECT missing", 0) == 0) {
       put(bev_.get(),
-          speaker_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
+          protocol_->problem("42703", "column \"missing\" does not exist") + postgres::readyForQuery());
       return false;
     }
     const std::size_t note = text.find("note = ");
     if (note == std::string::npos) return true;
-    const auto literal = speaker_->literal(text, note + 7);
+    const auto literal = protocol_->literal(text, note + 7);
     s_.audit_.value(literal == textOf(id_));
     const bool two = text.find("/* by 2.0 */") != std::string::npos;
-    if (two && s_.generation_->login == "scram") s_.audit_.hit("row_13");
-    if (s_.generation_->backslashes != two) s_.audit_.hit("row_9");
+    if (two && s_.generation_->login == "scram") s_.audit_.countEvent("row_13");
+    if (s_.generation_->backslashes != two) s_.audit_.countEvent("row_9");
     return true;
   }
   void error(const char* code, const char* text) {
@@ -298,13 +298,13 @@
     }
     busy_ = false;
     s_.audit_.ended(now, token_, true);
-    s_.audit_.roleTold(now, proxy_, s_.number_, primary);
-    if (speaker_) s_.audit_.hit(("served_by_" + s_.generation_->name).c_str());
-    const std::string between = speaker_ ? speaker_->between() : std::string();
-    if (!between.empty()) s_.audit_.hit("row_14"), s_.audit_.hit("row_15");
+    s_.audit_.roleReported(now, proxy_, s_.number_, primary);
+    if (protocol_) s_.audit_.countEvent(("served_by_" + s_.generation_->name).c_str());
+    const std::string between = protocol_ ? protocol_->between() : std::string();
+    if (!between.empty()) s_.audit_.countEvent("row_14"), s_.audit_.countEvent("row_15");
     const std::size_t size = std::max<std::size_t>(s_.fleet_.s_.valueBytes, 1);
     put(bev_.get(),
-        between + (speaker_ ? speaker_->row(bytesOf(id_, size)) : resultRow(value)) +
+        between + (protocol_ ? protocol_->row(bytesOf(id_, size)) : resultRow(value)) +
             postgres::message('C', std::string(cls_->write ? "INSERT 0 1" : "SELECT 1") + '\0') +
             parameterStatus("role", primary ? "primary" : "replica") +
             parameterStatus("applied_ms", std::to_string(s_.c_.unixMs(position) + (cls_->write ? 1 : 0))) +
@@ -314,8 +314,8 @@
   DataServer& s_;
   const int proxy_;
   const std::uint32_t number_;
-  std::unique_ptr<ServerSpeaker> speaker_;  // only in a fleet with generations
-  std::string startupBytes_;                // unprocessed startup bytes
+  std::unique_ptr<ServerProtocol> protocol_;  // only in a fleet with generations
+  std::string startupBytes_;                  // unprocessed startup bytes
   BufferEventPtr bev_;
   Timer completionTimer_;
   bool greeted_ = false, busy_ = false, closing_ = false;
@@ -513,7 +513,7 @@
     if (it != g.appliedWrites.end() && arrived - it->second.at <= cls.droppedFor + kSocketSlack)
       return value;  // a repeat: no effect
     g.appliedWrites[key] = {arrived, value};
-    audit_.ran(now, key, cls.droppedFor);
+    audit_.writeApplied(now, key, cls.droppedFor);
   }
   for (const auto& s : servers_)
     if (s->group() == group && s.get() != g.primary) s->log().commit(now);
--- a/lab/fleet.hpp
+++ b/lab/fleet.hpp
@@ -43,7 +43,7 @@
   std::vector<std::string> zones{"ruwi", "seeb"};
   std::size_t valueBytes = 0;  // minimum length of a value; 0: as long as the request's id
   // Assigned to the servers round-robin. Empty: all servers are plain and answer one text column.
-  std::vector<Generation> generations;
+  std::vector<ServerGeneration> generations;
 };
 
 class Fleet;
@@ -61,7 +61,7 @@
   // Whether the server runs and no scripted fault keeps it from answering.
   bool isHealthy() const { return runs_ && !vanished_ && !hangs_ && errors_ <= 0 && resets_ <= 0; }
   bool hasBeenPrimary() const { return hasBeenPrimary_; }
-  const Generation* generation() const { return generation_ ? &*generation_ : nullptr; }
+  const ServerGeneration* generation() const { return generation_ ? &*generation_ : nullptr; }
   double speed() const { return speed_; }
   Time startedAt() const { return startedAt_; }  // 0: before the run
   sockaddr_in address(int proxy) const;          // proxy 0: for direct clients
@@ -97,7 +97,7 @@
   std::string name_;
   const std::string zone_;
   const double speed_;
-  std::optional<Generation> generation_;
+  std::optional<ServerGeneration> generation_;
   Time startedAt_{};
   Timer killTimer_;
   std::unique_ptr<Machine> machine_;
--- a/lab/generation.cpp
+++ b/lab/generation.cpp
@@ -14,22 +14,22 @@
 
 }  // namespace
 
-struct ServerSpeaker::Scram {
+struct ServerProtocol::Scram {
   auth::ScramServer server;
 };
 
-std::optional<Generation> generationOf(std::string_view name) {
-  if (name == "plain") return Generation{};
-  if (name == "old") return Generation{"old", 0, true, true, "md5", false};
-  if (name == "modern") return Generation{"modern", 2, false, false, "scram", true};
+std::optional<ServerGeneration> serverGenerationOf(std::string_view name) {
+  if (name == "plain") return ServerGeneration{};
+  if (name == "old") return ServerGeneration{"old", 0, true, true, "md5", false};
+  if (name == "modern") return ServerGeneration{"modern", 2, false, false, "scram", true};
   return std::nullopt;
 }
 
-ServerSpeaker::ServerSpeaker(const Generation& g, std::uint32_t number)
+ServerProtocol::ServerProtocol(const ServerGeneration& g, std::uint32_t number)
     : generation_(g), number_(number), nonce_("standin" + std::to_string(number)) {}
-ServerSpeaker::~ServerSpeaker() = default;
+ServerProtocol::~ServerProtocol() = default;
 
-std::string ServerSpeaker::greeting() const {
+std::string ServerProtocol::greeting() const {
   std::string m = postgres::authentication(postgres::kAuthOk);
   m += postgres::parameterStatus("server_version", generation_.backslashes ? "8.4.22"
                                                    : generation_.minor > 0 ? "18.1"
@@ -42,51 +42,51 @@
   return m + postgres::readyForQuery();
 }
 
-ServerSpeaker::Got ServerSpeaker::take(std::string& in, std::string& send) {
+ServerProtocol::Result ServerProtocol::take(std::string& in, std::string& send) {
   if (!started_) {
-    if (in.size() < 8 || in.size() < postgres::readInt32(in.data())) return Got::More;
+    if (in.size() < 8 || in.size() < postgres::readInt32(in.data())) return Result::More;
     const std::string packet = in.substr(0, postgres::readInt32(in.data()));
     in.erase(0, packet.size());
     if (const auto key = postgres::parseCancel(packet)) {
       cancelled_ = key->process;
       const bool right = key->secret == std::string(generation_.minor > 0 ? 32 : 4, 'k');
-      return right ? Got::Cancel : Got::Out;
+      return right ? Result::Cancel : Result::Out;
     }
     const auto hello = postgres::parseStartup(packet);
-    if (!hello) return Got::Out;
+    if (!hello) return Result::Out;
     started_ = true;
     askedMinor_ = hello->minor;
     if (hello->minor > generation_.minor) send += postgres::negotiate(generation_.minor, {});
     if (generation_.login.empty()) {
       send += greeting();
-      return Got::In;
+      return Result::In;
     }
-    if (hello->user != kInnerUser) return Got::Out;
+    if (hello->user != kInnerUser) return Result::Out;
     send += generation_.login == "scram" ? postgres::saslMechanisms()
             : generation_.login == "md5" ? postgres::authentication(postgres::kAuthMd5, "salt")
                                          : postgres::authentication(postgres::kAuthCleartext);
   }
-  if (in.size() < 5 || in.size() < 1 + postgres::readInt32(in.data() + 1)) return Got::More;
+  if (in.size() < 5 || in.size() < 1 + postgres::readInt32(in.data() + 1)) return Result::More;
   const std::size_t length = postgres::readInt32(in.data() + 1);
   const char type = in[0];
   const std::string body = in.substr(5, length - 4);
   in.erase(0, 1 + length);
-  Got got = Got::More;
+  Result got = Result::More;
   if (!login(type, body, send, got)) {
     send += postgres::error("FATAL", "28P01", "password authentication failed");
-    return Got::Out;
+    return Result::Out;
   }
-  if (got == Got::In) send += greeting();
+  if (got == Result::In) send += greeting();
   return got;
 }
 
-bool ServerSpeaker::login(char type, const std::string& body, std::string& send, Got& got) {
+bool ServerProtocol::login(char type, const std::string& body, std::string& send, Result& got) {
   if (type != 'p') return false;
   if (generation_.login == "cleartext" || generation_.login == "md5") {
     const std::string wanted = generation_.login == "md5"
                                    ? auth::md5Answer(auth::md5Stored(kInnerUser, kInnerPassword), "salt")
                                    : std::string(kInnerPassword);
-    got = Got::In;
+    got = Result::In;
     return body == wanted + '\0';
   }
   std::string why;
@@ -101,11 +101,11 @@
   const auto last = scram_->server.final(body, why);
   if (!last) return false;
   send += postgres::authentication(postgres::kAuthSaslFinal, *last);
-  got = Got::In;
+  got = Result::In;
   return true;
 }
 
-std::string ServerSpeaker::row(std::string_view bytes) const {
+std::string ServerProtocol::row(std::string_view bytes) const {
   const postgres::Codec codec(generation_.minor);
   const std::string value = translation::writeBytea(
       generation_.escape ? translation::ByteaForm::Escape : translation::ByteaForm::Hex, bytes);
@@ -115,14 +115,14 @@
          codec.row({std::string_view(size), std::string_view(value), std::nullopt}, false);
 }
 
-std::string ServerSpeaker::between() const {
+std::string ServerProtocol::between() const {
   if (!generation_.chatty) return {};
   std::string notice = postgres::error("NOTICE", "01000", "the weather is fine");
   notice[0] = 'N';
   return postgres::parameterStatus("in_hot_standby", "on") + notice;
 }
 
-std::string ServerSpeaker::problem(const char* code, const char* text) const {
+std::string ServerProtocol::problem(const char* code, const char* text) const {
   translation::ErrorReport p;
   p.code = code;
   p.text = text;
@@ -134,7 +134,7 @@
   return postgres::Codec(generation_.chatty ? 2 : 0).errorResponse(p);
 }
 
-std::optional<std::string> ServerSpeaker::literal(std::string_view s, std::size_t at) const {
+std::optional<std::string> ServerProtocol::literal(std::string_view s, std::size_t at) const {
   const bool escape = at < s.size() && (s[at] == 'E' || s[at] == 'e');
   if (escape) ++at;
   if (at >= s.size() || s[at] != '\'') return std::nullopt;
--- a/lab/logins.hpp
+++ b/lab/logins.hpp
@@ -1,4 +1,4 @@
-// A burst of logins: many desks that connect at the same moment.
+// A burst of logins: many clients that connect at the same moment.
 #pragma once
 
 #include <list>
@@ -16,15 +16,16 @@
   ~LoginBurst();
   std::size_t in() const { return latencies_.size(); }
   std::size_t failed() const { return failed_; }
-  const std::vector<double>& latencies() const { return latencies_; }  // ms, from the connect to being let in
+  // Returns the latencies from connect to the completed login, in ms.
+  const std::vector<double>& latencies() const { return latencies_; }
 
  private:
-  struct One;
-  void ended(One&, bool in);
+  struct Login;
+  void ended(Login&, bool in);
 
   Context& c_;
   const Time started_;
-  std::list<std::unique_ptr<One>> open_;
+  std::list<std::unique_ptr<Login>> open_;
   std::vector<double> latencies_;
   std::size_t failed_ = 0;
 };
--- a/lab/name_server.cpp
+++ b/lab/name_server.cpp
@@ -10,7 +10,7 @@
 namespace sablespur::lab {
 namespace {
 
-constexpr std::size_t kPlainUdp = 512;  // without EDNS0
+constexpr std::size_t kPlainUdp = 512;  // largest UDP answer without EDNS0 (RFC 1035)
 
 sockaddr_in loopback(int port) {
   sockaddr_in a{};
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-// One TCP connection: queries with their lengths before them, answered in order.
+// One TCP connection: length-prefixed queries, answered in order.
 class NameServer::Tcp {
  public:
   Tcp(NameServer& owner, int fd)
@@ -84,7 +84,8 @@
     : base_(base),
       domain_(dns::parseName(domain).value()),
       service_(dns::parseName(service + "." + domain).value()) {
-  // The same port for both; the system chooses it for one, and may have given it away for the other.
+  // UDP and TCP use the same port. The system chooses it for UDP, and it may be taken for TCP:
+  // hence the retries.
   for (int k = 0; k < 50 && listener_ < 0; ++k) {
     if (udp_ >= 0) close(udp_);
     udp_ = openSocket(SOCK_DGRAM, port);
@@ -93,7 +94,8 @@
     listenTcp();
   }
   other_ = openSocket(SOCK_DGRAM, 0);
-  if (udp_ < 0 || listener_ < 0 || other_ < 0) throw std::runtime_error("the name server finds no port");
+  if (udp_ < 0 || listener_ < 0 || other_ < 0)
+    throw std::runtime_error("stand-in name server: cannot bind a UDP and a TCP port");
   readable_ = event_new(
       base, udp_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<NameServer*>(self)->readUdp(); }, this);
@@ -123,9 +125,9 @@
   event_add(acceptable_, nullptr);
 }
 
-void NameServer::mood(Mood m) {
-  const bool tcp = m != Mood::TruncatedOnly;
-  mood_ = m;
+void NameServer::responseMode(ResponseMode m) {
+  const bool tcp = m != ResponseMode::TruncatedOnly;
+  responseMode_ = m;
   if (tcp && listener_ < 0) listenTcp();
   if (tcp || listener_ < 0) return;
   connections_.clear();
@@ -135,21 +137,21 @@
   listener_ = -1;
 }
 
-bool NameServer::moodOf(const std::string& name, Mood& m) {
-  static const std::map<std::string, Mood> all{{"good", Mood::Good},
-                                               {"silent", Mood::Silent},
-                                               {"servfail", Mood::ServFail},
-                                               {"refused", Mood::Refused},
-                                               {"lame", Mood::Lame},
-                                               {"noise", Mood::Noise},
-                                               {"loop", Mood::Loop},
-                                               {"counts", Mood::Counts},
-                                               {"wrong-id", Mood::WrongId},
-                                               {"wrong-question", Mood::WrongQuestion},
-                                               {"wrong-port", Mood::WrongPort},
-                                               {"truncated", Mood::Truncated},
-                                               {"truncated-only", Mood::TruncatedOnly},
-                                               {"no-edns", Mood::NoEdns}};
+bool NameServer::parseResponseMode(const std::string& name, ResponseMode& m) {
+  static const std::map<std::string, ResponseMode> all{{"good", ResponseMode::Good},
+                                                       {"silent", ResponseMode::Silent},
+                                                       {"servfail", ResponseMode::ServFail},
+                                                       {"refused", ResponseMode::Refused},
+                                                       {"lame", ResponseMode::Lame},
+                                                       {"noise", ResponseMode::Noise},
+                                                       {"loop", ResponseMode::Loop},
+                                                       {"counts", ResponseMode::Counts},
+                                                       {"wrong-id", ResponseMode::WrongId},
+                                                       {"wrong-question", ResponseMode::WrongQuestion},
+                                                       {"wrong-port", ResponseMode::WrongPort},
+                                                       {"truncated", ResponseMode::Truncated},
+                                                       {"truncated-only", ResponseMode::TruncatedOnly},
+                                                       {"no-edns", ResponseMode::NoEdns}};
   const auto it = all.find(name);
   if (it != all.end()) m = it->second;
   return it != all.end();
@@ -172,7 +174,7 @@
     const ssize_t n = recvfrom(udp_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (n < 0) return;
     const std::string reply = answer({bytes, static_cast<std::size_t>(n)}, false);
-    const int by = mood_ == Mood::WrongPort ? other_ : udp_;
+    const int by = responseMode_ == ResponseMode::WrongPort ? other_ : udp_;
     if (!reply.empty()) sendto(by, reply.data(), reply.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
   }
 }
@@ -257,56 +259,56 @@
     m.rcode = dns::Rcode::NxDomain;
     m.authorities = {{domain_, dns::Type::Soa, 60, dns::Soa{serial_, 60}}};
   };
-  switch (mood_) {
-    case Mood::Silent:
+  switch (responseMode_) {
+    case ResponseMode::Silent:
       return {};
-    case Mood::ServFail:
+    case ResponseMode::ServFail:
       return error(dns::Rcode::ServFail);
-    case Mood::Refused:
+    case ResponseMode::Refused:
       return error(dns::Rcode::Refused);
-    case Mood::Lame:
+    case ResponseMode::Lame:
       return error(dns::Rcode::NoError);
-    case Mood::Noise:
+    case ResponseMode::Noise:
       return std::string(query.substr(0, 2)) + std::string("\x84\x00\xff\xff\xff\xff noise", 12);
-    case Mood::Loop: {
+    case ResponseMode::Loop: {
       std::string bytes = error(dns::Rcode::NoError);
-      bytes[7] = 1;  // one answer, whose name points at itself
+      bytes[7] = 1;  // one answer, whose compressed name points to itself
       const auto at = bytes.size();
       bytes += {static_cast<char>(0xc0 | at >> 8), static_cast<char>(at), 0, 12, 0, 1, 0, 0, 0, 9, 0, 0};
       return bytes;
     }
-    case Mood::Counts: {
+    case ResponseMode::Counts: {
       std::string bytes = dns::encode(m);
       bytes[6] = 0x7f;
       return bytes;
     }
-    case Mood::WrongId:
+    case ResponseMode::WrongId:
       emptied();
       m.id ^= 1;
       return dns::encode(m, most);
-    case Mood::WrongQuestion:
+    case ResponseMode::WrongQuestion:
       emptied();
       m.question->name = "other." + m.question->name;
       return dns::encode(m, most);
-    case Mood::WrongPort:
+    case ResponseMode::WrongPort:
       emptied();
       return dns::encode(m, most);
-    case Mood::Truncated:
-    case Mood::TruncatedOnly:
+    case ResponseMode::Truncated:
+    case ResponseMode::TruncatedOnly:
       return dns::encode(m, tcp ? most : 0);
-    case Mood::NoEdns:
+    case ResponseMode::NoEdns:
       if (q->udpPayload > 0) return error(dns::Rcode::FormErr);
       break;
-    case Mood::Good:
+    case ResponseMode::Good:
       break;
   }
   const std::string bytes = dns::encode(m, most);
-  if (onTold && q->question->name == service_ && q->question->type == dns::Type::Ptr) {
+  if (onListSent && q->question->name == service_ && q->question->type == dns::Type::Ptr) {
     std::map<std::string, bool> all;
     for (const auto& [label, i] : instances_)
       all[label] = std::find(i.txt.begin(), i.txt.end(), "state=leaving") == i.txt.end();
     const auto sent = dns::parse(bytes);
-    if (sent && !sent->truncated) onTold(all);
+    if (sent && !sent->truncated) onListSent(all);
   }
   return bytes;
 }
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -11,7 +11,7 @@
 namespace sablespur::lab {
 namespace {
 
-const char* resultName(Got g) {
+const char* resultName(Result g) {
   static const char* const names[] = {"served", "refused", "failed", "late", "unanswered"};
   return names[static_cast<int>(g)];
 }
@@ -34,7 +34,7 @@
     sends << seconds(x.at) << ',' << x.proxy << ',' << x.server << ',' << x.cls << ',' << x.id << ','
           << seconds(x.age) * 1e3 << '\n';
   members << "at_s,proxy,server,in,after_withdrawal_ms\n";
-  for (const auto& x : a.tellings())
+  for (const auto& x : a.listUpdates())
     members << seconds(x.at) << ',' << x.proxy << ',' << x.server << ',' << x.in << ','
             << (x.after >= Time(0) ? formatNumber(seconds(x.after) * 1e3) : "") << '\n';
   each << "at_s,served,refused,failed,members,cpu_s,resident_mb\n";
@@ -53,7 +53,7 @@
   std::map<long, std::map<int, std::size_t>> sends;
   for (const auto& x : a.answers()) {
     const long second = static_cast<long>(x.at.count() / 1000000);
-    if (x.got == Got::Served)
+    if (x.got == Result::Served)
       latency[second].add(seconds(x.latency) * 1e3);
     else
       ++unserved[second];
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -131,7 +131,7 @@
     };
     if (e_.discovery == "dnssd") {
       p.names = std::make_unique<NameServer>(c_.loop.get(), kDomain, kService);
-      p.names->onTold = [this, number](const std::map<std::string, bool>& all) {
+      p.names->onListSent = [this, number](const std::map<std::string, bool>& all) {
         for (const auto& s : fleet_->servers()) {
           const auto it = all.find(s->name());
           audit_.told(c_.now(), number, s->number(), it != all.end() && it->second);
@@ -298,10 +298,11 @@
     if (k >= proxies_.size()) fail("there is no proxy " + w[1]);
     proxies_[k].clients->rate(value(2));
   } else if (what == "dns") {
-    NameServer::Mood mood{};
-    if (!NameServer::moodOf(w[1], mood)) fail("there is no name server fault mode " + w[1]);
+    NameServer::ResponseMode responseMode{};
+    if (!NameServer::parseResponseMode(w[1], responseMode))
+      fail("there is no name server fault mode " + w[1]);
     for (Proxy& p : proxies_)
-      if (p.names) p.names->mood(mood);
+      if (p.names) p.names->responseMode(responseMode);
   } else if (what == "registry") {
     for (Proxy& p : proxies_)
       if (p.registry && !setRegistryMode(*p.registry, w[1])) fail("there is no registry fault mode " + w[1]);
@@ -367,21 +368,23 @@
 }
 
 // Sets the fault mode of a registry stand-in. Returns false if `mood` names no mode.
-bool Run::setRegistryMode(Registry& registry, const std::string& mood) {
-  static const std::map<std::string, Registry::Mood> kMoods{{"well", Registry::Mood::Well},
-                                                            {"silent", Registry::Mood::WatchesSilent},
-                                                            {"cut", Registry::Mood::Cut},
-                                                            {"pieces", Registry::Mood::Pieces},
-                                                            {"older", Registry::Mood::Older}};
+bool Run::setRegistryMode(Registry& registry, const std::string& responseMode) {
+  static const std::map<std::string, Registry::ResponseMode> kMoods{
+      {"well", Registry::ResponseMode::Well},
+      {"silent", Registry::ResponseMode::WatchesSilent},
+      {"cut", Registry::ResponseMode::Cut},
+      {"pieces", Registry::ResponseMode::Pieces},
+      {"older", Registry::ResponseMode::Older}};
   const std::string slow = "slow-";  // followed by the delay of each call in ms
-  if (mood == "down" || mood == "up")
-    registry.down(mood == "down");
-  else if (mood == "reset")
+  if (responseMode == "down" || responseMode == "up")
+    registry.down(responseMode == "down");
+  else if (responseMode == "reset")
     registry.resetWatches();
-  else if (mood.rfind(slow, 0) == 0)
-    registry.mood(Registry::Mood::Slow, std::chrono::milliseconds(std::atoi(mood.c_str() + slow.size())));
-  else if (const auto known = kMoods.find(mood); known != kMoods.end())
-    registry.mood(known->second);
+  else if (responseMode.rfind(slow, 0) == 0)
+    registry.responseMode(Registry::ResponseMode::Slow,
+                          std::chrono::milliseconds(std::atoi(responseMode.c_str() + slow.size())));
+  else if (const auto known = kMoods.find(responseMode); known != kMoods.end())
+    registry.responseMode(known->second);
   else
     return false;
   return true;
@@ -404,9 +407,9 @@
   s.at = static_cast<double>((c_.now() - started_).count()) / 1e6;
   s.cpu = cpu();
   for (const Proxy& p : proxies_) s.residentMb = std::max(s.residentMb, p.process->residentMb());
-  s.served = audit_.count(Got::Served);
-  s.refused = audit_.count(Got::Refused);
-  s.failed = audit_.count(Got::Failed) + audit_.count(Got::Nothing);
+  s.served = audit_.count(Result::Served);
+  s.refused = audit_.count(Result::Refused);
+  s.failed = audit_.count(Result::Failed) + audit_.count(Result::Unanswered);
   for (const auto& [server, in] : listed_) s.members += in;
   const SecondTotals before = samples_.empty() ? SecondTotals() : samples_.back();
   samples_.push_back(s);
@@ -468,14 +471,14 @@
     for (const auto& d : p.crowds) d->start();
   }
   for (const auto& d : direct_) d->start();
-  Power::Hands hands;
-  hands.proxies = static_cast<int>(proxies_.size());
-  hands.directory = o_.directory;
-  hands.proxy = [this](int k, bool on) {
+  PowerLossSimulator::Controls controls;
+  controls.proxies = static_cast<int>(proxies_.size());
+  controls.directory = o_.directory;
+  controls.proxy = [this](int k, bool on) {
     if (proxies_[static_cast<std::size_t>(k) - 1].process->running() != on)
       execute({{}, {"proxy", std::to_string(k), on ? "start" : "kill"}, 0});
   };
-  power_ = std::make_unique<Power>(c_, *fleet_, audit_, std::move(hands));
+  power_ = std::make_unique<PowerLossSimulator>(c_, *fleet_, audit_, std::move(controls));
   if (e_.takeoverRules) observeAvailability();
   executeDueSteps();
   sampleTimer_.in(std::chrono::seconds(1));
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -76,7 +76,7 @@
   void withdraw(DataServer&);
   void list(DataServer&);
   void execute(const Step&);
-  static bool setRegistryMode(Registry&, const std::string& mood);
+  static bool setRegistryMode(Registry&, const std::string& responseMode);
   void terminateProxy(Proxy&);
   void killProxy(Proxy&);
   void startProxy(std::size_t k);
@@ -99,7 +99,7 @@
   std::vector<Proxy> proxies_;
   std::vector<std::unique_ptr<Clients>> direct_;
   std::vector<std::unique_ptr<LoginBurst>> bursts_;
-  std::unique_ptr<Power> power_;
+  std::unique_ptr<PowerLossSimulator> power_;
   std::map<int, bool> listed_;  // by server number: whether it is published
   std::size_t step_ = 0;
   Time started_{};
--- a/lab/speaker.cpp
+++ b/lab/speaker.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-struct Speaker::Login {
+struct ClientProtocol::Login {
   auth::ScramClient scram;
   bool verified = false;
 };
@@ -29,7 +29,7 @@
   return std::nullopt;
 }
 
-std::string Speaker::hello() const {
+std::string ClientProtocol::startupMessage() const {
   if (version_ == Version::V20)
     return postgres2::startup({postgres2::kVersion, who_.database, who_.user, who_.options});
   postgres::Startup s;
@@ -40,11 +40,11 @@
   if (!who_.options.empty()) s.settings.emplace_back("options", who_.options);
   return postgres::startup(s);
 }
-std::string Speaker::query(std::string_view statement) const {
+std::string ClientProtocol::query(std::string_view statement) const {
   return version_ == Version::V20 ? postgres2::query(statement) : postgres::query(statement);
 }
-std::string Speaker::extended(std::string_view statement, const std::vector<Bound>& bound,
-                              bool binaryResults) const {
+std::string ClientProtocol::extended(std::string_view statement, const std::vector<Bound>& bound,
+                                     bool binaryResults) const {
   std::vector<std::uint32_t> types;
   postgres::Bind b;
   for (const Bound& p : bound) {
@@ -56,24 +56,24 @@
   return postgres::parseMessage("", statement, types) + postgres::bindMessage(b) +
          postgres::describeMessage({true, ""}) + postgres::executeMessage({"", 0}) + postgres::syncMessage();
 }
-std::string Speaker::cancel() const { return cancelWith(process_, secret_); }
-std::string Speaker::cancelWith(std::uint32_t process, std::string_view secret) const {
+std::string ClientProtocol::cancel() const { return cancelWith(process_, secret_); }
+std::string ClientProtocol::cancelWith(std::uint32_t process, std::string_view secret) const {
   if (version_ == Version::V20) return postgres2::cancel({process, postgres::readInt32(secret.data())});
   return postgres::cancel({process, std::string(secret)});
 }
 
-Reply Speaker::takeReply() {
+Reply ClientProtocol::takeReply() {
   Reply r = std::move(reply_);
   reply_ = {};
   return r;
 }
 
-Speaker::Got Speaker::take(std::string& in, std::string& send) {
+ClientProtocol::Result ClientProtocol::take(std::string& in, std::string& send) {
   return version_ == Version::V20 ? take2(in, send) : take3(in, send);
 }
 
-// A login's request. False: it cannot be met.
-bool Speaker::login(std::uint32_t request, std::string_view body, std::string& send) {
+// Answers an authentication request. Returns false if the request is unsupported or invalid.
+bool ClientProtocol::login(std::uint32_t request, std::string_view body, std::string& send) {
   const auto say = [&](const std::string& text) {
     send += version_ == Version::V20 ? postgres2::password(text) : withType('p', text + '\0');
   };
@@ -99,7 +99,8 @@
     case 11: {
       const auto c = login_ ? login_->scram.readChallenge(body, why_) : std::nullopt;
       if (!c) return false;
-      // Salted once for all connections: a burst of logins must not measure the stand-in's own work.
+      // The salted password is cached for all connections, so that a burst of logins does not
+      // measure the stand-in's own key derivation.
       static std::map<std::string, std::string> salted;
       std::string& known = salted[who_.password + "/" + c->salt + "/" + std::to_string(c->iterations)];
       if (known.empty()) known = auth::saltPassword(who_.password, c->salt, c->iterations);
@@ -113,7 +114,7 @@
   }
 }
 
-Speaker::Got Speaker::take2(std::string& in, std::string& send) {
+ClientProtocol::Result ClientProtocol::take2(std::string& in, std::string& send) {
   if (!reader_) reader_ = std::make_shared<postgres2::Reader>();
   auto& reader = *static_cast<postgres2::Reader*>(reader_.get());
   std::size_t size = 0;
@@ -121,7 +122,7 @@
   while (const auto m = reader.take(in, size, bad)) {
     in.erase(0, size);
     reply_.seen += m->type;
-    if (m->type == 'R' && !login(m->number, m->text, send)) return Got::Broken;
+    if (m->type == 'R' && !login(m->number, m->text, send)) return Result::Broken;
     if (m->type == 'K') {
       process_ = m->key.process;
       secret_.clear();
@@ -136,24 +137,24 @@
     if (m->type == 'E') {
       reply_.error = m->text;
       const std::size_t retry = m->text.find("\nRETRY:  ");
-      if (retry != std::string::npos) reply_.comeBackMs = std::atoi(m->text.c_str() + retry + 9);
+      if (retry != std::string::npos) reply_.retryAfterMs = std::atoi(m->text.c_str() + retry + 9);
     }
-    if (m->type == 'Z') return Got::Ready;
+    if (m->type == 'Z') return Result::Ready;
   }
-  if (bad) why_ = "no message of 2.0";
-  return bad ? Got::Broken : Got::More;
+  if (bad) why_ = "invalid protocol 2.0 message";
+  return bad ? Result::Broken : Result::More;
 }
 
-Speaker::Got Speaker::take3(std::string& in, std::string& send) {
+ClientProtocol::Result ClientProtocol::take3(std::string& in, std::string& send) {
   const auto broken = [&](const char* why) {
     why_ = why;
-    return Got::Broken;
+    return Result::Broken;
   };
   for (;;) {
-    if (in.size() < 5) return Got::More;
+    if (in.size() < 5) return Result::More;
     const std::size_t length = postgres::readInt32(in.data() + 1);
-    if (length < 4 || length > (8u << 20)) return broken("a length that is none");
-    if (in.size() < 1 + length) return Got::More;
+    if (length < 4 || length > (8u << 20)) return broken("invalid message length");
+    if (in.size() < 1 + length) return Result::More;
     const char type = in[0];
     const std::string body = in.substr(5, length - 4);
     in.erase(0, 1 + length);
@@ -162,18 +163,19 @@
       case 'R':
         if (body.size() < 4 ||
             !login(postgres::readInt32(body.data()), std::string_view(body).substr(4), send))
-          return broken("a login that cannot be met");
+          return broken("unsupported or failed authentication request");
         break;
       case 'K': {
         const auto key = postgres::parseKeyData(body);
-        if (!key || (version_ == Version::V30 && key->secret.size() != 4)) return broken("a malformed key");
+        if (!key || (version_ == Version::V30 && key->secret.size() != 4))
+          return broken("malformed BackendKeyData");
         process_ = key->process;
         secret_ = key->secret;
         break;
       }
       case 'v': {
         const auto minor = postgres::parseNegotiate(body);
-        if (!minor) return broken("a malformed negotiation");
+        if (!minor) return broken("malformed NegotiateProtocolVersion");
         minor_ = *minor;
         break;
       }
@@ -183,26 +185,26 @@
         std::size_t at = 2;
         for (std::size_t k = 0; k < columns_; ++k) {
           at = body.find('\0', at);
-          if (at == std::string::npos || body.size() < at + 19) return broken("a malformed description");
+          if (at == std::string::npos || body.size() < at + 19) return broken("malformed RowDescription");
           reply_.types.push_back(postgres::readInt32(body.data() + at + 7));
           at += 19;
         }
         break;
       }
       case 'D': {
-        if (body.size() < 2) return broken("a malformed row");
+        if (body.size() < 2) return broken("malformed DataRow");
         const std::size_t n = static_cast<unsigned char>(body[0]) << 8 | static_cast<unsigned char>(body[1]);
         std::vector<std::optional<std::string>> row;
         std::size_t at = 2;
         for (std::size_t k = 0; k < n; ++k) {
-          if (body.size() < at + 4) return broken("a malformed row");
+          if (body.size() < at + 4) return broken("malformed DataRow");
           const std::uint32_t size = postgres::readInt32(body.data() + at);
           at += 4;
           if (size == 0xffffffff) {
             row.emplace_back();
             continue;
           }
-          if (size > body.size() - at) return broken("a malformed row");
+          if (size > body.size() - at) return broken("malformed DataRow");
           row.emplace_back(body.substr(at, size));
           at += size;
         }
@@ -221,14 +223,14 @@
           if (field == 'C') reply_.code = text;
           if (field == 'M') reply_.error = text;
           if (field == 'D' && !text.empty() && text.find_first_not_of("0123456789") == std::string::npos)
-            reply_.comeBackMs = std::atoi(text.c_str());
+            reply_.retryAfterMs = std::atoi(text.c_str());
         }
         break;
       case 'Z':
-        return Got::Ready;
+        return Result::Ready;
       default:
         if (std::string_view("SNI123nst").find(type) == std::string_view::npos)
-          return broken("a message that 3.0 does not know");
+          return broken("message type unknown in protocol 3.0");
     }
   }
 }
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -1,4 +1,4 @@
-// The lab's checkers of takeovers, each with the fault that it is there to find.
+// Tests of the lab's takeover checks, each against the violation that it has to detect.
 #include "lab/availability.hpp"
 
 #include <gtest/gtest.h>
@@ -15,45 +15,45 @@
 constexpr int kProxy = 1;
 constexpr int kGroup = 1;
 
-// A read each 100 ms, each over after 50 ms.
-void readsFail(Availability& judge, Time from, Time until) {
+// Sends a read every 100 ms; each fails after 50 ms.
+void failReads(Availability& availability, Time from, Time until) {
   for (Time at = from; at < until; at += milliseconds(100))
-    judge.readEnded(at + milliseconds(50), kProxy, kGroup, at, false);
+    availability.readEnded(at + milliseconds(50), kProxy, kGroup, at, false);
 }
 
-TEST(LabAvailability, FindsAProxyThatServesNoReadThoughAServerCould) {
-  Availability judge;
-  judge.observe(seconds(1), kGroup, true);
-  readsFail(judge, seconds(2), seconds(5));
-  ASSERT_EQ(judge.outages().size(), 1u);
-  EXPECT_GT(judge.outages()[0].lasted, seconds(2));
+TEST(LabAvailability, ReportsAProxyThatFailsEveryReadWhileAServerIsAvailable) {
+  Availability availability;
+  availability.observe(seconds(1), kGroup, true);
+  failReads(availability, seconds(2), seconds(5));
+  ASSERT_EQ(availability.outages().size(), 1u);
+  EXPECT_GT(availability.outages()[0].lasted, seconds(2));
 }
-TEST(LabAvailability, TwoSecondsAreAllowed) {
-  Availability judge;
-  judge.observe(seconds(1), kGroup, true);
-  readsFail(judge, seconds(2), milliseconds(3900));
-  judge.readEnded(seconds(4), kProxy, kGroup, milliseconds(3950), true);
-  readsFail(judge, seconds(4), milliseconds(5900));
-  EXPECT_TRUE(judge.outages().empty());
+TEST(LabAvailability, AllowsFailuresForTwoSeconds) {
+  Availability availability;
+  availability.observe(seconds(1), kGroup, true);
+  failReads(availability, seconds(2), milliseconds(3900));
+  availability.readEnded(seconds(4), kProxy, kGroup, milliseconds(3950), true);
+  failReads(availability, seconds(4), milliseconds(5900));
+  EXPECT_TRUE(availability.outages().empty());
 }
-TEST(LabAvailability, WhereNoServerCouldNoProxyHasTo) {
-  Availability judge;
-  readsFail(judge, seconds(2), seconds(9));
-  judge.observe(seconds(9), kGroup, true);
-  judge.observe(seconds(10), kGroup, false);
-  readsFail(judge, seconds(10), seconds(19));
-  EXPECT_TRUE(judge.outages().empty());
+TEST(LabAvailability, ReportsNothingWhileNoServerIsAvailable) {
+  Availability availability;
+  failReads(availability, seconds(2), seconds(9));
+  availability.observe(seconds(9), kGroup, true);
+  availability.observe(seconds(10), kGroup, false);
+  failReads(availability, seconds(10), seconds(19));
+  EXPECT_TRUE(availability.outages().empty());
 }
-TEST(LabAvailability, WithoutHealthChecksAWriteHasToFindThePrimaryFirst) {
+TEST(LabAvailability, WithoutHealthChecksOnlyReadsAfterAWriteCount) {
   Availability::Rules rules;
   rules.foundByWrites = true;
-  Availability judge(rules);
-  judge.observe(seconds(1), kGroup, true);
-  readsFail(judge, seconds(2), seconds(9));
-  EXPECT_TRUE(judge.outages().empty());
-  judge.writeEnded(seconds(10), kProxy, kGroup, milliseconds(9900));
-  readsFail(judge, seconds(10), seconds(13));
-  EXPECT_EQ(judge.outages().size(), 1u);
+  Availability availability(rules);
+  availability.observe(seconds(1), kGroup, true);
+  failReads(availability, seconds(2), seconds(9));
+  EXPECT_TRUE(availability.outages().empty());
+  availability.writeEnded(seconds(10), kProxy, kGroup, milliseconds(9900));
+  failReads(availability, seconds(10), seconds(13));
+  EXPECT_EQ(availability.outages().size(), 1u);
 }
 
 Audit::Send staleSend(const std::string& id) {
@@ -75,13 +75,13 @@
   return rules;
 }
 
-TEST(LabTakeoverAudit, ASendToAFormerPrimaryIsExcusedUntilItHasToldThatItIsNone) {
+TEST(LabTakeoverAudit, ASendToAFormerPrimaryIsExcusedUntilItReportsThatItIsAReplica) {
   Audit audit(takeoverRules());
   audit.send(staleSend("a"));
   EXPECT_EQ(audit.figures().at("stale_reads"), 0);
-  audit.roleTold(milliseconds(4950), kProxy, 1, false);
+  audit.roleReported(milliseconds(4950), kProxy, 1, false);
   audit.send(staleSend("b"));
-  EXPECT_EQ(audit.figures().at("stale_reads"), 0) << "what an answer tells is known after 100 ms";
+  EXPECT_EQ(audit.figures().at("stale_reads"), 0) << "the role in an answer counts as known after 100 ms";
   Audit::Send later = staleSend("c");
   later.at += milliseconds(60);
   audit.send(later);
@@ -94,20 +94,20 @@
   audit.send(send);
   EXPECT_EQ(audit.figures().at("stale_reads"), 1);
 }
-TEST(LabTakeoverAudit, NothingIsExcusedInTheSoakOfAllFaults) {
+TEST(LabTakeoverAudit, WithoutTakeoverRulesNoSendIsExcused) {
   Audit audit;
   audit.send(staleSend("a"));
   EXPECT_EQ(audit.figures().at("stale_reads"), 1);
 }
-TEST(LabTakeoverAudit, FindsAStaleAnswerThatAClientIsGiven) {
+TEST(LabTakeoverAudit, ReportsAStaleAnswerDeliveredToAClient) {
   Audit audit(takeoverRules());
   audit.request(seconds(5), "a");
   const std::uint64_t attempt = audit.send(staleSend("a"));
   audit.ended(seconds(6), attempt, true);
-  audit.answer(seconds(6), "a", Got::Served, "v-a", milliseconds(20), true, 1, 1);
+  audit.answer(seconds(6), "a", Result::Served, "v-a", milliseconds(20), true, 1, 1);
   EXPECT_EQ(audit.figures().at("stale_answers"), 1);
 }
-TEST(LabTakeoverAudit, AWithheldAnswerIsNone) {
+TEST(LabTakeoverAudit, AWithheldStaleAnswerIsNoViolation) {
   Audit audit(takeoverRules());
   audit.request(seconds(5), "a");
   audit.ended(seconds(6), audit.send(staleSend("a")), true);
@@ -115,7 +115,7 @@
   second.server = 2;
   second.age = Time(0);
   audit.ended(seconds(7), audit.send(second), true);
-  audit.answer(seconds(7), "a", Got::Served, "v-a", milliseconds(20), true, 1, 1);
+  audit.answer(seconds(7), "a", Result::Served, "v-a", milliseconds(20), true, 1, 1);
   EXPECT_EQ(audit.figures().at("stale_answers"), 0);
   EXPECT_TRUE(audit.broken().empty());
 }
--- a/tests/dnssd_test.cpp
+++ b/tests/dnssd_test.cpp
@@ -470,15 +470,15 @@
   waitUntil([&] { return endpoints.size() == 3; });
   for (const char* name : {"silent", "servfail", "refused", "lame", "noise", "loop", "counts", "wrong-id",
                            "wrong-question", "wrong-port"}) {
-    lab::NameServer::Mood mood{};
-    ASSERT_TRUE(lab::NameServer::moodOf(name, mood)) << name;
-    first.mood(mood);
-    second.mood(mood);
+    lab::NameServer::ResponseMode responseMode{};
+    ASSERT_TRUE(lab::NameServer::parseResponseMode(name, responseMode)) << name;
+    first.responseMode(responseMode);
+    second.responseMode(responseMode);
     const auto before = failures;
     waitUntil([&] { return failures > before; });
     EXPECT_EQ(endpoints.size(), 3u) << name;
-    first.mood(lab::NameServer::Mood::Good);
-    second.mood(lab::NameServer::Mood::Good);
+    first.responseMode(lab::NameServer::ResponseMode::Good);
+    second.responseMode(lab::NameServer::ResponseMode::Good);
     const auto queriesBefore = first.counts().udp + second.counts().udp;
     waitUntil([&] { return first.counts().udp + second.counts().udp > queriesBefore + 1; });
   }
@@ -486,32 +486,32 @@
   EXPECT_EQ(listCount, 1u);
 }
 TEST_F(DnsSdDiscoveryTest, FailsOverAndStaysWithTheSecondServer) {
-  first.mood(lab::NameServer::Mood::Silent);
+  first.responseMode(lab::NameServer::ResponseMode::Silent);
   start();
   waitUntil([&] { return endpoints.size() == 3; });
   EXPECT_EQ(failures, 0u);
-  first.mood(lab::NameServer::Mood::Good);
+  first.responseMode(lab::NameServer::ResponseMode::Good);
   const auto before = first.counts().udp;
   const auto queriesBefore = second.counts().udp;
   waitUntil([&] { return second.counts().udp > queriesBefore + 4; });
   EXPECT_EQ(first.counts().udp, before);
 }
 TEST_F(DnsSdDiscoveryTest, RetriesTruncatedAnswersOverTcpAndKeepsTheListWhenTcpFails) {
-  first.mood(lab::NameServer::Mood::Truncated);
+  first.responseMode(lab::NameServer::ResponseMode::Truncated);
   start();
   waitUntil([&] { return endpoints.size() == 3; });
   EXPECT_GT(first.counts().tcp, 0u);
-  first.mood(lab::NameServer::Mood::TruncatedOnly);
-  second.mood(lab::NameServer::Mood::TruncatedOnly);
+  first.responseMode(lab::NameServer::ResponseMode::TruncatedOnly);
+  second.responseMode(lab::NameServer::ResponseMode::TruncatedOnly);
   waitUntil([&] { return failures >= 2; });
   EXPECT_EQ(endpoints.size(), 3u);
-  second.mood(lab::NameServer::Mood::Good);
+  second.responseMode(lab::NameServer::ResponseMode::Good);
   second.withdraw("s-3");
   waitUntil([&] { return endpoints.size() == 2; });
 }
 TEST_F(DnsSdDiscoveryTest, DisablesEdnsWhenTheServerRejectsIt) {
-  first.mood(lab::NameServer::Mood::NoEdns);
-  second.mood(lab::NameServer::Mood::Silent);
+  first.responseMode(lab::NameServer::ResponseMode::NoEdns);
+  second.responseMode(lab::NameServer::ResponseMode::Silent);
   start();
   waitUntil([&] { return endpoints.size() == 3; });
   EXPECT_EQ(failures, 0u);
@@ -554,7 +554,7 @@
   i.label = "t-1";
   i.port = 6100;
   other.publish(i);
-  other.mood(lab::NameServer::Mood::Silent);
+  other.responseMode(lab::NameServer::ResponseMode::Silent);
   config.dnssd.domain = "seeb.example.org";
   config.dnssd.servers = {*Address::parse("127.0.0.1:" + std::to_string(other.port()))};
   const auto before = listCount;
@@ -562,7 +562,7 @@
   waitUntil([&] { return failures > 0; });
   EXPECT_EQ(endpoints.size(), 3u);
   EXPECT_EQ(listCount, before);
-  other.mood(lab::NameServer::Mood::Good);
+  other.responseMode(lab::NameServer::ResponseMode::Good);
   waitUntil([&] { return endpoints.size() == 2; });
   EXPECT_EQ(listCount, before + 1);
   EXPECT_EQ(endpoints.count("s-1") + endpoints.count("t-1"), 2u);
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -427,9 +427,9 @@
       else
         who.settings.emplace_back(key, text);
     }
-    o.speaker = std::make_unique<lab::Speaker>(*lab::versionOf(first), who);
+    o.speaker = std::make_unique<lab::ClientProtocol>(*lab::versionOf(first), who);
     dial(o.c);
-    sendAll(o.c.fd, o.speaker->hello());
+    sendAll(o.c.fd, o.speaker->startupMessage());
     return;
   }
   if (verb == "asks") return sendAll(o.c.fd, o.speaker->query(rest));
@@ -498,8 +498,8 @@
         std::string send;
         const auto got = o.speaker->take(o.c.received, send);
         if (!send.empty()) sendAll(o.c.fd, send);
-        EXPECT_NE(got, lab::Speaker::Got::Broken) << currentStep_ << ": " << o.speaker->why();
-        return got != lab::Speaker::Got::More || o.c.ended;
+        EXPECT_NE(got, lab::ClientProtocol::Result::Broken) << currentStep_ << ": " << o.speaker->why();
+        return got != lab::ClientProtocol::Result::More || o.c.ended;
       },
       "a reply");
   return o.speaker->takeReply();
@@ -775,9 +775,9 @@
 
 void Scenario::dns(const std::string& verb, const std::string& what, const std::string& rest) {
   if (verb == "mood") {
-    lab::NameServer::Mood mood{};
-    ASSERT_TRUE(lab::NameServer::moodOf(what, mood)) << currentStep_;
-    return nameServer_->mood(mood);
+    lab::NameServer::ResponseMode responseMode{};
+    ASSERT_TRUE(lab::NameServer::parseResponseMode(what, responseMode)) << currentStep_;
+    return nameServer_->responseMode(responseMode);
   }
   if (verb == "move") {  // another domain, served at the same port
     const int port = nameServer_->port();
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -211,7 +211,7 @@
   // A client of any protocol version (o1, o2 ...).
   struct VersionedClient {
     Connection c;
-    std::unique_ptr<lab::Speaker> speaker;
+    std::unique_ptr<lab::ClientProtocol> speaker;
   };
   void versionedClient(const std::string& name, const std::string& verb, const std::string& rest);
   lab::Reply reply(VersionedClient&);
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -517,7 +517,7 @@
   }
   std::unique_ptr<ClientSocket> connectVersion2Client() {
     auto p = std::make_unique<ClientSocket>(clients->port());
-    p->write(lab::Speaker(*lab::versionOf("2.0"), {}).hello());
+    p->write(lab::ClientProtocol(*lab::versionOf("2.0"), {}).startupMessage());
     std::string got;
     EXPECT_TRUE(waitUntil([&] { return !(got += p->readAvailable()).empty() && got.back() == 'Z'; }));
     return p;
