--- a/src/durability/database.hpp
+++ b/src/durability/database.hpp
@@ -100,7 +100,7 @@
   void checkMarker() const;
   void readMarker();
   void writeMarker(bool durable);
-  [[noreturn]] void fail(const leveldb::Status&, const char* doing);
+  [[noreturn]] void fail(const leveldb::Status&, const char* context);
 
   Files& files_;
   const std::string directory_;
